--- a/crates/packed/src/lib.rs
+++ b/crates/compression/src/lib.rs
@@ -8,7 +8,7 @@
 //! anything malformed is an error, never a panic.
 //!
 //! ```
-//! use glenhaven_packed::{pack, unpack};
+//! use glenhaven_compression::{pack, unpack};
 //!
 //! let names: Vec<String> = (0..1000).map(|n| format!("run-{n:06}/0")).collect();
 //! let (text, taken) = pack(&names, 2000);
--- a/crates/packed/tests/packed.rs
+++ b/crates/compression/tests/compression.rs
@@ -1,6 +1,6 @@
 //! Texts fit, come back as they were, and nothing malformed does harm.
 
-use glenhaven_packed::{pack, unpack, Malformed};
+use glenhaven_compression::{pack, unpack, Malformed};
 use proptest::prelude::*;
 
 type Record = (String, u64, Vec<(String, bool)>);
--- a/crates/links/src/lead.rs
+++ b/crates/connectivity/src/handover.rs
@@ -1,7 +1,7 @@
 //! Which of the controllers should lead, by what each of them reaches.
 
-use super::{Host, Picture, Sure};
-use glenhaven_units::Micros;
+use super::{Host, LinkState, LinkTable};
+use glenhaven_time::Micros;
 use std::collections::VecDeque;
 
 /// What a controller reaches, directly and by way of others.
@@ -31,7 +31,7 @@
     }
 }
 
-impl Picture {
+impl LinkTable {
     /// Workers that report to a controller, by what it told.
     fn serves(&self, node: &str, now: Micros) -> u32 {
         let workers = |host: &Host| matches!(host, Host::Workers(_));
@@ -47,7 +47,7 @@
     /// What a controller reaches, as far as this one knows.
     pub fn reach(&self, node: &str, now: Micros) -> Reach {
         let mut reach = Reach {
-            state: self.link(node, &Host::State, now) > Sure::Down,
+            state: self.link(node, &Host::State, now) > LinkState::Down,
             nodes: 1,
             workers: self.serves(node, now),
         };
@@ -64,8 +64,9 @@
 
     /// How many controllers are neither heard nor known to refuse connections.
     fn silent_nodes(&self, now: Micros) -> u32 {
-        let silent =
-            |host: &Host| matches!(host, Host::Node(_)) && self.own(host, now) == Sure::Down && !self.own[host].refuses;
+        let silent = |host: &Host| {
+            matches!(host, Host::Node(_)) && self.own(host, now) == LinkState::Down && !self.own[host].refuses
+        };
         self.own.keys().filter(|host| silent(host)).count() as u32
     }
 
@@ -138,26 +139,26 @@
     /// other controllers there are in all, `machines` those that work.
     pub fn look(
         &mut self,
-        picture: &Picture,
+        link_table: &LinkTable,
         others: u32,
         machines: impl FnOnce() -> u32,
         began: Micros,
         now: Micros,
     ) -> Option<Handover> {
-        let own = picture.reach(&picture.me, now);
+        let own = link_table.reach(&link_table.me, now);
         while self.given.front().is_some_and(|at| now.since(*at) > MINUTE) {
             self.given.pop_front();
         }
-        let best = picture
+        let best = link_table
             .rows
             .keys()
-            .filter(|name| picture.row(name, now).is_some())
-            .map(|name| (picture.reach(name, now), name))
+            .filter(|name| link_table.row(name, now).is_some())
+            .map(|name| (link_table.reach(name, now), name))
             .filter(|(reach, _)| reach.state && reach.is_far_more(&own))
             .max_by_key(|(reach, name)| (reach.workers, reach.nodes, std::cmp::Reverse(*name)));
         // One other may have ended; several are more likely well and not heard. Where
         // their hosts refuse connections, their workers are sent here instead.
-        let silent = picture.silent_nodes(now);
+        let silent = link_table.silent_nodes(now);
         if own.nodes > 1 {
             self.alone = Default::default();
         }
--- a/crates/links/src/lib.rs
+++ b/crates/connectivity/src/lib.rs
@@ -3,12 +3,12 @@
 //! Most trouble begins between machines: a controller reaches the workers but not
 //! the state service, two controllers hear each other by way of a third only. No
 //! host is at fault then, so nothing is said of hosts here. Each controller notes
-//! what it sees of its own links ([`Picture::answered`], [`Picture::failed`],
-//! [`Picture::heard`]), tells the others in the messages that they exchange anyway
-//! ([`Picture::tell`]), and puts together what all of them tell ([`Picture::link`]).
+//! what it sees of its own links ([`LinkTable::answered`], [`LinkTable::failed`],
+//! [`LinkTable::heard`]), tells the others in the messages that they exchange anyway
+//! ([`LinkTable::tell`]), and puts together what all of them tell ([`LinkTable::link`]).
 //!
 //! Two decisions follow: by way of whom to ask what cannot be asked directly
-//! ([`Picture::way`]), and which of the controllers should lead ([`Picture::reach`],
+//! ([`LinkTable::way`]), and which of the controllers should lead ([`LinkTable::reach`],
 //! [`Lead`]). They steer service only. Nothing here is proof of anything: no host is
 //! taken for dead, no condition or fence is left out, because of a picture.
 //!
@@ -17,12 +17,12 @@
 //! news look old, never newer than the message that brought them.
 //!
 //! ```
-//! use glenhaven_links::{Host, Picture, Sure, Way};
-//! use glenhaven_units::Micros;
+//! use glenhaven_connectivity::{Host, LinkTable, LinkState, Route};
+//! use glenhaven_time::Micros;
 //!
 //! let at = Micros::from_secs;
-//! let mut me = Picture::new("a");
-//! let mut b = Picture::new("b");
+//! let mut me = LinkTable::new("a");
+//! let mut b = LinkTable::new("b");
 //! b.answered(Host::State, None, at(10.9));
 //! me.heard("b", at(11.0));
 //! me.sends("b", true, false);
@@ -32,19 +32,19 @@
 //! for ms in [10_200, 10_400, 10_950] {
 //!     me.failed(Host::State, Micros::from_millis(ms));
 //! }
-//! assert_eq!(me.link("a", &Host::State, at(11.1)), Sure::Down);
-//! assert_eq!(me.way(&Host::State, at(11.1)), Way::By("b".into()));
+//! assert_eq!(me.link("a", &Host::State, at(11.1)), LinkState::Down);
+//! assert_eq!(me.way(&Host::State, at(11.1)), Route::By("b".into()));
 //! ```
 #![forbid(unsafe_code)]
 
-mod lead;
+mod handover;
 mod retries;
 
-pub use lead::{Handover, Lead, Reach, Why};
+pub use handover::{Handover, Lead, Reach, Why};
 pub use retries::Backoff;
 
 use bitcode::{Decode, Encode};
-use glenhaven_units::Micros;
+use glenhaven_time::Micros;
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -80,7 +80,7 @@
 
 /// How a link is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub enum Sure {
+pub enum LinkState {
     /// Nothing is known, or nothing of late.
     Unknown,
     /// Nothing comes back.
@@ -92,18 +92,18 @@
     Up,
 }
 
-impl Sure {
+impl LinkState {
     /// Whether something can be asked there and be answered.
     pub fn serves(self) -> bool {
-        matches!(self, Sure::Slow | Sure::Up)
+        matches!(self, LinkState::Slow | LinkState::Up)
     }
 }
 
 /// What one controller tells of one of its links.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Cell {
+pub struct LinkObservation {
     pub host: Host,
-    pub sure: Sure,
+    pub sure: LinkState,
     /// How long ago, by the teller's clock, the host was last heard, in milliseconds.
     pub age_ms: u32,
     /// Of workers: how many report to the teller.
@@ -112,7 +112,7 @@
 
 /// How something is to be asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Route {
     Direct,
     /// By way of this controller.
     By(String),
@@ -122,7 +122,7 @@
 
 /// What this controller saw of one of its own links.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sight {
+struct LinkHistory {
     /// When it last answered, or was last heard.
     good: Option<Micros>,
     /// Failures since then, and when the first of them was.
@@ -143,21 +143,21 @@
 #[derive(Clone, Debug, Default)]
 struct Row {
     at: Micros,
-    cells: BTreeMap<Host, (Sure, Micros, u32)>,
+    cells: BTreeMap<Host, (LinkState, Micros, u32)>,
 }
 
 /// The links as one controller knows them.
 #[derive(Clone, Debug)]
-pub struct Picture {
+pub struct LinkTable {
     me: String,
-    own: BTreeMap<Host, Sight>,
+    own: BTreeMap<Host, LinkHistory>,
     rows: BTreeMap<String, Row>,
 }
 
-impl Picture {
+impl LinkTable {
     /// The picture of the controller with this name, with nothing in it.
-    pub fn new(me: &str) -> Picture {
-        Picture {
+    pub fn new(me: &str) -> LinkTable {
+        LinkTable {
             me: me.to_string(),
             own: BTreeMap::new(),
             rows: BTreeMap::new(),
@@ -169,7 +169,7 @@
     /// was down is told to be up again only after a few answers in a row: others do not
     /// rely on one that flaps.
     pub fn answered(&mut self, host: Host, took: Option<Micros>, now: Micros) {
-        let was_down = self.own(&host, now) == Sure::Down;
+        let was_down = self.own(&host, now) == LinkState::Down;
         let sight = self.own.entry(host).or_default();
         if let Some(took) = took {
             sight.took = Micros((sight.took.0 * 3 + took.0) / 4);
@@ -224,41 +224,41 @@
     }
 
     /// How this controller's own link to a host is.
-    pub fn own(&self, host: &Host, now: Micros) -> Sure {
+    pub fn own(&self, host: &Host, now: Micros) -> LinkState {
         let Some(sight) = self.own.get(host) else {
-            return Sure::Unknown;
+            return LinkState::Unknown;
         };
         match host {
             Host::State | Host::Cloud => {
                 let failing = sight.failing.is_some_and(|at| now.since(at) >= DOWN_AFTER);
                 if sight.failures >= FAILURES && failing {
-                    Sure::Down
+                    LinkState::Down
                 } else if sight.good.is_none() {
-                    Sure::Unknown
+                    LinkState::Unknown
                 } else if sight.took >= SLOW {
-                    Sure::Slow
+                    LinkState::Slow
                 } else {
-                    Sure::Up
+                    LinkState::Up
                 }
             }
             Host::Node(_) => {
                 let heard = sight.good.is_some_and(|at| now.since(at) < HEARD);
                 match (heard, sight.sends) {
-                    (true, None | Some(true)) => Sure::Up,
-                    (true, Some(false)) | (false, Some(true)) => Sure::OneWay,
-                    (false, Some(false)) => Sure::Down,
-                    (false, None) if sight.good.is_some() => Sure::Down,
-                    (false, None) => Sure::Unknown,
+                    (true, None | Some(true)) => LinkState::Up,
+                    (true, Some(false)) | (false, Some(true)) => LinkState::OneWay,
+                    (false, Some(false)) => LinkState::Down,
+                    (false, None) if sight.good.is_some() => LinkState::Down,
+                    (false, None) => LinkState::Unknown,
                 }
             }
-            Host::Workers(_) if sight.count > 0 => Sure::Up,
-            Host::Workers(_) => Sure::Unknown,
+            Host::Workers(_) if sight.count > 0 => LinkState::Up,
+            Host::Workers(_) => LinkState::Unknown,
         }
     }
 
     /// What this controller tells the others of its links.
-    pub fn tell(&self, now: Micros) -> Vec<Cell> {
-        let cell = |(host, sight): (&Host, &Sight)| Cell {
+    pub fn tell(&self, now: Micros) -> Vec<LinkObservation> {
+        let cell = |(host, sight): (&Host, &LinkHistory)| LinkObservation {
             host: host.clone(),
             sure: self.own(host, now),
             age_ms: (sight.good.map_or(OLDEST, |at| now.since(at)).min(OLDEST).0 / 1000) as u32,
@@ -268,8 +268,8 @@
     }
 
     /// What another controller tells of its links.
-    pub fn told(&mut self, node: &str, cells: &[Cell], now: Micros) {
-        let dated = |c: &Cell| {
+    pub fn told(&mut self, node: &str, cells: &[LinkObservation], now: Micros) {
+        let dated = |c: &LinkObservation| {
             let age = Micros::from_millis(u64::from(c.age_ms)).min(OLDEST);
             (c.host.clone(), (c.sure, Micros(now.0.saturating_sub(age.0)), c.count))
         };
@@ -287,24 +287,24 @@
     /// How the link from a controller to a host is, by what it told or by what this
     /// one sees. Between controllers both ends have a word: what one sends and the
     /// other does not hear is a link in one direction.
-    pub fn link(&self, from: &str, to: &Host, now: Micros) -> Sure {
+    pub fn link(&self, from: &str, to: &Host, now: Micros) -> LinkState {
         if from == self.me {
             return self.own(to, now);
         }
         let said = self.row(from, now).and_then(|r| r.cells.get(to));
-        let there = said.map_or(Sure::Unknown, |c| c.0);
+        let there = said.map_or(LinkState::Unknown, |c| c.0);
         let Host::Node(other) = to else { return there };
         let host = Host::Node(from.to_string());
         let back = if *other == self.me {
             self.own(&host, now)
         } else {
             let row = self.row(other, now).and_then(|r| r.cells.get(&host));
-            row.map_or(Sure::Unknown, |c| c.0)
+            row.map_or(LinkState::Unknown, |c| c.0)
         };
         match (there, back) {
-            (Sure::Unknown, back) => back,
-            (there, Sure::Unknown) => there,
-            (there, back) => there.min(back).max(Sure::Down),
+            (LinkState::Unknown, back) => back,
+            (there, LinkState::Unknown) => there,
+            (there, back) => there.min(back).max(LinkState::Down),
         }
     }
 
@@ -312,30 +312,30 @@
     /// controller that this one reaches in both directions, and that has heard the
     /// host since this one's own failures began. Each controller chooses another
     /// one, and the same one as long as nothing changes.
-    pub fn way(&self, to: &Host, now: Micros) -> Way {
+    pub fn way(&self, to: &Host, now: Micros) -> Route {
         // A link that answers again is used again: after an outage all come back at
         // once, and nobody is to carry what the others can ask themselves.
-        if self.answers_again(to) || !matches!(self.own(to, now), Sure::Down | Sure::OneWay) {
-            return Way::Direct;
+        if self.answers_again(to) || !matches!(self.own(to, now), LinkState::Down | LinkState::OneWay) {
+            return Route::Direct;
         }
         let failing = self.own.get(to).and_then(|s| s.failing).unwrap_or(Micros::ZERO);
         let by = self
             .rows
             .iter()
             .filter(|(name, _)| !matches!(to, Host::Node(node) if node == *name))
-            .filter(|(name, _)| self.own(&Host::Node((*name).clone()), now) == Sure::Up)
+            .filter(|(name, _)| self.own(&Host::Node((*name).clone()), now) == LinkState::Up)
             .filter_map(|(name, _)| {
                 let (sure, heard, _) = *self.row(name, now)?.cells.get(to)?;
                 // The cloud is asked by hardly anybody but the leader.
                 let since = !matches!(to, Host::State) || heard > failing;
                 let mutual = match to {
-                    Host::Node(_) => self.link(name, to, now) == Sure::Up,
+                    Host::Node(_) => self.link(name, to, now) == LinkState::Up,
                     _ => true,
                 };
-                (sure.serves() && since && mutual).then_some((sure != Sure::Up, self.order(name, to), name))
+                (sure.serves() && since && mutual).then_some((sure != LinkState::Up, self.order(name, to), name))
             })
             .min();
-        by.map_or(Way::Nowhere, |(_, _, name)| Way::By(name.clone()))
+        by.map_or(Route::Nowhere, |(_, _, name)| Route::By(name.clone()))
     }
 
     /// Spreads those who need a way over those who have one, alike on every version.
@@ -346,9 +346,9 @@
     }
 
     /// How a controller said that a link of its was, however long ago.
-    pub fn last_told(&self, node: &str, host: &Host) -> Sure {
+    pub fn last_told(&self, node: &str, host: &Host) -> LinkState {
         let cell = self.rows.get(node).and_then(|r| r.cells.get(host));
-        cell.map_or(Sure::Unknown, |c| c.0)
+        cell.map_or(LinkState::Unknown, |c| c.0)
     }
 
     /// Whether any controller heard by now says that it has a way to this host.
--- a/crates/links/src/retries.rs
+++ b/crates/connectivity/src/retries.rs
@@ -1,14 +1,14 @@
 //! Retries that do not storm what comes back.
 
-use glenhaven_units::Micros;
+use glenhaven_time::Micros;
 
 /// Pauses between tries of one thing that fails: each up to twice as long as the one
 /// before, jittered over their whole length, so that those who lost a link together
 /// do not come back together.
 ///
 /// ```
-/// use glenhaven_links::Backoff;
-/// use glenhaven_units::Micros;
+/// use glenhaven_connectivity::Backoff;
+/// use glenhaven_time::Micros;
 ///
 /// let mut backoff = Backoff::new(Micros::from_millis(100), Micros::from_millis(800));
 /// let longest: Vec<u64> = (0..5).map(|_| backoff.next(1.0).0 / 1000).collect();
--- a/crates/links/tests/links.rs
+++ b/crates/connectivity/tests/connectivity.rs
@@ -1,7 +1,7 @@
 //! What follows from a picture of links, over many pictures.
 
-use glenhaven_links::{Backoff, Host, Lead, Picture, Sure, Way, Why};
-use glenhaven_units::Micros;
+use glenhaven_connectivity::{Backoff, Host, Lead, LinkState, LinkTable, Route, Why};
+use glenhaven_time::Micros;
 use proptest::prelude::*;
 
 const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
@@ -28,8 +28,8 @@
     }
 
     /// Plays the signs of some seconds into the pictures of all.
-    fn pictures(&self, until: f64) -> Vec<Picture> {
-        let mut pictures: Vec<Picture> = NAMES.iter().map(|n| Picture::new(n)).collect();
+    fn pictures(&self, until: f64) -> Vec<LinkTable> {
+        let mut pictures: Vec<LinkTable> = NAMES.iter().map(|n| LinkTable::new(n)).collect();
         let mut now = 0.5;
         while now <= until {
             let t = at(now);
@@ -42,14 +42,14 @@
                 }
             }
             let told: Vec<_> = pictures.iter().map(|p| p.tell(t)).collect();
-            for (i, picture) in pictures.iter_mut().enumerate() {
+            for (i, link_table) in pictures.iter_mut().enumerate() {
                 for j in (0..5).filter(|j| *j != i) {
                     // i hears j; what i sends arrives where j hears i.
                     if self.hears[i][j] {
-                        picture.heard(NAMES[j], t);
-                        picture.told(NAMES[j], &told[j], t);
+                        link_table.heard(NAMES[j], t);
+                        link_table.told(NAMES[j], &told[j], t);
                     }
-                    picture.sends(NAMES[j], self.hears[j][i] && self.hears[i][j], false);
+                    link_table.sends(NAMES[j], self.hears[j][i] && self.hears[i][j], false);
                 }
             }
             now += 0.5;
@@ -77,12 +77,12 @@
         for (i, p) in world.pictures(6.0).iter().enumerate() {
             let good = |j: usize| j != i && world.hears[i][j] && world.hears[j][i] && world.state[j];
             match p.way(&Host::State, now) {
-                Way::Direct => prop_assert!(world.state[i]),
-                Way::By(name) => {
+                Route::Direct => prop_assert!(world.state[i]),
+                Route::By(name) => {
                     let j = NAMES.iter().position(|n| *n == name).unwrap();
                     prop_assert!(!world.state[i] && good(j));
                 }
-                Way::Nowhere => prop_assert!(!world.state[i] && !(0..5).any(good)),
+                Route::Nowhere => prop_assert!(!world.state[i] && !(0..5).any(good)),
             }
         }
     }
@@ -107,18 +107,18 @@
         for second in 0..240u64 {
             let world = &worlds[(second / 8) as usize % worlds.len()];
             let now = at(second as f64 + 20.0);
-            let mut picture = Picture::new("a");
+            let mut link_table = LinkTable::new("a");
             for host in NAMES.iter().skip(1).filter(|_| world.hears[0][1]) {
-                picture.heard(host, now);
+                link_table.heard(host, now);
             }
-            picture.answered(Host::State, None, now);
+            link_table.answered(Host::State, None, now);
             for (j, name) in NAMES.iter().enumerate().skip(1) {
-                picture.sends(name, world.hears[j][0], false);
+                link_table.sends(name, world.hears[j][0], false);
                 if world.hears[0][j] {
-                    picture.heard(name, now);
+                    link_table.heard(name, now);
                 }
             }
-            if lead.look(&picture, 4, || 100, Micros::ZERO, now).is_some() {
+            if lead.look(&link_table, 4, || 100, Micros::ZERO, now).is_some() {
                 given.push(now);
             }
         }
@@ -130,9 +130,9 @@
     /// A clock that runs wild makes news look old at most.
     #[test]
     fn ages_are_never_negative(age in 0u32..u32::MAX, now in 1.0f64..100.0) {
-        let mut p = Picture::new("a");
-        let mut cells = Picture::new("b").tell(at(now));
-        cells.push(glenhaven_links::Cell { host: Host::State, sure: Sure::Up, age_ms: age, count: u32::MAX });
+        let mut p = LinkTable::new("a");
+        let mut cells = LinkTable::new("b").tell(at(now));
+        cells.push(glenhaven_connectivity::LinkObservation { host: Host::State, sure: LinkState::Up, age_ms: age, count: u32::MAX });
         p.heard("b", at(now));
         p.sends("b", true, false);
         p.told("b", &cells, at(now));
@@ -141,8 +141,8 @@
         p.failed(Host::State, at(now - 0.2));
         // Whatever it says, it is believed for no longer than it is heard.
         let later = at(now + 1.7);
-        prop_assert_eq!(p.way(&Host::State, later), Way::Nowhere);
-        prop_assert_eq!(p.link("b", &Host::State, later), Sure::Unknown);
+        prop_assert_eq!(p.way(&Host::State, later), Route::Nowhere);
+        prop_assert_eq!(p.link("b", &Host::State, later), LinkState::Unknown);
     }
 
     #[test]
@@ -164,12 +164,12 @@
         world.hears[j][0] = false;
     }
     let now = at(10.0);
-    let picture = &world.pictures(10.0)[0];
-    assert_eq!(picture.link("a", &Host::Node("b".into()), now), Sure::OneWay);
+    let link_table = &world.pictures(10.0)[0];
+    assert_eq!(link_table.link("a", &Host::Node("b".into()), now), LinkState::OneWay);
     let mut lead = Lead::default();
     let began = at(0.0);
     assert_eq!(
-        lead.look(picture, 4, || 200, began, now),
+        lead.look(link_table, 4, || 200, began, now),
         None,
         "not before it has held"
     );
@@ -185,35 +185,39 @@
     for row in &mut world.hears {
         row[0] = false;
     }
-    let picture = world.pictures(10.0)[0].clone();
+    let link_table = world.pictures(10.0)[0].clone();
     let mut lead = Lead::default();
-    assert_eq!(lead.look(&picture, 4, || 40, Micros::ZERO, at(10.0)), None);
+    assert_eq!(lead.look(&link_table, 4, || 40, Micros::ZERO, at(10.0)), None);
     assert_eq!(
-        lead.look(&picture, 4, || 40, Micros::ZERO, at(14.0)),
+        lead.look(&link_table, 4, || 40, Micros::ZERO, at(14.0)),
         None,
         "most of its workers come here"
     );
-    assert_eq!(lead.look(&picture, 4, || 100, Micros::ZERO, at(14.0)), None);
-    let found = lead.look(&picture, 4, || 100, Micros::ZERO, at(18.0)).unwrap();
+    assert_eq!(lead.look(&link_table, 4, || 100, Micros::ZERO, at(14.0)), None);
+    let found = lead.look(&link_table, 4, || 100, Micros::ZERO, at(18.0)).unwrap();
     assert_eq!((found.to, found.why), (None, Why::Alone));
     assert!(lead.gave_lately(at(19.0)) && !lead.gave_lately(at(25.0)));
 }
 
 #[test]
 fn a_link_that_flaps_is_not_relied_on() {
-    let mut p = Picture::new("a");
+    let mut p = LinkTable::new("a");
     p.answered(Host::State, None, at(1.0));
     for ms in [1200, 1400, 1700] {
         p.failed(Host::State, Micros::from_millis(ms));
     }
-    assert_eq!(p.own(&Host::State, at(1.8)), Sure::Down);
+    assert_eq!(p.own(&Host::State, at(1.8)), LinkState::Down);
     p.answered(Host::State, None, at(2.0));
     assert!(p.answers_again(&Host::State));
-    assert_eq!(p.own(&Host::State, at(2.0)), Sure::Down, "one answer is not enough");
+    assert_eq!(
+        p.own(&Host::State, at(2.0)),
+        LinkState::Down,
+        "one answer is not enough"
+    );
     p.failed(Host::State, at(2.4));
     p.answered(Host::State, None, at(2.8));
     p.answered(Host::State, None, at(3.2));
-    assert_eq!(p.own(&Host::State, at(3.2)), Sure::Down);
+    assert_eq!(p.own(&Host::State, at(3.2)), LinkState::Down);
     p.answered(Host::State, None, at(3.6));
-    assert_eq!(p.own(&Host::State, at(3.6)), Sure::Up);
+    assert_eq!(p.own(&Host::State, at(3.6)), LinkState::Up);
 }
--- a/crates/links/tests/exhaustive.rs
+++ b/crates/connectivity/tests/exhaustive.rs
@@ -2,8 +2,8 @@
 //! has the state service: 65,536 worlds, each held still. Whoever leads, the lead comes
 //! to rest.
 
-use glenhaven_links::{Host, Lead, Picture};
-use glenhaven_units::Micros;
+use glenhaven_connectivity::{Host, Lead, LinkTable};
+use glenhaven_time::Micros;
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 const WORKERS: [u32; 4] = [10, 12, 9, 11];
@@ -15,8 +15,8 @@
 }
 
 /// The pictures of all after some seconds of the same links.
-fn pictures(links: u32, state: u32, now: Micros) -> Vec<Picture> {
-    let mut pictures: Vec<Picture> = NAMES.iter().map(|n| Picture::new(n)).collect();
+fn pictures(links: u32, state: u32, now: Micros) -> Vec<LinkTable> {
+    let mut pictures: Vec<LinkTable> = NAMES.iter().map(|n| LinkTable::new(n)).collect();
     for round in 0..4u64 {
         let t = Micros(now.0 - (3 - round) * 500_000);
         for (i, p) in pictures.iter_mut().enumerate() {
@@ -43,11 +43,14 @@
 }
 
 /// Whom this leader gives the lead to if nothing changes: `None` if it keeps it.
-fn gives(lead: &mut Lead, picture: &Picture, now: Micros) -> Option<Option<usize>> {
+fn gives(lead: &mut Lead, link_table: &LinkTable, now: Micros) -> Option<Option<usize>> {
     // The picture is of now; the reason has held since three seconds ago.
     let earlier = Micros(now.0 - 3_000_000);
-    assert!(lead.look(picture, 3, || 42, Micros::ZERO, earlier).is_none(), "at once");
-    let handover = lead.look(picture, 3, || 42, Micros::ZERO, now)?;
+    assert!(
+        lead.look(link_table, 3, || 42, Micros::ZERO, earlier).is_none(),
+        "at once"
+    );
+    let handover = lead.look(link_table, 3, || 42, Micros::ZERO, now)?;
     Some(handover.to.map(|to| NAMES.iter().position(|n| *n == to).unwrap()))
 }
 
--- a/crates/chains/src/lend.rs
+++ b/crates/dependencies/src/inheritance.rs
@@ -1,8 +1,8 @@
 //! What the last job of a chain lends to those before it: its priority, and the time by
 //! which they have to be done so that it can be in time.
 
-use super::{Chains, Phase};
-use glenhaven_units::Micros;
+use super::{DependencyGraph, Phase};
+use glenhaven_time::Micros;
 use std::collections::BTreeMap;
 
 /// What is lent to a job by those that need it.
@@ -25,7 +25,7 @@
     }
 }
 
-impl<J> Chains<J> {
+impl<J> DependencyGraph<J> {
     /// What each job is lent that is not over and that an open job needs, directly or not.
     /// `own` is what a job that names others has of itself, and `takes` how long it takes
     /// from its beginning to its end. Withdrawn jobs lend nothing.
--- a/crates/chains/src/lib.rs
+++ b/crates/dependencies/src/lib.rs
@@ -7,9 +7,9 @@
 //! never began are withdrawn with another.
 //!
 //! ```
-//! use glenhaven_chains::{Chains, News, Stand};
+//! use glenhaven_dependencies::{DependencyGraph, News, Stand};
 //!
-//! let mut chains = Chains::new();
+//! let mut chains = DependencyGraph::new();
 //! chains.add("run-2", &["run-1".into()], ());
 //! assert_eq!(chains.stand("run-2"), Some(Stand::Unsettled), "nobody said what run-1 is");
 //! chains.open("run-1");
@@ -20,9 +20,9 @@
 //! ```
 #![forbid(unsafe_code)]
 
-mod lend;
+mod inheritance;
 
-pub use lend::Lent;
+pub use inheritance::Lent;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -88,16 +88,16 @@
 /// Open jobs that name others, and what is known of those that they name. `J` is what the
 /// caller keeps of a job that names others.
 #[derive(Debug)]
-pub struct Chains<J> {
+pub struct DependencyGraph<J> {
     links: BTreeMap<String, Link<J>>,
     /// Named jobs of which nothing is known.
     unknown: BTreeSet<String>,
     news: Vec<News>,
 }
 
-impl<J> Default for Chains<J> {
+impl<J> Default for DependencyGraph<J> {
     fn default() -> Self {
-        Chains {
+        DependencyGraph {
             links: BTreeMap::new(),
             unknown: BTreeSet::new(),
             news: vec![],
@@ -105,10 +105,10 @@
     }
 }
 
-impl<J> Chains<J> {
+impl<J> DependencyGraph<J> {
     /// Nothing is known.
-    pub fn new() -> Chains<J> {
-        Chains::default()
+    pub fn new() -> DependencyGraph<J> {
+        DependencyGraph::default()
     }
 
     /// An accepted job that names these. Told again, it changes nothing; of a job that is
@@ -209,7 +209,7 @@
 
     /// Forgets everything, to be told anew.
     pub fn forget(&mut self) {
-        *self = Chains::new();
+        *self = DependencyGraph::new();
     }
 
     /// Where an open job stands that names others; `None` for any other job.
--- a/crates/chains/tests/chains.rs
+++ b/crates/dependencies/tests/dependencies.rs
@@ -1,8 +1,8 @@
 //! Chains against a naive model that works everything out anew from what was said, in
 //! whatever order it was said.
 
-use glenhaven_chains::{Chains, Lent, News, Stand};
-use glenhaven_units::Micros;
+use glenhaven_dependencies::{DependencyGraph, Lent, News, Stand};
+use glenhaven_time::Micros;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -110,7 +110,7 @@
 
     #[test]
     fn the_same_as_the_naive_model(graph in graphs(), said in sayings()) {
-        let (mut chains, mut naive) = (Chains::new(), Naive::default());
+        let (mut chains, mut naive) = (DependencyGraph::new(), Naive::default());
         let mut told: BTreeSet<(usize, bool)> = BTreeSet::new();
         for saying in said {
             match saying {
@@ -187,7 +187,7 @@
 /// event costs what it changes, and nothing is left of what is over.
 #[test]
 fn long_wide_and_many() {
-    let mut chains = Chains::new();
+    let mut chains = DependencyGraph::new();
     for i in 1..1000 {
         chains.add(&name(i), &[name(i - 1)], ());
     }
--- a/crates/lab/src/balancer.rs
+++ b/crates/emulator/src/balancer.rs
@@ -1,9 +1,9 @@
 //! The load balancer's view of the controllers.
 
-use crate::lab::{Lab, Side};
+use crate::cluster::{EmulatedCluster, Side};
 use crate::machines::{exchange, within};
 use async_io::Timer;
-use glenhaven_standins::http::Request;
+use glenhaven_fakes::http::Request;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 const IN_A_ROW: i32 = 2;
 
 /// Probes one controller, for ever.
-pub async fn probe(lab: Arc<Lab>, node: usize) {
+pub async fn probe(cluster: Arc<EmulatedCluster>, node: usize) {
     let request = Request {
         method: "GET".into(),
         path: "/ready".into(),
@@ -25,7 +25,7 @@
     let mut row = IN_A_ROW - 1;
     loop {
         let kept = connection.take();
-        let answer = within(PROBE, exchange(&lab, kept, node, Side::Users, &request)).await;
+        let answer = within(PROBE, exchange(&cluster, kept, node, Side::Users, &request)).await;
         let good = answer.as_ref().is_some_and(|(_, response)| response.status == 200);
         connection = answer.and_then(|(kept, _)| kept);
         row = match good {
@@ -33,15 +33,15 @@
             false => row.min(0) - 1,
         };
         if row.abs() >= IN_A_ROW {
-            lab.nodes[node].healthy.store(good, Ordering::Relaxed);
+            cluster.nodes[node].healthy.store(good, Ordering::Relaxed);
         }
         Timer::after(PROBE).await;
     }
 }
 
 /// A healthy controller for a new connection.
-pub fn choose(lab: &Lab, rng: &mut fastrand::Rng) -> Option<usize> {
-    let healthy = |n: &usize| lab.nodes[*n].healthy.load(Ordering::Relaxed);
-    let healthy: Vec<usize> = (0..lab.nodes.len()).filter(healthy).collect();
+pub fn choose(cluster: &EmulatedCluster, rng: &mut fastrand::Rng) -> Option<usize> {
+    let healthy = |n: &usize| cluster.nodes[*n].healthy.load(Ordering::Relaxed);
+    let healthy: Vec<usize> = (0..cluster.nodes.len()).filter(healthy).collect();
     rng.choice(&healthy).copied()
 }
--- /dev/null
+++ b/crates/emulator/src/cloud_service.rs
@@ -0,0 +1,58 @@
+//! The cloud behind sockets.
+
+use crate::cluster::EmulatedCluster;
+use crate::machines;
+use glenhaven::coordination::{CloudRequest, CloudResponse};
+use glenhaven::protocol::cloud::ProvisionRequest;
+use glenhaven_fakes::cloud::Rental;
+use glenhaven_fakes::http::{Request, Response};
+use glenhaven_fakes::wire;
+use std::sync::Arc;
+
+/// Machines in one page of the list.
+pub const PAGE: usize = 500;
+
+/// Answers one request.
+pub async fn handle(cluster: Arc<EmulatedCluster>, _node: usize, request: Request) -> Option<Response> {
+    let Some(request) = wire::cloud_request(&request) else {
+        return Some(wire::malformed());
+    };
+    wire::cloud_response(&execute(&cluster, request))
+}
+
+fn execute(cluster: &Arc<EmulatedCluster>, request: CloudRequest) -> CloudResponse {
+    let mut fleet = cluster.fleet();
+    let now = cluster.now();
+    fleet.cloud.calls += 1;
+    match request {
+        CloudRequest::Catalogue => CloudResponse::Catalogue(fleet.cloud.catalogue()),
+        CloudRequest::Provision(rent) => {
+            drop(fleet);
+            execute_rent(cluster, rent)
+        }
+        CloudRequest::Release(hosts) => {
+            for name in &hosts.machines {
+                fleet.machine_dies(now, name);
+            }
+            CloudResponse::Released
+        }
+        CloudRequest::List { after } => CloudResponse::List(fleet.cloud.list(now, &after, &fleet.workers)),
+    }
+}
+
+fn execute_rent(cluster: &Arc<EmulatedCluster>, rent: ProvisionRequest) -> CloudResponse {
+    let mut fleet = cluster.fleet();
+    if fleet.zones_out.contains(&rent.zone) {
+        return CloudResponse::NoCapacity;
+    }
+    let count = match fleet.cloud.rent(&rent) {
+        Rental::Answered(answer) => return answer,
+        Rental::Machines(count) => count,
+    };
+    let names = (0..count).map(|_| {
+        let boot = machines::boot_time(cluster, &mut fleet);
+        machines::create(cluster, &mut fleet, &rent.zone, rent.spot, boot)
+    });
+    let names = names.collect();
+    fleet.cloud.rented_as(rent, names)
+}
--- a/crates/lab/src/lab.rs
+++ b/crates/emulator/src/cluster.rs
@@ -1,14 +1,14 @@
 //! What all parts of a running experiment share.
 
 use crate::controllers::Controllers;
-use crate::errors::LabError;
+use crate::errors::EmulatorError;
 use crate::experiment::Experiment;
 use crate::faults::Faults;
 use crate::fleet::Fleet;
 use async_executor::Executor;
 use event_listener::Event;
-use glenhaven_standins::http::Traffic;
-use glenhaven_standins::store::Store;
+use glenhaven_fakes::http::Traffic;
+use glenhaven_fakes::store::Store;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -133,7 +133,7 @@
 }
 
 /// A running experiment.
-pub struct Lab {
+pub struct EmulatedCluster {
     pub experiment: Experiment,
     pub addresses: Addresses,
     pub nodes: Vec<Node>,
@@ -146,16 +146,16 @@
     /// The state service has changed.
     pub store_changed: Event,
     began: Instant,
-    stopped: Mutex<Option<LabError>>,
+    stopped: Mutex<Option<EmulatorError>>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Lab {
+impl EmulatedCluster {
     /// An experiment that has not begun.
-    pub fn new(experiment: Experiment, controllers: Controllers) -> Lab {
+    pub fn new(experiment: Experiment, controllers: Controllers) -> EmulatedCluster {
         let services = &experiment.services;
         let mut store = Store::new(
             services.state_rps,
@@ -166,7 +166,7 @@
         store.page = crate::state_service::PAGE;
         store.audits = experiment.audit_records;
         let node = |n: usize| Node::new(node_name(n), experiment.zone_of(n).to_string());
-        Lab {
+        EmulatedCluster {
             addresses: Addresses::new(experiment.network),
             nodes: (0..experiment.controllers.count).map(node).collect(),
             executor: Executor::new(),
@@ -214,12 +214,12 @@
     }
 
     /// Ends the experiment before its time.
-    pub fn stop(&self, why: LabError) {
+    pub fn stop(&self, why: EmulatorError) {
         lock(&self.stopped).get_or_insert(why);
     }
 
     /// Why it is to end, once.
-    pub fn take_stop(&self) -> Option<LabError> {
+    pub fn take_stop(&self) -> Option<EmulatorError> {
         lock(&self.stopped).take()
     }
 }
--- a/crates/lab/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -1,9 +1,9 @@
 //! The controller processes: their settings, their lives and their ends.
 
-use crate::errors::LabError;
+use crate::cluster::{node_name, Addresses};
+use crate::errors::EmulatorError;
 use crate::experiment::Experiment;
 use crate::fleet::teams;
-use crate::lab::{node_name, Addresses};
 use rustix::process::{Pid, Signal};
 use serde::Serialize;
 use std::path::{Path, PathBuf};
@@ -156,18 +156,18 @@
 
 impl Controllers {
     /// Writes the settings files into a directory; no process runs yet.
-    pub fn prepare(experiment: &Experiment, program: &Path, dir: &Path) -> Result<Controllers, LabError> {
+    pub fn prepare(experiment: &Experiment, program: &Path, dir: &Path) -> Result<Controllers, EmulatorError> {
         let write = |path: &Path, text: &str| {
-            std::fs::write(path, text).map_err(|source| LabError::Unwritable {
+            std::fs::write(path, text).map_err(|source| EmulatorError::Unwritable {
                 path: path.to_path_buf(),
                 source,
             })
         };
-        std::fs::create_dir_all(dir).map_err(|source| LabError::Unwritable {
+        std::fs::create_dir_all(dir).map_err(|source| EmulatorError::Unwritable {
             path: dir.to_path_buf(),
             source,
         })?;
-        let dir = dir.canonicalize().map_err(|source| LabError::Unreadable {
+        let dir = dir.canonicalize().map_err(|source| EmulatorError::Unreadable {
             path: dir.to_path_buf(),
             source,
         })?;
@@ -178,11 +178,12 @@
         )?;
         for node in 0..experiment.controllers.count {
             let path = dir.join(format!("{}.toml", node_name(node)));
-            let text =
-                toml::to_string(&settings(experiment, node, &operator_file)).map_err(|e| LabError::Experiment {
+            let text = toml::to_string(&settings(experiment, node, &operator_file)).map_err(|e| {
+                EmulatorError::Experiment {
                     path: path.clone(),
                     message: e.to_string(),
-                })?;
+                }
+            })?;
             write(&path, &text)?;
         }
         Ok(Controllers {
@@ -200,12 +201,12 @@
     }
 
     /// Starts a controller, unless it runs.
-    pub fn start(&mut self, node: usize) -> Result<(), LabError> {
+    pub fn start(&mut self, node: usize) -> Result<(), EmulatorError> {
         if self.children[node].is_some() {
             return Ok(());
         }
         let log = self.dir.join(format!("{}.log", node_name(node)));
-        let unwritable = |source| LabError::Unwritable {
+        let unwritable = |source| EmulatorError::Unwritable {
             path: log.clone(),
             source,
         };
@@ -223,7 +224,7 @@
             .stdout(Stdio::null())
             .stderr(log_file)
             .spawn()
-            .map_err(|source| LabError::Start {
+            .map_err(|source| EmulatorError::Start {
                 path: self.program.clone(),
                 source,
             })?;
--- a/crates/lab/src/errors.rs
+++ b/crates/emulator/src/errors.rs
@@ -5,7 +5,7 @@
 
 /// Why an experiment can't be run, or not to its end.
 #[derive(Debug, thiserror::Error)]
-pub enum LabError {
+pub enum EmulatorError {
     #[error("{path}: cannot be read: {source}")]
     Unreadable { path: PathBuf, source: std::io::Error },
     #[error("{path}: {message}")]
@@ -40,11 +40,11 @@
     Plot { path: PathBuf, message: String },
 }
 
-impl LabError {
+impl EmulatorError {
     /// The exit status of the program.
     pub fn status(&self) -> u8 {
         match self {
-            LabError::Interrupted => 130,
+            EmulatorError::Interrupted => 130,
             _ => 2,
         }
     }
--- a/crates/lab/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -1,6 +1,6 @@
 //! What an experiment file says.
 
-use crate::errors::LabError;
+use crate::errors::EmulatorError;
 use glenhaven::protocol::users::{Priority, Shape};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
@@ -188,7 +188,7 @@
 
 impl Experiment {
     /// Reads and checks an experiment file.
-    pub fn load(path: &Path) -> Result<Experiment, LabError> {
+    pub fn load(path: &Path) -> Result<Experiment, EmulatorError> {
         let experiment: Experiment = read_toml(path)?;
         experiment.check().map_err(|message| wrong(path, message))?;
         Ok(experiment)
@@ -242,8 +242,8 @@
 }
 
 /// Reads a file that says what is played.
-pub fn read_toml<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, LabError> {
-    let text = std::fs::read_to_string(path).map_err(|source| LabError::Unreadable {
+pub fn read_toml<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, EmulatorError> {
+    let text = std::fs::read_to_string(path).map_err(|source| EmulatorError::Unreadable {
         path: path.to_path_buf(),
         source,
     })?;
@@ -251,8 +251,8 @@
 }
 
 /// What is wrong with such a file.
-pub fn wrong(path: &Path, message: String) -> LabError {
-    LabError::Experiment {
+pub fn wrong(path: &Path, message: String) -> EmulatorError {
+    EmulatorError::Experiment {
         path: path.to_path_buf(),
         message,
     }
--- a/crates/lab/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -6,11 +6,11 @@
 use async_channel::Sender;
 use glenhaven::protocol::cloud::MachineType;
 use glenhaven::settings::Team;
-use glenhaven_standins::cloud::Cloud;
-use glenhaven_standins::rules::Rules;
-use glenhaven_standins::user::User;
-use glenhaven_standins::worker::{Executed, Worker};
-use glenhaven_standins::SEC;
+use glenhaven_fakes::cloud::Cloud;
+use glenhaven_fakes::rules::Rules;
+use glenhaven_fakes::user::User;
+use glenhaven_fakes::worker::{Executed, Worker};
+use glenhaven_fakes::SEC;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The one machine type.
--- /dev/null
+++ b/crates/emulator/src/injections.rs
@@ -0,0 +1,116 @@
+//! What is done to machines and controllers at given moments.
+
+use crate::cluster::EmulatedCluster;
+use crate::experiment::{seconds, Injection, Trouble, Who};
+use crate::machines;
+use async_io::Timer;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+
+/// When leading controllers were killed, with the highest token that workers had seen.
+#[derive(Default)]
+pub struct LostLeaders(Mutex<Vec<LostLeader>>);
+
+/// The loss of a leading controller.
+#[derive(Clone, Copy, Debug)]
+pub struct LostLeader {
+    pub at: u64,
+    pub fence: u64,
+}
+
+impl LostLeaders {
+    fn push(&self, lost: LostLeader) {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner).push(lost);
+    }
+
+    /// All of them.
+    pub fn all(&self) -> Vec<LostLeader> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    }
+}
+
+/// Does one thing when its time has come.
+pub async fn inject(cluster: Arc<EmulatedCluster>, injection: Injection, lost: Arc<LostLeaders>) {
+    let now = Duration::from_micros(cluster.now());
+    Timer::after(seconds(injection.at_s).saturating_sub(now)).await;
+    tracing::info!(what = ?injection.what, "injection");
+    match injection.what {
+        Trouble::MachineDeaths { count } => die(&cluster, None, count, false),
+        Trouble::Replacements { count } => die(&cluster, None, count, true),
+        Trouble::Rack { zone, share } => {
+            let all = cluster.fleet().up(Some(&zone)).len();
+            die(&cluster, Some(&zone), (all as f64 * share).round() as usize, false);
+        }
+        Trouble::Zone { zone, lasts_s } => zone_out(&cluster, &zone, seconds(lasts_s), &lost).await,
+        Trouble::ControllerKill { who, lasts_s } => {
+            if let Some(node) = choose(&cluster, who) {
+                kill(&cluster, node, &lost);
+                Timer::after(seconds(lasts_s)).await;
+                start(&cluster, node);
+            }
+        }
+        Trouble::ControllerRoll { pause_s } => {
+            for node in 0..cluster.nodes.len() {
+                kill(&cluster, node, &lost);
+                start(&cluster, node);
+                Timer::after(seconds(pause_s)).await;
+            }
+        }
+    }
+}
+
+/// Machines die; others come up in their places if they are replaced.
+fn die(cluster: &Arc<EmulatedCluster>, zone: Option<&str>, count: usize, replaced: bool) {
+    let mut fleet = cluster.fleet();
+    let now = cluster.now();
+    for name in fleet.up(zone).into_iter().take(count) {
+        let zone = fleet.workers.get(&name).map(|w| w.zone.clone());
+        fleet.machine_dies(now, &name);
+        if let Some(zone) = zone.filter(|_| replaced) {
+            let boot = machines::boot_time(cluster, &mut fleet);
+            machines::create(cluster, &mut fleet, &zone, false, boot);
+        }
+    }
+}
+
+async fn zone_out(cluster: &Arc<EmulatedCluster>, zone: &str, lasts: Duration, lost: &LostLeaders) {
+    let here = |node: &usize| cluster.nodes[*node].zone == zone;
+    let nodes: Vec<usize> = (0..cluster.nodes.len()).filter(here).collect();
+    cluster.fleet().zones_out.insert(zone.into());
+    for node in &nodes {
+        kill(cluster, *node, lost);
+    }
+    die(cluster, Some(zone), usize::MAX, false);
+    Timer::after(lasts).await;
+    cluster.fleet().zones_out.remove(zone);
+    for node in nodes {
+        start(cluster, node);
+    }
+}
+
+fn choose(cluster: &EmulatedCluster, who: Who) -> Option<usize> {
+    let leader = cluster.leader();
+    match who {
+        Who::Leader => leader,
+        Who::Follower => {
+            let running = cluster.processes().running();
+            let mut others = running.into_iter().map(|(node, _)| node);
+            others.find(|node| Some(*node) != leader)
+        }
+    }
+}
+
+fn kill(cluster: &EmulatedCluster, node: usize, lost: &LostLeaders) {
+    let leads = cluster.leader() == Some(node);
+    let at = cluster.now();
+    if cluster.processes().kill(node) && leads {
+        let fence = cluster.fleet().terms.last().map_or(0, |term| term.fence);
+        lost.push(LostLeader { at, fence });
+    }
+}
+
+fn start(cluster: &EmulatedCluster, node: usize) {
+    if let Err(error) = cluster.processes().start(node) {
+        cluster.stop(error);
+    }
+}
--- a/crates/lab/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -1,12 +1,12 @@
 //! Jobs that come again and again.
 
+use crate::cluster::EmulatedCluster;
 use crate::experiment::{seconds, Load};
 use crate::fleet::teams;
-use crate::lab::Lab;
 use crate::users;
 use async_io::Timer;
-use glenhaven::protocol::users::{Priority, Spec};
-use glenhaven_standins::user::{plain_spec, User};
+use glenhaven::protocol::users::{JobSpec, Priority};
+use glenhaven_fakes::user::{plain_spec, User};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,32 +31,35 @@
 }
 
 /// Submits the jobs of one kind until their time is over.
-pub async fn submit(lab: Arc<Lab>, load: Load, numbers: Arc<Numbers>) {
-    let until = load.until_s.unwrap_or(lab.experiment.duration_s);
+pub async fn submit(cluster: Arc<EmulatedCluster>, load: Load, numbers: Arc<Numbers>) {
+    let until = load.until_s.unwrap_or(cluster.experiment.duration_s);
     let mut at = load.from_s;
     while at < until {
-        let now = Duration::from_micros(lab.now());
+        let now = Duration::from_micros(cluster.now());
         Timer::after(seconds(at).saturating_sub(now)).await;
         let number = numbers.next();
-        let spec = spec(&lab, &load, number);
+        let spec = spec(&cluster, &load, number);
         let user = User::new(spec, load.run_s, false);
         let (abort_after, pause) = {
-            let rng = &mut lab.fleet().rng;
+            let rng = &mut cluster.fleet().rng;
             let aborts = rng.f64() < load.cancelled;
             let abort_after = aborts.then(|| seconds(ABORTS_WITHIN_S * rng.f64()));
             (abort_after, load.every_s * (1.0 - VARIES + 2.0 * VARIES * rng.f64()))
         };
-        lab.executor.spawn(users::live(lab.clone(), user, abort_after)).detach();
+        cluster
+            .executor
+            .spawn(users::live(cluster.clone(), user, abort_after))
+            .detach();
         at += pause;
     }
 }
 
 /// The job with this number.
-pub fn spec(lab: &Lab, load: &Load, number: u64) -> Spec {
-    let teams = teams(&lab.experiment);
+pub fn spec(cluster: &EmulatedCluster, load: &Load, number: u64) -> JobSpec {
+    let teams = teams(&cluster.experiment);
     let team = &teams[number as usize % teams.len()];
     let high = matches!(load.priority, Priority::High | Priority::Production);
-    Spec {
+    JobSpec {
         class: load.class.clone(),
         team: team.name.clone(),
         shape: load.shape,
--- a/crates/lab/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,8 +1,9 @@
-//! `glenhaven-lab`: experiments with real controllers among emulated hosts.
+//! `glenhaven-emulator`: experiments with real controllers among emulated hosts.
 #![forbid(unsafe_code)]
 
 mod balancer;
 mod cloud_service;
+mod cluster;
 mod controllers;
 mod errors;
 mod experiment;
@@ -11,7 +12,6 @@
 mod forward;
 mod history;
 mod injections;
-mod lab;
 mod load;
 mod machines;
 mod plots;
@@ -88,7 +88,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(RULES_BROKEN),
         Err(error) => {
-            eprintln!("glenhaven-lab: {error}");
+            eprintln!("glenhaven-emulator: {error}");
             ExitCode::from(error.status())
         }
     }
--- a/crates/lab/src/plots.rs
+++ b/crates/emulator/src/plots.rs
@@ -1,6 +1,6 @@
 //! Plots of a report, as SVG.
 
-use crate::errors::LabError;
+use crate::errors::EmulatorError;
 use crate::report::Times;
 use crate::samples::Sample;
 use plotters::prelude::*;
@@ -62,7 +62,7 @@
 }
 
 /// Draws all plots into a directory.
-pub fn draw(dir: &Path, samples: &[Sample], times: &BTreeMap<&'static str, Times>) -> Result<(), LabError> {
+pub fn draw(dir: &Path, samples: &[Sample], times: &BTreeMap<&'static str, Times>) -> Result<(), EmulatorError> {
     let plot = |title, y, lines| Plot {
         title,
         x: "seconds",
@@ -111,7 +111,7 @@
     ];
     for (name, plot) in plots {
         let path = dir.join(format!("{name}.svg"));
-        draw_one(&path, &plot).map_err(|e| LabError::Plot {
+        draw_one(&path, &plot).map_err(|e| EmulatorError::Plot {
             path: path.clone(),
             message: e.to_string(),
         })?;
--- a/crates/lab/src/preflight.rs
+++ b/crates/emulator/src/preflight.rs
@@ -1,8 +1,8 @@
 //! What is looked at before anything is started.
 
-use crate::errors::LabError;
+use crate::cluster::Addresses;
+use crate::errors::EmulatorError;
 use crate::experiment::Experiment;
-use crate::lab::Addresses;
 use procfs::Current;
 use std::path::Path;
 
@@ -19,22 +19,22 @@
 const KB_A_MB: u64 = 1024;
 
 /// The memory that all processes together may take, in megabytes.
-pub fn memory_limit_mb() -> Result<u64, LabError> {
-    let memory = procfs::Meminfo::current().map_err(|e| LabError::Machine(e.to_string()))?;
+pub fn memory_limit_mb() -> Result<u64, EmulatorError> {
+    let memory = procfs::Meminfo::current().map_err(|e| EmulatorError::Machine(e.to_string()))?;
     Ok(memory.mem_total / (KB_A_MB * KB_A_MB) / MEMORY_PART)
 }
 
-fn enough(what: &'static str, needed: u64, found: u64) -> Result<(), LabError> {
+fn enough(what: &'static str, needed: u64, found: u64) -> Result<(), EmulatorError> {
     match found >= needed {
         true => Ok(()),
-        false => Err(LabError::TooSmall { what, needed, found }),
+        false => Err(EmulatorError::TooSmall { what, needed, found }),
     }
 }
 
 /// Whether this machine can run the experiment, as far as that can be told before.
-pub fn check(experiment: &Experiment, program: &Path) -> Result<(), LabError> {
+pub fn check(experiment: &Experiment, program: &Path) -> Result<(), EmulatorError> {
     if !program.is_file() {
-        return Err(LabError::NoProgram {
+        return Err(EmulatorError::NoProgram {
             path: program.to_path_buf(),
         });
     }
@@ -48,8 +48,8 @@
 }
 
 /// How many files this process may open.
-fn open_files() -> Result<u64, LabError> {
-    let failed = |e: procfs::ProcError| LabError::Machine(e.to_string());
+fn open_files() -> Result<u64, EmulatorError> {
+    let failed = |e: procfs::ProcError| EmulatorError::Machine(e.to_string());
     let limits = procfs::process::Process::myself()
         .and_then(|me| me.limits())
         .map_err(failed)?;
@@ -60,7 +60,7 @@
 }
 
 /// Whether the controllers will be able to listen.
-fn ports_are_free(experiment: &Experiment) -> Result<(), LabError> {
+fn ports_are_free(experiment: &Experiment) -> Result<(), EmulatorError> {
     let addresses = Addresses::new(experiment.network);
     for node in 0..experiment.controllers.count {
         crate::server::listen(addresses.public(node))?;
--- a/crates/lab/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,14 +1,14 @@
 //! What an experiment has shown.
 
-use crate::errors::LabError;
+use crate::cluster::EmulatedCluster;
+use crate::errors::EmulatorError;
 use crate::experiment::Experiment;
 use crate::injections::LostLeader;
-use crate::lab::Lab;
 use crate::plots;
 use crate::samples::Sample;
 use crate::users;
 use glenhaven::protocol::users::Priority;
-use glenhaven_standins::user::{job_of, User};
+use glenhaven_fakes::user::{job_of, User};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -238,11 +238,11 @@
 }
 
 /// Puts together what was seen.
-pub fn build(lab: &Lab, observed: &Observed) -> Report {
-    let silence = users::longest_silence(lab);
-    let fleet = lab.fleet();
-    let store = lab.store();
-    let experiment = &lab.experiment;
+pub fn build(cluster: &EmulatedCluster, observed: &Observed) -> Report {
+    let silence = users::longest_silence(cluster);
+    let fleet = cluster.fleet();
+    let store = cluster.store();
+    let experiment = &cluster.experiment;
     let settled = experiment.workers.ramp_s + SETTLED_S;
     let samples = &observed.samples;
     let late: Vec<&Sample> = samples.iter().filter(|s| s.at_s >= settled).collect();
@@ -260,7 +260,7 @@
         ("start_other", times(waits(&fleet.users, first, false).into_iter())),
         ("takeover", times(takeovers)),
     ];
-    let seconds = lab.now() as f64 / 1e6;
+    let seconds = cluster.now() as f64 / 1e6;
     let requests: u64 = store.by_second.values().sum();
     Report {
         name: experiment.name.clone(),
@@ -290,12 +290,12 @@
 }
 
 /// Writes a report: `report.json`, `samples.csv` and plots.
-pub fn write(report: &Report, dir: &Path) -> Result<(), LabError> {
+pub fn write(report: &Report, dir: &Path) -> Result<(), EmulatorError> {
     let write = |name: &str, text: String| {
         let path = dir.join(name);
-        std::fs::write(&path, text).map_err(|source| LabError::Unwritable { path, source })
+        std::fs::write(&path, text).map_err(|source| EmulatorError::Unwritable { path, source })
     };
-    let json = serde_json::to_string_pretty(report).map_err(|e| LabError::Machine(e.to_string()))?;
+    let json = serde_json::to_string_pretty(report).map_err(|e| EmulatorError::Machine(e.to_string()))?;
     write("report.json", json)?;
     write("samples.csv", csv(&report.samples))?;
     plots::draw(dir, &report.samples, &report.times)
--- a/crates/lab/src/samples.rs
+++ b/crates/emulator/src/samples.rs
@@ -1,8 +1,8 @@
 //! What the controller processes take, once a second.
 
-use crate::errors::LabError;
+use crate::cluster::{EmulatedCluster, Side};
+use crate::errors::EmulatorError;
 use crate::fleet::Counts;
-use crate::lab::{Lab, Side};
 use procfs::process::{FDTarget, Process};
 use procfs::WithCurrentSystemInfo;
 use std::collections::BTreeMap;
@@ -80,19 +80,19 @@
 
 impl Sampler {
     /// Looks at all controllers; an error if all processes together take too much memory.
-    pub fn look(&mut self, lab: &Lab, limit_mb: u64) -> Result<Counts, LabError> {
+    pub fn look(&mut self, cluster: &EmulatedCluster, limit_mb: u64) -> Result<Counts, EmulatorError> {
         let now = Instant::now();
-        let counts = lab.fleet().counts();
+        let counts = cluster.fleet().counts();
         let starts = match self.last.replace((now, counts)) {
             Some((at, before)) => (counts.starts - before.starts) as f64 / (now - at).as_secs_f64(),
             None => 0.0,
         };
-        let leader = lab.leader();
+        let leader = cluster.leader();
         let mut memory_kb = own_memory_kb();
-        for (node, pid) in lab.processes().running() {
+        for (node, pid) in cluster.processes().running() {
             let Some(usage) = usage(pid) else { continue };
             memory_kb += usage.memory_kb;
-            let bytes = SIDES.map(|side| lab.nodes[node].bytes(side));
+            let bytes = SIDES.map(|side| cluster.nodes[node].bytes(side));
             let seen = Seen {
                 pid,
                 at: now,
@@ -110,7 +110,7 @@
             };
             let ticks = usage.ticks.saturating_sub(before.ticks) as f64;
             self.samples.push(Sample {
-                at_s: lab.now() as f64 / 1e6,
+                at_s: cluster.now() as f64 / 1e6,
                 node,
                 leads: leader == Some(node),
                 cpu: ticks / procfs::ticks_per_second() as f64 / span,
@@ -132,7 +132,7 @@
         }
         let used_mb = memory_kb / 1024;
         match used_mb > limit_mb {
-            true => Err(LabError::Memory { used_mb, limit_mb }),
+            true => Err(EmulatorError::Memory { used_mb, limit_mb }),
             false => Ok(counts),
         }
     }
--- a/crates/lab/src/scale.rs
+++ b/crates/emulator/src/scale.rs
@@ -1,10 +1,10 @@
 //! Runs one experiment from its beginning to its report.
 
+use crate::cluster::{EmulatedCluster, Side};
 use crate::controllers::Controllers;
-use crate::errors::LabError;
+use crate::errors::EmulatorError;
 use crate::experiment::{seconds, Experiment};
 use crate::injections::{inject, LostLeaders};
-use crate::lab::{Lab, Side};
 use crate::load::{submit, Numbers};
 use crate::report::{self, Ended, Observed, Report};
 use crate::samples::Sampler;
@@ -45,8 +45,8 @@
 
 impl Services {
     /// Listens for all controllers.
-    pub fn listen(experiment: &Experiment) -> Result<Services, LabError> {
-        let addresses = crate::lab::Addresses::new(experiment.network);
+    pub fn listen(experiment: &Experiment) -> Result<Services, EmulatorError> {
+        let addresses = crate::cluster::Addresses::new(experiment.network);
         let nodes = 0..experiment.controllers.count;
         Ok(Services {
             state: nodes
@@ -61,7 +61,7 @@
 }
 
 /// Kills the controllers when the experiment is left, in whatever way.
-pub struct EndChildren(pub Arc<Lab>);
+pub struct EndChildren(pub Arc<EmulatedCluster>);
 
 impl Drop for EndChildren {
     fn drop(&mut self) {
@@ -70,92 +70,100 @@
 }
 
 /// Runs an experiment and writes its report.
-pub fn run(file: &Path, program: &Path, dir: Option<PathBuf>) -> Result<Report, LabError> {
+pub fn run(file: &Path, program: &Path, dir: Option<PathBuf>) -> Result<Report, EmulatorError> {
     let experiment = Experiment::load(file)?;
     preflight::check(&experiment, program)?;
     let services = Services::listen(&experiment)?;
-    let program = program.canonicalize().map_err(|source| LabError::Unreadable {
+    let program = program.canonicalize().map_err(|source| EmulatorError::Unreadable {
         path: program.to_path_buf(),
         source,
     })?;
     let dir = dir.unwrap_or_else(|| Path::new(REPORTS).join(&experiment.name));
     let controllers = Controllers::prepare(&experiment, &program, &dir.join("controllers"))?;
-    let lab = Arc::new(Lab::new(experiment, controllers));
-    let _children = EndChildren(lab.clone());
-    stop_on_signals(&lab)?;
-    stop_on_panics(&lab);
+    let cluster = Arc::new(EmulatedCluster::new(experiment, controllers));
+    let _children = EndChildren(cluster.clone());
+    stop_on_signals(&cluster)?;
+    stop_on_panics(&cluster);
     let (over, ended) = async_channel::bounded::<()>(1);
     let mut threads = vec![];
     for _ in 0..THREADS {
-        let (lab, ended) = (lab.clone(), ended.clone());
+        let (cluster, ended) = (cluster.clone(), ended.clone());
         threads.push(std::thread::spawn(move || {
-            async_io::block_on(lab.executor.run(async {
+            async_io::block_on(cluster.executor.run(async {
                 ended.recv().await.ok();
             }));
         }));
     }
-    let observed = async_io::block_on(lab.executor.run(play(lab.clone(), services).or(stopped(&lab))));
-    lab.processes().kill_all();
+    let observed = async_io::block_on(
+        cluster
+            .executor
+            .run(play(cluster.clone(), services).or(stopped(&cluster))),
+    );
+    cluster.processes().kill_all();
     drop(over);
     for thread in threads {
         thread.join().ok();
     }
-    let report = report::build(&lab, &observed?);
+    let report = report::build(&cluster, &observed?);
     report::write(&report, &dir)?;
     Ok(report)
 }
 
-fn stop_on_signals(lab: &Arc<Lab>) -> Result<(), LabError> {
-    let lab = lab.clone();
-    let stop = move || lab.stop(LabError::Interrupted);
-    ctrlc::set_handler(stop).map_err(|e| LabError::Machine(e.to_string()))
+fn stop_on_signals(cluster: &Arc<EmulatedCluster>) -> Result<(), EmulatorError> {
+    let cluster = cluster.clone();
+    let stop = move || cluster.stop(EmulatorError::Interrupted);
+    ctrlc::set_handler(stop).map_err(|e| EmulatorError::Machine(e.to_string()))
 }
 
 /// A panic in any thread ends the experiment, after it was said as always.
-fn stop_on_panics(lab: &Arc<Lab>) {
-    let lab = lab.clone();
+fn stop_on_panics(cluster: &Arc<EmulatedCluster>) {
+    let cluster = cluster.clone();
     let say = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         say(panic);
-        lab.stop(LabError::Panicked(panic.to_string()));
+        cluster.stop(EmulatorError::Panicked(panic.to_string()));
     }));
 }
 
 /// Waits until the experiment is to end before its time.
-async fn stopped(lab: &Lab) -> Result<Observed, LabError> {
+async fn stopped(cluster: &EmulatedCluster) -> Result<Observed, EmulatorError> {
     loop {
         Timer::after(STOP).await;
-        if let Some(why) = lab.take_stop() {
+        if let Some(why) = cluster.take_stop() {
             return Err(why);
         }
     }
 }
 
 /// Plays the experiment to its end.
-async fn play(lab: Arc<Lab>, services: Services) -> Result<Observed, LabError> {
-    serve(&lab, services);
-    for node in 0..lab.nodes.len() {
-        lab.processes().start(node)?;
-        lab.executor.spawn(balancer::probe(lab.clone(), node)).detach();
+async fn play(cluster: Arc<EmulatedCluster>, services: Services) -> Result<Observed, EmulatorError> {
+    serve(&cluster, services);
+    for node in 0..cluster.nodes.len() {
+        cluster.processes().start(node)?;
+        cluster.executor.spawn(balancer::probe(cluster.clone(), node)).detach();
     }
-    create_machines(&lab);
-    lab.executor.spawn(look_at_rules(lab.clone())).detach();
+    create_machines(&cluster);
+    cluster.executor.spawn(look_at_rules(cluster.clone())).detach();
     let numbers = Arc::new(Numbers::default());
-    for load in lab.experiment.load.clone() {
-        lab.executor.spawn(submit(lab.clone(), load, numbers.clone())).detach();
+    for load in cluster.experiment.load.clone() {
+        cluster
+            .executor
+            .spawn(submit(cluster.clone(), load, numbers.clone()))
+            .detach();
     }
     let lost = Arc::new(LostLeaders::default());
-    for injection in lab.experiment.inject.clone() {
-        lab.executor
-            .spawn(inject(lab.clone(), injection, lost.clone()))
+    for injection in cluster.experiment.inject.clone() {
+        cluster
+            .executor
+            .spawn(inject(cluster.clone(), injection, lost.clone()))
             .detach();
     }
-    let (sampler, ended) = watch(&lab).await?;
+    let (sampler, ended) = watch(&cluster).await?;
     let late = async {
         Timer::after(AUDIT).await;
         None
     };
-    let audit = async { Some(users::audit(&lab, AUDITED).await) };
+    let audit = async { Some(users::audit(&cluster, AUDITED).await) };
     Ok(Observed {
         samples: sampler.samples,
         ended,
@@ -165,73 +173,76 @@
 }
 
 /// Serves the state service and the cloud.
-pub fn serve(lab: &Arc<Lab>, services: Services) {
+pub fn serve(cluster: &Arc<EmulatedCluster>, services: Services) {
     for (node, listener) in services.state.into_iter().enumerate() {
-        let serve = server::serve(lab.clone(), listener, node, Side::State, state_service::handle);
-        lab.executor.spawn(serve).detach();
+        let serve = server::serve(cluster.clone(), listener, node, Side::State, state_service::handle);
+        cluster.executor.spawn(serve).detach();
     }
     for (node, listener) in services.cloud.into_iter().enumerate() {
-        let serve = server::serve(lab.clone(), listener, node, Side::Cloud, cloud_service::handle);
-        lab.executor.spawn(serve).detach();
+        let serve = server::serve(cluster.clone(), listener, node, Side::Cloud, cloud_service::handle);
+        cluster.executor.spawn(serve).detach();
     }
-    lab.executor.spawn(state_service::expire_leases(lab.clone())).detach();
+    cluster
+        .executor
+        .spawn(state_service::expire_leases(cluster.clone()))
+        .detach();
 }
 
 /// Creates the machines that are there from the beginning.
-pub fn create_machines(lab: &Arc<Lab>) {
-    let workers = &lab.experiment.workers;
-    let mut fleet = lab.fleet();
+pub fn create_machines(cluster: &Arc<EmulatedCluster>) {
+    let workers = &cluster.experiment.workers;
+    let mut fleet = cluster.fleet();
     for number in 0..workers.count {
         let boot = seconds(workers.ramp_s * number as f64 / workers.count as f64);
-        let zone = lab.experiment.zone_of(number);
-        machines::create(lab, &mut fleet, zone, false, boot);
+        let zone = cluster.experiment.zone_of(number);
+        machines::create(cluster, &mut fleet, zone, false, boot);
     }
 }
 
 /// Looks at what holds at every moment, for ever.
-async fn look_at_rules(lab: Arc<Lab>) {
-    let pause = RULES + RULES_A_WORKER * lab.experiment.workers.count as u32;
+async fn look_at_rules(cluster: Arc<EmulatedCluster>) {
+    let pause = RULES + RULES_A_WORKER * cluster.experiment.workers.count as u32;
     loop {
         Timer::after(pause).await;
-        let now = lab.now();
-        lab.fleet().look(now);
+        let now = cluster.now();
+        cluster.fleet().look(now);
     }
 }
 
 /// Looks at the controllers once a second until the experiment is over.
-async fn watch(lab: &Lab) -> Result<(Sampler, Vec<Ended>), LabError> {
+async fn watch(cluster: &EmulatedCluster) -> Result<(Sampler, Vec<Ended>), EmulatorError> {
     let limit_mb = preflight::memory_limit_mb()?;
-    let (began, ends) = (Instant::now(), Instant::now() + lab.experiment.duration());
+    let (began, ends) = (Instant::now(), Instant::now() + cluster.experiment.duration());
     let (mut sampler, mut ended) = (Sampler::default(), vec![]);
     let mut looks = 0;
     let mut was_ready = false;
     while Instant::now() < ends {
         Timer::after(LOOK.min(ends.saturating_duration_since(Instant::now()))).await;
-        let counts = sampler.look(lab, limit_mb)?;
-        for node in lab.processes().ended() {
+        let counts = sampler.look(cluster, limit_mb)?;
+        for node in cluster.processes().ended() {
             tracing::error!(node, "a controller ended by itself");
             ended.push(Ended {
                 node,
-                at_s: lab.now() as f64 / 1e6,
+                at_s: cluster.now() as f64 / 1e6,
             });
         }
-        was_ready |= lab.nodes.iter().any(|node| node.healthy.load(Ordering::Relaxed));
+        was_ready |= cluster.nodes.iter().any(|node| node.healthy.load(Ordering::Relaxed));
         if !was_ready && began.elapsed() > READY {
-            return Err(LabError::NeverReady {
+            return Err(EmulatorError::NeverReady {
                 seconds: READY.as_secs(),
-                logs: lab.processes().dir().to_path_buf(),
+                logs: cluster.processes().dir().to_path_buf(),
             });
         }
         looks += 1;
         if looks % PROGRESS == 0 {
             tracing::info!(
                 at_s = began.elapsed().as_secs(),
-                of_s = lab.experiment.duration().as_secs(),
+                of_s = cluster.experiment.duration().as_secs(),
                 machines = counts.machines,
                 running = counts.running,
                 open_jobs = counts.open_jobs,
                 starts = counts.starts,
-                broken = lab.fleet().rules.broken.len(),
+                broken = cluster.fleet().rules.broken.len(),
                 "progress"
             );
         }
--- a/crates/lab/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,11 +1,11 @@
 //! Serves HTTP requests of controllers.
 
-use crate::errors::LabError;
+use crate::cluster::{EmulatedCluster, Side};
+use crate::errors::EmulatorError;
 use crate::faults::{Fate, Party, Route};
-use crate::lab::{Lab, Side};
 use async_io::{Async, Timer};
-use glenhaven_standins::http::{Connection, Request, Response};
-use glenhaven_standins::wire::refusal;
+use glenhaven_fakes::http::{Connection, Request, Response};
+use glenhaven_fakes::wire::refusal;
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -15,32 +15,38 @@
 const SILENCE: Duration = Duration::from_secs(8);
 
 /// Listens on an address.
-pub fn listen(addr: SocketAddr) -> Result<Async<TcpListener>, LabError> {
+pub fn listen(addr: SocketAddr) -> Result<Async<TcpListener>, EmulatorError> {
     Async::<TcpListener>::bind(addr).map_err(|source| match source.kind() {
-        std::io::ErrorKind::AddrInUse => LabError::PortInUse { addr },
-        _ => LabError::Listen { addr, source },
+        std::io::ErrorKind::AddrInUse => EmulatorError::PortInUse { addr },
+        _ => EmulatorError::Listen { addr, source },
     })
 }
 
 /// Serves a controller on a listener of its own until the program ends; a handler that
 /// gives no answer closes the connection.
-pub async fn serve<H, F>(lab: Arc<Lab>, listener: Async<TcpListener>, node: usize, side: Side, handler: H)
-where
-    H: Fn(Arc<Lab>, usize, Request) -> F + Clone + Send + 'static,
+pub async fn serve<H, F>(
+    cluster: Arc<EmulatedCluster>,
+    listener: Async<TcpListener>,
+    node: usize,
+    side: Side,
+    handler: H,
+) where
+    H: Fn(Arc<EmulatedCluster>, usize, Request) -> F + Clone + Send + 'static,
     F: Future<Output = Option<Response>> + Send + 'static,
 {
     while let Ok((stream, _)) = listener.accept().await {
-        let (shared, handler) = (lab.clone(), handler.clone());
+        let (shared, handler) = (cluster.clone(), handler.clone());
         let connection = Connection::new(stream);
-        lab.executor
+        cluster
+            .executor
             .spawn(serve_one(shared, connection, node, side, handler))
             .detach();
     }
 }
 
-async fn serve_one<H, F>(lab: Arc<Lab>, mut connection: Connection, node: usize, side: Side, handler: H)
+async fn serve_one<H, F>(cluster: Arc<EmulatedCluster>, mut connection: Connection, node: usize, side: Side, handler: H)
 where
-    H: Fn(Arc<Lab>, usize, Request) -> F,
+    H: Fn(Arc<EmulatedCluster>, usize, Request) -> F,
     F: Future<Output = Option<Response>>,
 {
     let service = if side == Side::Cloud {
@@ -50,29 +56,29 @@
     };
     let there = Route::between(Party::Node(node), service);
     while let Ok(Some(request)) = connection.read_request().await {
-        lab.faults.passes(&there, "").await;
-        let fate = lab.faults.fate(&there, "");
+        cluster.faults.passes(&there, "").await;
+        let fate = cluster.faults.fate(&there, "");
         let response = match fate {
             Fate::Reset => return,
             Fate::Refuse => Some(refusal()),
             Fate::Late(after) => {
                 Timer::after(after).await;
-                handler(lab.clone(), node, request).await;
+                handler(cluster.clone(), node, request).await;
                 return;
             }
-            Fate::Deliver | Fate::LoseAnswer => handler(lab.clone(), node, request).await,
+            Fate::Deliver | Fate::LoseAnswer => handler(cluster.clone(), node, request).await,
         };
         let Some(response) = response else { return };
         if fate == Fate::LoseAnswer {
             Timer::after(SILENCE).await;
             return;
         }
-        lab.faults.passes(&there.back(), "").await;
-        if lab.faults.fate(&there.back(), "") == Fate::Reset {
+        cluster.faults.passes(&there.back(), "").await;
+        if cluster.faults.fate(&there.back(), "") == Fate::Reset {
             return;
         }
         let written = connection.write_response(&response).await;
-        lab.nodes[node].count(side, connection.take_traffic());
+        cluster.nodes[node].count(side, connection.take_traffic());
         if written.is_err() {
             return;
         }
--- a/crates/lab/src/soak/child.rs
+++ b/crates/emulator/src/soak/child.rs
@@ -2,7 +2,7 @@
 
 use super::outcome::Outcome;
 use super::SoakArgs;
-use crate::errors::LabError;
+use crate::errors::EmulatorError;
 use rustix::process::{kill_process, Pid, Signal};
 use std::path::Path;
 use std::process::{Child, Command, ExitStatus};
@@ -16,8 +16,8 @@
 const INTERRUPTED: i32 = 130;
 
 /// Plays the plan in a directory: its outcome.
-pub fn play(args: &SoakArgs, program: &Path, dir: &Path, interrupted: &AtomicBool) -> Result<Outcome, LabError> {
-    let itself = std::env::current_exe().map_err(|e| LabError::Machine(e.to_string()))?;
+pub fn play(args: &SoakArgs, program: &Path, dir: &Path, interrupted: &AtomicBool) -> Result<Outcome, EmulatorError> {
+    let itself = std::env::current_exe().map_err(|e| EmulatorError::Machine(e.to_string()))?;
     let mut command = Command::new(&itself);
     command.arg("soak").arg("--plan").arg(dir.join("plan.toml"));
     command.arg("--controllers").arg(program);
@@ -27,18 +27,18 @@
     }
     let child = command
         .spawn()
-        .map_err(|source| LabError::Start { path: itself, source })?;
+        .map_err(|source| EmulatorError::Start { path: itself, source })?;
     let status = wait(child, interrupted)?;
     match status.code() {
         Some(0 | 1) => read_outcome(&dir.join("outcome.json")),
-        Some(INTERRUPTED) => Err(LabError::Interrupted),
-        _ => Err(LabError::Machine(format!("{} could not be played", dir.display()))),
+        Some(INTERRUPTED) => Err(EmulatorError::Interrupted),
+        _ => Err(EmulatorError::Machine(format!("{} could not be played", dir.display()))),
     }
 }
 
 /// Waits for a child, and passes an interrupt on.
-fn wait(mut child: Child, interrupted: &AtomicBool) -> Result<ExitStatus, LabError> {
-    let failed = |e: std::io::Error| LabError::Machine(e.to_string());
+fn wait(mut child: Child, interrupted: &AtomicBool) -> Result<ExitStatus, EmulatorError> {
+    let failed = |e: std::io::Error| EmulatorError::Machine(e.to_string());
     let mut told: Option<Instant> = None;
     loop {
         if let Some(status) = child.try_wait().map_err(failed)? {
@@ -62,10 +62,10 @@
     }
 }
 
-fn read_outcome(path: &Path) -> Result<Outcome, LabError> {
-    let text = std::fs::read_to_string(path).map_err(|source| LabError::Unreadable {
+fn read_outcome(path: &Path) -> Result<Outcome, EmulatorError> {
+    let text = std::fs::read_to_string(path).map_err(|source| EmulatorError::Unreadable {
         path: path.to_path_buf(),
         source,
     })?;
-    serde_json::from_str(&text).map_err(|e| LabError::Machine(format!("{}: {e}", path.display())))
+    serde_json::from_str(&text).map_err(|e| EmulatorError::Machine(format!("{}: {e}", path.display())))
 }
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/emulator/src/soak/mod.rs
@@ -9,7 +9,7 @@
 mod troubles;
 mod users;
 
-use crate::errors::LabError;
+use crate::errors::EmulatorError;
 use clap::Args;
 use draw::{draw, Fixed};
 use outcome::Outcome;
@@ -74,15 +74,15 @@
 }
 
 /// Plays all that was asked for: the outcomes, one for each plan.
-pub fn run(args: &SoakArgs) -> Result<Vec<Outcome>, LabError> {
+pub fn run(args: &SoakArgs) -> Result<Vec<Outcome>, EmulatorError> {
     if args.dry_run {
         return print_plans(args);
     }
-    let program = args.controllers.canonicalize().map_err(|_| LabError::NoProgram {
+    let program = args.controllers.canonicalize().map_err(|_| EmulatorError::NoProgram {
         path: args.controllers.clone(),
     })?;
     let interrupt = || INTERRUPTED.store(true, Ordering::Relaxed);
-    ctrlc::set_handler(interrupt).map_err(|e| LabError::Machine(e.to_string()))?;
+    ctrlc::set_handler(interrupt).map_err(|e| EmulatorError::Machine(e.to_string()))?;
     if let Some(file) = &args.plan {
         let plan = Plan::load(file)?;
         return Ok(vec![play(args, &plan, &program)?]);
@@ -117,7 +117,7 @@
 }
 
 /// Prints what would be played.
-fn print_plans(args: &SoakArgs) -> Result<Vec<Outcome>, LabError> {
+fn print_plans(args: &SoakArgs) -> Result<Vec<Outcome>, EmulatorError> {
     if let Some(file) = &args.plan {
         println!("{}", Plan::load(file)?.text()?);
         return Ok(vec![]);
@@ -128,7 +128,7 @@
     Ok(vec![])
 }
 
-fn play_seed(args: &SoakArgs, seed: u64, slot: u8, program: &Path) -> Result<Outcome, LabError> {
+fn play_seed(args: &SoakArgs, seed: u64, slot: u8, program: &Path) -> Result<Outcome, EmulatorError> {
     let plan = plan_of(args, seed, slot)?;
     let dir = directory(args, &plan)?;
     run::write(&dir.join("plan.toml"), &plan.text()?)?;
@@ -136,22 +136,22 @@
 }
 
 /// The directory of a plan's files.
-fn directory(args: &SoakArgs, plan: &Plan) -> Result<PathBuf, LabError> {
+fn directory(args: &SoakArgs, plan: &Plan) -> Result<PathBuf, EmulatorError> {
     let dir = args.report.join(&plan.experiment.name);
     match std::fs::create_dir_all(&dir) {
         Ok(()) => Ok(dir),
-        Err(source) => Err(LabError::Unwritable { path: dir, source }),
+        Err(source) => Err(EmulatorError::Unwritable { path: dir, source }),
     }
 }
 
 /// The plan of a seed, with the addresses of one of the plans that are played at once.
-fn plan_of(args: &SoakArgs, seed: u64, slot: u8) -> Result<Plan, LabError> {
+fn plan_of(args: &SoakArgs, seed: u64, slot: u8) -> Result<Plan, EmulatorError> {
     let fixed = Fixed {
         duration_s: args.duration,
         workers: args.workers,
     };
     let plan = draw(seed, fixed, args.network.saturating_add(slot));
-    plan.check().map_err(|message| LabError::Experiment {
+    plan.check().map_err(|message| EmulatorError::Experiment {
         path: format!("seed {seed}").into(),
         message,
     })?;
@@ -159,7 +159,7 @@
 }
 
 /// Plays a plan in this process.
-fn play(args: &SoakArgs, plan: &Plan, program: &Path) -> Result<Outcome, LabError> {
+fn play(args: &SoakArgs, plan: &Plan, program: &Path) -> Result<Outcome, EmulatorError> {
     let dir = directory(args, plan)?;
     let outcome = run::run(plan, program, &dir, &INTERRUPTED)?;
     println!("{}", outcome.line());
--- a/crates/lab/src/soak/plan.rs
+++ b/crates/emulator/src/soak/plan.rs
@@ -1,6 +1,6 @@
 //! The plan of one soak: an experiment, and troubles with their times.
 
-use crate::errors::LabError;
+use crate::errors::EmulatorError;
 use crate::experiment::{read_toml, wrong, Experiment};
 use crate::faults::{LinkFault, Party, Route};
 use serde::{Deserialize, Serialize};
@@ -63,7 +63,7 @@
 
 impl Plan {
     /// Reads and checks a plan.
-    pub fn load(path: &Path) -> Result<Plan, LabError> {
+    pub fn load(path: &Path) -> Result<Plan, EmulatorError> {
         let plan: Plan = read_toml(path)?;
         plan.check().map_err(|message| wrong(path, message))?;
         Ok(plan)
@@ -95,7 +95,7 @@
     }
 
     /// The plan as it is written.
-    pub fn text(&self) -> Result<String, LabError> {
-        toml::to_string(self).map_err(|e| LabError::Machine(e.to_string()))
+    pub fn text(&self) -> Result<String, EmulatorError> {
+        toml::to_string(self).map_err(|e| EmulatorError::Machine(e.to_string()))
     }
 }
--- a/crates/lab/src/soak/run.rs
+++ b/crates/emulator/src/soak/run.rs
@@ -5,16 +5,16 @@
 use super::plan::Plan;
 use super::troubles::happen;
 use super::users::{ask, live, Cancels};
+use crate::cluster::EmulatedCluster;
 use crate::controllers::Controllers;
-use crate::errors::LabError;
+use crate::errors::EmulatorError;
 use crate::experiment::{seconds, Load};
-use crate::lab::Lab;
 use crate::load::{spec, Numbers};
 use crate::scale::{create_machines, serve, EndChildren, Services};
 use crate::{forward, preflight};
 use async_io::Timer;
 use futures_lite::FutureExt;
-use glenhaven_standins::user::{Asked, User};
+use glenhaven_fakes::user::{Asked, User};
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -35,7 +35,12 @@
 const CANCELS_WITHIN_S: f64 = 8.0;
 
 /// Plays a plan; its files go into a directory. `interrupted` ends it.
-pub fn run(plan: &Plan, program: &Path, dir: &Path, interrupted: &'static AtomicBool) -> Result<Outcome, LabError> {
+pub fn run(
+    plan: &Plan,
+    program: &Path,
+    dir: &Path,
+    interrupted: &'static AtomicBool,
+) -> Result<Outcome, EmulatorError> {
     let experiment = plan.experiment.clone();
     preflight::check(&experiment, program)?;
     let services = Services::listen(&experiment)?;
@@ -43,81 +48,83 @@
     std::fs::remove_dir_all(&logs).ok();
     let controllers = Controllers::prepare(&experiment, program, &logs)?;
     write(&dir.join("plan.toml"), &plan.text()?)?;
-    let lab = Arc::new(Lab::new(experiment, controllers));
-    lab.fleet().history.switch_on();
-    let _children = EndChildren(lab.clone());
-    let played = play(lab.clone(), plan.clone(), services);
-    let stopped = stopped(&lab, interrupted);
-    let mut outcome = async_io::block_on(lab.executor.run(played.or(stopped)))?;
-    lab.processes().kill_all();
+    let cluster = Arc::new(EmulatedCluster::new(experiment, controllers));
+    cluster.fleet().history.switch_on();
+    let _children = EndChildren(cluster.clone());
+    let played = play(cluster.clone(), plan.clone(), services);
+    let stopped = stopped(&cluster, interrupted);
+    let mut outcome = async_io::block_on(cluster.executor.run(played.or(stopped)))?;
+    cluster.processes().kill_all();
     outcome.errors = error_lines(&logs);
     let history = dir.join("history.log");
-    lab.fleet()
+    cluster
+        .fleet()
         .history
         .write(&history)
-        .map_err(|source| LabError::Unwritable { path: history, source })?;
-    let json = serde_json::to_string_pretty(&outcome).map_err(|e| LabError::Machine(e.to_string()))?;
+        .map_err(|source| EmulatorError::Unwritable { path: history, source })?;
+    let json = serde_json::to_string_pretty(&outcome).map_err(|e| EmulatorError::Machine(e.to_string()))?;
     write(&dir.join("outcome.json"), &json)?;
     Ok(outcome)
 }
 
 /// Writes a file.
-pub fn write(path: &Path, text: &str) -> Result<(), LabError> {
-    std::fs::write(path, text).map_err(|source| LabError::Unwritable {
+pub fn write(path: &Path, text: &str) -> Result<(), EmulatorError> {
+    std::fs::write(path, text).map_err(|source| EmulatorError::Unwritable {
         path: path.to_path_buf(),
         source,
     })
 }
 
-async fn stopped(lab: &Lab, interrupted: &AtomicBool) -> Result<Outcome, LabError> {
+async fn stopped(cluster: &EmulatedCluster, interrupted: &AtomicBool) -> Result<Outcome, EmulatorError> {
     loop {
         Timer::after(LOOK).await;
         if interrupted.load(Ordering::Relaxed) {
-            return Err(LabError::Interrupted);
+            return Err(EmulatorError::Interrupted);
         }
-        if let Some(why) = lab.take_stop() {
+        if let Some(why) = cluster.take_stop() {
             return Err(why);
         }
     }
 }
 
-async fn play(lab: Arc<Lab>, plan: Plan, services: Services) -> Result<Outcome, LabError> {
-    serve(&lab, services);
-    forward::start(&lab)?;
-    for node in 0..lab.nodes.len() {
-        lab.processes().start(node)?;
+async fn play(cluster: Arc<EmulatedCluster>, plan: Plan, services: Services) -> Result<Outcome, EmulatorError> {
+    serve(&cluster, services);
+    forward::start(&cluster)?;
+    for node in 0..cluster.nodes.len() {
+        cluster.processes().start(node)?;
     }
-    create_machines(&lab);
+    create_machines(&cluster);
     let behind = Arc::new(AtomicU64::new(0));
-    lab.executor.spawn(measure(behind.clone())).detach();
+    cluster.executor.spawn(measure(behind.clone())).detach();
     let numbers = Arc::new(Numbers::default());
     for load in plan.experiment.load.clone() {
-        lab.executor
-            .spawn(submit(lab.clone(), load, numbers.clone(), plan.users))
+        cluster
+            .executor
+            .spawn(submit(cluster.clone(), load, numbers.clone(), plan.users))
             .detach();
     }
     let troubles: Vec<_> = plan
         .troubles
         .iter()
-        .map(|planned| lab.executor.spawn(happen(lab.clone(), planned.clone())))
+        .map(|planned| cluster.executor.spawn(happen(cluster.clone(), planned.clone())))
         .collect();
-    let mut ended = watch(&lab, seconds(plan.experiment.duration_s)).await;
-    lab.note(|| "the last trouble has begun".into());
+    let mut ended = watch(&cluster, seconds(plan.experiment.duration_s)).await;
+    cluster.note(|| "the last trouble has begun".into());
     for trouble in troubles {
         trouble.await;
     }
-    lab.faults.end();
-    let calm_since = lab.now();
-    lab.note(|| "all troubles are over".into());
-    let stranding = lab.executor.spawn(look_for_stranded(lab.clone()));
-    let unknown_after_troubles = audit(&lab).await;
-    let audited = Duration::from_micros(lab.now() - calm_since);
-    ended.extend(watch(&lab, seconds(plan.calm_s).saturating_sub(audited)).await);
+    cluster.faults.end();
+    let calm_since = cluster.now();
+    cluster.note(|| "all troubles are over".into());
+    let stranding = cluster.executor.spawn(look_for_stranded(cluster.clone()));
+    let unknown_after_troubles = audit(&cluster).await;
+    let audited = Duration::from_micros(cluster.now() - calm_since);
+    ended.extend(watch(&cluster, seconds(plan.calm_s).saturating_sub(audited)).await);
     drop(stranding);
-    let stranded = std::mem::take(&mut lab.fleet().stranded).found();
+    let stranded = std::mem::take(&mut cluster.fleet().stranded).found();
     let stranded = (plan.calm_s >= draw::LONG_CALM_S).then_some(stranded);
     Ok(outcome(
-        &lab,
+        &cluster,
         &plan,
         ended,
         stranded,
@@ -127,16 +134,16 @@
 }
 
 fn outcome(
-    lab: &Lab,
+    cluster: &EmulatedCluster,
     plan: &Plan,
     ended_by_themselves: Vec<usize>,
     stranded: Option<Vec<String>>,
     unknown_after_troubles: Vec<String>,
     emulator_behind_ms: u64,
 ) -> Outcome {
-    let (terms, lives) = (lab.store().term(), lab.processes().lives);
-    let mut problems = lab.store().problems.clone();
-    let fleet = lab.fleet();
+    let (terms, lives) = (cluster.store().term(), cluster.processes().lives);
+    let mut problems = cluster.store().problems.clone();
+    let fleet = cluster.fleet();
     problems.extend(fleet.cloud.problems.iter().cloned());
     Outcome {
         seed: plan.experiment.seed,
@@ -171,24 +178,24 @@
 }
 
 /// Looks at the controllers until the time is over: those that ended by themselves.
-async fn watch(lab: &Lab, lasts: Duration) -> Vec<usize> {
+async fn watch(cluster: &EmulatedCluster, lasts: Duration) -> Vec<usize> {
     let ends = Instant::now() + lasts;
     let mut ended = vec![];
     while Instant::now() < ends {
         Timer::after(LOOK).await;
-        let now = lab.now();
-        lab.fleet().look(now);
-        ended.extend(lab.processes().ended());
+        let now = cluster.now();
+        cluster.fleet().look(now);
+        ended.extend(cluster.processes().ended());
     }
     ended
 }
 
 /// Looks once a second for jobs that are left waiting, for ever.
-async fn look_for_stranded(lab: Arc<Lab>) {
+async fn look_for_stranded(cluster: Arc<EmulatedCluster>) {
     loop {
         Timer::after(ONCE_A_SECOND).await;
-        let now = lab.now();
-        let mut fleet = lab.fleet();
+        let now = cluster.now();
+        let mut fleet = cluster.fleet();
         let mut stranded = std::mem::take(&mut fleet.stranded);
         stranded.look(now, &fleet);
         fleet.stranded = stranded;
@@ -196,15 +203,15 @@
 }
 
 /// Submits the jobs of one kind until their time is over.
-async fn submit(lab: Arc<Lab>, load: Load, numbers: Arc<Numbers>, users: super::plan::Users) {
-    let until = load.until_s.unwrap_or(lab.experiment.duration_s);
+async fn submit(cluster: Arc<EmulatedCluster>, load: Load, numbers: Arc<Numbers>, users: super::plan::Users) {
+    let until = load.until_s.unwrap_or(cluster.experiment.duration_s);
     let mut at = load.from_s;
     while at < until {
-        let now = Duration::from_micros(lab.now());
+        let now = Duration::from_micros(cluster.now());
         Timer::after(seconds(at).saturating_sub(now)).await;
-        let spec = spec(&lab, &load, numbers.next());
+        let spec = spec(&cluster, &load, numbers.next());
         let (run_s, cancels, pause) = {
-            let rng = &mut lab.fleet().rng;
+            let rng = &mut cluster.fleet().rng;
             let cancels = match (rng.f64() < load.cancelled, rng.f64() < users.cancelled_at_end) {
                 (false, _) => Cancels::Never,
                 (true, true) if load.run_s > 0.0 => Cancels::AtEnd,
@@ -214,23 +221,26 @@
             (load.run_s * (0.5 + rng.f64()), cancels, pause)
         };
         let user = User::new(spec, run_s, false);
-        lab.executor.spawn(live(lab.clone(), user, cancels, users)).detach();
+        cluster
+            .executor
+            .spawn(live(cluster.clone(), user, cancels, users))
+            .detach();
         at += pause;
     }
 }
 
 /// Asks every controller about accepted jobs until each has answered, or 75 s have passed since
 /// the troubles: those that some controller did not answer for.
-async fn audit(lab: &Arc<Lab>) -> Vec<String> {
+async fn audit(cluster: &Arc<EmulatedCluster>) -> Vec<String> {
     let accepted: Vec<String> = {
-        let fleet = lab.fleet();
+        let fleet = cluster.fleet();
         let known = fleet.users.iter().filter(|(_, user)| user.accepted.is_some());
         known.map(|(id, _)| id.clone()).collect()
     };
     let step = accepted.len().div_ceil(AUDITED).max(1);
     let jobs: Vec<String> = accepted.into_iter().step_by(step).collect();
     let ends = Instant::now() + KNOWN;
-    let mut questions: Vec<(usize, String)> = (0..lab.nodes.len())
+    let mut questions: Vec<(usize, String)> = (0..cluster.nodes.len())
         .flat_map(|node| jobs.iter().map(move |job| (node, job.clone())))
         .collect();
     while !questions.is_empty() && Instant::now() < ends {
@@ -240,10 +250,10 @@
                 .iter()
                 .cloned()
                 .map(|(node, job)| {
-                    let lab = lab.clone();
-                    let executor = lab.clone();
+                    let cluster = cluster.clone();
+                    let executor = cluster.clone();
                     executor.executor.spawn(async move {
-                        let answer = ask(&lab, &job, node, Asked::Poll).await;
+                        let answer = ask(&cluster, &job, node, Asked::Poll).await;
                         answer.is_none().then_some((node, job))
                     })
                 })
--- a/crates/lab/src/soak/stranded.rs
+++ b/crates/emulator/src/soak/stranded.rs
@@ -2,8 +2,8 @@
 //! their team is under its limit, all the time.
 
 use crate::fleet::Fleet;
-use glenhaven_standins::user::{job_of, User};
-use glenhaven_standins::SEC;
+use glenhaven_fakes::user::{job_of, User};
+use glenhaven_fakes::SEC;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a job may wait like this.
--- /dev/null
+++ b/crates/emulator/src/soak/troubles.rs
@@ -0,0 +1,129 @@
+//! Lets troubles happen when their time has come.
+
+use super::plan::{PlannedTrouble, Trouble};
+use crate::cluster::EmulatedCluster;
+use crate::experiment::seconds;
+use crate::faults::{Party, Route};
+use async_io::Timer;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// How soon it is seen that another controller leads.
+const LOOK: Duration = Duration::from_millis(20);
+
+/// Lets one trouble happen, and ends it.
+pub async fn happen(cluster: Arc<EmulatedCluster>, planned: PlannedTrouble) {
+    let now = Duration::from_micros(cluster.now());
+    Timer::after(seconds(planned.at_s).saturating_sub(now)).await;
+    cluster.note(|| format!("TROUBLE {planned:?}"));
+    let lasts = seconds(planned.for_s);
+    match planned.trouble {
+        Trouble::Kill { who } => {
+            if let Some(node) = resolve(&cluster, who) {
+                kill(&cluster, node, lasts).await;
+            }
+        }
+        Trouble::KillLeaders { every_s, down_s } => {
+            kill_leaders(&cluster, seconds(every_s), seconds(down_s), lasts).await
+        }
+        Trouble::Pause { who } => {
+            if let Some(node) = resolve(&cluster, who) {
+                cluster.processes().pause(node, true);
+                cluster.note(|| format!("node-{node} stands still"));
+                Timer::after(lasts).await;
+                cluster.processes().pause(node, false);
+                cluster.note(|| format!("node-{node} goes on"));
+            }
+        }
+        Trouble::Link { route, hosts, fault } => {
+            if let (Some(from), Some(to)) = (party(&cluster, route.from), party(&cluster, route.to)) {
+                cluster.faults.begin(Route::between(from, to), hosts, fault, lasts);
+            }
+        }
+        Trouble::Outage => {
+            let now = cluster.now();
+            cluster.store().outage(true, now);
+            Timer::after(lasts).await;
+            let now = cluster.now();
+            cluster.store().outage(false, now);
+        }
+        Trouble::Hang { count } => hang(&cluster, count, lasts),
+        Trouble::MachineDeaths { count } => {
+            let mut fleet = cluster.fleet();
+            let now = cluster.now();
+            for name in fleet.up(None).into_iter().take(count) {
+                fleet.machine_dies(now, &name);
+            }
+        }
+        Trouble::Cancel { count } => cancel(&cluster, count),
+    }
+}
+
+/// The controller that is meant; none if nobody leads.
+fn resolve(cluster: &EmulatedCluster, who: Party) -> Option<usize> {
+    match who {
+        Party::Node(node) => Some(node),
+        Party::Leader => cluster.leader(),
+        _ => None,
+    }
+}
+
+fn party(cluster: &EmulatedCluster, party: Party) -> Option<Party> {
+    match party {
+        Party::Leader => cluster.leader().map(Party::Node),
+        other => Some(other),
+    }
+}
+
+async fn kill(cluster: &EmulatedCluster, node: usize, down: Duration) {
+    cluster.processes().kill(node);
+    cluster.note(|| format!("node-{node} is killed"));
+    Timer::after(down).await;
+    cluster.note(|| format!("node-{node} is started"));
+    if let Err(error) = cluster.processes().start(node) {
+        cluster.stop(error);
+    }
+}
+
+/// Leader after leader is killed, each some time after it took over.
+async fn kill_leaders(cluster: &Arc<EmulatedCluster>, every: Duration, down: Duration, lasts: Duration) {
+    let ends = Instant::now() + lasts;
+    let mut last_term = 0;
+    while Instant::now() < ends {
+        let term = cluster.store().term();
+        if term == last_term {
+            Timer::after(LOOK).await;
+            continue;
+        }
+        last_term = term;
+        Timer::after(every).await;
+        if let Some(node) = cluster.leader() {
+            let killed = cluster.clone();
+            cluster
+                .executor
+                .spawn(async move { kill(&killed, node, down).await })
+                .detach();
+        }
+    }
+}
+
+fn hang(cluster: &EmulatedCluster, count: usize, lasts: Duration) {
+    let mut fleet = cluster.fleet();
+    let until = cluster.now() + lasts.as_micros() as u64;
+    for name in fleet.up(None).into_iter().take(count) {
+        if let Some(worker) = fleet.workers.get_mut(&name) {
+            worker.hangs_until = worker.hangs_until.max(until);
+        }
+    }
+}
+
+fn cancel(cluster: &EmulatedCluster, count: usize) {
+    let mut fleet = cluster.fleet();
+    let open = fleet
+        .users
+        .values_mut()
+        .filter(|user| user.accepted.is_some() && user.done.is_none() && user.cancelled.is_none());
+    for user in open.take(count) {
+        user.wants_abort = true;
+    }
+}
--- a/crates/lab/src/soak/users.rs
+++ b/crates/emulator/src/soak/users.rs
@@ -3,16 +3,16 @@
 //! when the question was sent.
 
 use super::plan;
+use crate::cluster::{EmulatedCluster, Side};
 use crate::faults::{Fate, Party, Route};
-use crate::lab::{Lab, Side};
 use crate::machines::{exchange, within};
 use crate::users::request;
 use async_io::Timer;
 use glenhaven::protocol::from_cbor;
 use glenhaven::protocol::users::{JobState, Phase};
-use glenhaven_standins::evidence::{Held, Judged};
-use glenhaven_standins::http::Response;
-use glenhaven_standins::user::{Asked, User};
+use glenhaven_fakes::answer_check::{Held, Judged};
+use glenhaven_fakes::http::Response;
+use glenhaven_fakes::user::{Asked, User};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -33,11 +33,11 @@
 }
 
 /// Lives the life of a user, until its job is over or the experiment is.
-pub async fn live(lab: Arc<Lab>, user: User, cancels: Cancels, users: plan::Users) {
+pub async fn live(cluster: Arc<EmulatedCluster>, user: User, cancels: Cancels, users: plan::Users) {
     let job = user.spec.id.clone();
     let run = Duration::from_micros(user.run);
-    lab.fleet().users.insert(job.clone(), user);
-    let close = lab.fleet().rng.f64() < users.close_questions;
+    cluster.fleet().users.insert(job.clone(), user);
+    let close = cluster.fleet().rng.f64() < users.close_questions;
     let began = Instant::now();
     let mut cancel_at = match cancels {
         Cancels::Never | Cancels::AtEnd => None,
@@ -45,11 +45,11 @@
     };
     let mut told = None;
     loop {
-        let asked = next_question(&lab, &job, cancel_at);
-        let answer = ask_somewhere(&lab, &job, asked).await;
+        let asked = next_question(&cluster, &job, cancel_at);
+        let answer = ask_somewhere(&cluster, &job, asked).await;
         if let Some(phase) = answer {
             if close && told != Some(phase) {
-                ask_closely(&lab, &job);
+                ask_closely(&cluster, &job);
             }
             told = Some(phase);
             if phase.is_final() {
@@ -66,9 +66,9 @@
 }
 
 /// What a user asks next.
-fn next_question(lab: &Lab, job: &str, cancel_at: Option<Instant>) -> Asked {
-    let mut fleet = lab.fleet();
-    let now = lab.now();
+fn next_question(cluster: &EmulatedCluster, job: &str, cancel_at: Option<Instant>) -> Asked {
+    let mut fleet = cluster.fleet();
+    let now = cluster.now();
     let Some(user) = fleet.users.get_mut(job) else {
         return Asked::Poll;
     };
@@ -86,25 +86,25 @@
     }
 }
 
-async fn ask_somewhere(lab: &Arc<Lab>, job: &str, asked: Asked) -> Option<Phase> {
-    let node = lab.fleet().rng.usize(0..lab.nodes.len());
-    ask(lab, job, node, asked).await
+async fn ask_somewhere(cluster: &Arc<EmulatedCluster>, job: &str, asked: Asked) -> Option<Phase> {
+    let node = cluster.fleet().rng.usize(0..cluster.nodes.len());
+    ask(cluster, job, node, asked).await
 }
 
 /// Asks all controllers at once, again and again within milliseconds, and submits the job anew.
-fn ask_closely(lab: &Arc<Lab>, job: &str) {
-    for node in 0..lab.nodes.len() {
+fn ask_closely(cluster: &Arc<EmulatedCluster>, job: &str) {
+    for node in 0..cluster.nodes.len() {
         for after in CLOSE {
-            let (lab, job) = (lab.clone(), job.to_string());
-            let executor = lab.clone();
+            let (cluster, job) = (cluster.clone(), job.to_string());
+            let executor = cluster.clone();
             let question = async move {
                 Timer::after(after).await;
-                let asked = if lab.fleet().rng.bool() {
+                let asked = if cluster.fleet().rng.bool() {
                     Asked::Poll
                 } else {
                     Asked::Submit
                 };
-                ask(&lab, &job, node, asked).await;
+                ask(&cluster, &job, node, asked).await;
             };
             executor.executor.spawn(question).detach();
         }
@@ -112,31 +112,38 @@
 }
 
 /// One question with its answer: the phase that it says.
-pub async fn ask(lab: &Arc<Lab>, job: &str, node: usize, asked: Asked) -> Option<Phase> {
-    let spec = lab.fleet().users.get(job)?.spec.clone();
-    let before = Held::of(&lab.store(), job);
+pub async fn ask(cluster: &Arc<EmulatedCluster>, job: &str, node: usize, asked: Asked) -> Option<Phase> {
+    let spec = cluster.fleet().users.get(job)?.spec.clone();
+    let before = Held::of(&cluster.store(), job);
     let request = request(asked, &spec);
     let there = Route::between(Party::Users, Party::Node(node));
     let exchange = async {
-        lab.faults.passes(&there, "").await;
-        if lab.faults.fate(&there, "") != Fate::Deliver {
+        cluster.faults.passes(&there, "").await;
+        if cluster.faults.fate(&there, "") != Fate::Deliver {
             return None;
         }
-        let answer = exchange(lab, None, node, Side::Users, &request).await;
-        lab.faults.passes(&there.back(), "").await;
+        let answer = exchange(cluster, None, node, Side::Users, &request).await;
+        cluster.faults.passes(&there.back(), "").await;
         answer
     };
     let answer = within(Duration::from_micros(asked.limit()), exchange).await;
     let (_, response) = answer?;
-    take(lab, job, asked, before, &response, node)
+    take(cluster, job, asked, before, &response, node)
 }
 
 /// Takes in an answer, and judges it.
-fn take(lab: &Lab, job: &str, asked: Asked, before: Held, response: &Response, node: usize) -> Option<Phase> {
-    let after = Held::of(&lab.store(), job);
-    let mut fleet = lab.fleet();
+fn take(
+    cluster: &EmulatedCluster,
+    job: &str,
+    asked: Asked,
+    before: Held,
+    response: &Response,
+    node: usize,
+) -> Option<Phase> {
+    let after = Held::of(&cluster.store(), job);
+    let mut fleet = cluster.fleet();
     let fleet = &mut *fleet;
-    let now = lab.now();
+    let now = cluster.now();
     let user = fleet.users.get_mut(job)?;
     let judged = Judged {
         user,
--- a/crates/lab/src/state_service.rs
+++ b/crates/emulator/src/state_service.rs
@@ -1,11 +1,11 @@
 //! The state service behind sockets.
 
-use crate::lab::Lab;
+use crate::cluster::EmulatedCluster;
 use async_io::Timer;
 use futures_lite::FutureExt;
-use glenhaven::protocol::store::{StoreAnswer, StoreRequest};
-use glenhaven_standins::http::{Request, Response};
-use glenhaven_standins::wire;
+use glenhaven::protocol::store::{StoreRequest, StoreResponse};
+use glenhaven_fakes::http::{Request, Response};
+use glenhaven_fakes::wire;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -19,27 +19,27 @@
 const EXPIRY: Duration = Duration::from_millis(50);
 
 /// Answers one request.
-pub async fn handle(lab: Arc<Lab>, _node: usize, request: Request) -> Option<Response> {
+pub async fn handle(cluster: Arc<EmulatedCluster>, _node: usize, request: Request) -> Option<Response> {
     let Some(request) = wire::state_request(&request) else {
         return Some(wire::malformed());
     };
-    let answer = execute(&lab, &request);
+    let answer = execute(&cluster, &request);
     let answer = match (&request, answer) {
         (_, Some(answer)) => answer,
-        (StoreRequest::Watch { prefix, after, wait_ms }, None) => watch(&lab, prefix, *after, *wait_ms).await,
+        (StoreRequest::Watch { prefix, after, wait_ms }, None) => watch(&cluster, prefix, *after, *wait_ms).await,
         (_, None) => return None,
     };
     wire::state_response(&request, &answer)
 }
 
 /// Executes a request, unless it is a watch that the limits allow.
-fn execute(lab: &Lab, request: &StoreRequest) -> Option<StoreAnswer> {
+fn execute(cluster: &EmulatedCluster, request: &StoreRequest) -> Option<StoreResponse> {
     let writes = match request {
-        StoreRequest::Txn(txn) => txn.changes.len() as f64,
+        StoreRequest::Transaction(txn) => txn.changes.len() as f64,
         _ => 0.0,
     };
-    let mut store = lab.store();
-    let now = lab.now();
+    let mut store = cluster.store();
+    let now = cluster.now();
     store.expire(now);
     if let Err(refused) = store.allow(writes, now) {
         return Some(refused);
@@ -51,23 +51,23 @@
     let answer = store.answer(request, now);
     if store.revision != before {
         store.keep_changes(KEPT_CHANGES);
-        lab.store_changed.notify(usize::MAX);
+        cluster.store_changed.notify(usize::MAX);
     }
     Some(answer)
 }
 
 /// Waits until a key has changed or the time is over.
-async fn watch(lab: &Lab, prefix: &str, after: u64, wait_ms: u64) -> StoreAnswer {
+async fn watch(cluster: &EmulatedCluster, prefix: &str, after: u64, wait_ms: u64) -> StoreResponse {
     let ends = Instant::now() + Duration::from_millis(wait_ms).min(LONGEST_WAIT);
     loop {
-        let changed = lab.store_changed.listen();
+        let changed = cluster.store_changed.listen();
         {
-            let store = lab.store();
+            let store = cluster.store();
             if store.is_compacted(after) {
-                return StoreAnswer::Compacted;
+                return StoreResponse::Compacted;
             }
             if store.has_news(prefix, after) || Instant::now() >= ends {
-                return StoreAnswer::Events(store.news(prefix, after));
+                return StoreResponse::Events(store.news(prefix, after));
             }
         }
         let late = async {
@@ -78,14 +78,14 @@
 }
 
 /// Ends leases whose time is over, for ever.
-pub async fn expire_leases(lab: Arc<Lab>) {
+pub async fn expire_leases(cluster: Arc<EmulatedCluster>) {
     loop {
         Timer::after(EXPIRY).await;
-        let mut store = lab.store();
+        let mut store = cluster.store();
         let before = store.revision;
-        store.expire(lab.now());
+        store.expire(cluster.now());
         if store.revision != before {
-            lab.store_changed.notify(usize::MAX);
+            cluster.store_changed.notify(usize::MAX);
         }
     }
 }
--- a/crates/lab/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -1,15 +1,15 @@
 //! Users: each submits one job and asks about it until it is over.
 
 use crate::balancer;
-use crate::lab::{Lab, Side};
+use crate::cluster::{EmulatedCluster, Side};
 use crate::machines::{exchange, within};
 use async_io::Timer;
 use glenhaven::protocol::to_cbor;
-use glenhaven::protocol::users::Spec;
+use glenhaven::protocol::users::JobSpec;
 use glenhaven::transport::server::Outgoing;
-use glenhaven_standins::http::{Connection, Request, Response};
-use glenhaven_standins::user::{answered, Answered, Asked, User};
-use glenhaven_standins::SEC;
+use glenhaven_fakes::http::{Connection, Request, Response};
+use glenhaven_fakes::user::{answered, Answered, Asked, User};
+use glenhaven_fakes::SEC;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 const RETRY: Duration = Duration::from_secs(1);
 
 /// A request of a user.
-pub fn request(asked: Asked, spec: &Spec) -> Request {
+pub fn request(asked: Asked, spec: &JobSpec) -> Request {
     let (method, path, body) = match asked {
         Asked::Submit => ("POST", "/v2/runs".to_string(), to_cbor(spec)),
         Asked::Poll => ("GET", format!("/v2/runs/{}", spec.id), vec![]),
@@ -36,38 +36,38 @@
 
 /// Submits a job and asks about it until it is over; after `abort_after` its user
 /// cancels it.
-pub async fn live(lab: Arc<Lab>, user: User, abort_after: Option<Duration>) {
+pub async fn live(cluster: Arc<EmulatedCluster>, user: User, abort_after: Option<Duration>) {
     let spec = user.spec.clone();
-    lab.fleet().users.insert(spec.id.clone(), user);
-    let aborts_at = abort_after.map(|after| lab.now() + after.as_micros() as u64);
+    cluster.fleet().users.insert(spec.id.clone(), user);
+    let aborts_at = abort_after.map(|after| cluster.now() + after.as_micros() as u64);
     let mut kept: Kept = None;
     loop {
-        if aborts_at.is_some_and(|at| lab.now() >= at) {
-            if let Some(user) = lab.fleet().users.get_mut(&spec.id) {
+        if aborts_at.is_some_and(|at| cluster.now() >= at) {
+            if let Some(user) = cluster.fleet().users.get_mut(&spec.id) {
                 user.wants_abort = true;
             }
         }
         let node = match &kept {
             Some((node, _)) => Some(*node),
-            None => balancer::choose(&lab, &mut lab.fleet().rng),
+            None => balancer::choose(&cluster, &mut cluster.fleet().rng),
         };
         let asked = {
-            let mut fleet = lab.fleet();
+            let mut fleet = cluster.fleet();
             let rid = fleet.request_number();
-            let now = lab.now();
+            let now = cluster.now();
             fleet.users.get_mut(&spec.id).and_then(|user| user.asks(now, rid, node))
         };
         let Some(asked) = asked else { return };
-        let answer = ask(&lab, &mut kept, node, asked, &spec).await;
+        let answer = ask(&cluster, &mut kept, node, asked, &spec).await;
         let retry = answer.as_ref().is_none_or(|response| response.status == 503);
-        if take(&lab, &spec.id, asked, answer) {
+        if take(&cluster, &spec.id, asked, answer) {
             return;
         }
         let pause = match retry {
             true => RETRY,
             false => Duration::from_micros(asked.pause()),
         };
-        let until_abort = aborts_at.map(|at| Duration::from_micros(at.saturating_sub(lab.now())));
+        let until_abort = aborts_at.map(|at| Duration::from_micros(at.saturating_sub(cluster.now())));
         let pause = until_abort
             .filter(|left| !left.is_zero())
             .map_or(pause, |left| pause.min(left));
@@ -76,22 +76,28 @@
 }
 
 /// Sends one request and waits for its answer.
-async fn ask(lab: &Lab, kept: &mut Kept, node: Option<usize>, asked: Asked, spec: &Spec) -> Option<Response> {
+async fn ask(
+    cluster: &EmulatedCluster,
+    kept: &mut Kept,
+    node: Option<usize>,
+    asked: Asked,
+    spec: &JobSpec,
+) -> Option<Response> {
     let node = node?;
     let connection = kept.take().map(|(_, connection)| connection);
     let request = request(asked, spec);
     let limit = Duration::from_micros(asked.limit());
-    let exchange = exchange(lab, connection, node, Side::Users, &request);
+    let exchange = exchange(cluster, connection, node, Side::Users, &request);
     let (connection, response) = within(limit, exchange).await?;
     *kept = connection.map(|connection| (node, connection));
     Some(response)
 }
 
 /// Takes in what came of a request: whether the job is over for its user.
-fn take(lab: &Lab, job: &str, asked: Asked, answer: Option<Response>) -> bool {
-    let mut fleet = lab.fleet();
+fn take(cluster: &EmulatedCluster, job: &str, asked: Asked, answer: Option<Response>) -> bool {
+    let mut fleet = cluster.fleet();
     let fleet = &mut *fleet;
-    let now = lab.now();
+    let now = cluster.now();
     match answer {
         Some(response) => {
             let answer = Outgoing {
@@ -122,18 +128,18 @@
 /// Asks every healthy controller, all at once, about jobs that were accepted, once all is
 /// over: none may be forgotten, and none may have gone back. How many questions were
 /// answered.
-pub async fn audit(lab: &Arc<Lab>, most: usize) -> usize {
-    let accepted: Vec<Spec> = {
-        let fleet = lab.fleet();
+pub async fn audit(cluster: &Arc<EmulatedCluster>, most: usize) -> usize {
+    let accepted: Vec<JobSpec> = {
+        let fleet = cluster.fleet();
         let known = fleet.users.values().filter(|u| u.accepted.is_some());
         known.map(|u| u.spec.clone()).collect()
     };
     let step = accepted.len().div_ceil(most.max(1)).max(1);
-    let asked: Arc<Vec<Spec>> = Arc::new(accepted.into_iter().step_by(step).collect());
-    let healthy = |node: &usize| lab.nodes[*node].healthy.load(Ordering::Relaxed);
-    let audits: Vec<_> = (0..lab.nodes.len())
+    let asked: Arc<Vec<JobSpec>> = Arc::new(accepted.into_iter().step_by(step).collect());
+    let healthy = |node: &usize| cluster.nodes[*node].healthy.load(Ordering::Relaxed);
+    let audits: Vec<_> = (0..cluster.nodes.len())
         .filter(healthy)
-        .map(|node| lab.executor.spawn(audit_one(lab.clone(), node, asked.clone())))
+        .map(|node| cluster.executor.spawn(audit_one(cluster.clone(), node, asked.clone())))
         .collect();
     let mut answered = 0;
     for audit in audits {
@@ -143,22 +149,22 @@
 }
 
 /// Asks one controller about these jobs: how many questions were answered.
-async fn audit_one(lab: Arc<Lab>, node: usize, asked: Arc<Vec<Spec>>) -> usize {
+async fn audit_one(cluster: Arc<EmulatedCluster>, node: usize, asked: Arc<Vec<JobSpec>>) -> usize {
     let mut kept: Kept = None;
     let mut answered = 0;
     for spec in asked.iter() {
-        let answer = ask(&lab, &mut kept, Some(node), Asked::Poll, spec).await;
+        let answer = ask(&cluster, &mut kept, Some(node), Asked::Poll, spec).await;
         if answer.is_some() {
             answered += 1;
-            take(&lab, &spec.id, Asked::Poll, answer);
+            take(&cluster, &spec.id, Asked::Poll, answer);
         }
     }
     answered
 }
 
 /// The longest time in which no question about an accepted job was answered.
-pub fn longest_silence(lab: &Lab) -> u64 {
-    let fleet = lab.fleet();
+pub fn longest_silence(cluster: &EmulatedCluster) -> u64 {
+    let fleet = cluster.fleet();
     let known = fleet.users.values().filter(|u| u.accepted.is_some());
     known.map(|u| u.silent / SEC).max().unwrap_or(0)
 }
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/emulator/tests/common/mod.rs
@@ -5,19 +5,19 @@
 
 /// The glenhaven program beside this test's own, built with it in the workspace.
 pub fn controllers() -> PathBuf {
-    let lab = Path::new(env!("CARGO_BIN_EXE_glenhaven-lab"));
-    let program = lab.with_file_name("glenhaven");
+    let cluster = Path::new(env!("CARGO_BIN_EXE_glenhaven-emulator"));
+    let program = cluster.with_file_name("glenhaven");
     if !program.exists() {
-        build_controllers(lab);
+        build_controllers(cluster);
     }
     program
 }
 
 /// Builds glenhaven in the profile of this test; `cargo test --workspace` has done it.
-fn build_controllers(lab: &Path) {
+fn build_controllers(cluster: &Path) {
     let mut cargo = Command::new(env!("CARGO"));
     cargo.current_dir(root()).args(["build", "--locked", "-p", "glenhaven"]);
-    if lab.parent().is_some_and(|dir| dir.ends_with("release")) {
+    if cluster.parent().is_some_and(|dir| dir.ends_with("release")) {
         cargo.arg("--release");
     }
     assert!(cargo.status().is_ok_and(|status| status.success()));
--- a/crates/lab/tests/small_run.rs
+++ b/crates/emulator/tests/small_run.rs
@@ -32,7 +32,7 @@
     }
 
     fn command(&self, experiment: &Path, program: &Path) -> Command {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_glenhaven-lab"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_glenhaven-emulator"));
         command.arg("scale").arg(experiment);
         command.arg("--controllers").arg(program);
         command.arg("--report").arg(self.report());
@@ -136,7 +136,7 @@
 fn an_interrupted_experiment_leaves_no_process() {
     let dir = Dir::new("interrupted");
     let experiment = dir.experiment(network(4));
-    let mut lab = dir
+    let mut cluster = dir
         .command(&experiment, &controllers())
         .stderr(Stdio::null())
         .spawn()
@@ -149,9 +149,9 @@
         }
     };
     until("no controller was started", &|| runs_with(&dir.0));
-    let interrupted = Command::new("kill").arg("-INT").arg(lab.id().to_string()).status();
+    let interrupted = Command::new("kill").arg("-INT").arg(cluster.id().to_string()).status();
     assert!(interrupted.is_ok_and(|status| status.success()));
-    let status = lab.wait().unwrap();
+    let status = cluster.wait().unwrap();
     assert_eq!(status.code(), Some(130));
     assert!(!runs_with(&dir.0), "a controller was left behind");
 }
--- a/crates/lab/tests/soak.rs
+++ b/crates/emulator/tests/soak.rs
@@ -23,7 +23,7 @@
     }
 
     fn soak(&self, network: u8, program: &Path) -> Command {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_glenhaven-lab"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_glenhaven-emulator"));
         command.arg("soak").arg("--controllers").arg(program);
         command.arg("--report").arg(&self.0);
         command.args(["--network", &network.to_string()]);
--- a/crates/standins/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -2,8 +2,8 @@
 
 use crate::worker::Worker;
 use crate::SEC;
-use glenhaven::coordination::CloudAnswer;
-use glenhaven::protocol::cloud::{Catalogue, ListPage, Listed, MachineType, Rent};
+use glenhaven::coordination::CloudResponse;
+use glenhaven::protocol::cloud::{Catalogue, ListPage, ListedMachine, MachineType, ProvisionRequest};
 use std::collections::BTreeMap;
 
 /// Machines in one page of the list, unless said otherwise: few, so that paging is exercised.
@@ -23,7 +23,7 @@
 /// What a rental request leads to.
 pub enum Rental {
     /// The request was answered before, or can't be fulfilled.
-    Answered(CloudAnswer),
+    Answered(CloudResponse),
     /// So many machines are to be created.
     Machines(u32),
 }
@@ -31,7 +31,7 @@
 /// Machines and rental requests.
 pub struct Cloud {
     types: Vec<MachineType>,
-    claims: BTreeMap<String, (Rent, Vec<String>)>,
+    claims: BTreeMap<String, (ProvisionRequest, Vec<String>)>,
     machines: BTreeMap<String, Rented>,
     /// Machines to be had of each type, zone and kind.
     pub capacity: u32,
@@ -110,13 +110,13 @@
     }
 
     /// Takes in a rental request.
-    pub fn rent(&mut self, rent: &Rent) -> Rental {
+    pub fn rent(&mut self, rent: &ProvisionRequest) -> Rental {
         if let Some((earlier, names)) = self.claims.get(&rent.claim) {
             if earlier != rent {
                 let text = format!("claim {} was used for two requests", rent.claim);
                 self.problems.push(text);
             }
-            return Rental::Answered(CloudAnswer::Rented(names.clone()));
+            return Rental::Answered(CloudResponse::Rented(names.clone()));
         }
         let kind = |m: &&Rented| {
             m.gone.is_none() && m.machine_type == rent.machine_type && m.zone == rent.zone && m.spot == rent.spot
@@ -128,24 +128,24 @@
                 .push(format!("claim {} for {} machines", rent.claim, rent.count));
         }
         if count == 0 {
-            return Rental::Answered(CloudAnswer::NoCapacity);
+            return Rental::Answered(CloudResponse::NoCapacity);
         }
         Rental::Machines(count)
     }
 
     /// The machines of a rental request are created.
-    pub fn rented_as(&mut self, rent: Rent, names: Vec<String>) -> CloudAnswer {
+    pub fn rented_as(&mut self, rent: ProvisionRequest, names: Vec<String>) -> CloudResponse {
         self.claims.insert(rent.claim.clone(), (rent, names.clone()));
-        CloudAnswer::Rented(names)
+        CloudResponse::Rented(names)
     }
 
     /// A page of the machine list, after a name.
     pub fn list(&self, now: u64, after: &str, workers: &BTreeMap<String, Worker>) -> ListPage {
-        let rows: Vec<Listed> = self
+        let rows: Vec<ListedMachine> = self
             .machines
             .iter()
             .filter(|(name, m)| name.as_str() > after && m.visible <= now && m.gone.is_none_or(|g| now < g + self.lag))
-            .map(|(name, m)| Listed {
+            .map(|(name, m)| ListedMachine {
                 name: name.clone(),
                 addr: workers.get(name).map_or(NO_ADDRESS.into(), |w| w.addr.clone()),
                 machine_type: m.machine_type.clone(),
--- a/crates/standins/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -4,7 +4,7 @@
 use crate::worker::Worker;
 use crate::SEC;
 use glenhaven::protocol::users::Phase;
-use glenhaven::protocol::users::{Shape, Spec};
+use glenhaven::protocol::users::{JobSpec, Shape};
 use glenhaven::settings::Team;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -42,7 +42,7 @@
 }
 
 impl Use {
-    fn add(&mut self, spec: &Spec) {
+    fn add(&mut self, spec: &JobSpec) {
         self.cpus += spec.cpus;
         self.gpus += spec.gpus;
     }
@@ -97,7 +97,7 @@
     }
 
     /// Whether a team's limit has room for one more task of this job.
-    pub fn has_room(&self, spec: &Spec, workers: &BTreeMap<String, Worker>, users: &BTreeMap<String, User>) -> bool {
+    pub fn has_room(&self, spec: &JobSpec, workers: &BTreeMap<String, Worker>, users: &BTreeMap<String, User>) -> bool {
         let mut held = team_use(&spec.team, workers, users, |w| w.live().collect());
         held.add(spec);
         self.limits.get(&spec.team).is_none_or(|limit| !held.exceeds(limit))
--- a/crates/standins/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -2,7 +2,9 @@
 
 use crate::{MS, SEC};
 use ciborium::Value;
-use glenhaven::protocol::store::{Change, Event, Events, Row, Rows, StoreAnswer, StoreRequest, Txn};
+use glenhaven::protocol::store::{
+    Change, Row, Rows, StoreRequest, StoreResponse, Transaction, WatchEvent, WatchEvents,
+};
 use glenhaven::protocol::{json_size, store::Condition};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -26,7 +28,7 @@
     /// Counts every change.
     pub revision: u64,
     leases: BTreeMap<u64, Lease>,
-    log: Vec<Event>,
+    log: Vec<WatchEvent>,
     /// Changes up to this revision are no longer in the log.
     compacted: u64,
     /// Rows in one page of a list.
@@ -83,13 +85,13 @@
 
     /// Pages of the book ever used: their keys are never removed.
     pub fn pages_of_the_book(&self) -> usize {
-        use glenhaven::bookkeeping::keys;
+        use glenhaven::storage::keys;
         self.keys.keys().filter(|k| k.starts_with(keys::OPEN)).count()
     }
 
     /// Whether a job's own key says that it is withdrawn.
     pub fn says_withdrawn(&self, job: &str) -> bool {
-        use glenhaven::bookkeeping::{keys, records};
+        use glenhaven::storage::{keys, records};
         let entry = self.keys.get(&keys::job(job));
         let value = entry.and_then(|e| records::from_value::<records::JobValue>(&e.value));
         value.is_some_and(|v| v.phase == glenhaven::protocol::users::Phase::Cancelled)
@@ -97,7 +99,7 @@
 
     /// A job's final phase, if it has one.
     pub fn final_phase(&self, job: &str) -> Option<glenhaven::protocol::users::Phase> {
-        use glenhaven::bookkeeping::{keys, records};
+        use glenhaven::storage::{keys, records};
         let entry = self.keys.get(&keys::job(job))?;
         let value = records::from_value::<records::JobValue>(&entry.value)?;
         Some(value.phase).filter(|phase| phase.is_final())
@@ -116,8 +118,8 @@
     }
 
     /// A job as earlier versions of the service accepted it.
-    pub fn inherit(&mut self, spec: &glenhaven::protocol::users::Spec) {
-        use glenhaven::bookkeeping::{keys, records};
+    pub fn inherit(&mut self, spec: &glenhaven::protocol::users::JobSpec) {
+        use glenhaven::storage::{keys, records};
         let value = records::to_value(&records::JobValue {
             phase: glenhaven::protocol::users::Phase::Pending,
             spec: Some(spec.clone()),
@@ -127,7 +129,7 @@
             value,
             lease: None,
         };
-        self.apply(&Txn {
+        self.apply(&Transaction {
             conditions: vec![],
             changes: vec![change],
         });
@@ -135,9 +137,9 @@
 
     /// What a controller of the release before the present one says of itself.
     pub fn old_release(&mut self, node: &str) {
-        use glenhaven::bookkeeping::{keys, records};
+        use glenhaven::storage::{keys, records};
         let value = records::to_value(&records::Release {
-            release: records::RELEASE - 1,
+            release: records::CURRENT_RELEASE - 1,
             began_ms: 1,
         });
         let key = format!("{}{node}", keys::RELEASES);
@@ -146,7 +148,7 @@
             value,
             lease: None,
         };
-        self.apply(&Txn {
+        self.apply(&Transaction {
             conditions: vec![],
             changes: vec![put],
         });
@@ -160,7 +162,7 @@
             value,
             lease: None,
         };
-        self.apply(&Txn {
+        self.apply(&Transaction {
             conditions: vec![],
             changes: vec![put],
         });
@@ -168,7 +170,7 @@
 
     /// The number in the key `term`.
     pub fn term(&self) -> u64 {
-        use glenhaven::bookkeeping::{keys, records};
+        use glenhaven::storage::{keys, records};
         let value = self
             .keys
             .get(keys::TERM)
@@ -178,7 +180,7 @@
 
     /// The controller that the key `term` names.
     pub fn leader(&self) -> Option<String> {
-        use glenhaven::bookkeeping::{keys, records};
+        use glenhaven::storage::{keys, records};
         let entry = self.keys.get(keys::TERM)?;
         records::from_value::<records::Term>(&entry.value).map(|t| t.leader)
     }
@@ -215,12 +217,12 @@
             self.keys.remove(&key);
             self.revision += 1;
             let version = self.revision;
-            self.log.push(Event::Delete { key, version });
+            self.log.push(WatchEvent::Delete { key, version });
         }
     }
 
     /// Whether a request is taken, and if not whether that is for its changes.
-    pub fn allow(&mut self, writes: f64, now: u64) -> Result<(), StoreAnswer> {
+    pub fn allow(&mut self, writes: f64, now: u64) -> Result<(), StoreResponse> {
         *self.by_second.entry(now / SEC).or_default() += 1;
         let span = (now - self.level.2) as f64 / SEC as f64;
         self.level.0 = (self.level.0 + span * self.rps).min(self.rps);
@@ -229,9 +231,9 @@
         if self.level.0 < 1.0 || self.level.1 < writes {
             self.refused += 1;
             return Err(if writes > 0.0 {
-                StoreAnswer::Limited
+                StoreResponse::Limited
             } else {
-                StoreAnswer::Refused
+                StoreResponse::Refused
             });
         }
         self.level.0 -= 1.0;
@@ -245,7 +247,7 @@
     }
 
     /// Executes a transaction.
-    pub fn apply(&mut self, txn: &Txn) -> StoreAnswer {
+    pub fn apply(&mut self, txn: &Transaction) -> StoreResponse {
         let size = json_size(txn);
         let large = txn.changes.iter().any(|c| match c {
             Change::Put { value, .. } => json_size(value) as f64 > self.value_kb * 1024.0,
@@ -257,12 +259,12 @@
                 txn.changes.len(),
                 txn.conditions.len()
             ));
-            return StoreAnswer::Malformed;
+            return StoreResponse::Malformed;
         }
         for change in &txn.changes {
             if let Change::Put { lease: Some(lease), .. } = change {
                 if !self.leases.contains_key(lease) {
-                    return StoreAnswer::NoLease;
+                    return StoreResponse::NoLease;
                 }
             }
         }
@@ -273,7 +275,7 @@
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
-            return StoreAnswer::Conflict {
+            return StoreResponse::Conflict {
                 failed,
                 revision: self.revision,
             };
@@ -284,7 +286,7 @@
         let version = self.revision;
         // What the transaction itself says is done is done with it.
         let is_done = |v: &Value| {
-            let value = glenhaven::bookkeeping::records::from_value::<glenhaven::bookkeeping::records::JobValue>(v);
+            let value = glenhaven::storage::records::from_value::<glenhaven::storage::records::JobValue>(v);
             value.is_some_and(|v| v.phase == glenhaven::protocol::users::Phase::Done)
         };
         let done: Vec<String> = txn
@@ -305,7 +307,7 @@
             match change.clone() {
                 Change::Put { key, value, lease } => {
                     self.note_acceptances(&key, &value);
-                    self.log.push(Event::Put {
+                    self.log.push(WatchEvent::Put {
                         key: key.clone(),
                         value: value.clone(),
                         version,
@@ -314,16 +316,16 @@
                 }
                 Change::Delete { key } => {
                     if self.keys.remove(&key).is_some() {
-                        self.log.push(Event::Delete { key, version });
+                        self.log.push(WatchEvent::Delete { key, version });
                     }
                 }
             }
         }
-        StoreAnswer::Committed { revision: version }
+        StoreResponse::Committed { revision: version }
     }
 
     fn note_acceptances(&mut self, key: &str, value: &Value) {
-        use glenhaven::bookkeeping::{keys, records};
+        use glenhaven::storage::{keys, records};
         if keys::parse_accepted(key).is_some() {
             let page = records::from_value::<records::Accepted>(value).unwrap_or_default();
             self.accepted.extend(page.jobs.into_iter().map(|spec| spec.id));
@@ -332,8 +334,8 @@
 
     /// What is kept for ever stays: a final phase; an acceptance whose job is open; pages of
     /// the book follow each other, and the present leader writes them.
-    fn check_kept(&mut self, key: &str, value: &Value, txn: &Txn) {
-        use glenhaven::bookkeeping::{keys, records};
+    fn check_kept(&mut self, key: &str, value: &Value, txn: &Transaction) {
+        use glenhaven::storage::{keys, records};
         let before = self.keys.get(key).map(|e| &e.value);
         if keys::parse_page(key).is_some() {
             let Some(page) = records::from_value::<records::Page>(value) else {
@@ -372,7 +374,7 @@
     /// A start must not be recorded for a job that is over.
     /// Nor for one of which a job that it needs is not recorded as done.
     fn check_starts(&mut self, key: &str, value: &Value, ends: &[String]) {
-        use glenhaven::bookkeeping::{keys, records};
+        use glenhaven::storage::{keys, records};
         if keys::parse_page(key).is_none() {
             return;
         }
@@ -380,7 +382,7 @@
             let page = records::from_value::<records::Page>(v).unwrap_or_default();
             let mut rows = vec![];
             for entry in page.entries {
-                if let records::Entry::Part(p) = entry {
+                if let records::Entry::TaskRangeRecord(p) = entry {
                     rows.extend(p.placements.iter().map(|r| (p.job.clone(), r.0, r.1)));
                 }
             }
@@ -428,15 +430,15 @@
     }
 
     /// Executes a request; a watch is not one that is answered at once.
-    pub fn answer(&mut self, request: &StoreRequest, now: u64) -> StoreAnswer {
+    pub fn answer(&mut self, request: &StoreRequest, now: u64) -> StoreResponse {
         match request {
             StoreRequest::Get { key } => match self.keys.get(key) {
-                Some(e) => StoreAnswer::Row(Row {
+                Some(e) => StoreResponse::Row(Row {
                     key: key.clone(),
                     value: e.value.clone(),
                     version: e.version,
                 }),
-                None => StoreAnswer::Missing {
+                None => StoreResponse::Missing {
                     revision: self.revision,
                 },
             },
@@ -452,36 +454,36 @@
                     })
                     .collect();
                 let more = rows.len() > self.page;
-                StoreAnswer::Rows(Rows {
+                StoreResponse::Rows(Rows {
                     items: rows.into_iter().take(self.page).collect(),
                     more,
                     revision: self.revision,
                 })
             }
-            StoreRequest::Txn(txn) => self.apply(txn),
+            StoreRequest::Transaction(txn) => self.apply(txn),
             StoreRequest::Grant { ttl_ms } => {
                 self.revision += 1;
                 let id = self.revision;
                 let ttl = ttl_ms * MS;
                 self.leases.insert(id, Lease { ttl, ends: now + ttl });
-                StoreAnswer::Lease(id)
+                StoreResponse::Lease(id)
             }
             StoreRequest::Renew { lease } => match self.leases.get_mut(lease) {
                 Some(l) => {
                     l.ends = now + l.ttl;
-                    StoreAnswer::Lease(*lease)
+                    StoreResponse::Lease(*lease)
                 }
-                None => StoreAnswer::NoLease,
+                None => StoreResponse::NoLease,
             },
             StoreRequest::Drop { lease } => match self.leases.get_mut(lease) {
                 Some(l) => {
                     l.ends = 0;
                     self.expire(now);
-                    StoreAnswer::Lease(*lease)
+                    StoreResponse::Lease(*lease)
                 }
-                None => StoreAnswer::NoLease,
+                None => StoreResponse::NoLease,
             },
-            StoreRequest::Watch { .. } => StoreAnswer::Malformed,
+            StoreRequest::Watch { .. } => StoreResponse::Malformed,
         }
     }
 
@@ -489,7 +491,7 @@
     pub fn keep_changes(&mut self, most: usize) {
         let over = self.log.len().saturating_sub(most);
         if let Some(last) = over.checked_sub(1) {
-            self.compacted = stamp(&self.log[last]);
+            self.compacted = key_version(&self.log[last]);
             self.log.drain(..over);
         }
     }
@@ -505,30 +507,30 @@
     }
 
     /// The changes of keys with this prefix since a revision, oldest first.
-    pub fn news(&self, prefix: &str, after: u64) -> Events {
+    pub fn news(&self, prefix: &str, after: u64) -> WatchEvents {
         let of_prefix = self.since(after).filter(|e| key(e).starts_with(prefix));
-        let mut events: Vec<Event> = of_prefix.cloned().collect();
+        let mut events: Vec<WatchEvent> = of_prefix.cloned().collect();
         events.reverse();
-        Events {
+        WatchEvents {
             revision: self.revision,
             events,
         }
     }
 
     /// Changes since a revision, the latest first.
-    fn since(&self, after: u64) -> impl Iterator<Item = &Event> {
-        self.log.iter().rev().take_while(move |e| stamp(e) > after)
+    fn since(&self, after: u64) -> impl Iterator<Item = &WatchEvent> {
+        self.log.iter().rev().take_while(move |e| key_version(e) > after)
     }
 }
 
-fn stamp(e: &Event) -> u64 {
+fn key_version(e: &WatchEvent) -> u64 {
     match e {
-        Event::Put { version, .. } | Event::Delete { version, .. } => *version,
+        WatchEvent::Put { version, .. } | WatchEvent::Delete { version, .. } => *version,
     }
 }
 
-fn key(e: &Event) -> &str {
+fn key(e: &WatchEvent) -> &str {
     match e {
-        Event::Put { key, .. } | Event::Delete { key, .. } => key,
+        WatchEvent::Put { key, .. } | WatchEvent::Delete { key, .. } => key,
     }
 }
--- a/crates/standins/src/user.rs
+++ b/crates/fakes/src/user.rs
@@ -3,7 +3,7 @@
 use crate::rules::Rules;
 use crate::SEC;
 use glenhaven::protocol::from_cbor;
-use glenhaven::protocol::users::{JobState, Phase, Priority, Shape, Spec};
+use glenhaven::protocol::users::{JobSpec, JobState, Phase, Priority, Shape};
 use glenhaven::transport::server::Outgoing;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -42,7 +42,7 @@
 /// A job with its user.
 pub struct User {
     /// The job as it is submitted.
-    pub spec: Spec,
+    pub spec: JobSpec,
     /// How long each task runs.
     pub run: u64,
     /// It fails on every machine.
@@ -80,7 +80,7 @@
 
 impl User {
     /// A job that has not been submitted yet.
-    pub fn new(spec: Spec, run_s: f64, mistake: bool) -> User {
+    pub fn new(spec: JobSpec, run_s: f64, mistake: bool) -> User {
         User {
             mistake,
             spec,
@@ -235,8 +235,8 @@
 }
 
 /// A small job with ordinary settings.
-pub fn plain_spec(id: &str) -> Spec {
-    Spec {
+pub fn plain_spec(id: &str) -> JobSpec {
+    JobSpec {
         id: id.into(),
         class: "plain".into(),
         team: "blue".into(),
--- a/crates/standins/src/wire.rs
+++ b/crates/fakes/src/wire.rs
@@ -2,9 +2,9 @@
 //! HTTP requests are read into typed ones, typed answers become HTTP answers.
 
 use crate::http::{Request, Response};
-use glenhaven::coordination::{CloudAnswer, CloudRequest};
-use glenhaven::protocol::cloud::{Hosts, Rent};
-use glenhaven::protocol::store::{Lease, NewLease, Revision, StoreAnswer, StoreRequest, Txn};
+use glenhaven::coordination::{CloudRequest, CloudResponse};
+use glenhaven::protocol::cloud::{MachineNames, ProvisionRequest};
+use glenhaven::protocol::store::{Lease, NewLease, Revision, StoreRequest, StoreResponse, Transaction};
 use glenhaven::protocol::users::ErrorBody;
 use glenhaven::protocol::{from_cbor, to_cbor};
 
@@ -93,7 +93,9 @@
         ("GET", path) => Some(StoreRequest::Get {
             key: path.strip_prefix("/kv/")?.into(),
         }),
-        ("POST", "/txn") => from_cbor::<Txn>(&request.body).ok().map(StoreRequest::Txn),
+        ("POST", "/txn") => from_cbor::<Transaction>(&request.body)
+            .ok()
+            .map(StoreRequest::Transaction),
         ("POST", "/holds") => {
             let lease: NewLease = from_cbor(&request.body).ok()?;
             Some(StoreRequest::Grant { ttl_ms: lease.ttl_ms })
@@ -112,26 +114,26 @@
 }
 
 /// An answer of the state service to a request; `None`: it gives none.
-pub fn state_response(request: &StoreRequest, answer: &StoreAnswer) -> Option<Response> {
+pub fn state_response(request: &StoreRequest, answer: &StoreResponse) -> Option<Response> {
     let revision = |revision: u64, failed: &[String]| Revision {
         revision,
         failed: failed.to_vec(),
     };
     Some(match answer {
-        StoreAnswer::Row(row) => with(200, row),
-        StoreAnswer::Missing { revision: r } => with(404, &revision(*r, &[])),
-        StoreAnswer::Rows(rows) => with(200, rows),
-        StoreAnswer::Committed { revision: r } => with(200, &revision(*r, &[])),
-        StoreAnswer::Conflict { failed, revision: r } => with(409, &revision(*r, failed)),
-        StoreAnswer::Lease(lease) => with(200, &Lease { lease: *lease }),
-        StoreAnswer::Events(events) => with(200, events),
-        StoreAnswer::Compacted => error(410, "compacted"),
-        StoreAnswer::NoLease if matches!(request, StoreRequest::Txn(_)) => error(400, "no such lease"),
-        StoreAnswer::NoLease => error(404, "no such lease"),
-        StoreAnswer::Limited => error(429, "too many"),
-        StoreAnswer::Refused => error(503, "trouble"),
-        StoreAnswer::Malformed => malformed(),
-        StoreAnswer::Unknown => return None,
+        StoreResponse::Row(row) => with(200, row),
+        StoreResponse::Missing { revision: r } => with(404, &revision(*r, &[])),
+        StoreResponse::Rows(rows) => with(200, rows),
+        StoreResponse::Committed { revision: r } => with(200, &revision(*r, &[])),
+        StoreResponse::Conflict { failed, revision: r } => with(409, &revision(*r, failed)),
+        StoreResponse::Lease(lease) => with(200, &Lease { lease: *lease }),
+        StoreResponse::Events(events) => with(200, events),
+        StoreResponse::Compacted => error(410, "compacted"),
+        StoreResponse::NoLease if matches!(request, StoreRequest::Transaction(_)) => error(400, "no such lease"),
+        StoreResponse::NoLease => error(404, "no such lease"),
+        StoreResponse::Limited => error(429, "too many"),
+        StoreResponse::Refused => error(503, "trouble"),
+        StoreResponse::Malformed => malformed(),
+        StoreResponse::Unknown => return None,
     })
 }
 
@@ -143,27 +145,29 @@
         ("GET", "/machines") => Some(CloudRequest::List {
             after: target.field("after"),
         }),
-        ("POST", "/machines") => from_cbor::<Rent>(&request.body).ok().map(CloudRequest::Rent),
-        ("POST", "/machines/release") => from_cbor::<Hosts>(&request.body).ok().map(CloudRequest::Release),
+        ("POST", "/machines") => from_cbor::<ProvisionRequest>(&request.body)
+            .ok()
+            .map(CloudRequest::Provision),
+        ("POST", "/machines/release") => from_cbor::<MachineNames>(&request.body).ok().map(CloudRequest::Release),
         _ => None,
     }
 }
 
 /// An answer of the cloud; `None`: it gives none.
-pub fn cloud_response(answer: &CloudAnswer) -> Option<Response> {
+pub fn cloud_response(answer: &CloudResponse) -> Option<Response> {
     Some(match answer {
-        CloudAnswer::Catalogue(catalogue) => with(200, catalogue),
-        CloudAnswer::Rented(machines) => with(
+        CloudResponse::Catalogue(catalogue) => with(200, catalogue),
+        CloudResponse::Rented(machines) => with(
             200,
-            &Hosts {
+            &MachineNames {
                 machines: machines.clone(),
             },
         ),
-        CloudAnswer::Released => Response::new(200, to_cbor(&ciborium::Value::Map(vec![]))),
-        CloudAnswer::List(page) => with(200, page),
-        CloudAnswer::NoCapacity => error(503, "no capacity"),
-        CloudAnswer::Refused => error(503, "trouble"),
-        CloudAnswer::Malformed => malformed(),
-        CloudAnswer::Unknown => return None,
+        CloudResponse::Released => Response::new(200, to_cbor(&ciborium::Value::Map(vec![]))),
+        CloudResponse::List(page) => with(200, page),
+        CloudResponse::NoCapacity => error(503, "no capacity"),
+        CloudResponse::Refused => error(503, "trouble"),
+        CloudResponse::Malformed => malformed(),
+        CloudResponse::Unknown => return None,
     })
 }
--- a/crates/standins/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -2,9 +2,11 @@
 
 use crate::user::{job_of, User};
 use crate::{MS, SEC};
+use glenhaven::protocol::agents::{
+    AgentCommand, Cause, Heartbeat, HeartbeatResponse, PushedCommands, TaskPhase, TaskStatus,
+};
 use glenhaven::protocol::cloud::MachineType;
-use glenhaven::protocol::users::{Shape, Spec};
-use glenhaven::protocol::workers::{Cause, Direct, Order, Orders, Report, TaskPhase, TaskReport};
+use glenhaven::protocol::users::{JobSpec, Shape};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What tasks did by themselves.
@@ -68,9 +70,9 @@
     pub hangs_until: u64,
     /// When the cloud takes it away.
     pub taken: Option<u64>,
-    session: u64,
-    serial: u64,
-    fence: u64,
+    incarnation: u64,
+    sequence: u64,
+    fencing_token: u64,
     /// Its tasks by name and attempt.
     pub tasks: BTreeMap<(String, u64), Task>,
     /// Attempts that were forgotten in this session.
@@ -106,9 +108,9 @@
             slowness: 1,
             hangs_until: 0,
             taken: None,
-            session: 1,
-            serial: 0,
-            fence: 0,
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
             tasks: BTreeMap::new(),
             forgotten: BTreeSet::new(),
             images: BTreeSet::new(),
@@ -122,22 +124,22 @@
     }
 
     /// The next report.
-    pub fn report(&mut self, now: u64) -> Report {
-        self.serial += 1;
-        Report {
+    pub fn heartbeat(&mut self, now: u64) -> Heartbeat {
+        self.sequence += 1;
+        Heartbeat {
             machine: self.name.clone(),
             addr: self.addr.clone(),
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            serial: self.serial,
-            fence: self.fence,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
             notice_s: self.taken.map(|t| t.saturating_sub(now) as f64 / SEC as f64),
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), t)| TaskReport {
+                .map(|((task, attempt), t)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     phase: t.phase,
@@ -148,8 +150,8 @@
     }
 
     /// The present session.
-    pub fn session(&self) -> u64 {
-        self.session
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
     /// Something changed that is to be reported soon.
@@ -187,7 +189,7 @@
     }
 
     /// Whether a task of this job fits beside what is here.
-    pub fn has_room(&self, spec: &Spec, users: &BTreeMap<String, User>) -> bool {
+    pub fn has_room(&self, spec: &JobSpec, users: &BTreeMap<String, User>) -> bool {
         let (cpus, memory) = self.free(users);
         spec.cpus <= cpus && spec.memory <= memory && spec.gpus <= self.free_gpus(users)
     }
@@ -229,7 +231,7 @@
         let killed = self.tasks.len();
         self.tasks.clear();
         self.forgotten.clear();
-        self.session += 1;
+        self.incarnation += 1;
         self.answered = now;
         self.flying = None;
         self.changed(now);
@@ -292,15 +294,15 @@
     }
 
     /// The report that is due, with its number; the caller says when the next one is.
-    pub fn due_report(&mut self, now: u64) -> Option<(u64, Report)> {
+    pub fn due_report(&mut self, now: u64) -> Option<(u64, Heartbeat)> {
         if now < self.next_report || self.flying.is_some() {
             return None;
         }
-        let rid = self.serial + 1;
-        self.flying = Some((rid, now, self.session));
+        let rid = self.sequence + 1;
+        self.flying = Some((rid, now, self.incarnation));
         self.last_sent = now;
-        self.fence_told = self.fence;
-        Some((rid, self.report(now)))
+        self.fence_told = self.fencing_token;
+        Some((rid, self.heartbeat(now)))
     }
 
     /// The next report is due at this time, unless something changes before.
@@ -322,28 +324,34 @@
     }
 
     /// Whether the answer with this token, to a report of this session, counts.
-    pub fn accepts(&self, fence: u64, session: u64) -> bool {
-        fence >= self.fence && session == self.session
+    pub fn accepts(&self, fencing_token: u64, incarnation: u64) -> bool {
+        fencing_token >= self.fencing_token && incarnation == self.incarnation
     }
 
     /// Executes the orders in the answer to a report that was sent at this time.
-    pub fn take_orders(&mut self, now: u64, sent: u64, orders: &Orders, users: &BTreeMap<String, User>) -> Executed {
+    pub fn take_orders(
+        &mut self,
+        now: u64,
+        sent: u64,
+        commands: &HeartbeatResponse,
+        users: &BTreeMap<String, User>,
+    ) -> Executed {
         self.answered = self.answered.max(sent);
-        self.fence = orders.fence;
-        let executed = self.execute(now, &orders.orders, users);
-        if self.fence > self.fence_told {
+        self.fencing_token = commands.fencing_token;
+        let executed = self.execute(now, &commands.commands, users);
+        if self.fencing_token > self.fence_told {
             self.changed(now);
         }
         executed
     }
 
     /// Executes orders sent straight to the machine, unless they are rejected.
-    pub fn take_direct(&mut self, now: u64, body: &Direct, users: &BTreeMap<String, User>) -> Option<Executed> {
-        if !self.accepts(body.fence, body.session) {
+    pub fn take_direct(&mut self, now: u64, body: &PushedCommands, users: &BTreeMap<String, User>) -> Option<Executed> {
+        if !self.accepts(body.fencing_token, body.incarnation) {
             return None;
         }
-        self.fence = body.fence;
-        Some(self.execute(now, &body.orders, users))
+        self.fencing_token = body.fencing_token;
+        Some(self.execute(now, &body.commands, users))
     }
 
     /// It was told to report to another controller, if it was told to which.
@@ -364,12 +372,12 @@
     }
 
     /// Executes orders.
-    fn execute(&mut self, now: u64, orders: &[Order], users: &BTreeMap<String, User>) -> Executed {
+    fn execute(&mut self, now: u64, commands: &[AgentCommand], users: &BTreeMap<String, User>) -> Executed {
         let mut executed = Executed::default();
         let before = self.tasks.len();
-        for order in orders {
+        for order in commands {
             match order {
-                Order::Start { task, attempt } => {
+                AgentCommand::Start { task, attempt } => {
                     let key = (task.clone(), *attempt);
                     if self.start(now, task, *attempt, users) {
                         let again = self.forgotten.contains(&key);
@@ -377,11 +385,11 @@
                         executed.taken.push(key);
                     }
                 }
-                Order::Stop { task, attempt, grace_s } => {
+                AgentCommand::Stop { task, attempt, grace_s } => {
                     let key = (task.clone(), *attempt);
                     executed.stops += usize::from(self.stop(now, &key, *grace_s, users));
                 }
-                Order::Forget { task, attempt } => {
+                AgentCommand::Forget { task, attempt } => {
                     let key = (task.clone(), *attempt);
                     if self.tasks.get(&key).is_some_and(|t| t.phase == TaskPhase::Exited) {
                         self.tasks.remove(&key);
@@ -391,7 +399,7 @@
                 }
             }
         }
-        if !orders.is_empty() || before != self.tasks.len() {
+        if !commands.is_empty() || before != self.tasks.len() {
             self.changed(now);
         }
         executed
--- a/crates/standins/tests/checker.rs
+++ b/crates/fakes/tests/checker.rs
@@ -1,18 +1,18 @@
 //! The checker itself: each rule, broken by a history made for it, is seen; histories that break
 //! nothing are not complained about.
 
+use glenhaven::protocol::agents::{AgentCommand, PushedCommands};
 use glenhaven::protocol::cloud::MachineType;
-use glenhaven::protocol::store::{Change, StoreAnswer, Txn};
+use glenhaven::protocol::store::{Change, StoreResponse, Transaction};
 use glenhaven::protocol::to_cbor;
-use glenhaven::protocol::users::{JobState, Phase, Shape, Spec};
-use glenhaven::protocol::workers::{Direct, Order};
+use glenhaven::protocol::users::{JobSpec, JobState, Phase, Shape};
 use glenhaven::settings::Team;
-use glenhaven_standins::evidence::{Held, Judged};
-use glenhaven_standins::rules::Rules;
-use glenhaven_standins::store::Store;
-use glenhaven_standins::user::{plain_spec, Asked, User};
-use glenhaven_standins::worker::{Executed, Worker};
-use glenhaven_standins::SEC;
+use glenhaven_fakes::answer_check::{Held, Judged};
+use glenhaven_fakes::rules::Rules;
+use glenhaven_fakes::store::Store;
+use glenhaven_fakes::user::{plain_spec, Asked, User};
+use glenhaven_fakes::worker::{Executed, Worker};
+use glenhaven_fakes::SEC;
 use std::collections::{BTreeMap, BTreeSet};
 
 const JOB: &str = "run-000001";
@@ -46,7 +46,7 @@
 
 impl World {
     /// Two machines in zone a and one in zone b, a team with this limit and a job of it.
-    fn new(cpus_max: f64, gpus_max: f64, spec: Spec) -> World {
+    fn new(cpus_max: f64, gpus_max: f64, spec: JobSpec) -> World {
         let team = Team {
             name: "blue".into(),
             cpus_max,
@@ -66,19 +66,19 @@
         }
     }
 
-    fn order(&mut self, machine: &str, order: Order) -> Executed {
+    fn order(&mut self, machine: &str, order: AgentCommand) -> Executed {
         let worker = self.workers.get_mut(machine).expect("a machine");
-        let body = Direct {
-            fence: 1,
-            session: worker.session(),
-            orders: vec![order],
+        let body = PushedCommands {
+            fencing_token: 1,
+            incarnation: worker.incarnation(),
+            commands: vec![order],
         };
         worker.take_direct(0, &body, &self.users).expect("taken")
     }
 
     fn starts(&mut self, machine: &str, task: u32, attempt: u64) -> Executed {
         let task = format!("{JOB}/{task}");
-        let executed = self.order(machine, Order::Start { task, attempt });
+        let executed = self.order(machine, AgentCommand::Start { task, attempt });
         for (task, _) in &executed.taken {
             self.rules.start_taken(0, task, &self.workers, &self.users);
         }
@@ -101,8 +101,8 @@
     }
 }
 
-fn job(tasks: u32) -> Spec {
-    Spec {
+fn job(tasks: u32) -> JobSpec {
+    JobSpec {
         tasks,
         cpus: 4.0,
         ..plain_spec(JOB)
@@ -137,7 +137,7 @@
 
 #[test]
 fn a_limit_of_gpus_is_broken_when_a_task_begins() {
-    let spec = Spec { gpus: 2.0, ..job(2) };
+    let spec = JobSpec { gpus: 2.0, ..job(2) };
     let mut world = World::new(100.0, 3.0, spec);
     world.starts("n-1", 0, 1);
     world.runs(5 * SEC);
@@ -158,15 +158,15 @@
 
 #[test]
 fn a_task_in_a_place_that_its_job_forbids_is_seen() {
-    let in_zone_b = Spec {
+    let in_zone_b = JobSpec {
         zone: Some("b".into()),
         ..job(1)
     };
-    let together = Spec {
+    let together = JobSpec {
         one_zone: true,
         ..job(2)
     };
-    let apart = Spec { spread: true, ..job(2) };
+    let apart = JobSpec { spread: true, ..job(2) };
     for (spec, machines) in [
         (in_zone_b, ["n-1", "n-1"]),
         (together, ["n-1", "n-3"]),
@@ -202,7 +202,7 @@
     let (stopped, grace_s) = (task.clone(), 0.0);
     world.order(
         "n-1",
-        Order::Stop {
+        AgentCommand::Stop {
             task: stopped,
             attempt: 1,
             grace_s,
@@ -212,13 +212,13 @@
     let forgotten = task.clone();
     world.order(
         "n-1",
-        Order::Forget {
+        AgentCommand::Forget {
             task: forgotten,
             attempt: 1,
         },
     );
     assert!(world.starts("n-1", 0, 2).taken_again.is_empty());
-    let stopped = Order::Stop {
+    let stopped = AgentCommand::Stop {
         task: task.clone(),
         attempt: 2,
         grace_s,
@@ -291,7 +291,7 @@
         accepted: true,
         ended: Some(phase),
     };
-    let problem = |spec: Spec, phase: Phase| {
+    let problem = |spec: JobSpec, phase: Phase| {
         let user = User::new(spec, 1.0, false);
         let state = JobState {
             id: JOB.into(),
@@ -311,7 +311,7 @@
         judged.problem().unwrap_or_default()
     };
     assert!(problem(job(1), Phase::Done).starts_with("not_done"));
-    let service = Spec {
+    let service = JobSpec {
         shape: Shape::Service,
         ..job(0)
     };
@@ -321,7 +321,7 @@
 
 #[test]
 fn the_state_service_remembers_acceptances_and_ends() {
-    use glenhaven::bookkeeping::{keys, records};
+    use glenhaven::storage::{keys, records};
     let mut store = Store::new(100.0, 100.0, 32, 32.0);
     let mut put = |key: String, value| {
         let changes = vec![Change::Put {
@@ -330,8 +330,8 @@
             lease: None,
         }];
         let conditions = vec![];
-        let answer = store.apply(&Txn { conditions, changes });
-        assert!(matches!(answer, StoreAnswer::Committed { .. }));
+        let answer = store.apply(&Transaction { conditions, changes });
+        assert!(matches!(answer, StoreResponse::Committed { .. }));
         Held::of(&store, JOB)
     };
     let page = records::Accepted { jobs: vec![job(1)] };
--- a/crates/intake/src/lib.rs
+++ b/crates/group-commit/src/lib.rs
@@ -9,11 +9,11 @@
 //! is in a page or it waits.
 //!
 //! ```
-//! use glenhaven_intake::{Intake, Room};
-//! use glenhaven_units::Micros;
+//! use glenhaven_group_commit::{GroupCommit, PageCapacity};
+//! use glenhaven_time::Micros;
 //!
-//! let room = Room { bytes: 8000, jobs: 90 };
-//! let mut intake = Intake::new();
+//! let room = PageCapacity { bytes: 8000, jobs: 90 };
+//! let mut intake = GroupCommit::new();
 //! intake.offer("run-1", 300, "its description", Micros::ZERO);
 //! let batch = intake.next(room, Micros::ZERO).expect("nothing is on its way");
 //! assert_eq!((batch.slot, batch.version), (0, 0));
@@ -31,7 +31,7 @@
 
 pub use waits::{Waited, Waits};
 
-use glenhaven_units::Micros;
+use glenhaven_time::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Pages on their way at a time: one slow answer doesn't hold up everybody else.
@@ -42,7 +42,7 @@
 
 /// What a page holds at most.
 #[derive(Clone, Copy, Debug)]
-pub struct Room {
+pub struct PageCapacity {
     /// Bytes for descriptions, as the state service counts them.
     pub bytes: usize,
     /// Jobs, each of which is a condition of its transaction.
@@ -79,7 +79,7 @@
 }
 
 /// The acceptances of one controller.
-pub struct Intake<J> {
+pub struct GroupCommit<J> {
     waiting: VecDeque<Offer<J>>,
     /// By number: the slot, and what is on its way there.
     flying: BTreeMap<u64, (u32, Vec<Offer<J>>)>,
@@ -93,9 +93,9 @@
     slots: u32,
 }
 
-impl<J> Default for Intake<J> {
+impl<J> Default for GroupCommit<J> {
     fn default() -> Self {
-        Intake {
+        GroupCommit {
             waiting: VecDeque::new(),
             flying: BTreeMap::new(),
             numbers: 0,
@@ -108,10 +108,10 @@
     }
 }
 
-impl<J: Clone> Intake<J> {
+impl<J: Clone> GroupCommit<J> {
     /// Nothing waits, and no page is known.
-    pub fn new() -> Intake<J> {
-        Intake::default()
+    pub fn new() -> GroupCommit<J> {
+        GroupCommit::default()
     }
 
     /// A job that is to be accepted; its description takes `size` bytes. One that waits or
@@ -160,7 +160,7 @@
     }
 
     /// Pages that what waits would fill.
-    pub fn pages_waiting(&self, room: Room) -> usize {
+    pub fn pages_waiting(&self, room: PageCapacity) -> usize {
         let bytes: usize = self.waiting.iter().map(|o| o.size).sum();
         bytes
             .div_ceil(room.bytes.max(1))
@@ -177,7 +177,7 @@
 
     /// The next page to be written, if one should go out now. It is on its way until
     /// [`committed`](Intake::committed) or [`failed`](Intake::failed) is said of it.
-    pub fn next(&mut self, room: Room, now: Micros) -> Option<Batch<J>> {
+    pub fn next(&mut self, room: PageCapacity, now: Micros) -> Option<Batch<J>> {
         let first = self.waiting.front()?;
         if self.flying.len() >= FLYING {
             return None;
--- a/crates/intake/src/waits.rs
+++ b/crates/group-commit/src/waits.rs
@@ -1,6 +1,6 @@
 //! How long users waited for their acceptances, by deciles for an operator's log.
 
-use glenhaven_units::Micros;
+use glenhaven_time::Micros;
 use hdrhistogram::Histogram;
 
 /// Longer waits count as this: a day.
--- a/crates/intake/tests/intake.rs
+++ b/crates/group-commit/tests/group_commit.rs
@@ -1,12 +1,12 @@
 //! The intake against a store in which transactions are lost, refused, late or repeated,
 //! jobs end, and the controller ends and begins anew.
 
-use glenhaven_intake::{Batch, Intake, Room, Waits};
-use glenhaven_units::Micros;
+use glenhaven_group_commit::{Batch, GroupCommit, PageCapacity, Waits};
+use glenhaven_time::Micros;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-const ROOM: Room = Room { bytes: 1000, jobs: 4 };
+const ROOM: PageCapacity = PageCapacity { bytes: 1000, jobs: 4 };
 
 #[derive(Default)]
 struct Store {
@@ -76,7 +76,7 @@
 
 struct Play {
     store: Store,
-    intake: Intake<()>,
+    intake: GroupCommit<()>,
     /// What the controller knows to be over.
     known_over: BTreeSet<String>,
     late: Vec<Batch<()>>,
@@ -141,7 +141,7 @@
     fn what_waits_is_accepted_and_no_open_job_is_written_over(steps in prop::collection::vec(step(), 1..120)) {
         let mut p = Play {
             store: Store::default(),
-            intake: Intake::new(),
+            intake: GroupCommit::new(),
             known_over: BTreeSet::new(),
             late: vec![],
             now: Micros::ZERO,
@@ -172,7 +172,7 @@
                 }
                 Step::Watch => p.read(),
                 Step::Restart => {
-                    p.intake = Intake::new();
+                    p.intake = GroupCommit::new();
                     p.known_over.clear();
                     p.read();
                     wanted.clear();
@@ -203,7 +203,7 @@
 
 #[test]
 fn a_job_alone_goes_at_once_and_a_flood_goes_in_company() {
-    let mut intake = Intake::new();
+    let mut intake = GroupCommit::new();
     let at = Micros::from_millis;
     intake.offer("run-0", 200, (), at(0));
     assert_eq!(intake.next(ROOM, at(0)).map(|b| b.jobs.len()), Some(1));
@@ -222,7 +222,7 @@
 
 #[test]
 fn nothing_is_written_for_who_has_given_up() {
-    let mut intake = Intake::new();
+    let mut intake = GroupCommit::new();
     intake.offer("run-0", 200, (), Micros::ZERO);
     intake.withdraw("run-0");
     assert!(intake.next(ROOM, Micros::ZERO).is_none());
@@ -235,7 +235,7 @@
 
 #[test]
 fn an_outcome_is_of_one_try_only() {
-    let mut intake = Intake::new();
+    let mut intake = GroupCommit::new();
     intake.offer("run-0", 200, (), Micros::ZERO);
     let first = intake.next(ROOM, Micros::ZERO).map(|b| b.number);
     intake.forget_pages();
--- a/crates/served/src/decayed.rs
+++ b/crates/objectives/src/decayed.rs
@@ -1,6 +1,6 @@
 //! A sum that forgets.
 
-use glenhaven_units::Micros;
+use glenhaven_time::Micros;
 
 /// A sum in which what was added a half life ago counts half.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/served/src/lib.rs
+++ b/crates/objectives/src/lib.rs
@@ -6,10 +6,10 @@
 //! cannot use up memory; what is beyond it counts together.
 //!
 //! ```
-//! use glenhaven_served::{Account, Aim};
-//! use glenhaven_units::Micros;
+//! use glenhaven_objectives::{SloAccounting, Aim};
+//! use glenhaven_time::Micros;
 //!
-//! let mut account = Account::new(Micros::from_secs(120.0));
+//! let mut account = SloAccounting::new(Micros::from_secs(120.0));
 //! let now = Micros::from_secs(10.0);
 //! account.arrived("scan", "blue", 40.0, 12.0, Micros::ZERO, now);
 //! account.judged("scan", 0, false, now);
@@ -27,7 +27,7 @@
 pub use decayed::Decayed;
 pub use row::Row;
 
-use glenhaven_units::Micros;
+use glenhaven_time::Micros;
 use row::Line;
 use std::collections::BTreeMap;
 
@@ -35,7 +35,7 @@
 const NAMES: usize = 64;
 /// What counts together beyond that.
 const OTHERS: &str = "(others)";
-/// Limits of [`Account::urgency`]: an aim that is kept is worth keeping, and one
+/// Limits of [`SloAccounting::urgency`]: an aim that is kept is worth keeping, and one
 /// that is far behind must not outweigh everything else.
 const LEAST: f64 = 0.25;
 const MOST: f64 = 4.0;
@@ -74,15 +74,15 @@
 
 /// The account.
 #[derive(Clone, Debug)]
-pub struct Account {
+pub struct SloAccounting {
     half_life: Micros,
     classes: BTreeMap<String, Line>,
     teams: BTreeMap<String, Line>,
 }
 
-impl Account {
-    pub fn new(half_life: Micros) -> Account {
-        Account {
+impl SloAccounting {
+    pub fn new(half_life: Micros) -> SloAccounting {
+        SloAccounting {
             half_life,
             classes: BTreeMap::new(),
             teams: BTreeMap::new(),
--- a/crates/served/src/row.rs
+++ b/crates/objectives/src/row.rs
@@ -1,7 +1,7 @@
 //! The account of one class or team.
 
 use crate::{Decayed, Inflow};
-use glenhaven_units::Micros;
+use glenhaven_time::Micros;
 use hdrhistogram::Histogram;
 
 /// Waits are told apart up to this many seconds, to two digits.
--- a/crates/served/tests/account.rs
+++ b/crates/objectives/tests/accounting.rs
@@ -1,7 +1,7 @@
 //! Who is behind, told from who asks for much.
 
-use glenhaven_served::{Account, Aim};
-use glenhaven_units::Micros;
+use glenhaven_objectives::{Aim, SloAccounting};
+use glenhaven_time::Micros;
 use proptest::prelude::*;
 
 fn at(s: f64) -> Micros {
@@ -10,7 +10,7 @@
 
 #[test]
 fn an_old_burst_is_forgotten() {
-    let mut account = Account::new(at(60.0));
+    let mut account = SloAccounting::new(at(60.0));
     for _ in 0..100 {
         account.arrived("scan", "blue", 10.0, 5.0, Micros::ZERO, at(1.0));
     }
@@ -22,7 +22,7 @@
 
 #[test]
 fn steady_arrivals_give_their_rate() {
-    let mut account = Account::new(at(60.0));
+    let mut account = SloAccounting::new(at(60.0));
     for i in 0..2000 {
         account.arrived("scan", "blue", 30.0, 8.0, Micros::ZERO, at(f64::from(i) * 0.5));
     }
@@ -33,7 +33,7 @@
 
 #[test]
 fn the_one_farthest_behind_comes_first() {
-    let mut account = Account::new(at(60.0));
+    let mut account = SloAccounting::new(at(60.0));
     for i in 0..10 {
         account.judged("thin", 0, i % 2 == 0, at(1.0));
         account.judged("flood", 0, i > 1, at(1.0));
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_bias_needs_some_runs_and_has_bounds() {
-    let mut account = Account::new(at(60.0));
+    let mut account = SloAccounting::new(at(60.0));
     account.ran("scan", 10.0, 100.0, at(1.0));
     assert_eq!(account.bias("scan"), 1.0);
     for _ in 0..10 {
@@ -63,7 +63,7 @@
 
 #[test]
 fn waits_of_the_last_half_lives_count() {
-    let mut account = Account::new(at(60.0));
+    let mut account = SloAccounting::new(at(60.0));
     account.started("scan", "blue", 1.0, at(100.0), at(1.0));
     for i in 0..99 {
         account.started("scan", "blue", 1.0, at(2.0), at(70.0 + f64::from(i) * 0.01));
@@ -86,7 +86,7 @@
     /// number that is none.
     #[test]
     fn names_are_bounded(names in proptest::collection::vec("[a-z]{1,12}", 1..400), run_s in 0.0f64..1e9) {
-        let mut account = Account::new(at(60.0));
+        let mut account = SloAccounting::new(at(60.0));
         for (i, name) in names.iter().enumerate() {
             let now = at(i as f64);
             account.arrived(name, name, 1.0, run_s, at(run_s), now);
--- a/crates/renting/src/lib.rs
+++ b/crates/provisioning/src/lib.rs
@@ -10,7 +10,7 @@
 //! Sizes are cores, times seconds from now, worth and prices money.
 //!
 //! ```
-//! use glenhaven_renting::{advise, Due, Offer, Supply, Work};
+//! use glenhaven_provisioning::{advise, Due, Offer, Supply, Work};
 //!
 //! // Two hundred cores wait, a hundred fall free in a minute; half a minute from
 //! // now is early enough.
--- a/crates/renting/tests/advice.rs
+++ b/crates/provisioning/tests/provisioning.rs
@@ -1,6 +1,6 @@
 //! What is rented serves something in time and is worth its price.
 
-use glenhaven_renting::{advise, Due, Offer, Supply, Work};
+use glenhaven_provisioning::{advise, Due, Offer, Supply, Work};
 use proptest::prelude::*;
 
 fn work(cores: f64, run_s: f64, start_by_s: f64, worth: f64) -> Work {
--- a/crates/gather/src/lib.rs
+++ b/crates/reservation/src/lib.rs
@@ -6,10 +6,10 @@
 //! held earns nothing meanwhile.
 //!
 //! ```
-//! use glenhaven_gather::{Gather, Waits};
-//! use glenhaven_units::Micros;
+//! use glenhaven_reservation::{ReservationPolicy, Waits};
+//! use glenhaven_time::Micros;
 //!
-//! let mut gather = Gather::new();
+//! let mut gather = ReservationPolicy::new();
 //! let machines = [("n-1", Micros::from_millis(9000)), ("n-2", Micros::from_millis(4000))];
 //! gather.decide(&[Waits { job: "large", tasks: 3 }], &machines, |_, _| true, 1);
 //! assert_eq!(gather.holds(&"n-2"), Some(&"large"), "it is empty sooner");
@@ -17,7 +17,7 @@
 //! ```
 #![forbid(unsafe_code)]
 
-use glenhaven_units::Micros;
+use glenhaven_time::Micros;
 use std::collections::BTreeMap;
 
 /// A job with large tasks that has waited for long.
@@ -30,20 +30,20 @@
 
 /// Which machine is held for which job.
 #[derive(Clone, Debug)]
-pub struct Gather<M, J> {
+pub struct ReservationPolicy<M, J> {
     held: BTreeMap<M, J>,
 }
 
-impl<M: Ord, J> Default for Gather<M, J> {
+impl<M: Ord, J> Default for ReservationPolicy<M, J> {
     fn default() -> Self {
-        Gather { held: BTreeMap::new() }
+        ReservationPolicy { held: BTreeMap::new() }
     }
 }
 
-impl<M: Ord + Clone, J: PartialEq + Clone> Gather<M, J> {
+impl<M: Ord + Clone, J: PartialEq + Clone> ReservationPolicy<M, J> {
     /// Nothing is held.
-    pub fn new() -> Gather<M, J> {
-        Gather::default()
+    pub fn new() -> ReservationPolicy<M, J> {
+        ReservationPolicy::default()
     }
 
     /// Decides anew: for these jobs, in the order of the queue, among these machines, each with
--- a/crates/gather/tests/gather.rs
+++ b/crates/reservation/tests/reservation.rs
@@ -1,7 +1,7 @@
 //! What holds whatever waits and whichever machines there are.
 
-use glenhaven_gather::{Gather, Waits};
-use glenhaven_units::Micros;
+use glenhaven_reservation::{ReservationPolicy, Waits};
+use glenhaven_time::Micros;
 use proptest::prelude::*;
 
 proptest! {
@@ -15,7 +15,7 @@
             prop::collection::vec((0u8..12, 0u64..50), 0..12), 0usize..6), 1..6),
     ) {
         let suits = |m: &u8, j: &u8| (m + j) % 3 != 0;
-        let mut gather: Gather<u8, u8> = Gather::new();
+        let mut gather: ReservationPolicy<u8, u8> = ReservationPolicy::new();
         for (waits, machines, most) in rounds {
             let mut seen = std::collections::BTreeSet::new();
             let waits: Vec<Waits<u8>> = waits
@@ -28,7 +28,7 @@
             let before = gather.clone();
             gather.decide(&waits, &machines, suits, most);
             prop_assert!(gather.len() <= most);
-            let of = |g: &Gather<u8, u8>, j: u8| (0..12).filter(|m| g.holds(m) == Some(&j)).count();
+            let of = |g: &ReservationPolicy<u8, u8>, j: u8| (0..12).filter(|m| g.holds(m) == Some(&j)).count();
             for m in 0..12u8 {
                 let Some(job) = gather.holds(&m) else { continue };
                 prop_assert!(suits(&m, job) && machines.iter().any(|x| x.0 == m));
--- a/crates/limits/src/lib.rs
+++ b/crates/store-limits/src/lib.rs
@@ -7,7 +7,7 @@
 //! refusal shows that the lower one holds, and then the lower one for good.
 //!
 //! ```
-//! use glenhaven_limits::{Bounds, Limits};
+//! use glenhaven_store_limits::{Bounds, Limits};
 //!
 //! let now = Bounds { value_kb: 8.0, changes: 24, changes_per_s: 50.0 };
 //! let next = Bounds { value_kb: 2.0, changes: 8, changes_per_s: 35.0 };
--- a/crates/zones/src/evacuate.rs
+++ b/crates/zone-health/src/evacuate.rs
@@ -1,7 +1,7 @@
 //! Which machines of a cut-off zone are released in step with the room there is
 //! elsewhere.
 
-use glenhaven_units::Micros;
+use glenhaven_time::Micros;
 
 /// A machine on the far side, with arrays only. Services stay until their lease
 /// is about to end: they are of use until then, and a short cut leaves them as
--- a/crates/zones/src/lib.rs
+++ b/crates/zone-health/src/lib.rs
@@ -9,8 +9,8 @@
 //! The crate is pure: signs and the time go in, decisions come out.
 //!
 //! ```
-//! use glenhaven_units::Micros;
-//! use glenhaven_zones::{Move, Sign, Times, Zones};
+//! use glenhaven_time::Micros;
+//! use glenhaven_zone_health::{Move, Sign, Times, Zones};
 //!
 //! let times = Times::new(8.0, 36.0);
 //! let mut zones = Zones::default();
@@ -31,7 +31,7 @@
 
 pub use evacuate::{in_step, Far};
 
-use glenhaven_units::Micros;
+use glenhaven_time::Micros;
 use std::collections::BTreeMap;
 
 /// How long after a report is due the network may still hold it up, when all
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
     /// The workers' report period.
-    pub report: Micros,
+    pub heartbeat: Micros,
     /// The workers' lease.
     pub lease: Micros,
     /// A cut of less than this changes nothing but where new work goes.
@@ -71,7 +71,7 @@
     pub fn new(report_s: f64, lease_s: f64) -> Times {
         let short = (report_s / 2.0).max(3.0);
         Times {
-            report: Micros::from_secs(report_s),
+            heartbeat: Micros::from_secs(report_s),
             lease: Micros::from_secs(lease_s),
             short: Micros::from_secs(short),
             long: Micros::from_secs((lease_s / 3.0).max(short + report_s / 2.0)),
@@ -81,7 +81,7 @@
     /// How long a zone of so many machines may be silent by accident.
     fn quiet(&self, machines: usize) -> Micros {
         let part = (MISSED / machines.max(1) as f64).min(1.0);
-        SLACK + Micros::from_secs(self.report.secs() * VARIES * part)
+        SLACK + Micros::from_secs(self.heartbeat.secs() * VARIES * part)
     }
 }
 
--- a/crates/zones/tests/zones.rs
+++ b/crates/zone-health/tests/zone_health.rs
@@ -1,8 +1,8 @@
 //! Cuts are told from lost machines, from lost controllers and from one's own
 //! isolation.
 
-use glenhaven_units::Micros;
-use glenhaven_zones::{in_step, Change, Far, Move, Sign, Times, Zones};
+use glenhaven_time::Micros;
+use glenhaven_zone_health::{in_step, Change, Far, Move, Sign, Times, Zones};
 use proptest::prelude::*;
 
 fn at(s: f64) -> Micros {
--- a/src/coordination/workers/caretaker.rs
+++ b/src/coordination/agents/heartbeat_proxy.rs
@@ -2,35 +2,35 @@
 
 use super::outbox::starts_cancelled;
 use super::parse_task;
-use crate::bookkeeping::keys;
-use crate::bookkeeping::records::{to_value, Care};
-use crate::coordination::desk::Desk;
-use crate::coordination::leadership::{LeadWait, Leadership, Role};
-use crate::coordination::renewal::{self, Vouchers};
+use crate::coordination::api::JobApi;
+use crate::coordination::election::{Election, ElectionContinuation, Role};
+use crate::coordination::lease_renewal::{self, CancellationAttestations};
 use crate::coordination::store_queue::Urgency;
-use crate::coordination::{times, Shared, Site, Wait};
-use crate::protocol::store::{Change, StoreRequest, Txn};
-use crate::protocol::workers::{Order, Orders, Report, TaskPhase};
+use crate::coordination::{timing, ClusterConfig, Context, Continuation};
+use crate::protocol::agents::{AgentCommand, Heartbeat, HeartbeatResponse, TaskPhase};
+use crate::protocol::store::{Change, StoreRequest, Transaction};
 use crate::protocol::{json_size, to_cbor};
 use crate::settings::Workers;
+use crate::storage::keys;
+use crate::storage::records::{to_value, Care};
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
 /// A report passed on to the leader.
 pub(super) struct Forwarded {
     pub(super) reply: u64,
-    pub(super) report: Report,
+    pub(super) heartbeat: Heartbeat,
     pub(super) at: Micros,
 }
 
 /// What a node that does not lead remembers of workers.
 #[derive(Default)]
-pub struct Caretaker {
+pub struct HeartbeatProxy {
     /// Workers sent to another node: when, and to which.
     pub(super) sent_away: BTreeMap<String, (Micros, String)>,
     pub(super) forwarded: BTreeMap<u64, Forwarded>,
     /// The last report of each worker that reports here, and when it came.
-    pub(super) served: BTreeMap<String, (Micros, Report)>,
+    pub(super) served: BTreeMap<String, (Micros, Heartbeat)>,
     /// Nodes that workers could not reach, until when they are not named.
     pub(super) unreached: BTreeMap<String, Micros>,
     pub(super) unreached_for: Micros,
@@ -48,32 +48,41 @@
 /// How often a node says which machines it keeps.
 pub(super) const PUBLISH: Micros = Micros::from_millis(2000);
 
-impl Caretaker {
-    pub fn new(workers: &Workers) -> Caretaker {
-        Caretaker {
-            unreached_for: times::unreached(workers),
-            ..Caretaker::default()
+impl HeartbeatProxy {
+    pub fn new(workers: &Workers) -> HeartbeatProxy {
+        HeartbeatProxy {
+            unreached_for: timing::unreached(workers),
+            ..HeartbeatProxy::default()
         }
     }
 
     /// The leader's answer to a report that was passed on.
     /// What this node knows to be cancelled, and the leader may not, is stopped with it and not
     /// started. Of a leader that was deposed meanwhile nothing is started.
-    pub fn answered(&mut self, sh: &mut Shared, lead: &Leadership, desk: &Desk, id: u64, mut orders: Orders) {
-        let deposed = orders.fence < lead.term();
-        let starts = |command: &Order| matches!(command, Order::Start { .. });
-        let void = |command: &Order| starts_cancelled(desk, command) || (deposed && starts(command));
-        orders.orders.retain(|command| !void(command));
+    pub fn answered(
+        &mut self,
+        context: &mut Context,
+        election: &Election,
+        api: &JobApi,
+        id: u64,
+        mut commands: HeartbeatResponse,
+    ) {
+        let deposed = commands.fencing_token < election.term();
+        let starts = |command: &AgentCommand| matches!(command, AgentCommand::Start { .. });
+        let void = |command: &AgentCommand| starts_cancelled(api, command) || (deposed && starts(command));
+        commands.commands.retain(|command| !void(command));
         if let Some(f) = self.forwarded.remove(&id) {
-            self.kept.remove(&f.report.machine);
-            renewal::add_stops(desk, &f.report, &mut orders.orders);
-            sh.reply(f.reply, 200, to_cbor(&orders), None);
+            self.kept.remove(&f.heartbeat.machine);
+            lease_renewal::add_stops(api, &f.heartbeat, &mut commands.commands);
+            context.reply(f.reply, 200, to_cbor(&commands), None);
         }
     }
 
     /// The zones of the workers that report here, and when each last did.
     pub fn reporting(&self) -> impl Iterator<Item = (&str, Micros)> {
-        self.served.values().map(|(at, report)| (report.zone.as_str(), *at))
+        self.served
+            .values()
+            .map(|(at, heartbeat)| (heartbeat.zone.as_str(), *at))
     }
 
     /// How many workers report here. The leader, which has more to do, counts
@@ -96,7 +105,7 @@
         let Some((at, to)) = self.sent_away.get(machine) else {
             return false;
         };
-        let back = now.since(*at) < times::COMES_BACK;
+        let back = now.since(*at) < timing::COMES_BACK;
         if back {
             self.unreached.insert(to.clone(), now + self.unreached_for);
         }
@@ -108,10 +117,10 @@
     /// The leader, which can't hear these workers, records the outcomes meanwhile.
     ///
     /// As many values as it takes: the names alone may exceed one.
-    fn care_values(&mut self, site: &Site) -> Vec<Care> {
+    fn care_values(&mut self, cluster: &ClusterConfig) -> Vec<Care> {
         self.told.retain(|machine, _| self.kept.contains_key(machine));
         let names: Vec<String> = self.kept.keys().take(KEPT).cloned().collect();
-        let half = site.limits.value_bytes() / 2;
+        let half = cluster.limits.value_bytes() / 2;
         let (mut parts, mut size) = (vec![], half);
         for name in names {
             let takes = name.len() + 3;
@@ -124,21 +133,21 @@
                 part.push(name);
             }
         }
-        parts.truncate(site.limits.changes());
-        parts.into_iter().map(|kept| self.care_value(site, kept)).collect()
+        parts.truncate(cluster.limits.changes());
+        parts.into_iter().map(|kept| self.care_value(cluster, kept)).collect()
     }
 
-    fn care_value(&mut self, site: &Site, kept: Vec<String>) -> Care {
-        let ended = |r: &&Report| r.tasks.iter().any(|t| t.phase == TaskPhase::Exited);
-        let reports = kept.iter().filter_map(|name| self.served.get(name));
-        let mut reports: Vec<&Report> = reports.map(|(_, r)| r).filter(ended).collect();
-        let number = |r: &Report| (r.session, r.serial);
-        reports.sort_by_key(|r| self.told.get(&r.machine) == Some(&number(r)));
-        let value = site.limits.value_bytes();
+    fn care_value(&mut self, cluster: &ClusterConfig, kept: Vec<String>) -> Care {
+        let ended = |r: &&Heartbeat| r.tasks.iter().any(|t| t.phase == TaskPhase::Exited);
+        let heartbeats = kept.iter().filter_map(|name| self.served.get(name));
+        let mut heartbeats: Vec<&Heartbeat> = heartbeats.map(|(_, r)| r).filter(ended).collect();
+        let number = |r: &Heartbeat| (r.incarnation, r.sequence);
+        heartbeats.sort_by_key(|r| self.told.get(&r.machine) == Some(&number(r)));
+        let value = cluster.limits.value_bytes();
         let room = value.saturating_sub(json_size(&kept) + 300);
-        let reports: Vec<Report> = reports.into_iter().cloned().collect();
-        let (told, taken) = glenhaven_packed::pack(&reports, room);
-        for r in &reports[..taken] {
+        let heartbeats: Vec<Heartbeat> = heartbeats.into_iter().cloned().collect();
+        let (told, taken) = glenhaven_compression::pack(&heartbeats, room);
+        for r in &heartbeats[..taken] {
             self.told.insert(r.machine.clone(), number(r));
         }
         // Even nothing takes a few bytes.
@@ -147,31 +156,38 @@
     }
 
     /// Answers reports that the leader has not answered in time.
-    pub fn tick(&mut self, sh: &mut Shared, lead: &Leadership, vouchers: &Vouchers, desk: &Desk, site: &Site) {
-        let now = sh.now;
+    pub fn tick(
+        &mut self,
+        context: &mut Context,
+        election: &Election,
+        attestations: &CancellationAttestations,
+        api: &JobApi,
+        cluster: &ClusterConfig,
+    ) {
+        let now = context.now;
         let late: Vec<u64> = self
             .forwarded
             .iter()
-            .filter(|(_, f)| now.since(f.at) > times::FORWARD)
+            .filter(|(_, f)| now.since(f.at) > timing::FORWARD)
             .map(|(id, _)| *id)
             .collect();
         for id in late {
             if let Some(f) = self.forwarded.remove(&id) {
-                if answer_alone(sh, lead, vouchers, desk, site, f.reply, &f.report) {
-                    self.kept.insert(f.report.machine.clone(), now);
+                if answer_alone(context, election, attestations, api, cluster, f.reply, &f.heartbeat) {
+                    self.kept.insert(f.heartbeat.machine.clone(), now);
                 }
             }
         }
         // The leader, cut off from these machines, would take them for dead
         // and release them with everything that runs there.
         self.kept.retain(|_, at| now.since(*at) < Micros::from_secs(5.0));
-        if !self.kept.is_empty() && now >= self.next_publish && lead.role() != Role::Leader {
+        if !self.kept.is_empty() && now >= self.next_publish && election.role() != Role::Leader {
             self.next_publish = now + PUBLISH;
             let mut changes = vec![];
-            for (n, care) in self.care_values(site).into_iter().enumerate() {
+            for (n, care) in self.care_values(cluster).into_iter().enumerate() {
                 let key = match n {
-                    0 => format!("{}{}", keys::CARE, site.settings.node),
-                    n => format!("{}{}.{n}", keys::CARE, site.settings.node),
+                    0 => format!("{}{}", keys::CARE, cluster.settings.node),
+                    n => format!("{}{}.{n}", keys::CARE, cluster.settings.node),
                 };
                 changes.push(Change::Put {
                     key,
@@ -179,13 +195,17 @@
                     lease: None,
                 });
             }
-            let txn = Txn {
-                conditions: vec![lead.condition()],
+            let txn = Transaction {
+                conditions: vec![election.condition()],
                 changes,
             };
-            let wait = Wait::Lead(LeadWait::Care);
-            sh.store
-                .push(Urgency::Start, StoreRequest::Txn(txn), wait, Micros::from_millis(700));
+            let continuation = Continuation::Election(ElectionContinuation::Care);
+            context.store.push(
+                Urgency::Start,
+                StoreRequest::Transaction(txn),
+                continuation,
+                Micros::from_millis(700),
+            );
         }
         while self.sent_away.len() > 10_000 {
             self.sent_away.pop_first();
@@ -196,21 +216,21 @@
 /// Keeps a worker's lease alive without the leader: only while this node knows the state of
 /// every job in the report, so that no cancelled task is kept.
 pub(super) fn answer_alone(
-    sh: &mut Shared,
-    lead: &Leadership,
-    vouchers: &Vouchers,
-    desk: &Desk,
-    site: &Site,
+    context: &mut Context,
+    election: &Election,
+    attestations: &CancellationAttestations,
+    api: &JobApi,
+    cluster: &ClusterConfig,
     reply: u64,
-    report: &Report,
+    heartbeat: &Heartbeat,
 ) -> bool {
-    let mut runs = report.tasks.iter().filter(|t| t.phase != TaskPhase::Exited);
-    let all_known = runs.all(|t| parse_task(&t.task).is_some_and(|(job, _)| desk.phase(job).is_some()));
-    let orders = all_known.then(|| vouchers.renewal(lead, desk, site, report, vec![], sh.now));
-    match orders.flatten() {
-        Some(orders) => sh.reply(reply, 200, to_cbor(&orders), None),
+    let mut runs = heartbeat.tasks.iter().filter(|t| t.phase != TaskPhase::Exited);
+    let all_known = runs.all(|t| parse_task(&t.task).is_some_and(|(job, _)| api.phase(job).is_some()));
+    let commands = all_known.then(|| attestations.renewal(election, api, cluster, heartbeat, vec![], context.now));
+    match commands.flatten() {
+        Some(commands) => context.reply(reply, 200, to_cbor(&commands), None),
         None => {
-            sh.reply(reply, 503, vec![], Some(1));
+            context.reply(reply, 503, vec![], Some(1));
             return false;
         }
     }
