--- a/src/coordination/workers/outbox.rs
+++ b/src/coordination/agents/outbox.rs
@@ -6,28 +6,28 @@
 //! to a report, and a start notes in its record at that instant the fencing token under which it
 //! leaves. If the reason is gone by then (the record was freed, the task stopped, its job is over,
 //! the machine began a new session or is being released), there is no command. So a record's
-//! `fence` is at all times the highest token under which any start of it has left, and a report
+//! `fencing_token` is at all times the highest token under which any start of it has left, and a report
 //! with a higher one that doesn't list the task proves that no start of it will ever be executed.
 
-use super::direct::SentDirect;
 use super::parse_task;
-use crate::coordination::book::{Leader, Machine, MachineId, MachineState, Stage};
-use crate::coordination::decisions::Decided;
-use crate::coordination::desk::Desk;
-use crate::coordination::renewal::ORDERS;
-use crate::coordination::void::VoidProof;
+use super::push::SentPush;
+use crate::coordination::api::JobApi;
+use crate::coordination::decision_log::Decided;
+use crate::coordination::lease_renewal::ORDERS;
+use crate::coordination::state::void_proof::VoidProof;
+use crate::coordination::state::{LeaderState, Machine, MachineId, MachineState, PlacementPhase};
 use crate::coordination::JobId;
+use crate::protocol::agents::AgentCommand;
 use crate::protocol::users::Phase;
-use crate::protocol::workers::Order;
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The instant at which a message leaves.
 pub struct Leave<'a> {
     /// The token under which it leaves.
-    pub fence: u64,
+    pub fencing_token: u64,
     /// What this controller has confirmed to users, which may be more than the records say yet.
-    pub desk: &'a Desk,
+    pub api: &'a JobApi,
     pub now: Micros,
 }
 
@@ -51,7 +51,7 @@
     /// Tasks that were asked to stop.
     pub stops: BTreeSet<TaskRef>,
     /// Attempts that a report lists and no record explains.
-    pub strangers: BTreeSet<Attempt>,
+    pub orphaned_attempts: BTreeSet<Attempt>,
     /// Tasks whose start is recorded and may have to be sent.
     pub starts: BTreeSet<TaskRef>,
     /// Attempts that have ended.
@@ -64,20 +64,20 @@
 impl Due {
     /// Whether nothing is due.
     pub fn is_empty(&self) -> bool {
-        let no_commands = self.stops.is_empty() && self.strangers.is_empty();
+        let no_commands = self.stops.is_empty() && self.orphaned_attempts.is_empty();
         no_commands && self.starts.is_empty() && self.forgets.is_empty() && !self.asks_for_report
     }
 }
 
 /// Whether a job is known to be cancelled.
-fn is_cancelled(desk: &Desk, job: &str) -> bool {
-    desk.phase(job) == Some(Phase::Cancelled)
+fn is_cancelled(api: &JobApi, job: &str) -> bool {
+    api.phase(job) == Some(Phase::Cancelled)
 }
 
 /// Whether a command starts a task of a job that is known to be cancelled.
-pub(super) fn starts_cancelled(desk: &Desk, command: &Order) -> bool {
+pub(super) fn starts_cancelled(api: &JobApi, command: &AgentCommand) -> bool {
     match command {
-        Order::Start { task, .. } => parse_task(task).is_some_and(|(job, _)| is_cancelled(desk, job)),
+        AgentCommand::Start { task, .. } => parse_task(task).is_some_and(|(job, _)| is_cancelled(api, job)),
         _ => false,
     }
 }
@@ -104,8 +104,8 @@
     }
 
     /// The worker refuses every message with a lower token than this one.
-    pub fn refuses_below(&mut self, fence: u64) {
-        self.unanswered.retain(|_, sent_under| *sent_under >= fence);
+    pub fn refuses_below(&mut self, fencing_token: u64) {
+        self.unanswered.retain(|_, sent_under| *sent_under >= fencing_token);
     }
 
     /// The worker's next report: the answer to the last one has come, or never will.
@@ -114,26 +114,26 @@
     }
 
     /// A direct message was not answered: it may be executed at any time.
-    pub fn doubt(&mut self, commands: &[Order], fence: u64) {
+    pub fn doubt(&mut self, commands: &[AgentCommand], fencing_token: u64) {
         for command in commands {
-            if let Order::Start { task, attempt } = command {
+            if let AgentCommand::Start { task, attempt } = command {
                 let attempt = Attempt {
                     task: task.clone(),
                     number: *attempt,
                 };
-                self.unanswered.insert(attempt, fence);
+                self.unanswered.insert(attempt, fencing_token);
             }
         }
     }
 
     /// Whether a start of this attempt was sent and may not have arrived yet.
-    fn may_still_start(&self, attempt: &Attempt, direct: &BTreeMap<u64, SentDirect>) -> bool {
-        let starts = |command: &Order| match command {
-            Order::Start { task, attempt: number } => *task == attempt.task && *number == attempt.number,
+    fn may_still_start(&self, attempt: &Attempt, pushes_in_flight: &BTreeMap<u64, SentPush>) -> bool {
+        let starts = |command: &AgentCommand| match command {
+            AgentCommand::Start { task, attempt: number } => *task == attempt.task && *number == attempt.number,
             _ => false,
         };
-        let message = self.in_flight.and_then(|id| direct.get(&id));
-        let in_flight = message.is_some_and(|m| m.orders.iter().any(starts));
+        let message = self.in_flight.and_then(|id| pushes_in_flight.get(&id));
+        let in_flight = message.is_some_and(|m| m.commands.iter().any(starts));
         in_flight || self.unanswered.contains_key(attempt) || self.in_answer.contains(attempt)
     }
 }
@@ -141,11 +141,11 @@
 impl Machine {
     /// Whether it is to be kept: nothing starts on a machine that is about to be released.
     fn stays(&self) -> bool {
-        self.state != MachineState::Doomed && self.release_sent.is_none()
+        self.state != MachineState::Releasing && self.release_sent.is_none()
     }
 }
 
-impl Leader {
+impl LeaderState {
     /// The start of a recorded placement is to be sent.
     pub fn queue_start(&mut self, id: &JobId, task: u32) {
         self.queue(id, task, |due, task| {
@@ -164,12 +164,12 @@
     fn queue_question(&mut self, name: &MachineId) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.outbox.due.asks_for_report = true;
-            self.outboxes.insert(name.clone());
+            self.agents.outboxes.insert(name.clone());
         }
     }
 
     fn queue(&mut self, id: &JobId, task: u32, add: impl FnOnce(&mut Due, TaskRef)) {
-        let placement = self.jobs.get(id).and_then(|job| job.placed.get(&task));
+        let placement = self.jobs.get(id).and_then(|job| job.placements.get(&task));
         let Some(name) = placement.map(|p| p.machine.clone()) else {
             return;
         };
@@ -178,11 +178,11 @@
         };
         let job = id.clone();
         add(&mut machine.outbox.due, TaskRef { job, task });
-        self.outboxes.insert(name);
+        self.agents.outboxes.insert(name);
     }
 
     /// Commands in the answer to a machine's report, which says what is due.
-    pub fn commands_in_answer(&mut self, name: &MachineId, mut due: Due, leave: &Leave) -> Vec<Order> {
+    pub fn commands_in_answer(&mut self, name: &MachineId, mut due: Due, leave: &Leave) -> Vec<AgentCommand> {
         let commands = self.build_commands(name, &mut due, leave);
         if due.asks_for_report {
             self.queue_question(name);
@@ -191,7 +191,7 @@
             return commands;
         };
         for command in &commands {
-            let Order::Start { task, attempt } = command else {
+            let AgentCommand::Start { task, attempt } = command else {
                 continue;
             };
             let attempt = Attempt {
@@ -209,17 +209,17 @@
 
     /// Builds commands from the records as they stand; what doesn't fit into one message stays
     /// due.
-    pub(super) fn build_commands(&mut self, name: &MachineId, due: &mut Due, leave: &Leave) -> Vec<Order> {
+    pub(super) fn build_commands(&mut self, name: &MachineId, due: &mut Due, leave: &Leave) -> Vec<AgentCommand> {
         let mut commands = vec![];
         while commands.len() < ORDERS {
             let Some(task) = due.stops.pop_first() else { break };
             commands.extend(self.stop_command(name, &task));
         }
         while commands.len() < ORDERS {
-            let Some(attempt) = due.strangers.pop_first() else {
+            let Some(attempt) = due.orphaned_attempts.pop_first() else {
                 break;
             };
-            commands.extend(self.stop_stranger(name, attempt));
+            commands.extend(self.stop_orphan(name, attempt));
         }
         while commands.len() < ORDERS {
             let Some(task) = due.starts.pop_first() else { break };
@@ -233,17 +233,17 @@
     }
 
     /// The start of a task, if its record still stands and wants it. The record notes the token.
-    fn start_command(&mut self, name: &MachineId, task: &TaskRef, leave: &Leave) -> Option<Order> {
-        if is_cancelled(leave.desk, &task.job) {
+    fn start_command(&mut self, name: &MachineId, task: &TaskRef, leave: &Leave) -> Option<AgentCommand> {
+        if is_cancelled(leave.api, &task.job) {
             // The news of it, which free or stop what is recorded, are moments away.
             return None;
         }
         let machine = self.machines.get(name)?;
-        let (session, stays) = (machine.session, machine.stays());
+        let (incarnation, stays) = (machine.incarnation, machine.stays());
         let job = self.jobs.get_mut(&task.job)?;
         let wanted = job.is_live() && stays;
-        let placement = job.placed.get_mut(&task.task)?;
-        let here = placement.machine == *name && placement.session == session;
+        let placement = job.placements.get_mut(&task.task)?;
+        let here = placement.machine == *name && placement.incarnation == incarnation;
         if !here || !placement.may_be_sent() {
             return None;
         }
@@ -256,30 +256,34 @@
             return None;
         }
         placement.sent = true;
-        placement.fence = placement.fence.max(leave.fence);
+        placement.fencing_token = placement.fencing_token.max(leave.fencing_token);
         let attempt = placement.attempt;
         let sent = placement.clone();
-        let decided = Decided::Sent { token: leave.fence };
-        self.decisions.note(job.decision(task.task, &sent, decided, leave.now));
+        let decided = Decided::Sent {
+            token: leave.fencing_token,
+        };
+        self.invariants
+            .decisions
+            .note(job.decision(task.task, &sent, decided, leave.now));
         tracing::debug!(
             job = %task.job,
             task = task.task,
             attempt,
             machine = %name,
-            session,
-            token = leave.fence,
+            incarnation,
+            token = leave.fencing_token,
             "start sent: its record stands"
         );
-        Some(Order::Start {
+        Some(AgentCommand::Start {
             task: format!("{}/{}", task.job, task.task),
             attempt,
         })
     }
 
     /// A stop of a task that was asked to stop and may be on this machine.
-    fn stop_command(&self, name: &MachineId, task: &TaskRef) -> Option<Order> {
-        let placement = self.jobs.get(&task.job)?.placed.get(&task.task)?;
-        let may_run = matches!(placement.stage, Stage::Sent | Stage::Seen(_)) && placement.sent;
+    fn stop_command(&self, name: &MachineId, task: &TaskRef) -> Option<AgentCommand> {
+        let placement = self.jobs.get(&task.job)?.placements.get(&task.task)?;
+        let may_run = matches!(placement.phase, PlacementPhase::Sent | PlacementPhase::Seen(_)) && placement.sent;
         if placement.machine != *name || !may_run {
             return None;
         }
@@ -291,7 +295,7 @@
             term = self.term,
             "stop sent"
         );
-        Some(Order::Stop {
+        Some(AgentCommand::Stop {
             task: format!("{}/{}", task.job, task.task),
             attempt: placement.attempt,
             grace_s: placement.stop?,
@@ -299,7 +303,7 @@
     }
 
     /// A stop of an attempt that no record explains.
-    fn stop_stranger(&self, name: &MachineId, attempt: Attempt) -> Option<Order> {
+    fn stop_orphan(&self, name: &MachineId, attempt: Attempt) -> Option<AgentCommand> {
         if self.has_record(name, &attempt) {
             return None;
         }
@@ -312,7 +316,7 @@
             term = self.term,
             "stop sent: no record explains the attempt"
         );
-        Some(Order::Stop {
+        Some(AgentCommand::Stop {
             task: attempt.task,
             attempt: attempt.number,
             grace_s: 0.0,
@@ -321,12 +325,12 @@
 
     /// Forgets an attempt that ended, unless its outcome has yet to be recorded, or a start of it
     /// may still be on its way: that start would run the task again.
-    fn forget_command(&self, name: &MachineId, attempt: Attempt) -> Option<Order> {
+    fn forget_command(&self, name: &MachineId, attempt: Attempt) -> Option<AgentCommand> {
         let machine = self.machines.get(name)?;
-        if self.has_record(name, &attempt) || machine.outbox.may_still_start(&attempt, &self.direct) {
+        if self.has_record(name, &attempt) || machine.outbox.may_still_start(&attempt, &self.agents.pushes_in_flight) {
             return None;
         }
-        Some(Order::Forget {
+        Some(AgentCommand::Forget {
             task: attempt.task,
             attempt: attempt.number,
         })
@@ -337,8 +341,9 @@
         let Some((job, task)) = parse_task(&attempt.task) else {
             return false;
         };
-        let placement = self.jobs.get(job).and_then(|job| job.placed.get(&task));
-        let session = self.machines.get(name).map(|machine| machine.session);
-        placement.is_some_and(|p| p.machine == *name && p.attempt == attempt.number && Some(p.session) == session)
+        let placement = self.jobs.get(job).and_then(|job| job.placements.get(&task));
+        let incarnation = self.machines.get(name).map(|machine| machine.incarnation);
+        placement
+            .is_some_and(|p| p.machine == *name && p.attempt == attempt.number && Some(p.incarnation) == incarnation)
     }
 }
--- a/src/coordination/desk/accept.rs
+++ b/src/coordination/api/acceptance.rs
@@ -1,16 +1,16 @@
 //! Acceptances: which jobs this node writes into its pages, what came of it, and what the
-//! pages of all nodes say. What goes into which page, and when, `glenhaven-intake` decides.
+//! pages of all nodes say. What goes into which page, and when, `glenhaven-group-commit` decides.
 
 use super::super::store_queue::Urgency;
-use super::super::{Shared, Site, Wait};
-use super::evidence::{Arrival, Evidence, Source};
-use super::{refuse, Desk, DeskWait, Known, PAGE_FRAME, PAGE_LIMIT};
-use crate::bookkeeping::keys;
-use crate::bookkeeping::records::{from_value, to_value, Accepted, JobValue};
-use crate::protocol::store::{Change, Condition, Event, StoreAnswer, StoreRequest, Txn};
-use crate::protocol::users::{Phase, Shape, Spec};
+use super::super::{ClusterConfig, Context, Continuation};
+use super::read_proof::{ReadProof, RequestSequence, Source};
+use super::{refuse, ApiContinuation, CachedStatus, JobApi, PAGE_FRAME, PAGE_LIMIT};
+use crate::protocol::store::{Change, Condition, StoreRequest, StoreResponse, Transaction, WatchEvent};
+use crate::protocol::users::{JobSpec, Phase, Shape};
+use crate::storage::keys;
+use crate::storage::records::{from_value, to_value, Accepted, JobValue};
 use crate::time::Micros;
-use glenhaven_intake::{Batch, Room};
+use glenhaven_group_commit::{Batch, PageCapacity};
 
 /// Room in a transaction, below the service's 64 KiB.
 const TXN_BYTES: usize = 62 * 1024;
@@ -18,11 +18,11 @@
 const MOST_JOBS: usize = 256;
 const CONDITION: usize = 100;
 
-impl Desk {
+impl JobApi {
     /// News of jobs, in the order in which they were made. Older ones never replace newer.
-    fn learn_news(&mut self, events: &[Event]) {
+    fn learn_news(&mut self, events: &[WatchEvent]) {
         for event in events {
-            let Event::Put { key, value, version } = event else {
+            let WatchEvent::Put { key, value, version } = event else {
                 continue;
             };
             if keys::parse_accepted(key).is_some() {
@@ -47,7 +47,7 @@
             if node == self.node {
                 // It is let alone for ever: a page that is written there would fail on its
                 // version, and with it all that waits. No job has this name.
-                self.intake.saw(slot, version, &[key.to_string()], |_| false);
+                self.group_commit.saw(slot, version, &[key.to_string()], |_| false);
             }
             return;
         };
@@ -55,7 +55,7 @@
         if node == self.node {
             let known = &self.known;
             let is_over = |id: &str| known.get(id).is_some_and(|k| k.phase.is_final());
-            self.intake.saw(slot, version, &jobs, is_over);
+            self.group_commit.saw(slot, version, &jobs, is_over);
         }
         for spec in page.jobs {
             self.learn_accepted(spec, version, new);
@@ -64,7 +64,7 @@
 
     /// A job stands in a page that was written at this revision. `checked`: it was not over
     /// then, and what has happened since will be seen.
-    fn learn_accepted(&mut self, spec: Spec, version: u64, checked: bool) {
+    fn learn_accepted(&mut self, spec: JobSpec, version: u64, checked: bool) {
         let (job, service) = (spec.id.clone(), spec.shape == Shape::Service);
         self.learn_named(spec, version);
         if let Some(known) = self.known.get_mut(&job) {
@@ -75,19 +75,19 @@
             }
             known.repeated |= known.page != version;
             if known.checked && !known.phase.is_final() {
-                self.chains.open(&job);
+                self.dependency_graph.open(&job);
             }
             return;
         }
         if checked {
-            self.chains.open(&job);
+            self.dependency_graph.open(&job);
         } else {
             // Whether it is over is asked for with the next compare.
             self.to_verify.entry(job.clone()).or_default();
         }
         self.remember(
             job,
-            Known {
+            CachedStatus {
                 version: 0,
                 phase: Phase::Pending,
                 checked,
@@ -100,30 +100,30 @@
 
     /// Writes the pages that can go out now. They are made up only then, so that nothing
     /// is written for users who have given up meanwhile.
-    pub(super) fn accept(&mut self, sh: &mut Shared, site: &Site) {
+    pub(super) fn accept(&mut self, context: &mut Context, cluster: &ClusterConfig) {
         if !self.is_ready() {
             return;
         }
         // The transaction holds the page and a condition for each job: with large values,
         // its own limit is met before that of the value.
-        let jobs = site.limits.conditions().saturating_sub(1).clamp(1, MOST_JOBS);
-        let bytes = site.limits.value_bytes().min(TXN_BYTES - jobs * CONDITION);
-        let room = Room {
+        let jobs = cluster.limits.conditions().saturating_sub(1).clamp(1, MOST_JOBS);
+        let bytes = cluster.limits.value_bytes().min(TXN_BYTES - jobs * CONDITION);
+        let room = PageCapacity {
             bytes: bytes.saturating_sub(PAGE_FRAME),
             jobs,
         };
         let mut sent = 0.0;
-        while sh.store.write_allowed(sent + 1.0, Urgency::User, sh.now) {
-            let Some(batch) = self.intake.next(room, sh.now) else {
+        while context.store.write_allowed(sent + 1.0, Urgency::User, context.now) {
+            let Some(batch) = self.group_commit.next(room, context.now) else {
                 break;
             };
             sent += 1.0;
-            self.send_page(sh, batch);
+            self.send_page(context, batch);
         }
-        sh.store.held_back(self.intake.pages_waiting(room) as f64);
+        context.store.held_back(self.group_commit.pages_waiting(room) as f64);
     }
 
-    fn send_page(&self, sh: &mut Shared, batch: Batch<Box<Spec>>) {
+    fn send_page(&self, context: &mut Context, batch: Batch<Box<JobSpec>>) {
         let key = keys::accepted(&self.node, batch.slot);
         let mut conditions = vec![Condition {
             key: key.clone(),
@@ -138,7 +138,7 @@
         let page = Accepted {
             jobs: batch.jobs.into_iter().map(|(_, spec)| *spec).collect(),
         };
-        let txn = Txn {
+        let txn = Transaction {
             conditions,
             changes: vec![Change::Put {
                 key,
@@ -148,16 +148,18 @@
         };
         // Requests that come from here on may be younger than the commit.
         let covers = self.arrived;
-        let wait = Wait::Desk(DeskWait::Accept { covers, number, slot });
-        sh.store.push(Urgency::User, StoreRequest::Txn(txn), wait, PAGE_LIMIT);
+        let continuation = Continuation::Api(ApiContinuation::Accept { covers, number, slot });
+        context
+            .store
+            .push(Urgency::User, StoreRequest::Transaction(txn), continuation, PAGE_LIMIT);
     }
 
     /// The page's jobs are accepted: it was committed at this revision. Requests that came after
     /// it had left go on with what is known now.
-    fn accepted(&mut self, sh: &mut Shared, number: u64, evidence: &Evidence) {
+    fn accepted(&mut self, context: &mut Context, number: u64, evidence: &ReadProof) {
         let known = &self.known;
         let is_over = |id: &str| known.get(id).is_some_and(|k| k.phase.is_final());
-        for (job, spec) in self.intake.committed(number, evidence.revision, is_over) {
+        for (job, spec) in self.group_commit.committed(number, evidence.revision, is_over) {
             self.learn_accepted(*spec, evidence.revision, true);
             let phase = self.known.get(&job).map_or(Phase::Pending, |k| k.phase);
             let phase = self.final_phase(&job).unwrap_or(phase);
@@ -168,7 +170,7 @@
                 if waits {
                     self.await_news(id, evidence);
                 } else {
-                    self.answer_by(sh, id, phase, 201, evidence);
+                    self.answer_by(context, id, phase, 201, evidence);
                 }
             }
         }
@@ -176,7 +178,7 @@
 
     /// A submission of a job that waits for others, and that a page of this node accepts, is
     /// answered after all news up to now were read.
-    fn await_news(&mut self, id: u64, page: &Evidence) {
+    fn await_news(&mut self, id: u64, page: &ReadProof) {
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.accepted_here = page.covers(pending.arrival);
             self.to_sync.push(id);
@@ -185,17 +187,17 @@
 
     /// Requests that wait for the acceptance of a job that was accepted by another page, or
     /// is over, go on with that.
-    pub(super) fn settle_submits(&mut self, sh: &mut Shared, site: &Site) {
+    pub(super) fn settle_submits(&mut self, context: &mut Context, cluster: &ClusterConfig) {
         let settled: Vec<String> = self
             .submits
             .keys()
-            .filter(|job| self.known.contains_key(*job) && !self.intake.is_flying(job))
+            .filter(|job| self.known.contains_key(*job) && !self.group_commit.is_flying(job))
             .cloned()
             .collect();
         for job in settled {
-            self.intake.withdraw(&job);
+            self.group_commit.withdraw(&job);
             for id in self.submits.remove(&job).unwrap_or_default() {
-                self.advance(sh, site, id);
+                self.advance(context, cluster, id);
             }
         }
     }
@@ -203,57 +205,61 @@
     /// The answer to a page of this node that left when `covers` was the last request.
     pub(super) fn on_accept(
         &mut self,
-        sh: &mut Shared,
-        site: &Site,
-        covers: Arrival,
+        context: &mut Context,
+        cluster: &ClusterConfig,
+        covers: RequestSequence,
         (number, slot): (u64, u32),
-        answer: StoreAnswer,
+        answer: StoreResponse,
     ) {
         match answer {
-            StoreAnswer::Committed { revision } => {
-                let evidence = Evidence::new(Source::Page, covers, revision);
-                self.accepted(sh, number, &evidence);
+            StoreResponse::Committed { revision } => {
+                let evidence = ReadProof::new(Source::Page, covers, revision);
+                self.accepted(context, number, &evidence);
             }
-            StoreAnswer::Conflict { failed, .. } => {
+            StoreResponse::Conflict { failed, .. } => {
                 let over: Vec<String> = failed
                     .iter()
                     .filter(|key| keys::parse_accepted(key).is_none())
                     .filter_map(|key| key.strip_prefix(keys::JOBS))
                     .map(str::to_string)
                     .collect();
-                self.intake.failed(number, &over);
+                self.group_commit.failed(number, &over);
                 for job in over {
                     let ids = self.submits.remove(&job).unwrap_or_default();
-                    self.send_read(sh, &job, ids, Micros::ZERO);
+                    self.send_read(context, &job, ids, Micros::ZERO);
                 }
                 let key = keys::accepted(&self.node, slot);
                 if failed.contains(&key) {
                     // An earlier try, or an earlier life of this process, has written it.
-                    let wait = Wait::Desk(DeskWait::Page(slot));
-                    sh.store
-                        .push(Urgency::User, StoreRequest::Get { key }, wait, Micros::from_millis(300));
+                    let continuation = Continuation::Api(ApiContinuation::Page(slot));
+                    context.store.push(
+                        Urgency::User,
+                        StoreRequest::Get { key },
+                        continuation,
+                        Micros::from_millis(300),
+                    );
                 }
             }
-            StoreAnswer::Malformed => {
-                let jobs = self.intake.abandon(number);
+            StoreResponse::Malformed => {
+                let jobs = self.group_commit.abandon(number);
                 for id in jobs.iter().filter_map(|job| self.submits.remove(job)).flatten() {
                     if self.pending.remove(&id).is_some() {
-                        refuse(sh, id, 503, "the state service refuses the job");
+                        refuse(context, id, 503, "the state service refuses the job");
                     }
                 }
             }
             // Not executed, or nobody knows: what is still wanted is written again, on
             // condition of the same version, so that one of the two fails.
-            _ => self.intake.failed(number, &[]),
+            _ => self.group_commit.failed(number, &[]),
         }
-        self.settle_submits(sh, site);
+        self.settle_submits(context, cluster);
     }
 
     /// News of jobs were seen.
-    pub fn on_news(&mut self, sh: &mut Shared, site: &Site, events: &[Event]) {
+    pub fn on_news(&mut self, context: &mut Context, cluster: &ClusterConfig, events: &[WatchEvent]) {
         self.learn_news(events);
         if !self.submits.is_empty() {
-            self.settle_submits(sh, site);
+            self.settle_submits(context, cluster);
         }
     }
 }
--- a/src/coordination/desk/cancelled.rs
+++ b/src/coordination/api/cancellations.rs
@@ -1,11 +1,11 @@
 //! The latest cancellations that this node knows: what it could have told a user.
 
-use super::Desk;
+use super::JobApi;
 
 /// So many are remembered.
 const LATEST: usize = 8000;
 
-impl Desk {
+impl JobApi {
     /// A job's own key says that it is cancelled.
     pub(super) fn note_cancelled(&mut self, job: &str, version: u64) {
         if version <= self.cancelled_before || self.cancelled.contains(job) {
--- a/src/coordination/desk.rs
+++ b/src/coordination/api/mod.rs
@@ -5,27 +5,27 @@
 //! known from a page of acceptances; its own key exists once it is over, for ever. What an
 //! answer may rest on, `evidence` decides.
 
-mod accept;
+mod acceptance;
 mod answers;
-mod cancelled;
-mod evidence;
-mod named;
+mod cancellations;
+mod dependencies;
+mod read_proof;
 mod request;
 
-pub use evidence::{Arrival, Source};
-pub use named::Held;
+pub use dependencies::Held;
+pub use read_proof::{RequestSequence, Source};
 
 use super::store_queue::Urgency;
-use super::{Shared, Site, UserRequest, Wait};
-use crate::bookkeeping::keys;
-use crate::bookkeeping::records::{kept, to_value, JobValue};
+use super::{ClusterConfig, Context, Continuation, UserRequest};
 use crate::protocol::peer::Progress;
-use crate::protocol::store::{Change, Condition, StoreAnswer, StoreRequest, Txn};
-use crate::protocol::users::{id_in, is_job_id, ErrorBody, Phase, Spec};
+use crate::protocol::store::{Change, Condition, StoreRequest, StoreResponse, Transaction};
+use crate::protocol::users::{id_in, is_job_id, ErrorBody, JobSpec, Phase};
 use crate::protocol::{json_size, to_cbor};
+use crate::storage::keys;
+use crate::storage::records::{kept, to_value, JobValue};
 use crate::time::Micros;
-use glenhaven_chains::Chains;
-use glenhaven_intake::{Intake, Waited, Waits};
+use glenhaven_dependencies::DependencyGraph;
+use glenhaven_group_commit::{GroupCommit, Waited, Waits};
 use request::{Ask, Pending};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -40,23 +40,33 @@
 /// What an answer of the state service is for. `covers`: the last request that had come when the
 /// question left, and so the last that its answer may decide.
 #[derive(Clone, Debug)]
-pub enum DeskWait {
+pub enum ApiContinuation {
     /// One compare for many jobs.
-    Verify { covers: Arrival, jobs: Vec<Compared> },
+    Verify {
+        covers: RequestSequence,
+        jobs: Vec<Compared>,
+    },
     /// The job's own key.
     Read {
-        covers: Arrival,
+        covers: RequestSequence,
         job: String,
         requests: Vec<u64>,
     },
     /// A page of this node with this number and slot was written.
-    Accept { covers: Arrival, number: u64, slot: u32 },
+    Accept {
+        covers: RequestSequence,
+        number: u64,
+        slot: u32,
+    },
     /// A page of this node, whose version was not as expected.
     Page(u32),
     /// All pages of acceptances, to begin with: which reading of them this is part of.
     Pages(u64),
     /// All news of jobs up to now, for requests about jobs that are not known here.
-    Sync { covers: Arrival, requests: Vec<u64> },
+    Sync {
+        covers: RequestSequence,
+        requests: Vec<u64>,
+    },
     /// A cancellation, for this request.
     Abort(u64),
 }
@@ -82,7 +92,7 @@
 
 /// What is known of a job.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct CachedStatus {
     /// Of its own key; 0: there is none as far as known here.
     version: u64,
     phase: Phase,
@@ -104,17 +114,17 @@
     From(String),
     /// On their way.
     Asked(String),
-    Known,
+    Complete,
 }
 
-pub struct Desk {
+pub struct JobApi {
     node: String,
     pages: Pages,
     /// How often the pages were forgotten: an answer to an earlier reading tells nothing of
     /// the present one, which would take itself to be complete.
     reading_of: u64,
     next_pages: Micros,
-    intake: Intake<Box<Spec>>,
+    group_commit: GroupCommit<Box<JobSpec>>,
     /// The requests that wait for a job's acceptance, by job.
     submits: BTreeMap<String, Vec<u64>>,
     /// Requests about jobs that are not known here: whether one was accepted elsewhere a
@@ -122,9 +132,9 @@
     to_sync: Vec<u64>,
     syncing: bool,
     next_sync: Micros,
-    known: BTreeMap<String, Known>,
+    known: BTreeMap<String, CachedStatus>,
     /// Open jobs that name others, and those that they name.
-    chains: Chains<Held>,
+    dependency_graph: DependencyGraph<Held>,
     /// The latest cancelled jobs that are known here.
     cancelled: BTreeSet<String>,
     /// By version; those up to this one are no longer among them.
@@ -134,7 +144,7 @@
     order: VecDeque<String>,
     pending: BTreeMap<u64, Pending>,
     /// The last request that came.
-    arrived: Arrival,
+    arrived: RequestSequence,
     /// Requests whose job has to be compared or read, by job.
     to_verify: BTreeMap<String, Vec<u64>>,
     verifying: usize,
@@ -154,28 +164,28 @@
     asked_anew: u32,
 }
 
-impl Desk {
+impl JobApi {
     /// The desk of this node.
-    pub fn new(node: &str) -> Desk {
-        Desk {
+    pub fn new(node: &str) -> JobApi {
+        JobApi {
             node: node.to_string(),
             pages: Pages::From(String::new()),
             reading_of: 0,
             next_pages: Micros::ZERO,
-            intake: Intake::new(),
+            group_commit: GroupCommit::new(),
             submits: BTreeMap::new(),
             to_sync: vec![],
             syncing: false,
             next_sync: Micros::ZERO,
             known: BTreeMap::new(),
-            chains: Chains::new(),
+            dependency_graph: DependencyGraph::new(),
             cancelled: BTreeSet::new(),
             cancelled_order: BTreeMap::new(),
             cancelled_before: 0,
             next_named: Micros::ZERO,
             order: VecDeque::new(),
             pending: BTreeMap::new(),
-            arrived: Arrival::default(),
+            arrived: RequestSequence::default(),
             to_verify: BTreeMap::new(),
             verifying: 0,
             next_verify: Micros::ZERO,
@@ -191,10 +201,10 @@
 
     /// Whether requests about any job can be decided here.
     pub fn is_ready(&self) -> bool {
-        self.pages == Pages::Known
+        self.pages == Pages::Complete
     }
 
-    fn remember(&mut self, job: String, known: Known) {
+    fn remember(&mut self, job: String, known: CachedStatus) {
         self.known.insert(job.clone(), known);
         self.order.push_back(job);
         let mut tries = self.order.len();
@@ -211,7 +221,7 @@
 
     /// The version and phase of a job's own key were seen; older news never replace newer.
     pub fn learn(&mut self, job: &str, version: u64, phase: Phase) {
-        let new = Known {
+        let new = CachedStatus {
             version,
             phase,
             checked: true,
@@ -229,10 +239,10 @@
         }
         if phase.is_final() {
             self.counts.remove(job);
-            self.intake.over(job);
-            self.chains.ended(job, phase == Phase::Done);
+            self.group_commit.over(job);
+            self.dependency_graph.ended(job, phase == Phase::Done);
         } else {
-            self.chains.open(job);
+            self.dependency_graph.open(job);
         }
     }
 
@@ -243,7 +253,7 @@
 
     /// Jobs that are open, as far as known here.
     pub fn open_jobs(&self) -> impl Iterator<Item = &str> {
-        let open = |k: &Known| k.checked && !k.phase.is_final();
+        let open = |k: &CachedStatus| k.checked && !k.phase.is_final();
         self.known
             .iter()
             .filter(move |(_, k)| open(k))
@@ -254,15 +264,15 @@
     pub fn forget_open(&mut self) {
         self.known.retain(|_, k| k.phase.is_final());
         self.counts.clear();
-        self.chains.forget();
-        self.intake.forget_pages();
+        self.dependency_graph.forget();
+        self.group_commit.forget_pages();
         self.pages = Pages::From(String::new());
         self.reading_of += 1;
     }
 
     /// Pages, and those of them that name open jobs, for a log.
     pub fn pages(&self) -> (usize, usize) {
-        self.intake.pages()
+        self.group_commit.pages()
     }
 
     pub fn on_progress(&mut self, list: Vec<Progress>) {
@@ -280,29 +290,29 @@
     /// just begun knows open jobs from their pages, and compares whether they are over
     /// many at a time: reading each job that every worker reports would take all nodes'
     /// requests for half a minute.
-    pub fn read_job(&mut self, sh: &mut Shared, job: &str) {
+    pub fn read_job(&mut self, context: &mut Context, job: &str) {
         let known = !self.is_ready() || self.known.contains_key(job);
         if !known && is_job_id(job) && self.reading.insert(job.to_string()) {
-            self.send_read(sh, job, vec![], Micros::ZERO);
+            self.send_read(context, job, vec![], Micros::ZERO);
         }
     }
 
     pub fn on_user(
         &mut self,
-        sh: &mut Shared,
-        site: &Site,
+        context: &mut Context,
+        cluster: &ClusterConfig,
         id: u64,
         request: UserRequest,
         counts: impl Fn(&str) -> Option<(u32, u32)>,
     ) {
         let (job, ask) = match request {
-            UserRequest::Submit(body) => match Spec::parse(&body) {
-                Ok(spec) => (spec.id.clone(), Ask::submission(site, spec)),
+            UserRequest::Submit(body) => match JobSpec::parse(&body) {
+                Ok(spec) => (spec.id.clone(), Ask::submission(cluster, spec)),
                 Err(why) => {
                     tracing::warn!(%why, "malformed submission");
                     match id_in(&body) {
                         Some(job) => (job, Ask::Refusable(400, why.to_string())),
-                        None => return refuse(sh, id, 400, &why.to_string()),
+                        None => return refuse(context, id, 400, &why.to_string()),
                     }
                 }
             },
@@ -312,39 +322,39 @@
         };
         if !is_job_id(&job) {
             // Never accepted: a submission in this form is malformed.
-            return refuse(sh, id, 404, "no such job");
+            return refuse(context, id, 404, "no such job");
         }
         if let Some(c) = counts(&job) {
             self.counts.insert(job.clone(), c);
         }
         if let Some(phase) = self.final_phase(&job) {
             let evidence = self.final_evidence(&job);
-            return self.answer(sh, id, &job, phase, 200, &evidence);
+            return self.answer(context, id, &job, phase, 200, &evidence);
         }
-        let out = self.refused_since.is_some_and(|at| sh.now.since(at) > OUT_AFTER);
+        let out = self.refused_since.is_some_and(|at| context.now.since(at) > OUT_AFTER);
         if out {
-            return self.refuse_now(sh, id, "the state service does not answer");
+            return self.refuse_now(context, id, "the state service does not answer");
         }
-        if sh.store.user_backlog() > BACKLOG || self.pending.len() > 2 * BACKLOG {
-            return self.refuse_now(sh, id, "too much waits here");
+        if context.store.user_backlog() > BACKLOG || self.pending.len() > 2 * BACKLOG {
+            return self.refuse_now(context, id, "too much waits here");
         }
         self.arrived = self.arrived.next();
         let pending = Pending {
             id,
             job: job.clone(),
             ask,
-            at: sh.now,
+            at: context.now,
             arrival: self.arrived,
             missing: BTreeSet::new(),
             synced: false,
             accepted_here: false,
         };
         self.pending.insert(id, pending);
-        self.advance(sh, site, id);
+        self.advance(context, cluster, id);
     }
 
     /// Takes a request's next step.
-    fn advance(&mut self, sh: &mut Shared, site: &Site, id: u64) {
+    fn advance(&mut self, context: &mut Context, cluster: &ClusterConfig, id: u64) {
         let Some(pending) = self.pending.get(&id) else { return };
         let job = pending.job.clone();
         let known = self.known.get(&job).copied();
@@ -352,7 +362,7 @@
         if let Some(phase) = self.final_phase(&job) {
             self.pending.remove(&id);
             let evidence = self.final_evidence(&job);
-            return self.answer(sh, id, &job, phase, 200, &evidence);
+            return self.answer(context, id, &job, phase, 200, &evidence);
         }
         if names && known.is_none() && !self.all_named_known(id) {
             return;
@@ -360,13 +370,13 @@
         let Some(pending) = self.pending.get(&id) else { return };
         match (&pending.ask, known) {
             (Ask::Submit(spec), None) => {
-                let Some(spec) = kept(spec, sh.time_of_day(pending.at), room_for_one(site)) else {
+                let Some(spec) = kept(spec, context.time_of_day(pending.at), room_for_one(cluster)) else {
                     return;
                 };
                 let spec = Box::new(spec);
                 // A comma or bracket stands beside each.
                 let size = json_size(&spec) + 1;
-                self.intake.offer(&job, size, spec, sh.now);
+                self.group_commit.offer(&job, size, spec, context.now);
                 self.submits.entry(job).or_default().push(id);
             }
             (Ask::Abort, Some(known)) => {
@@ -374,7 +384,7 @@
                     phase: Phase::Cancelled,
                     spec: None,
                 };
-                let txn = Txn {
+                let txn = Transaction {
                     conditions: vec![Condition {
                         key: keys::job(&job),
                         version: known.version,
@@ -385,10 +395,10 @@
                         lease: None,
                     }],
                 };
-                sh.store.push(
+                context.store.push(
                     Urgency::Start,
-                    StoreRequest::Txn(txn),
-                    Wait::Desk(DeskWait::Abort(id)),
+                    StoreRequest::Transaction(txn),
+                    Continuation::Api(ApiContinuation::Abort(id)),
                     Micros::from_millis(400),
                 );
             }
@@ -401,8 +411,8 @@
     }
 
     /// `seen`: every change of a job up to this revision was seen here.
-    pub fn tick(&mut self, sh: &mut Shared, site: &Site, seen: Option<u64>) {
-        let now = sh.now;
+    pub fn tick(&mut self, context: &mut Context, cluster: &ClusterConfig, seen: Option<u64>) {
+        let now = context.now;
         let late: Vec<u64> = self
             .pending
             .values()
@@ -417,7 +427,7 @@
             .collect();
         for id in late {
             self.give_up(id);
-            self.refuse_now(sh, id, "not decided in time");
+            self.refuse_now(context, id, "not decided in time");
         }
         let Some(seen) = seen else { return };
         if let (Pages::From(after), true) = (&self.pages, now >= self.next_pages) {
@@ -428,11 +438,13 @@
                 after: after.clone(),
             };
             self.pages = Pages::Asked(after);
-            let wait = Wait::Desk(DeskWait::Pages(self.reading_of));
-            sh.store.push(Urgency::Lead, request, wait, Micros::from_millis(1000));
+            let continuation = Continuation::Api(ApiContinuation::Pages(self.reading_of));
+            context
+                .store
+                .push(Urgency::Lead, request, continuation, Micros::from_millis(1000));
         }
-        self.accept(sh, site);
-        self.read_named(sh);
+        self.accept(context, cluster);
+        self.read_named(context);
         if !self.syncing && !self.to_sync.is_empty() && now >= self.next_sync && self.is_ready() {
             self.next_sync = now + GATHER;
             self.syncing = true;
@@ -441,11 +453,13 @@
                 after: seen,
                 wait_ms: 0,
             };
-            let wait = Wait::Desk(DeskWait::Sync {
+            let continuation = Continuation::Api(ApiContinuation::Sync {
                 covers: self.arrived,
                 requests: std::mem::take(&mut self.to_sync),
             });
-            sh.store.push(Urgency::User, request, wait, Micros::from_millis(400));
+            context
+                .store
+                .push(Urgency::User, request, continuation, Micros::from_millis(400));
         }
         // One compare answers many polls; two in flight keep a slow one from
         // holding up the rest. Questions are gathered for a moment: a node's
@@ -453,7 +467,7 @@
         // requests to submissions and starts.
         while self.verifying < 2 && !self.to_verify.is_empty() && now >= self.next_verify {
             self.next_verify = now + GATHER;
-            let limit = site.limits.conditions();
+            let limit = cluster.limits.conditions();
             let mut jobs = vec![];
             while jobs.len() < limit {
                 let Some((job, requests)) = self.to_verify.pop_first() else {
@@ -462,7 +476,7 @@
                 let version = self.known.get(&job).map_or(0, |k| k.version);
                 jobs.push(Compared { job, version, requests });
             }
-            let txn = Txn {
+            let txn = Transaction {
                 conditions: jobs
                     .iter()
                     .map(|compared| Condition {
@@ -474,16 +488,20 @@
             };
             self.verifying += 1;
             let covers = self.arrived;
-            let wait = Wait::Desk(DeskWait::Verify { covers, jobs });
-            sh.store
-                .push(Urgency::User, StoreRequest::Txn(txn), wait, Micros::from_millis(300));
+            let continuation = Continuation::Api(ApiContinuation::Verify { covers, jobs });
+            context.store.push(
+                Urgency::User,
+                StoreRequest::Transaction(txn),
+                continuation,
+                Micros::from_millis(300),
+            );
         }
     }
 
     /// Refuses a request with 503, and counts why.
-    fn refuse_now(&mut self, sh: &mut Shared, id: u64, why: &'static str) {
+    fn refuse_now(&mut self, context: &mut Context, id: u64, why: &'static str) {
         *self.refusals.entry(why).or_default() += 1;
-        refuse(sh, id, 503, why);
+        refuse(context, id, 503, why);
     }
 
     /// How many were accepted since the last call, and how long they waited here.
@@ -505,7 +523,7 @@
             ids.retain(|other| *other != id);
             if ids.is_empty() {
                 self.submits.remove(&pending.job);
-                self.intake.withdraw(&pending.job);
+                self.group_commit.withdraw(&pending.job);
             }
         }
     }
@@ -518,9 +536,9 @@
     /// Every answer of the state service tells whether it is out, those to
     /// watches and renewals too: while users are refused at once, no request of
     /// theirs would ever tell that it is back.
-    pub fn note_health(&mut self, now: Micros, answer: &StoreAnswer) {
+    pub fn note_health(&mut self, now: Micros, answer: &StoreResponse) {
         match answer {
-            StoreAnswer::Refused | StoreAnswer::Unknown => {
+            StoreResponse::Refused | StoreResponse::Unknown => {
                 self.refused_since.get_or_insert(now);
             }
             _ => self.refused_since = None,
@@ -536,12 +554,12 @@
 
 /// What a job's description may take, so that a page of acceptances and one of the book
 /// hold it with what they say beside it.
-fn room_for_one(site: &Site) -> usize {
-    site.limits.value_bytes().saturating_sub(300)
+fn room_for_one(cluster: &ClusterConfig) -> usize {
+    cluster.limits.value_bytes().saturating_sub(300)
 }
 
 /// Refuses a request at once; 503 says when to come back.
-fn refuse(sh: &mut Shared, id: u64, status: u16, why: &str) {
+fn refuse(context: &mut Context, id: u64, status: u16, why: &str) {
     let body = to_cbor(&ErrorBody { error: why.to_string() });
-    sh.reply(id, status, body, (status == 503).then_some(RETRY_S));
+    context.reply(id, status, body, (status == 503).then_some(RETRY_S));
 }
--- a/src/coordination/desk/evidence.rs
+++ b/src/coordination/api/read_proof.rs
@@ -8,17 +8,17 @@
 //! was here when it left: it is executed later than that, so that its answer is evidence for every
 //! request up to this number and for none after it, however long the answer takes.
 
-use super::Desk;
+use super::JobApi;
 use crate::protocol::users::Phase;
 
 /// The number of a user's request, in the order in which this process took them in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Arrival(u64);
+pub struct RequestSequence(u64);
 
-impl Arrival {
+impl RequestSequence {
     /// The number of the next request.
-    pub(super) fn next(self) -> Arrival {
-        Arrival(self.0 + 1)
+    pub(super) fn next(self) -> RequestSequence {
+        RequestSequence(self.0 + 1)
     }
 }
 
@@ -39,19 +39,19 @@
 
 /// Evidence for an answer to a user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Evidence {
+pub struct ReadProof {
     pub(super) source: Source,
     /// The last request that had come when the message left that brought the evidence.
-    covers: Arrival,
+    covers: RequestSequence,
     /// The revision of the state service that it shows, as far as the answer says.
     pub(super) revision: u64,
 }
 
-impl Evidence {
+impl ReadProof {
     /// What the state service answered to a message that left when `covers` was the last request
     /// that had come.
-    pub(super) fn new(source: Source, covers: Arrival, revision: u64) -> Evidence {
-        Evidence {
+    pub(super) fn new(source: Source, covers: RequestSequence, revision: u64) -> ReadProof {
+        ReadProof {
             source,
             covers,
             revision,
@@ -59,24 +59,24 @@
     }
 
     /// A final phase that is known here: good for any request.
-    pub(super) fn of_final_phase(revision: u64) -> Evidence {
-        Evidence::new(Source::Final, Arrival(u64::MAX), revision)
+    pub(super) fn of_final_phase(revision: u64) -> ReadProof {
+        ReadProof::new(Source::Final, RequestSequence(u64::MAX), revision)
     }
 
     /// Whether a request with this number may be answered by it.
-    pub(super) fn covers(&self, request: Arrival) -> bool {
+    pub(super) fn covers(&self, request: RequestSequence) -> bool {
         request <= self.covers
     }
 
     /// Whether a request with this number may be told this phase by it.
-    pub(super) fn allows(&self, request: Arrival, phase: Phase) -> bool {
+    pub(super) fn allows(&self, request: RequestSequence, phase: Phase) -> bool {
         phase.is_final() || self.covers(request)
     }
 }
 
-impl Desk {
+impl JobApi {
     /// The evidence that a final phase known here is.
-    pub(super) fn final_evidence(&self, job: &str) -> Evidence {
-        Evidence::of_final_phase(self.known.get(job).map_or(0, |known| known.version))
+    pub(super) fn final_evidence(&self, job: &str) -> ReadProof {
+        ReadProof::of_final_phase(self.known.get(job).map_or(0, |known| known.version))
     }
 }
--- a/src/coordination/audit.rs
+++ b/src/coordination/audit.rs
@@ -4,14 +4,14 @@
 //! memory; only when something is missing does it cost requests, one for each thousand
 //! pages.
 
-use super::book::Leader;
-use super::commit::LeaderWait;
+use super::log::LogContinuation;
+use super::state::LeaderState;
 use super::store_queue::Urgency;
-use super::{Core, Wait};
-use crate::bookkeeping::keys;
-use crate::bookkeeping::records::{from_value, Accepted, JobValue};
-use crate::protocol::store::{Row, StoreAnswer, StoreRequest};
+use super::{Continuation, Controller};
+use crate::protocol::store::{Row, StoreRequest, StoreResponse};
 use crate::protocol::users::Phase;
+use crate::storage::keys;
+use crate::storage::records::{from_value, Accepted, JobValue};
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
@@ -28,31 +28,31 @@
     asked: bool,
 }
 
-impl Leader {
+impl LeaderState {
     /// Jobs that are open by the pages and that this leader neither holds nor has closed.
     fn missing(&self, open: impl Iterator<Item = impl AsRef<str>>) -> BTreeSet<String> {
-        let known = |id: &str| self.jobs.contains_key(id) || self.committer.is_closed(id);
+        let known = |id: &str| self.jobs.contains_key(id) || self.log_writer.is_closed(id);
         open.filter(|id| !known(id.as_ref()))
             .map(|id| id.as_ref().to_string())
             .collect()
     }
 }
 
-impl Core {
+impl Controller {
     /// Compares what is open with what the leader holds.
-    pub(super) fn tick_audit(&mut self) {
-        let now = self.sh.now;
+    pub(super) fn run_acceptance_audit(&mut self) {
+        let now = self.context.now;
         let Some(leader) = self.leader.as_mut().filter(|l| l.is_loaded()) else {
             return;
         };
-        if now < leader.audit.next || !self.desk.is_ready() {
+        if now < leader.audit.next || !self.api.is_ready() {
             return;
         }
         leader.audit.next = now + EVERY;
-        let missing = leader.missing(self.desk.open_jobs());
+        let missing = leader.missing(self.api.open_jobs());
         let again: BTreeSet<String> = missing.intersection(&leader.audit.missed).cloned().collect();
         leader.audit.missed = missing;
-        leader.look_at_blocked();
+        leader.check_blocked();
         if again.is_empty() || leader.audit.asked {
             return;
         }
@@ -68,18 +68,18 @@
     fn read_for_audit(&mut self, after: String) {
         let Some(leader) = self.leader.as_ref() else { return };
         let prefix = keys::ACCEPTED.into();
-        let wait = Wait::Leader(leader.incarnation, LeaderWait::Audit);
+        let continuation = Continuation::Log(leader.incarnation, LogContinuation::Audit);
         let request = StoreRequest::List { prefix, after };
-        self.sh
+        self.context
             .store
-            .push(Urgency::User, request, wait, Micros::from_millis(1500));
+            .push(Urgency::User, request, continuation, Micros::from_millis(1500));
     }
 
     /// Pages of acceptances came. Without an answer, the next look asks again.
-    pub(super) fn on_audit(&mut self, answer: StoreAnswer) {
-        let now = self.sh.now;
+    pub(super) fn on_audit(&mut self, answer: StoreResponse) {
+        let now = self.context.now;
         let Some(leader) = self.leader.as_mut() else { return };
-        let StoreAnswer::Rows(rows) = answer else {
+        let StoreResponse::Rows(rows) = answer else {
             leader.audit.asked = false;
             return;
         };
--- a/src/coordination/site.rs
+++ b/src/coordination/cluster_config.rs
@@ -3,11 +3,11 @@
 use crate::protocol::cloud::MachineType;
 use crate::settings::Settings;
 use crate::time::Micros;
-use glenhaven_limits::Limits;
+use glenhaven_store_limits::Limits;
 use std::collections::BTreeMap;
 
 /// Settings and facts that every part looks at.
-pub struct Site {
+pub struct ClusterConfig {
     pub settings: Settings,
     pub catalogue: BTreeMap<String, MachineType>,
     /// What the state service takes.
@@ -16,7 +16,7 @@
     pub lagging: Option<String>,
 }
 
-impl Site {
+impl ClusterConfig {
     /// Nodes in all, this one included.
     pub fn nodes(&self) -> usize {
         self.settings.peers.len() + 1
--- a/src/coordination/shared.rs
+++ b/src/coordination/context.rs
@@ -2,14 +2,14 @@
 //! random numbers and the numbers of requests.
 
 use super::store_queue::StoreQueue;
-use super::{Effect, Wait};
+use super::{Continuation, Effect};
 use crate::time::Micros;
 use crate::transport::server::Outgoing;
 
 /// What the parts share: pacing, effects and numbers.
-pub struct Shared {
+pub struct Context {
     pub now: Micros,
-    pub store: StoreQueue<Wait>,
+    pub store: StoreQueue<Continuation>,
     pub out: Vec<Effect>,
     pub rng: fastrand::Rng,
     pub(super) next_id: u64,
@@ -17,7 +17,7 @@
     pub(super) day_ms: u64,
 }
 
-impl Shared {
+impl Context {
     /// A number never used before by this process.
     pub fn id(&mut self) -> u64 {
         self.next_id += 1;
--- a/src/coordination/decisions.rs
+++ b/src/coordination/decision_log.rs
@@ -1,8 +1,8 @@
 //! The leader's last decisions about starts, kept so that the cause of a broken invariant can be
 //! told after the fact.
 
-use super::book::MachineId;
-use super::void::VoidProof;
+use super::state::void_proof::VoidProof;
+use super::state::MachineId;
 use super::JobId;
 use crate::time::Micros;
 use std::collections::VecDeque;
--- a/src/coordination/chained.rs
+++ b/src/coordination/dependencies.rs
@@ -2,18 +2,18 @@
 //! all they need is done, has them withdrawn with one before them, and treats those before
 //! as having the priority and the time of those that need them.
 //!
-//! What follows for a job from the others the desk's `glenhaven-chains` says, from what is
+//! What follows for a job from the others the desk's `glenhaven-dependencies` says, from what is
 //! committed alone. Such a job is not described in the book before it may begin: the pages
 //! of acceptances have it, every node reads them, and a new leader takes it from there.
 
-use super::book::{Job, Leader};
-use super::commit::queues::Undescribed;
-use super::desk::{Desk, Held};
-use super::{Core, JobId, Site};
-use crate::protocol::users::{Priority, Spec};
+use super::api::{Held, JobApi};
+use super::log::queues::Undescribed;
+use super::state::{Job, LeaderState};
+use super::{ClusterConfig, Controller, JobId};
+use crate::protocol::users::{JobSpec, Priority};
 use crate::time::Micros;
-use glenhaven_chains::{Lent, News, Stand};
-use glenhaven_intake::{Waited, Waits};
+use glenhaven_dependencies::{Lent, News, Stand};
+use glenhaven_group_commit::{Waited, Waits};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What is lent is worked out anew so often, or when a chain has changed.
@@ -25,7 +25,7 @@
 
 /// Jobs that name others, as far as the leader has to look at them.
 #[derive(Default)]
-pub struct Chained {
+pub struct BlockedJobs {
     /// Held back; where they stand has to be looked at.
     fresh: BTreeSet<JobId>,
     /// What the desk knows of open jobs was taken over.
@@ -37,7 +37,7 @@
     waits: Waits,
 }
 
-impl Chained {
+impl BlockedJobs {
     /// A task began of a job that waited for others.
     pub fn began(&mut self, after: Micros) {
         self.waits.record(after);
@@ -49,16 +49,16 @@
     }
 }
 
-impl Leader {
+impl LeaderState {
     /// A job that names others came: it is held back until the desk says that all it needs
     /// is done.
-    pub fn hold_back(&mut self, (spec, came_ms): (Spec, u64), version: u64, now: Micros) {
+    pub fn hold_back(&mut self, (spec, submitted_ms): (JobSpec, u64), version: u64, now: Micros) {
         let mut job = Job::new(&spec.id.clone(), spec, version, 0, now);
         job.blocked = true;
-        job.came = self.came(came_ms, now);
+        job.submitted_at = self.came(submitted_ms, now);
         tracing::debug!(job = %job.id, class = job.spec.class, needs = ?job.spec.needs, "job waits for others");
         self.last_version = self.last_version.max(version);
-        self.chained.fresh.insert(job.id.clone());
+        self.blocked_jobs.fresh.insert(job.id.clone());
         self.jobs.insert(job.id.clone(), job);
     }
 
@@ -72,33 +72,37 @@
 
     /// All that is known of open jobs that name others is taken over, once: those that the
     /// book does not describe, and the names that an older version left out there.
-    fn adopt(&mut self, desk: &Desk, now: Micros) {
-        self.chained.adopted = true;
-        for (id, held) in desk.chains().jobs() {
-            if self.committer.is_closed(id) {
+    fn adopt(&mut self, api: &JobApi, now: Micros) {
+        self.blocked_jobs.adopted = true;
+        for (id, held) in api.chains().jobs() {
+            if self.log_writer.is_closed(id) {
                 continue;
             }
-            let Held { spec, version, came_ms } = held;
-            let came = self.came(*came_ms, now);
+            let Held {
+                spec,
+                version,
+                submitted_ms,
+            } = held;
+            let came = self.came(*submitted_ms, now);
             match self.jobs.get_mut(id) {
                 Some(job) => {
                     job.spec = spec.clone();
-                    job.came = came;
+                    job.submitted_at = came;
                     if job.blocked {
-                        self.chained.fresh.insert(job.id.clone());
+                        self.blocked_jobs.fresh.insert(job.id.clone());
                     }
                 }
                 None => {
                     let mut job = Job::new(id, spec.clone(), *version, 0, now);
                     job.blocked = true;
                     job.restored = true;
-                    job.came = came;
-                    self.chained.fresh.insert(job.id.clone());
+                    job.submitted_at = came;
+                    self.blocked_jobs.fresh.insert(job.id.clone());
                     self.jobs.insert(job.id.clone(), job);
                 }
             }
         }
-        tracing::info!(waiting = self.chained.fresh.len(), "jobs that wait for others");
+        tracing::info!(waiting = self.blocked_jobs.fresh.len(), "jobs that wait for others");
     }
 
     /// All that the job needs is recorded as done: it arrives, in the paper's sense.
@@ -108,23 +112,23 @@
             return;
         };
         job.blocked = false;
-        if job.base == 0 || job.ageless {
+        if job.base == 0 || job.arrival_unknown {
             job.arrived = now;
-            job.ageless = false;
+            job.arrival_unknown = false;
             job.order = order.max(job.order);
         }
-        tracing::debug!(job = %id, after_s = now.since(job.came).secs(), "all that the job needs is done");
+        tracing::debug!(job = %id, after_s = now.since(job.submitted_at).secs(), "all that the job needs is done");
         let entry = Undescribed::new(job.version, id.clone());
         if job.base == 0 {
-            self.committer.undescribed.insert(entry);
+            self.log_writer.undescribed.insert(entry);
         }
         self.dirty = true;
     }
 
     /// Where every job that is held back stands is looked at once more.
-    pub fn look_at_blocked(&mut self) {
+    pub fn check_blocked(&mut self) {
         let blocked = self.jobs.values().filter(|j| j.blocked && j.is_live());
-        self.chained.fresh.extend(blocked.map(|j| j.id.clone()));
+        self.blocked_jobs.fresh.extend(blocked.map(|j| j.id.clone()));
     }
 
     /// Something that the job needs is withdrawn: that it is too is to be recorded.
@@ -133,25 +137,29 @@
             return;
         };
         tracing::debug!(job = %job.id, "withdrawn with a job that it needs");
-        self.committer.withdrawn.insert(id.clone());
+        self.log_writer.withdrawn.insert(id.clone());
     }
 
     /// How long a stage takes from its beginning to its end.
-    fn stage_takes(&self, site: &Site, spec: &Spec) -> Micros {
-        let rate = site.catalogue.values().map(|t| t.fetch_gb_per_s).fold(0.05, f64::max);
-        let run_s = spec.estimate_s * self.account.bias(&spec.class) * LONGEST;
+    fn stage_takes(&self, cluster: &ClusterConfig, spec: &JobSpec) -> Micros {
+        let rate = cluster
+            .catalogue
+            .values()
+            .map(|t| t.fetch_gb_per_s)
+            .fold(0.05, f64::max);
+        let run_s = spec.estimate_s * self.slo.bias(&spec.class) * LONGEST;
         Micros::from_secs(run_s + spec.image_gb / rate + BETWEEN_S)
     }
 
     /// Jobs before others get the priority and the time of those, or lose them again.
-    fn lend(&mut self, desk: &Desk, site: &Site) {
-        let due = |spec: &Spec, came: Micros| spec.deadline_s.map(|d| came + Micros::from_secs(d));
-        let lent: BTreeMap<&str, Lent<Priority>> = desk.chains().lend(
+    fn lend(&mut self, api: &JobApi, cluster: &ClusterConfig) {
+        let due = |spec: &JobSpec, submitted_at: Micros| spec.deadline_s.map(|d| submitted_at + Micros::from_secs(d));
+        let lent: BTreeMap<&str, Lent<Priority>> = api.chains().lend(
             |id, held| Lent {
                 priority: held.spec.priority,
-                due: self.jobs.get(id).and_then(|j| due(&j.spec, j.came)),
+                due: self.jobs.get(id).and_then(|j| due(&j.spec, j.submitted_at)),
             },
-            |_, held| self.stage_takes(site, &held.spec),
+            |_, held| self.stage_takes(cluster, &held.spec),
         );
         let mut borrowers: BTreeSet<JobId> = BTreeSet::new();
         for (id, lent) in lent {
@@ -161,41 +169,41 @@
                 job.set_priority(priority);
                 self.dirty = true;
             }
-            job.lent_due = lent.due;
+            job.inherited_due = lent.due;
             borrowers.insert(job.id.clone());
         }
-        for id in self.chained.borrowers.difference(&borrowers) {
+        for id in self.blocked_jobs.borrowers.difference(&borrowers) {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.set_priority(job.spec.priority);
-                job.lent_due = None;
+                job.inherited_due = None;
             }
         }
-        self.chained.borrowers = borrowers;
+        self.blocked_jobs.borrowers = borrowers;
     }
 }
 
-impl Core {
+impl Controller {
     /// Jobs that name others: what became true of them is acted on by the leader.
-    pub(super) fn tick_chains(&mut self) {
-        let news = self.desk.take_chain_news();
-        let now = self.sh.now;
+    pub(super) fn run_dependencies(&mut self) {
+        let news = self.api.take_chain_news();
+        let now = self.context.now;
         let Some(leader) = self.leader.as_mut().filter(|l| l.is_loaded()) else {
             return;
         };
-        if !leader.chained.adopted {
+        if !leader.blocked_jobs.adopted {
             // What other nodes accepted is known once all pages are read.
-            if !self.desk.is_ready() {
+            if !self.api.is_ready() {
                 return;
             }
-            leader.day_ms = self.sh.day_ms;
-            leader.adopt(&self.desk, now);
+            leader.day_ms = self.context.day_ms;
+            leader.adopt(&self.api, now);
         }
-        let changed = !news.is_empty() || !leader.chained.fresh.is_empty();
+        let changed = !news.is_empty() || !leader.blocked_jobs.fresh.is_empty();
         for News::Free(id) | News::Withdrawn(id) in news {
-            leader.chained.fresh.insert(id.as_str().into());
+            leader.blocked_jobs.fresh.insert(id.as_str().into());
         }
-        for id in std::mem::take(&mut leader.chained.fresh) {
-            match self.desk.chains().stand(&id) {
+        for id in std::mem::take(&mut leader.blocked_jobs.fresh) {
+            match self.api.chains().stand(&id) {
                 Some(Stand::Free) => leader.release(&id, now),
                 Some(Stand::Withdrawn) => leader.withdraw(&id),
                 // It is told when that changes.
@@ -203,24 +211,24 @@
                 // Its page is on its way here, or its end.
                 None => {
                     if leader.jobs.get(&id).is_some_and(|j| j.blocked && j.is_live()) {
-                        leader.chained.fresh.insert(id);
+                        leader.blocked_jobs.fresh.insert(id);
                     }
                 }
             }
         }
-        if changed || now >= leader.chained.next_lend {
-            leader.chained.next_lend = now + LEND_EVERY;
-            leader.lend(&self.desk, &self.site);
+        if changed || now >= leader.blocked_jobs.next_lend {
+            leader.blocked_jobs.next_lend = now + LEND_EVERY;
+            leader.lend(&self.api, &self.cluster);
         }
     }
 
     /// Ends that the leader has recorded: what follows for other jobs follows at once.
-    pub(super) fn learn_ends(&mut self, ends: super::commit::Ends, revision: u64) {
+    pub(super) fn learn_ends(&mut self, ends: super::log::Ends, revision: u64) {
         for id in ends.done {
-            self.desk.learn(&id, revision, crate::protocol::users::Phase::Done);
+            self.api.learn(&id, revision, crate::protocol::users::Phase::Done);
         }
         for id in ends.withdrawn {
-            self.desk.learn(&id, revision, crate::protocol::users::Phase::Cancelled);
+            self.api.learn(&id, revision, crate::protocol::users::Phase::Cancelled);
         }
     }
 }
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -2,21 +2,21 @@
 //! the key `term`. The term number is the fence that workers check.
 
 mod announce;
-mod election;
+mod campaign;
 mod watches;
 
 use super::store_queue::Urgency;
-use super::{Shared, Wait};
-use crate::bookkeeping::keys;
-use crate::bookkeeping::records::{from_value, Release, Term};
+use super::{Context, Continuation};
 use crate::protocol::store::{Condition, StoreRequest};
 use crate::settings::Settings;
+use crate::storage::keys;
+use crate::storage::records::{from_value, Release, Term};
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
 /// What an answer of the state service is for.
 #[derive(Clone, Debug)]
-pub enum LeadWait {
+pub enum ElectionContinuation {
     /// Reading the term's keys, to start or to start over.
     Read {
         sent: Micros,
@@ -60,7 +60,7 @@
 const PREFERRED: Micros = Micros::from_millis(5000);
 
 /// This node's knowledge of the term, and its part in it.
-pub struct Leadership {
+pub struct Election {
     node: String,
     index: usize,
     ttl: Micros,
@@ -105,10 +105,10 @@
     next_say: Micros,
 }
 
-impl Leadership {
-    pub fn new(settings: &Settings, now: Micros) -> Leadership {
+impl Election {
+    pub fn new(settings: &Settings, now: Micros) -> Election {
         let index = settings.peers.iter().filter(|p| p.node < settings.node).count();
-        Leadership {
+        Election {
             node: settings.node.clone(),
             index,
             ttl: Micros::from_secs(settings.operator.leader_lease_s),
@@ -238,7 +238,7 @@
 
     /// This process did nothing for a while, its clocks running on. A leader
     /// asks for its lease before it does anything else.
-    pub fn stood_still(&mut self, now: Micros) {
+    pub fn on_process_pause(&mut self, now: Micros) {
         self.elect_at = None;
         if self.role == Role::Leader && now.since(self.lease_at) >= Micros(self.ttl.0 * 4 / 5) {
             self.doubts_since = Some(now);
@@ -252,22 +252,24 @@
         self.role == Role::Follower && self.live.is_some() && other
     }
 
-    pub fn start(&mut self, sh: &mut Shared) {
+    pub fn start(&mut self, context: &mut Context) {
         let request = StoreRequest::List {
             prefix: keys::TERM.into(),
             after: String::new(),
         };
-        let wait = Wait::Lead(LeadWait::Read { sent: sh.now });
-        sh.store.push(Urgency::Lead, request, wait, Micros::from_millis(700));
+        let continuation = Continuation::Election(ElectionContinuation::Read { sent: context.now });
+        context
+            .store
+            .push(Urgency::Lead, request, continuation, Micros::from_millis(700));
     }
 
     /// Asks for a higher term with everything kept: proves to workers, by their
     /// fence, that nothing sent under the old one can still be executed.
-    pub fn raise(&mut self, sh: &mut Shared, why: &str) {
-        let due = sh.now.since(self.last_raise) > Micros::from_secs(5.0);
+    pub fn raise(&mut self, context: &mut Context, why: &str) {
+        let due = context.now.since(self.last_raise) > Micros::from_secs(5.0);
         if self.role == Role::Leader && !self.taking && !self.want_raise && due {
             tracing::info!(why, "raising the term");
-            self.last_raise = sh.now;
+            self.last_raise = context.now;
             self.want_raise = true;
         }
     }
--- a/src/coordination/messages.rs
+++ b/src/coordination/events.rs
@@ -1,11 +1,11 @@
 //! What goes into the single owner of a controller's state, and what comes out of it.
 
-use super::{commit, desk, leadership};
-use crate::protocol::cloud::{Catalogue, Hosts, ListPage, Rent};
+use super::{api, election, log};
+pub use crate::protocol::agents::PushResult;
+use crate::protocol::agents::{Heartbeat, PushedCommands};
+use crate::protocol::cloud::{Catalogue, ListPage, MachineNames, ProvisionRequest};
 use crate::protocol::peer::{Link, PeerMessage};
-use crate::protocol::store::{StoreAnswer, StoreRequest};
-pub use crate::protocol::workers::DirectAnswer;
-use crate::protocol::workers::{Direct, Report};
+use crate::protocol::store::{StoreRequest, StoreResponse};
 use crate::time::Micros;
 use crate::transport::server::Outgoing;
 use serde::{Deserialize, Serialize};
@@ -23,14 +23,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CloudRequest {
     Catalogue,
-    Rent(Rent),
-    Release(Hosts),
-    List { after: String },
+    #[serde(rename = "Rent")]
+    Provision(ProvisionRequest),
+    Release(MachineNames),
+    List {
+        after: String,
+    },
 }
 
 /// What came of a call to the cloud.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum CloudAnswer {
+pub enum CloudResponse {
     Catalogue(Catalogue),
     Rented(Vec<String>),
     Released,
@@ -46,26 +49,26 @@
 
 /// Something that happened outside.
 #[derive(Clone, Debug)]
-pub enum Command {
+pub enum Event {
     User {
         id: u64,
         request: UserRequest,
     },
-    Report {
+    Heartbeat {
         id: u64,
-        report: Report,
+        heartbeat: Heartbeat,
     },
     Store {
         id: u64,
-        answer: StoreAnswer,
+        answer: StoreResponse,
     },
     Cloud {
         id: u64,
-        answer: CloudAnswer,
+        answer: CloudResponse,
     },
-    Direct {
+    PushedCommands {
         id: u64,
-        answer: DirectAnswer,
+        answer: PushResult,
     },
     Peer(PeerMessage),
     /// A link to another controller has changed.
@@ -92,10 +95,10 @@
         request: CloudRequest,
         timeout: Micros,
     },
-    Direct {
+    PushedCommands {
         id: u64,
         addr: String,
-        body: Direct,
+        body: PushedCommands,
         timeout: Micros,
     },
     Peer {
@@ -106,9 +109,9 @@
 
 /// What an answer of the state service is for.
 #[derive(Clone, Debug)]
-pub enum Wait {
-    Lead(leadership::LeadWait),
-    Desk(desk::DeskWait),
+pub enum Continuation {
+    Election(election::ElectionContinuation),
+    Api(api::ApiContinuation),
     /// Of the leader's incarnation with this number.
-    Leader(u64, commit::LeaderWait),
+    Log(u64, log::LogContinuation),
 }
--- a/src/coordination/deaf.rs
+++ b/src/coordination/failure_detection/asymmetric_partition.rs
@@ -7,10 +7,10 @@
 //! nothing, whether it hears. What runs there is left alone: its lease ends by itself, and
 //! the report of its next session proves that everything of it is gone.
 
-use super::book::{Leader, Machine, MachineState};
-use super::workers::SentDirect;
-use super::{Effect, Shared};
-use crate::protocol::workers::Direct;
+use crate::coordination::agents::SentPush;
+use crate::coordination::state::{LeaderState, Machine, MachineState};
+use crate::coordination::{Context, Effect};
+use crate::protocol::agents::PushedCommands;
 use crate::time::Micros;
 
 /// Reports that wander before the machine is asked, and before it is taken for deaf. One
@@ -26,13 +26,13 @@
 
 impl Machine {
     /// Its reports arrive, and it most likely gets no answers.
-    pub fn is_deaf(&self) -> bool {
+    pub fn is_asymmetrically_partitioned(&self) -> bool {
         self.moves >= DEAF
     }
 
     /// A report came by way of this controller; `None`: here.
     pub fn listens(&mut self, via: Option<&str>, now: Micros) {
-        if self.session > 0 && self.via.as_deref() != via {
+        if self.incarnation > 0 && self.via.as_deref() != via {
             self.moves += 1;
             if self.moves == DEAF {
                 tracing::info!(machine = %self.name, tasks = self.tasks.len(), "machine doubted: it seems to get no answers");
@@ -44,17 +44,17 @@
 
     /// It got what was sent to it at this time.
     pub fn hears(&mut self, sent: Micros) {
-        if self.is_deaf() && sent > Micros::ZERO {
+        if self.is_asymmetrically_partitioned() && sent > Micros::ZERO {
             tracing::info!(machine = %self.name, "machine hears again");
         }
         self.moves = 0;
     }
 }
 
-impl Leader {
+impl LeaderState {
     /// Asks machines whose reports wander whether they hear.
-    pub fn ask_the_deaf(&mut self, sh: &mut Shared, now: Micros) {
-        let fence = self.term;
+    pub fn probe_asymmetric_partitions(&mut self, context: &mut Context, now: Micros) {
+        let fencing_token = self.term;
         let due = |m: &&mut Machine| {
             m.moves >= ASKED
                 && m.state == MachineState::Up
@@ -63,23 +63,23 @@
         };
         for m in self.machines.values_mut().filter(due).take(AT_ONCE) {
             m.asked_at = now;
-            let id = sh.id();
+            let id = context.id();
             m.outbox.in_flight = Some(id);
-            let sent = SentDirect {
+            let sent = SentPush {
                 machine: m.name.clone(),
-                orders: vec![],
-                fence,
+                commands: vec![],
+                fencing_token,
                 relayed: false,
                 at: now,
             };
-            self.direct.insert(id, sent);
-            sh.out.push(Effect::Direct {
+            self.agents.pushes_in_flight.insert(id, sent);
+            context.out.push(Effect::PushedCommands {
                 id,
                 addr: m.addr.clone(),
-                body: Direct {
-                    fence,
-                    session: m.session,
-                    orders: vec![],
+                body: PushedCommands {
+                    fencing_token,
+                    incarnation: m.incarnation,
+                    commands: vec![],
                 },
                 timeout: LIMIT,
             });
--- a/src/coordination/pace.rs
+++ b/src/coordination/failure_detection/stragglers.rs
@@ -2,9 +2,9 @@
 //! job. They get nothing new for a while, and what would still be done sooner
 //! elsewhere is started again there.
 
-use super::book::{Leader, MachineId, MachineState, Placement, Stage};
-use super::{times, JobId, Site};
-use crate::protocol::workers::TaskPhase;
+use crate::coordination::state::{LeaderState, MachineId, MachineState, Placement, PlacementPhase};
+use crate::coordination::{timing, ClusterConfig, JobId};
+use crate::protocol::agents::TaskPhase;
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
@@ -19,18 +19,18 @@
 /// comparison that is wrong.
 const MOST: f64 = 0.25;
 
-impl Leader {
+impl LeaderState {
     /// The time a task of the job runs, if enough of them have completed.
-    fn usual_s(job: &super::book::Job) -> Option<f64> {
+    fn usual_s(job: &crate::coordination::state::Job) -> Option<f64> {
         let (sum, n) = job.runs;
         (n >= LEAST_RUNS && n >= job.held).then(|| sum / f64::from(n))
     }
 
     /// Looks for tasks that are overdue, and moves work off their machines.
-    pub fn judge_pace(&mut self, site: &Site, now: Micros) {
-        let quiet = Self::work_silence(site);
+    pub fn detect_stragglers(&mut self, cluster: &ClusterConfig, now: Micros) {
+        let quiet = Self::work_silence(cluster);
         let runs = |p: &Placement| {
-            let on = p.stage == Stage::Seen(TaskPhase::Running) && p.stop.is_none();
+            let on = p.phase == PlacementPhase::Seen(TaskPhase::Running) && p.stop.is_none();
             p.running_since.filter(|_| on).map(|since| now.since(since).secs())
         };
         let mut slow: BTreeSet<MachineId> = BTreeSet::new();
@@ -38,7 +38,7 @@
             let Some(usual) = Self::usual_s(job) else { continue };
             // Times are seen at reports, so the shortest tasks tell nothing.
             let limit = (usual * OVERDUE).max(usual + 2.0);
-            for p in job.placed.values() {
+            for p in job.placements.values() {
                 if runs(p).is_some_and(|s| s > limit) {
                     slow.insert(p.machine.clone());
                 }
@@ -49,7 +49,7 @@
         for name in &slow {
             let Some(m) = self.machines.get_mut(name) else { continue };
             // Silence is another matter: what runs there may long be done.
-            if now.since(m.last_report) > quiet || m.state != MachineState::Up {
+            if now.since(m.last_heartbeat) > quiet || m.state != MachineState::Up {
                 continue;
             }
             if now >= m.slow_until {
@@ -59,12 +59,12 @@
                 known += 1;
                 tracing::info!(machine = %name, "machine doubted: tasks take long on it");
             }
-            m.slow_until = now + times::SLOW;
+            m.slow_until = now + timing::SLOW;
         }
         // What would be done sooner elsewhere starts again there.
         let mut moved: Vec<(JobId, u32)> = vec![];
         for m in self.machines.values().filter(|m| now < m.slow_until) {
-            if now.since(m.last_report) > quiet || m.state != MachineState::Up {
+            if now.since(m.last_heartbeat) > quiet || m.state != MachineState::Up {
                 continue;
             }
             for (id, task) in &m.tasks {
@@ -72,7 +72,7 @@
                     continue;
                 };
                 let usual = Self::usual_s(job).unwrap_or(job.spec.estimate_s);
-                let Some(ran) = job.placed.get(task).and_then(runs) else {
+                let Some(ran) = job.placements.get(task).and_then(runs) else {
                     continue;
                 };
                 // With checkpoints, what has run is not lost.
--- a/src/coordination/hung.rs
+++ b/src/coordination/failure_detection/suspected.rs
@@ -5,8 +5,8 @@
 //! on machines that are heard. Gone is still proven by the cloud's 200, which is then
 //! sooner than the lease.
 
-use super::book::{Leader, Machine, MachineId, MachineState};
-use super::{times, Site};
+use crate::coordination::state::{LeaderState, Machine, MachineId, MachineState};
+use crate::coordination::{timing, ClusterConfig};
 use crate::protocol::users::Priority;
 use crate::time::Micros;
 use std::collections::BTreeSet;
@@ -14,18 +14,24 @@
 /// Where nearly half of the machines fall silent, it is rather the hearing that fails.
 const MOST: f64 = 0.45;
 
-impl Leader {
+impl LeaderState {
     /// Machines to be given up before their leases end. `unheard` says for how long each
     /// one that may be judged alone was not heard.
-    pub fn given_up_early(&self, site: &Site, unheard: impl Fn(&Machine) -> Option<Micros>) -> BTreeSet<MachineId> {
-        let limit = times::report_missed(&site.settings.params.workers);
+    pub fn given_up_early(
+        &self,
+        cluster: &ClusterConfig,
+        unheard: impl Fn(&Machine) -> Option<Micros>,
+    ) -> BTreeSet<MachineId> {
+        let limit = timing::report_missed(&cluster.settings.params.workers);
         let mut silent: Vec<(Micros, &Machine)> = vec![];
         let (mut up, mut room) = (0usize, 0.0);
         for m in self.machines.values().filter(|m| m.state == MachineState::Up) {
             up += 1;
             match unheard(m) {
                 Some(since) if since > limit => silent.push((since, m)),
-                Some(_) if !m.spot && m.taken_at.is_none() => room += self.room_for_services(site, m),
+                Some(_) if !m.spot && m.interruption_at.is_none() => {
+                    room += self.service_capacity_elsewhere(cluster, m)
+                }
                 _ => {}
             }
         }
@@ -53,8 +59,8 @@
 
     /// Cores that services get on a machine: those that are free, and those of work that
     /// is stopped for them.
-    fn room_for_services(&self, site: &Site, m: &Machine) -> f64 {
-        let Some(t) = site.catalogue.get(&m.machine_type) else {
+    fn service_capacity_elsewhere(&self, cluster: &ClusterConfig, m: &Machine) -> f64 {
+        let Some(t) = cluster.catalogue.get(&m.machine_type) else {
             return 0.0;
         };
         let jobs = m.tasks.iter().filter_map(|(id, _)| self.jobs.get(id));
--- a/src/coordination/cuts.rs
+++ b/src/coordination/failure_detection/zone_partition.rs
@@ -1,16 +1,16 @@
 //! Zones that are cut off from the leader: what is heard of each, and what is
-//! moved out of them. The decisions are those of `glenhaven-zones`.
+//! moved out of them. The decisions are those of `glenhaven-zone-health`.
 
-use super::book::{Leader, Machine, MachineId, MachineState};
-use super::times::REHOME;
-use super::Site;
+use crate::coordination::state::{LeaderState, Machine, MachineId, MachineState};
+use crate::coordination::timing::REHOME;
+use crate::coordination::ClusterConfig;
 use crate::time::Micros;
-use glenhaven_zones::{in_step, Change, Far, Move, Sign, Times};
+use glenhaven_zone_health::{in_step, Change, Far, Move, Sign, Times};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What the leader knows of another controller.
 #[derive(Clone, Copy, Debug)]
-pub struct NodeSign {
+pub struct ControllerLiveness {
     /// When it was last heard.
     heard: Micros,
     /// Since when it was last not heard any more, and whether that is so now.
@@ -18,18 +18,20 @@
     is_lost: bool,
 }
 
-impl Leader {
+impl LeaderState {
     /// Another controller was last heard then.
-    pub fn hear_node(&mut self, name: &str, heard: Micros, limit: Micros, now: Micros) {
-        if !self.nodes.contains_key(name) {
-            let sign = NodeSign {
+    pub fn record_controller_contact(&mut self, name: &str, heard: Micros, limit: Micros, now: Micros) {
+        if !self.failures.controllers.contains_key(name) {
+            let sign = ControllerLiveness {
                 heard,
                 lost: None,
                 is_lost: false,
             };
-            self.nodes.insert(name.to_string(), sign);
+            self.failures.controllers.insert(name.to_string(), sign);
         }
-        let Some(node) = self.nodes.get_mut(name) else { return };
+        let Some(node) = self.failures.controllers.get_mut(name) else {
+            return;
+        };
         node.heard = heard;
         let lost = now.since(heard) > limit;
         if lost && !node.is_lost {
@@ -41,32 +43,41 @@
     /// From when on the silence of a machine counts: the leader hears it from
     /// then on, and its workers have found another controller if they lost theirs.
     pub fn listens_to(&self, m: &Machine, now: Micros) -> Micros {
-        let node = m.via.as_deref().and_then(|name| self.nodes.get(name));
+        let node = m.via.as_deref().and_then(|name| self.failures.controllers.get(name));
         let found = node
             .and_then(|n| n.lost)
             .map_or(Micros::ZERO, |at| now.min(at + REHOME));
         // A zone that is back has been heard by its controllers first, as a rule.
-        let back = self.zones_back.get(&m.zone).copied().unwrap_or(Micros::ZERO);
+        let back = self
+            .failures
+            .zones_recovered_at
+            .get(&m.zone)
+            .copied()
+            .unwrap_or(Micros::ZERO);
         self.listens_since.max(found).max(back)
     }
 
     /// Looks at what is heard of every zone.
-    pub fn look_at_zones(&mut self, site: &Site, now: Micros) {
+    pub fn check_zones(&mut self, cluster: &ClusterConfig, now: Micros) {
         let mut signs: BTreeMap<&str, Sign> = BTreeMap::new();
         for m in self.machines.values().filter(|m| !m.zone.is_empty()) {
             let sign = signs.entry(&m.zone).or_default();
-            sign.heard = sign.heard.max(m.last_report);
-            sign.kept = sign.kept.max(m.kept_at);
-            let reports = m.session > 0 || !m.tasks.is_empty();
-            sign.machines += usize::from(reports && m.state != MachineState::Doomed);
+            sign.heard = sign.heard.max(m.last_heartbeat);
+            sign.kept = sign.kept.max(m.proxied_at);
+            let heartbeats = m.incarnation > 0 || !m.tasks.is_empty();
+            sign.machines += usize::from(heartbeats && m.state != MachineState::Releasing);
         }
-        for peer in &site.settings.peers {
+        for peer in &cluster.settings.peers {
             let sign = signs.entry(&peer.zone).or_default();
             sign.controllers += 1;
-            let heard = self.nodes.get(&peer.node).map_or(Micros::ZERO, |n| n.heard);
+            let heard = self
+                .failures
+                .controllers
+                .get(&peer.node)
+                .map_or(Micros::ZERO, |n| n.heard);
             sign.controller_heard = sign.controller_heard.max(heard);
         }
-        signs.entry(&site.settings.zone).or_default().own = true;
+        signs.entry(&cluster.settings.zone).or_default().own = true;
         let signs: Vec<Sign> = signs
             .into_iter()
             .map(|(zone, sign)| Sign {
@@ -74,7 +85,11 @@
                 ..sign
             })
             .collect();
-        for change in self.zones.look(&signs, &times(site), self.listens_since, now) {
+        for change in self
+            .failures
+            .zones
+            .look(&signs, &times(cluster), self.listens_since, now)
+        {
             self.dirty = true;
             match change {
                 Change::Cut { zone, since } => {
@@ -83,41 +98,43 @@
                 }
                 Change::Back { zone, after } => {
                     tracing::info!(zone, after_s = after.secs(), "zone heard again");
-                    self.zones_back.insert(zone, now);
+                    self.failures.zones_recovered_at.insert(zone, now);
                 }
             }
         }
     }
 
     /// What is to be moved out of this zone.
-    pub fn moves_out(&self, site: &Site, zone: &str, now: Micros) -> Move {
-        self.zones.moves(zone, &times(site), now)
+    pub fn moves_out(&self, cluster: &ClusterConfig, zone: &str, now: Micros) -> Move {
+        self.failures.zones.moves(zone, &times(cluster), now)
     }
 
     /// Machines of cut-off zones whose arrays there is room for elsewhere by now.
-    pub fn released_in_step(&self, site: &Site, now: Micros) -> BTreeSet<MachineId> {
+    pub fn released_in_step(&self, cluster: &ClusterConfig, now: Micros) -> BTreeSet<MachineId> {
         let mut far = vec![];
         let mut room = 0.0;
-        let silent = Self::work_silence(site);
+        let silent = Self::work_silence(cluster);
         for m in self.machines.values() {
-            let cores = site.catalogue.get(&m.machine_type).map_or(0.0, |t| t.cpus);
-            if !self.zones.is_cut(&m.zone) {
+            let cores = cluster.catalogue.get(&m.machine_type).map_or(0.0, |t| t.cpus);
+            if !self.failures.zones.is_cut(&m.zone) {
                 if m.takes_work(now, silent) {
                     room += cores - m.used[0];
                 }
-            } else if m.services == 0 && m.state == MachineState::Up && self.moves_out(site, &m.zone, now) == Move::All
+            } else if m.services == 0
+                && m.state == MachineState::Up
+                && self.moves_out(cluster, &m.zone, now) == Move::All
             {
                 far.push(Far {
                     machine: m.name.clone(),
                     cores: m.used[0],
-                    heard: m.last_report,
+                    heard: m.last_heartbeat,
                 });
             }
         }
         if far.is_empty() {
             return BTreeSet::new();
         }
-        let waits = |j: &&super::book::Job| j.may_run() && !j.is_suspect(now);
+        let waits = |j: &&crate::coordination::state::Job| j.may_run() && !j.is_suspect(now);
         let waiting: f64 = self
             .jobs
             .values()
@@ -127,7 +144,7 @@
         let services: f64 = self
             .machines
             .values()
-            .filter(|m| m.services > 0 && self.zones.is_cut(&m.zone))
+            .filter(|m| m.services > 0 && self.failures.zones.is_cut(&m.zone))
             .map(|m| m.used[0])
             .sum();
         in_step(far, room - waiting - services).into_iter().collect()
@@ -135,7 +152,7 @@
 }
 
 /// The times that decide about zones.
-fn times(site: &Site) -> Times {
-    let w = &site.settings.params.workers;
+fn times(cluster: &ClusterConfig) -> Times {
+    let w = &cluster.settings.params.workers;
     Times::new(w.report_s, w.lease_s)
 }
--- a/src/coordination/planted.rs
+++ b/src/coordination/fault_injection.rs
@@ -3,7 +3,7 @@
 
 /// A fault that can be planted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub enum InjectedFault {
     /// The record of a task that is asked to stop is freed at once.
     FreesWithoutProof,
     /// What a new leader finds in the log is not charged to its team.
@@ -14,17 +14,17 @@
 
 /// Whether this fault is planted in this process.
 #[cfg(feature = "planted-faults")]
-pub fn is_planted(fault: Planted) -> bool {
+pub fn is_injected(fault: InjectedFault) -> bool {
     let name = match fault {
-        Planted::FreesWithoutProof => "frees-without-proof",
-        Planted::ForgetsChargeAtTakeover => "forgets-charge-at-takeover",
-        Planted::SendsInheritedStarts => "sends-inherited-starts",
+        InjectedFault::FreesWithoutProof => "frees-without-proof",
+        InjectedFault::ForgetsChargeAtTakeover => "forgets-charge-at-takeover",
+        InjectedFault::SendsInheritedStarts => "sends-inherited-starts",
     };
     std::env::var("GLENHAVEN_PLANTED").is_ok_and(|planted| planted == name)
 }
 
 /// Whether this fault is planted in this process: never, in an ordinary build.
 #[cfg(not(feature = "planted-faults"))]
-pub const fn is_planted(_fault: Planted) -> bool {
+pub const fn is_injected(_fault: InjectedFault) -> bool {
     false
 }
--- a/src/coordination/commit/answers.rs
+++ b/src/coordination/log/answers.rs
@@ -5,14 +5,14 @@
 //! the two can be executed. If then its conditions fail, it was executed before, or never; a
 //! key that only the leader writes tells which.
 
-use super::super::book::Leader;
+use super::super::state::LeaderState;
 use super::super::store_queue::Urgency;
-use super::super::{Core, Shared, Wait};
-use super::LeaderWait;
-use crate::bookkeeping::keys;
-use crate::bookkeeping::records::{self, from_value, Care, Page};
-use crate::protocol::store::{Row, Rows, StoreAnswer, StoreRequest};
-use crate::protocol::workers::Report;
+use super::super::{Context, Continuation, Controller};
+use super::LogContinuation;
+use crate::protocol::agents::Heartbeat;
+use crate::protocol::store::{Row, Rows, StoreRequest, StoreResponse};
+use crate::storage::keys;
+use crate::storage::records::{self, from_value, Care, Page};
 use crate::time::Micros;
 
 /// How long the answer to a probe is awaited.
@@ -23,32 +23,34 @@
 const AFTER_SILENCE: Micros = Micros::from_millis(20);
 const BEFORE_NEXT_PROBE: Micros = Micros::from_millis(60);
 
-impl Core {
+impl Controller {
     /// An answer of the state service for the leader has come.
-    pub(in crate::coordination) fn on_leader_store(&mut self, wait: LeaderWait, answer: StoreAnswer) {
-        match wait {
-            LeaderWait::Pages | LeaderWait::News | LeaderWait::AllJobs => self.on_log_read(&wait, answer),
-            LeaderWait::Audit => self.on_audit(answer),
-            LeaderWait::Care => self.on_care(answer),
-            LeaderWait::Commit => self.on_commit(answer),
-            LeaderWait::Probe => self.on_probe(answer),
+    pub(in crate::coordination) fn on_leader_store(&mut self, continuation: LogContinuation, answer: StoreResponse) {
+        match continuation {
+            LogContinuation::Pages | LogContinuation::News | LogContinuation::AllJobs => {
+                self.on_log_read(&continuation, answer)
+            }
+            LogContinuation::Audit => self.on_audit(answer),
+            LogContinuation::Care => self.on_care(answer),
+            LogContinuation::Commit => self.on_commit(answer),
+            LogContinuation::Probe => self.on_probe(answer),
         }
     }
 
-    fn on_log_read(&mut self, wait: &LeaderWait, answer: StoreAnswer) {
+    fn on_log_read(&mut self, continuation: &LogContinuation, answer: StoreResponse) {
         let Some(leader) = self.leader.as_mut() else { return };
-        if !leader.take_log_answer(wait, answer) {
+        if !leader.take_log_answer(continuation, answer) {
             return;
         }
-        leader.chunk_tasks = records::chunk_tasks(self.site.limits.present_value_bytes());
-        let gap = Micros::from_secs(self.site.settings.operator.leader_lease_s);
-        leader.finish_loading(&mut self.sh, gap);
+        leader.tasks_per_range = records::tasks_per_range(self.cluster.limits.present_value_bytes());
+        let gap = Micros::from_secs(self.cluster.settings.operator.leader_lease_s);
+        leader.finish_loading(&mut self.context, gap);
         self.take_early_reports();
     }
 
     /// Which machines other nodes keep, and what those reported last.
-    fn on_care(&mut self, answer: StoreAnswer) {
-        let StoreAnswer::Rows(Rows { items, .. }) = answer else {
+    fn on_care(&mut self, answer: StoreResponse) {
+        let StoreResponse::Rows(Rows { items, .. }) = answer else {
             return;
         };
         for row in items {
@@ -58,8 +60,8 @@
 
     fn on_care_row(&mut self, row: Row) {
         let Some(leader) = self.leader.as_mut() else { return };
-        let now = self.sh.now;
-        let before = leader.care.insert(row.key.clone(), row.version);
+        let now = self.context.now;
+        let before = leader.agents.proxied_versions.insert(row.key.clone(), row.version);
         if before == Some(row.version) {
             return;
         }
@@ -69,51 +71,51 @@
         };
         for name in &care.kept {
             if let Some(machine) = leader.machines.get_mut(name.as_str()) {
-                machine.kept_at = now;
+                machine.proxied_at = now;
             }
         }
-        match glenhaven_packed::unpack::<Report>(&care.told) {
-            Ok(told) => leader.told_by_store(&self.site, &told, now),
+        match glenhaven_compression::unpack::<Heartbeat>(&care.told) {
+            Ok(told) => leader.told_by_store(&self.cluster, &told, now),
             Err(_) if care.told.is_empty() => {}
             Err(error) => tracing::error!(key = row.key, %error, "malformed reports"),
         }
     }
 
     /// The answer to the transaction in flight.
-    fn on_commit(&mut self, answer: StoreAnswer) {
+    fn on_commit(&mut self, answer: StoreResponse) {
         let Some(leader) = self.leader.as_mut() else { return };
-        if !matches!(answer, StoreAnswer::Committed { .. }) {
+        if !matches!(answer, StoreResponse::Committed { .. }) {
             leader.log_not_executed(&answer);
         }
         match answer {
-            StoreAnswer::Committed { revision } => self.on_executed(revision),
-            StoreAnswer::Conflict { failed, .. } => self.on_conflict(&failed),
-            StoreAnswer::Refused => leader.on_refused(&mut self.sh),
-            StoreAnswer::Malformed | StoreAnswer::NoLease => {
+            StoreResponse::Committed { revision } => self.on_executed(revision),
+            StoreResponse::Conflict { failed, .. } => self.on_conflict(&failed),
+            StoreResponse::Refused => leader.on_refused(&mut self.context),
+            StoreResponse::Malformed | StoreResponse::NoLease => {
                 tracing::error!("the state service calls a transaction malformed");
                 self.step_down("a transaction was called malformed");
             }
-            _ => leader.on_no_answer(&mut self.sh),
+            _ => leader.on_no_answer(&mut self.context),
         }
     }
 
     fn on_executed(&mut self, revision: u64) {
         let Some(leader) = self.leader.as_mut() else { return };
-        let ends = leader.apply(&mut self.sh, revision);
+        let ends = leader.apply(&mut self.context, revision);
         self.learn_ends(ends, revision);
     }
 
     /// Conditions of the transaction do not hold: those on these keys.
     fn on_conflict(&mut self, failed: &[String]) {
-        let now = self.sh.now;
+        let now = self.context.now;
         let Some(leader) = self.leader.as_mut() else { return };
-        let Some(pending) = leader.committer.in_flight.as_ref() else {
+        let Some(pending) = leader.log_writer.in_flight.as_ref() else {
             return;
         };
         if pending.in_doubt {
             // Executed before, or never: a key of it tells.
             let key = pending.probe_key();
-            leader.probe(&mut self.sh, key);
+            leader.probe(&mut self.context, key);
             return;
         }
         leader.undo(now);
@@ -122,24 +124,24 @@
         }
         if failed.iter().any(|key| key.starts_with(keys::OPEN)) {
             self.step_down("the book does not agree with the state service");
-        } else if failed.iter().any(|key| key == keys::TERM) && !self.lead.is_taking() {
+        } else if failed.iter().any(|key| key == keys::TERM) && !self.election.is_taking() {
             // Either our own raise, already known here, or another node leads; the watch on the
             // term tells in a moment.
-            leader.committer.resend_at = Some(now + AFTER_TERM_CHANGE);
+            leader.log_writer.resend_at = Some(now + AFTER_TERM_CHANGE);
         }
     }
 
     /// What stands under a key that the transaction in doubt writes.
-    fn on_probe(&mut self, answer: StoreAnswer) {
+    fn on_probe(&mut self, answer: StoreResponse) {
         let Some(leader) = self.leader.as_mut() else { return };
-        let Some(pending) = leader.committer.in_flight.as_ref() else {
+        let Some(pending) = leader.log_writer.in_flight.as_ref() else {
             return;
         };
         let key = pending.probe_key();
         let expected = pending.expected_version(&key);
         let seq = pending.pages.first().map_or(0, |p| p.seq);
         match answer {
-            StoreAnswer::Row(row) if row.version != expected => {
+            StoreResponse::Row(row) if row.version != expected => {
                 // Only a leader writes there: this one, or one of a later term, which ends this
                 // leadership.
                 let term = leader.term;
@@ -151,48 +153,50 @@
             }
             // Never executed, and it cannot be any more: one of its conditions has failed for
             // good. Watches bring what changed.
-            StoreAnswer::Row(_) | StoreAnswer::Missing { .. } => leader.undo(self.sh.now),
-            _ => leader.probe_later(&mut self.sh, key),
+            StoreResponse::Row(_) | StoreResponse::Missing { .. } => leader.undo(self.context.now),
+            _ => leader.probe_later(&mut self.context, key),
         }
     }
 }
 
-impl Leader {
+impl LeaderState {
     /// An operator looks for these when starts lag.
-    fn log_not_executed(&self, answer: &StoreAnswer) {
-        let in_doubt = self.committer.is_in_doubt();
+    fn log_not_executed(&self, answer: &StoreResponse) {
+        let in_doubt = self.log_writer.is_in_doubt();
         tracing::debug!(?answer, in_doubt, "transaction not executed");
     }
 
     /// The transaction was not executed now; an earlier copy of it may be.
-    fn on_refused(&mut self, sh: &mut Shared) {
-        if !self.committer.is_in_doubt() {
-            self.committer.page_budget = 1;
-            self.undo(sh.now);
+    fn on_refused(&mut self, context: &mut Context) {
+        if !self.log_writer.is_in_doubt() {
+            self.log_writer.page_budget = 1;
+            self.undo(context.now);
         }
-        self.committer.resend_at = Some(sh.now + sh.jitter(AFTER_REFUSAL));
+        self.log_writer.resend_at = Some(context.now + context.jitter(AFTER_REFUSAL));
     }
 
     /// Whether the transaction was executed is not known: it is sent again.
-    fn on_no_answer(&mut self, sh: &mut Shared) {
-        if let Some(pending) = self.committer.in_flight.as_mut() {
+    fn on_no_answer(&mut self, context: &mut Context) {
+        if let Some(pending) = self.log_writer.in_flight.as_mut() {
             pending.in_doubt = true;
         }
-        self.committer.resend_at = Some(sh.now + sh.jitter(AFTER_SILENCE));
+        self.log_writer.resend_at = Some(context.now + context.jitter(AFTER_SILENCE));
     }
 
     /// Reads a key that tells whether the transaction in doubt was executed.
-    fn probe(&self, sh: &mut Shared, key: String) {
+    fn probe(&self, context: &mut Context, key: String) {
         let request = StoreRequest::Get { key };
-        let wait = Wait::Leader(self.incarnation, LeaderWait::Probe);
-        sh.store.push(Urgency::Start, request, wait, PROBE_TIMEOUT);
+        let continuation = Continuation::Log(self.incarnation, LogContinuation::Probe);
+        context.store.push(Urgency::Start, request, continuation, PROBE_TIMEOUT);
     }
 
     /// The same after a pause.
-    fn probe_later(&self, sh: &mut Shared, key: String) {
-        let at = sh.now + sh.jitter(BEFORE_NEXT_PROBE);
+    fn probe_later(&self, context: &mut Context, key: String) {
+        let at = context.now + context.jitter(BEFORE_NEXT_PROBE);
         let request = StoreRequest::Get { key };
-        let wait = Wait::Leader(self.incarnation, LeaderWait::Probe);
-        sh.store.push_at(at, Urgency::Start, request, wait, PROBE_TIMEOUT);
+        let continuation = Continuation::Log(self.incarnation, LogContinuation::Probe);
+        context
+            .store
+            .push_at(at, Urgency::Start, request, continuation, PROBE_TIMEOUT);
     }
 }
--- a/src/coordination/commit/compaction.rs
+++ b/src/coordination/log/compaction.rs
@@ -1,7 +1,7 @@
 //! Compaction: what stands in the oldest pages is written again with later ones, until nothing
 //! is left there and the keys of those pages can be written over.
 
-use super::super::book::Leader;
+use super::super::state::LeaderState;
 use super::super::JobId;
 use super::transaction::Draft;
 use std::collections::BTreeSet;
@@ -50,19 +50,19 @@
     part: Option<u32>,
 }
 
-impl Leader {
+impl LeaderState {
     /// The first page to be kept: those before it are too many, and what they say is to be
     /// written again.
     pub(super) fn compaction_goal(&self, value_bytes: usize) -> u64 {
         let excess = self.excess_pages(value_bytes);
-        self.committer.pages.get(excess).map_or(0, |p| p.seq)
+        self.log_writer.pages.get(excess).map_or(0, |p| p.seq)
     }
 
     /// Pages beyond those that are allowed.
     fn excess_pages(&self, value_bytes: usize) -> usize {
-        let placements = self.jobs.values().map(|j| j.placed.len()).sum();
+        let placements = self.jobs.values().map(|j| j.placements.len()).sum();
         let allowed = pages_allowed(value_bytes, self.jobs.len(), placements);
-        self.committer.pages.len().saturating_sub(allowed)
+        self.log_writer.pages.len().saturating_sub(allowed)
     }
 
     /// Writes again what stands in pages that are to go, as far as there is room, and sets how
@@ -75,7 +75,7 @@
                 break;
             }
         }
-        for (id, value) in self.fleet.claims_before(draft.compact_before) {
+        for (id, value) in self.provisioning.claims_before(draft.compact_before) {
             draft.add_claim(id, value);
         }
         draft.pending.oldest = self.oldest_page_after(draft);
@@ -93,7 +93,7 @@
             if is_old(job.base) {
                 add(job.base, None);
             }
-            for (n, chunk) in job.chunks.iter().filter(|(_, c)| is_old(c.base)) {
+            for (n, chunk) in job.task_ranges.iter().filter(|(_, c)| is_old(c.base)) {
                 add(chunk.base, Some(*n));
             }
         }
@@ -122,13 +122,13 @@
             if job.base > 0 && !described.contains(id) {
                 oldest = oldest.min(job.base);
             }
-            for (n, chunk) in &job.chunks {
+            for (n, chunk) in &job.task_ranges {
                 if chunk.base > 0 && !parts.contains(&(id, *n)) {
                     oldest = oldest.min(chunk.base);
                 }
             }
         }
-        let claimed = self.fleet.oldest_claim(&claims);
+        let claimed = self.provisioning.oldest_claim(&claims);
         oldest.min(claimed.unwrap_or(draft.first_seq))
     }
 }
--- a/src/coordination/commit/mod.rs
+++ b/src/coordination/log/mod.rs
@@ -27,10 +27,10 @@
 mod transaction;
 mod write;
 
-use super::book::Leader;
+use super::state::LeaderState;
 use super::JobId;
 use crate::time::Micros;
-use queues::{ChangedPart, QueuedStarts, Undescribed, Written};
+use queues::{ChangedTaskRange, QueuedStarts, Undescribed, Written};
 use read_log::LogReader;
 use replay::{FreeSlot, LivePage};
 use std::collections::{BTreeSet, VecDeque};
@@ -38,7 +38,7 @@
 
 /// What an answer of the state service is for.
 #[derive(Clone, Debug)]
-pub enum LeaderWait {
+pub enum LogContinuation {
     /// Pages of the log.
     Pages,
     /// What happened to jobs since the log was last written.
@@ -62,7 +62,7 @@
 
 /// Writes the log, and remembers which jobs it has closed.
 #[derive(Default)]
-pub struct Committer {
+pub struct LogWriter {
     /// Reads the log at a takeover.
     reader: Option<Box<LogReader>>,
     loaded: bool,
@@ -89,7 +89,7 @@
     /// Parts with starts to be recorded, the most urgent first.
     pub starting: BTreeSet<QueuedStarts>,
     /// Parts that differ from the log, in the order in which they changed.
-    pub changed: VecDeque<ChangedPart>,
+    pub changed: VecDeque<ChangedTaskRange>,
     /// Jobs whose description, or cancellation, is not in the log.
     pub undescribed: BTreeSet<Undescribed>,
     /// Arrays whose every task has completed.
@@ -102,7 +102,7 @@
     pub written: Written,
 }
 
-impl Committer {
+impl LogWriter {
     /// Whether this leader has closed the job.
     pub fn is_closed(&self, id: &str) -> bool {
         self.closed.contains(id)
@@ -162,14 +162,14 @@
     pub withdrawn: Vec<JobId>,
 }
 
-impl Leader {
+impl LeaderState {
     /// A part of a job differs from what the log says.
     pub fn touch(&mut self, id: &JobId, part: u32, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let chunk = job.chunks.entry(part).or_default();
+        let chunk = job.task_ranges.entry(part).or_default();
         if chunk.dirty.is_none() {
             chunk.dirty = Some(now);
-            self.committer.changed.push_back(ChangedPart {
+            self.log_writer.changed.push_back(ChangedTaskRange {
                 since: now,
                 job: id.clone(),
                 part,
--- a/src/coordination/commit/outcome.rs
+++ b/src/coordination/log/outcome.rs
@@ -1,17 +1,17 @@
 //! What follows once it is known whether the transaction in flight was executed: its facts
 //! stand in the log and starts go out, or all of it is to be written anew.
 
-use super::super::book::{Leader, Stage, TaskState};
-use super::super::void::VoidProof;
-use super::super::{JobId, Shared};
+use super::super::state::{LeaderState, PlacementPhase, TaskState};
+use super::super::{Context, JobId};
 use super::queues::{QueuedStarts, Undescribed};
 use super::replay::{FreeSlot, LivePage};
-use super::transaction::{PendingTransaction, WrittenPart, WrittenStart};
-use super::{Committer, Ends, MAX_PAGES};
-use crate::bookkeeping::keys;
+use super::transaction::{PendingTransaction, WrittenStart, WrittenTaskRange};
+use super::{Ends, LogWriter, MAX_PAGES};
+use crate::coordination::state::void_proof::VoidProof;
+use crate::storage::keys;
 use crate::time::Micros;
 
-impl Committer {
+impl LogWriter {
     /// The pages of an executed transaction stand in the log; older ones may say nothing any
     /// more.
     fn pages_written(&mut self, pending: &PendingTransaction, revision: u64) {
@@ -45,19 +45,19 @@
     }
 }
 
-impl Leader {
+impl LeaderState {
     /// Nothing of the transaction in flight was executed: all of it is to be written anew.
     pub(super) fn undo(&mut self, now: Micros) {
-        let Some(pending) = self.committer.in_flight.take() else {
+        let Some(pending) = self.log_writer.in_flight.take() else {
             return;
         };
-        self.committer.give_back_slots(&pending);
+        self.log_writer.give_back_slots(&pending);
         self.undo_ends(&pending);
         for description in pending.descriptions {
             let job = self.jobs.get(&description.job);
             if let (true, Some(job)) = (description.was_due, job) {
                 let entry = Undescribed::new(job.version, description.job);
-                self.committer.undescribed.insert(entry);
+                self.log_writer.undescribed.insert(entry);
             }
         }
         for part in pending.parts {
@@ -69,34 +69,37 @@
         for id in &pending.completed {
             let Some(job) = self.jobs.get_mut(id) else { continue };
             job.closing = false;
-            self.committer.complete.insert(id.clone());
+            self.log_writer.complete.insert(id.clone());
             if job.base == 0 {
                 let entry = Undescribed::new(job.version, id.clone());
-                self.committer.undescribed.insert(entry);
+                self.log_writer.undescribed.insert(entry);
             }
         }
         for id in &pending.withdrawn {
             let Some(job) = self.jobs.get_mut(id) else { continue };
             job.closing = false;
-            self.committer.withdrawn.insert(id.clone());
+            self.log_writer.withdrawn.insert(id.clone());
         }
         for id in &pending.ended {
             if let Some(job) = self.jobs.get(id) {
                 let entry = Undescribed::new(job.version, id.clone());
-                self.committer.undescribed.insert(entry);
+                self.log_writer.undescribed.insert(entry);
             }
-            self.committer.ended.insert(id.clone());
+            self.log_writer.ended.insert(id.clone());
         }
     }
 
-    fn undo_part(&mut self, part: WrittenPart, now: Micros) {
-        let from = part.part * self.chunk_tasks;
-        let tasks = from..from + self.chunk_tasks;
+    fn undo_part(&mut self, part: WrittenTaskRange, now: Micros) {
+        let from = part.part * self.tasks_per_range;
+        let tasks = from..from + self.tasks_per_range;
         let Some(job) = self.jobs.get_mut(&part.job) else {
             return;
         };
-        let starts = job.placed.range(tasks).any(|(_, p)| p.stage == Stage::Committing);
-        let Some(chunk) = job.chunks.get_mut(&part.part) else {
+        let starts = job
+            .placements
+            .range(tasks)
+            .any(|(_, p)| p.phase == PlacementPhase::Committing);
+        let Some(chunk) = job.task_ranges.get_mut(&part.part) else {
             return;
         };
         chunk.done.extend(part.done);
@@ -104,19 +107,19 @@
         if starts {
             let priority = *chunk.queued.get_or_insert(job.priority);
             let entry = QueuedStarts::new(priority, job.version, part.job.clone(), part.part);
-            self.committer.starting.insert(entry);
+            self.log_writer.starting.insert(entry);
         }
         self.touch(&part.job, part.part, now);
         self.drop_unrecorded(&part.job, now);
     }
 
     /// The transaction in flight was executed at this revision.
-    pub(super) fn apply(&mut self, sh: &mut Shared, revision: u64) -> Ends {
-        let Some(pending) = self.committer.in_flight.take() else {
+    pub(super) fn apply(&mut self, context: &mut Context, revision: u64) -> Ends {
+        let Some(pending) = self.log_writer.in_flight.take() else {
             return Ends::default();
         };
-        let now = sh.now;
-        self.committer.pages_written(&pending, revision);
+        let now = context.now;
+        self.log_writer.pages_written(&pending, revision);
         for description in pending.descriptions {
             if let Some(job) = self.jobs.get_mut(&description.job) {
                 job.base = description.page;
@@ -141,12 +144,12 @@
         }
         for id in pending.ended.into_iter().chain(pending.withdrawn.iter().cloned()) {
             self.jobs.remove(&id);
-            self.committer.remember_closed(id);
+            self.log_writer.remember_closed(id);
         }
         for claim in pending.claims {
-            self.fleet.claim_recorded(&claim.claim, claim.page);
+            self.provisioning.claim_recorded(&claim.claim, claim.page);
         }
-        self.fleet.claims_dropped(&pending.settled);
+        self.provisioning.claims_dropped(&pending.settled);
         Ends {
             done: pending.completed,
             withdrawn: pending.withdrawn,
@@ -154,11 +157,11 @@
     }
 
     /// A part stands in the log, and with it that tasks have completed.
-    fn apply_part(&mut self, part: WrittenPart) {
+    fn apply_part(&mut self, part: WrittenTaskRange) {
         let Some(job) = self.jobs.get_mut(&part.job) else {
             return;
         };
-        if let (Some(page), Some(chunk)) = (part.page, job.chunks.get_mut(&part.part)) {
+        if let (Some(page), Some(chunk)) = (part.page, job.task_ranges.get_mut(&part.part)) {
             chunk.base = page;
         }
         for task in part.done {
@@ -167,7 +170,7 @@
             }
             job.states[task as usize] = TaskState::Recorded;
             // The exited task may be forgotten now; its report will show it without a record.
-            let Some(placed) = job.placed.remove(&task) else {
+            let Some(placed) = job.placements.remove(&task) else {
                 continue;
             };
             if let Some(machine) = self.machines.get_mut(&placed.machine) {
@@ -182,16 +185,16 @@
         let WrittenStart { job: id, task, attempt } = start;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let live = job.is_live();
-        let Some(placement) = job.placed.get_mut(&task) else {
+        let Some(placement) = job.placements.get_mut(&task) else {
             return;
         };
-        if placement.attempt != attempt || placement.stage != Stage::Committing {
+        if placement.attempt != attempt || placement.phase != PlacementPhase::Committing {
             return;
         }
-        placement.stage = Stage::Sent;
+        placement.phase = PlacementPhase::Sent;
         placement.since = now;
         let machine = self.machines.get(&placement.machine);
-        let stays = machine.is_some_and(|m| m.session == placement.session && m.release_sent.is_none());
+        let stays = machine.is_some_and(|m| m.incarnation == placement.incarnation && m.release_sent.is_none());
         if !live || placement.stop.is_some() || !stays {
             // Nothing was ever sent for this record, and only this leader could have: it is
             // void without a word from the machine.
@@ -205,17 +208,17 @@
     fn close_completed(&mut self, id: &JobId, now: Micros) {
         if let Some(job) = self.jobs.remove(id) {
             tracing::debug!(job = %id, took_s = now.since(job.arrived).secs(), "job done");
-            for (task, placement) in &job.placed {
+            for (task, placement) in &job.placements {
                 let Some(machine) = self.machines.get_mut(&placement.machine) else {
                     continue;
                 };
                 machine.tasks.remove(&(id.clone(), *task));
                 machine.to_forget = true;
-                if !matches!(placement.stage, Stage::Exited(_)) {
+                if !matches!(placement.phase, PlacementPhase::Exited(_)) {
                     machine.take(&job.spec, -1.0);
                 }
             }
         }
-        self.committer.remember_closed(id.clone());
+        self.log_writer.remember_closed(id.clone());
     }
 }
--- a/src/coordination/commit/packing.rs
+++ b/src/coordination/log/packing.rs
@@ -3,8 +3,8 @@
 //! A page is a value of the state service and has its limit; so have the transaction as a
 //! whole and the number of pages in it. What finds no room stays for the next transaction.
 
-use crate::bookkeeping::records::{Entry, Part, PlacementRow};
 use crate::protocol::json_size;
+use crate::storage::records::{Entry, PlacementRow, TaskRangeRecord};
 
 /// Room in a transaction, below the service's 64 KiB.
 const TRANSACTION_BYTES: usize = 54 * 1024;
@@ -124,14 +124,14 @@
     /// Adds a part, in fragments if it doesn't fit into a page; the index of the first page,
     /// or `None` if there is no room for all of it. The fragments say together what the part
     /// says: one that says all of it is the first, and the others add to it.
-    pub fn add_part(&mut self, part: Part) -> Option<usize> {
+    pub fn add_part(&mut self, part: TaskRangeRecord) -> Option<usize> {
         // A part may need more than what is usual; alone, it gets that.
         let most = if self.pages.is_empty() {
             self.page_limit
         } else {
             self.page_budget
         };
-        let mut splitter = PartSplitter::new(self, &part);
+        let mut splitter = TaskRangeSplitter::new(self, &part);
         let first = splitter.last_page();
         for fact in facts_of(part) {
             splitter.add(fact)?;
@@ -144,7 +144,9 @@
         self.free_bytes = splitter.free_bytes;
         self.total_bytes = splitter.total_bytes;
         for fragment in splitter.fragments {
-            self.pages.get_mut(fragment.page)?.push(Entry::Part(fragment.part));
+            self.pages
+                .get_mut(fragment.page)?
+                .push(Entry::TaskRangeRecord(fragment.part));
         }
         Some(first)
     }
@@ -153,38 +155,38 @@
 /// A piece of a part, and the index of the page that it goes to.
 struct Fragment {
     page: usize,
-    part: Part,
+    part: TaskRangeRecord,
 }
 
 /// Splits one part into fragments that fit into pages. It works on figures of its own: if the
 /// part doesn't fit, nothing of the packer has changed.
-struct PartSplitter {
+struct TaskRangeSplitter {
     page_bytes: usize,
     /// A fragment that says nothing yet, and what it takes.
-    blank: Part,
+    blank: TaskRangeRecord,
     frame_bytes: usize,
     pages: usize,
     free_bytes: usize,
     total_bytes: usize,
-    current: Part,
+    current: TaskRangeRecord,
     fragments: Vec<Fragment>,
 }
 
-impl PartSplitter {
-    fn new(packer: &PagePacker, part: &Part) -> PartSplitter {
-        let blank = Part {
+impl TaskRangeSplitter {
+    fn new(packer: &PagePacker, part: &TaskRangeRecord) -> TaskRangeSplitter {
+        let blank = TaskRangeRecord {
             job: part.job.clone(),
             part: part.part,
             last_attempt: part.last_attempt,
-            ..Part::default()
+            ..TaskRangeRecord::default()
         };
-        let current = Part {
+        let current = TaskRangeRecord {
             full: part.full,
             ..blank.clone()
         };
-        let mut splitter = PartSplitter {
+        let mut splitter = TaskRangeSplitter {
             page_bytes: packer.page_bytes,
-            frame_bytes: entry_bytes(&Entry::Part(blank.clone())),
+            frame_bytes: entry_bytes(&Entry::TaskRangeRecord(blank.clone())),
             blank,
             pages: packer.pages.len(),
             free_bytes: packer.free_bytes,
@@ -258,7 +260,7 @@
 
 /// What a part says, one by one: what is void before what is placed, because fragments count
 /// in their order.
-fn facts_of(part: Part) -> impl Iterator<Item = Fact> {
+fn facts_of(part: TaskRangeRecord) -> impl Iterator<Item = Fact> {
     let voids = part.void.into_iter().map(Fact::Void);
     let dones = part.done.into_iter().map(Fact::Done);
     let rows = part.placements.into_iter().map(Fact::Placed);
--- a/src/coordination/commit/queues.rs
+++ b/src/coordination/log/queues.rs
@@ -34,7 +34,7 @@
 
 /// A part that differs from the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ChangedPart {
+pub struct ChangedTaskRange {
     pub since: Micros,
     pub job: JobId,
     pub part: u32,
--- a/src/coordination/commit/read_log.rs
+++ b/src/coordination/log/read_log.rs
@@ -2,11 +2,11 @@
 //! of them was written.
 
 use super::replay::{newest_seen, StoredPage};
-use super::LeaderWait;
-use crate::bookkeeping::keys;
-use crate::bookkeeping::records::{from_value, Accepted, JobValue, Page};
-use crate::protocol::store::{Event, Row, Rows, StoreAnswer, StoreRequest};
-use crate::protocol::users::{Phase, Spec};
+use super::LogContinuation;
+use crate::protocol::store::{Row, Rows, StoreRequest, StoreResponse, WatchEvent};
+use crate::protocol::users::{JobSpec, Phase};
+use crate::storage::keys;
+use crate::storage::records::{from_value, Accepted, JobValue, Page};
 use ciborium::Value;
 use std::collections::BTreeMap;
 
@@ -14,9 +14,9 @@
 pub struct JobNews {
     pub version: u64,
     /// The version of its own key; 0: it was accepted in a page.
-    pub stamp: u64,
+    pub key_version: u64,
     pub phase: Phase,
-    pub spec: Option<Spec>,
+    pub spec: Option<JobSpec>,
 }
 
 /// What was read.
@@ -53,15 +53,15 @@
 
 impl LogReader {
     /// What is to be read next; `None` while an answer is awaited.
-    pub fn next_request(&mut self) -> Option<(StoreRequest, LeaderWait)> {
+    pub fn next_request(&mut self) -> Option<(StoreRequest, LogContinuation)> {
         if self.waiting {
             return None;
         }
         self.waiting = true;
         Some(match self.step {
-            Step::Pages => (self.list(keys::OPEN), LeaderWait::Pages),
-            Step::News => (self.watch_jobs(), LeaderWait::News),
-            Step::AllJobs => (self.list(keys::JOBS), LeaderWait::AllJobs),
+            Step::Pages => (self.list(keys::OPEN), LogContinuation::Pages),
+            Step::News => (self.watch_jobs(), LogContinuation::News),
+            Step::AllJobs => (self.list(keys::JOBS), LogContinuation::AllJobs),
         })
     }
 
@@ -81,26 +81,26 @@
     }
 
     /// Takes an answer; whether everything is read. One that tells nothing is asked for anew.
-    pub fn on_answer(&mut self, wait: &LeaderWait, answer: StoreAnswer) -> bool {
+    pub fn on_answer(&mut self, continuation: &LogContinuation, answer: StoreResponse) -> bool {
         self.waiting = false;
-        match (wait, answer) {
-            (LeaderWait::Pages, StoreAnswer::Rows(rows)) => {
+        match (continuation, answer) {
+            (LogContinuation::Pages, StoreResponse::Rows(rows)) => {
                 self.take_pages(rows);
                 false
             }
-            (LeaderWait::News, StoreAnswer::Events(events)) => {
+            (LogContinuation::News, StoreResponse::Events(events)) => {
                 for event in &events.events {
-                    if let Event::Put { key, value, version } = event {
+                    if let WatchEvent::Put { key, value, version } = event {
                         self.take_job_row(key, value, *version);
                     }
                 }
                 true
             }
-            (LeaderWait::News, StoreAnswer::Compacted) => {
+            (LogContinuation::News, StoreResponse::Compacted) => {
                 self.step = Step::AllJobs;
                 false
             }
-            (LeaderWait::AllJobs, StoreAnswer::Rows(rows)) => self.take_job_rows(rows),
+            (LogContinuation::AllJobs, StoreResponse::Rows(rows)) => self.take_job_rows(rows),
             _ => false,
         }
     }
@@ -160,7 +160,7 @@
         };
         let news = JobNews {
             version,
-            stamp: version,
+            key_version: version,
             phase,
             spec,
         };
@@ -176,7 +176,7 @@
             let id = spec.id.clone();
             let news = JobNews {
                 version,
-                stamp: 0,
+                key_version: 0,
                 phase: Phase::Pending,
                 spec: Some(spec),
             };
--- a/src/coordination/commit/replay.rs
+++ b/src/coordination/log/replay.rs
@@ -3,8 +3,8 @@
 //! Later entries replace or add to earlier ones. The fold knows nothing of machines, clocks or
 //! the leader; what the facts mean for those is decided where they are restored.
 
-use crate::bookkeeping::records::{ClaimValue, Entry, Page, Part, PlacementRow};
-use crate::protocol::users::Spec;
+use crate::protocol::users::JobSpec;
+use crate::storage::records::{ClaimValue, Entry, Page, PlacementRow, TaskRangeRecord};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A page as it was read from the state service.
@@ -37,16 +37,16 @@
     /// The revision at which it was accepted.
     pub version: u64,
     /// The version that its own key has; 0: it was accepted in a page.
-    pub stamp: u64,
+    pub key_version: u64,
     pub cancelled: bool,
-    pub spec: Spec,
+    pub spec: JobSpec,
     /// When it came, on the log's clock; 0: not said.
     pub arrived_ms: u64,
 }
 
 /// A part of a job as it is put together from pages.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ReplayedPart {
+pub struct ReplayedTaskRange {
     /// The page that says all of it, before what later ones add; 0: none does.
     pub page: u64,
     pub last_attempt: u64,
@@ -59,7 +59,7 @@
 #[derive(Debug, Default)]
 pub struct Replay {
     pub jobs: BTreeMap<String, ReplayedJob>,
-    pub parts: BTreeMap<String, BTreeMap<u32, ReplayedPart>>,
+    pub parts: BTreeMap<String, BTreeMap<u32, ReplayedTaskRange>>,
     /// Rental requests that are not settled, each with the page that says so.
     pub claims: BTreeMap<String, (u64, ClaimValue)>,
     /// Pages that still say something, oldest first.
@@ -117,7 +117,7 @@
                 let job = ReplayedJob {
                     page: seq,
                     version,
-                    stamp: version,
+                    key_version: version,
                     cancelled,
                     spec: *spec,
                     arrived_ms,
@@ -128,14 +128,14 @@
                 let job = ReplayedJob {
                     page: seq,
                     version,
-                    stamp: 0,
+                    key_version: 0,
                     cancelled,
                     spec: *spec,
                     arrived_ms,
                 };
                 self.jobs.insert(job.spec.id.clone(), job);
             }
-            Entry::Part(part) => self.take_part(seq, part),
+            Entry::TaskRangeRecord(part) => self.take_part(seq, part),
             Entry::Over(id) => {
                 self.jobs.remove(&id);
                 self.parts.remove(&id);
@@ -149,13 +149,13 @@
         }
     }
 
-    fn take_part(&mut self, seq: u64, entry: Part) {
+    fn take_part(&mut self, seq: u64, entry: TaskRangeRecord) {
         let parts = self.parts.entry(entry.job).or_default();
         let part = parts.entry(entry.part).or_default();
         if entry.full {
-            *part = ReplayedPart {
+            *part = ReplayedTaskRange {
                 page: seq,
-                ..ReplayedPart::default()
+                ..ReplayedTaskRange::default()
             };
         }
         part.last_attempt = part.last_attempt.max(entry.last_attempt);
--- a/src/coordination/commit/restore.rs
+++ b/src/coordination/log/restore.rs
@@ -1,18 +1,18 @@
 //! Restoring the leader's state at a takeover from what was read: jobs with their placements,
 //! rental requests, and what happened to jobs since the log was last written.
 
-use super::super::book::{Chunk, Job, Leader, Machine, Placement, Stage, TaskState};
-use super::super::decisions::Decided;
-use super::super::planted::{is_planted, Planted};
+use super::super::decision_log::Decided;
+use super::super::fault_injection::{is_injected, InjectedFault};
+use super::super::state::{Job, LeaderState, Machine, Placement, PlacementPhase, TaskRange, TaskState};
 use super::super::store_queue::Urgency;
-use super::super::{Shared, Wait};
+use super::super::{Context, Continuation};
 use super::queues::Undescribed;
 use super::read_log::JobNews;
-use super::replay::{Replay, ReplayedJob, ReplayedPart};
-use super::LeaderWait;
-use crate::bookkeeping::records::{self, JobValue, PlacementRow};
-use crate::protocol::store::StoreAnswer;
+use super::replay::{Replay, ReplayedJob, ReplayedTaskRange};
+use super::LogContinuation;
+use crate::protocol::store::StoreResponse;
 use crate::protocol::users::Phase;
+use crate::storage::records::{self, JobValue, PlacementRow};
 use crate::time::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -22,51 +22,51 @@
 /// Times in pages beyond this one are not believed.
 const LATEST_TIME_MS: u64 = 1 << 50;
 
-impl Leader {
+impl LeaderState {
     /// Whether the log is read, and the leader may decide.
     pub fn is_loaded(&self) -> bool {
-        self.committer.loaded
+        self.log_writer.loaded
     }
 
     /// Reads the log, and what happened to jobs since it was last written.
-    pub fn load(&mut self, sh: &mut Shared) {
-        let reader = self.committer.reader.get_or_insert_with(Box::default);
-        let Some((request, wait)) = reader.next_request() else {
+    pub fn load(&mut self, context: &mut Context) {
+        let reader = self.log_writer.reader.get_or_insert_with(Box::default);
+        let Some((request, continuation)) = reader.next_request() else {
             return;
         };
-        let wait = Wait::Leader(self.incarnation, wait);
-        sh.store.push(Urgency::Lead, request, wait, READ_TIMEOUT);
+        let continuation = Continuation::Log(self.incarnation, continuation);
+        context.store.push(Urgency::Lead, request, continuation, READ_TIMEOUT);
     }
 
     /// An answer for the reading has come; whether everything is read.
-    pub(super) fn take_log_answer(&mut self, wait: &LeaderWait, answer: StoreAnswer) -> bool {
-        let Some(reader) = self.committer.reader.as_mut() else {
+    pub(super) fn take_log_answer(&mut self, continuation: &LogContinuation, answer: StoreResponse) -> bool {
+        let Some(reader) = self.log_writer.reader.as_mut() else {
             return false;
         };
-        reader.on_answer(wait, answer)
+        reader.on_answer(continuation, answer)
     }
 
     /// Takes over what was read. `gap`: about how long nobody led.
-    pub(super) fn finish_loading(&mut self, sh: &mut Shared, gap: Micros) {
-        let Some(reader) = self.committer.reader.take() else {
+    pub(super) fn finish_loading(&mut self, context: &mut Context, gap: Micros) {
+        let Some(reader) = self.log_writer.reader.take() else {
             return;
         };
-        let now = sh.now;
+        let now = context.now;
         let contents = reader.into_contents();
         let mut replay = Replay::of(contents.pages);
-        self.committer.adopt(&mut replay, contents.after_unreadable, gap, now);
+        self.log_writer.adopt(&mut replay, contents.after_unreadable, gap, now);
         for (id, job) in replay.jobs {
             let parts = replay.parts.remove(&id).unwrap_or_default();
             self.restore_job(&id, job, parts, now);
         }
-        self.fleet.adopt_claims(replay.claims, now);
-        self.committer.loaded = true;
+        self.provisioning.adopt_claims(replay.claims, now);
+        self.log_writer.loaded = true;
         self.dirty = true;
         for (id, news) in contents.news {
             self.take_news(&id, news, now);
         }
-        for (id, version, stamp, value) in std::mem::take(&mut self.early_events) {
-            self.on_job_event(&id, version, stamp, value, now);
+        for (id, version, key_version, value) in std::mem::take(&mut self.early_events) {
+            self.on_job_event(&id, version, key_version, value, now);
         }
         self.log_restored(now);
     }
@@ -74,17 +74,17 @@
     fn log_restored(&self, now: Micros) {
         tracing::info!(
             term = self.term,
-            jobs_seen = self.committer.seen,
-            pages = self.committer.pages.len(),
+            jobs_seen = self.log_writer.seen,
+            pages = self.log_writer.pages.len(),
             jobs = self.jobs.len(),
-            placements = self.jobs.values().map(|j| j.placed.len()).sum::<usize>(),
+            placements = self.jobs.values().map(|j| j.placements.len()).sum::<usize>(),
             took_ms = now.since(self.began).0 / 1000,
             "book read"
         );
     }
 
     /// Puts an open job back, with its parts.
-    fn restore_job(&mut self, id: &str, replayed: ReplayedJob, parts: BTreeMap<u32, ReplayedPart>, now: Micros) {
+    fn restore_job(&mut self, id: &str, replayed: ReplayedJob, parts: BTreeMap<u32, ReplayedTaskRange>, now: Micros) {
         let (version, cancelled) = (replayed.version, replayed.cancelled);
         self.last_version = self.last_version.max(version);
         let mut job = self.restored_job(id, replayed, now);
@@ -97,10 +97,10 @@
         if cancelled {
             self.cancel(id, now);
             let entry = Undescribed::new(version, key.clone());
-            self.committer.undescribed.remove(&entry);
+            self.log_writer.undescribed.remove(&entry);
         }
         if complete {
-            self.committer.complete.insert(key);
+            self.log_writer.complete.insert(key);
         }
     }
 
@@ -114,36 +114,36 @@
             }
             None => (replayed.spec, true),
         };
-        let mut job = Job::new(id, spec, replayed.version, replayed.stamp, now);
+        let mut job = Job::new(id, spec, replayed.version, replayed.key_version, now);
         job.blocked = blocked;
         job.base = replayed.page;
         job.restored = true;
-        job.ageless = replayed.arrived_ms == 0;
-        if !job.ageless {
-            job.arrived = self.committer.on_own_clock(replayed.arrived_ms).min(now);
-            job.came = job.arrived;
+        job.arrival_unknown = replayed.arrived_ms == 0;
+        if !job.arrival_unknown {
+            job.arrived = self.log_writer.on_own_clock(replayed.arrived_ms).min(now);
+            job.submitted_at = job.arrived;
         }
         job
     }
 
     /// Puts a part's records back into a job.
-    fn restore_part(&mut self, job: &mut Job, n: u32, part: ReplayedPart, now: Micros) {
+    fn restore_part(&mut self, job: &mut Job, n: u32, part: ReplayedTaskRange, now: Micros) {
         for &(from, to) in &part.done {
             restore_completed(job, from, to);
         }
         for row in part.placements.into_values() {
             self.restore_placement(job, row, now);
         }
-        let chunk = Chunk {
+        let chunk = TaskRange {
             last_attempt: part.last_attempt,
             base: part.page,
-            ..Chunk::default()
+            ..TaskRange::default()
         };
-        job.chunks.insert(n, chunk);
+        job.task_ranges.insert(n, chunk);
     }
 
     fn restore_placement(&mut self, job: &mut Job, row: PlacementRow, now: Micros) {
-        let (task, attempt, machine, session, fence) = row;
+        let (task, attempt, machine, incarnation, fencing_token) = row;
         if task >= job.spec.tasks || job.states[task as usize] == TaskState::Recorded {
             return;
         }
@@ -153,11 +153,11 @@
         let placement = Placement {
             attempt,
             machine: name.clone(),
-            session,
+            incarnation,
             // An earlier leader may have sent starts under any term before this one: only a
             // fence of this term proves.
-            fence: fence.max(self.term.saturating_sub(1)),
-            stage: Stage::Sent,
+            fencing_token: fencing_token.max(self.term.saturating_sub(1)),
+            phase: PlacementPhase::Sent,
             sent: true,
             stop: None,
             stop_at: now,
@@ -166,10 +166,11 @@
             running_since: None,
             restored: true,
         };
-        self.decisions
+        self.invariants
+            .decisions
             .note(job.decision(task, &placement, Decided::Inherited, now));
-        job.placed.insert(task, placement);
-        job.held += u32::from(!is_planted(Planted::ForgetsChargeAtTakeover));
+        job.placements.insert(task, placement);
+        job.held += u32::from(!is_injected(InjectedFault::ForgetsChargeAtTakeover));
         let machine = self
             .machines
             .entry(name.clone())
@@ -189,14 +190,14 @@
             phase: news.phase,
             spec: news.spec,
         };
-        self.on_job_event(id, news.version, news.stamp, value, now);
+        self.on_job_event(id, news.version, news.key_version, value, now);
     }
 
     /// An earlier leader closed the job, or it was over before the log ever named it.
     fn take_end(&mut self, id: &str) {
         if let Some(job) = self.jobs.remove(id) {
             tracing::warn!(job = id, "done, though the book has it open");
-            for (task, placement) in &job.placed {
+            for (task, placement) in &job.placements {
                 let Some(machine) = self.machines.get_mut(&placement.machine) else {
                     continue;
                 };
@@ -204,8 +205,8 @@
                 machine.take(&job.spec, -1.0);
             }
         }
-        self.committer.complete.remove(id);
-        self.committer.remember_closed(id.into());
+        self.log_writer.complete.remove(id);
+        self.log_writer.remember_closed(id.into());
     }
 }
 
@@ -222,7 +223,7 @@
     }
 }
 
-impl super::Committer {
+impl super::LogWriter {
     /// Goes on where the pages end.
     fn adopt(&mut self, replay: &mut Replay, after_unreadable: u32, gap: Micros, now: Micros) {
         if replay.written_ms > 0 {
--- a/src/coordination/commit/transaction.rs
+++ b/src/coordination/log/transaction.rs
@@ -3,10 +3,10 @@
 
 use super::super::JobId;
 use super::packing::{entry_bytes, PagePacker};
-use crate::bookkeeping::keys;
-use crate::bookkeeping::records::{to_value, ClaimValue, Entry, JobValue, Part};
-use crate::protocol::store::{Change, Condition, Txn};
+use crate::protocol::store::{Change, Condition, Transaction};
 use crate::protocol::users::Phase;
+use crate::storage::keys;
+use crate::storage::records::{to_value, ClaimValue, Entry, JobValue, TaskRangeRecord};
 use ciborium::Value;
 use std::collections::BTreeSet;
 
@@ -28,7 +28,7 @@
 }
 
 /// A part of a job's records.
-pub struct WrittenPart {
+pub struct WrittenTaskRange {
     pub job: JobId,
     pub part: u32,
     /// The page that says all of it, if one does.
@@ -53,14 +53,14 @@
 /// A transaction that is sent, or about to be.
 #[derive(Default)]
 pub struct PendingTransaction {
-    pub txn: Txn,
+    pub txn: Transaction,
     pub pages: Vec<WrittenPage>,
     /// Pages before this one say nothing any more once it is executed.
     pub oldest: u64,
     /// What the jobs' keys said up to this revision is in the log once it is executed.
     pub seen: u64,
     pub descriptions: Vec<WrittenDescription>,
-    pub parts: Vec<WrittenPart>,
+    pub parts: Vec<WrittenTaskRange>,
     pub starts: Vec<WrittenStart>,
     /// Arrays that are recorded as done.
     pub completed: Vec<JobId>,
@@ -162,7 +162,7 @@
     }
 
     /// Adds a part; the number of its first page, or `None` if there is no room for all of it.
-    pub fn add_part(&mut self, part: Part) -> Option<u64> {
+    pub fn add_part(&mut self, part: TaskRangeRecord) -> Option<u64> {
         let index = self.packer.add_part(part)?;
         Some(self.page_seq(index))
     }
@@ -176,7 +176,7 @@
 
     /// Adds the end of a job: its final phase, on condition that its key is as it was. False
     /// if there is no room left for it, with the pages there are and the one that says so.
-    pub fn add_end(&mut self, job: &JobId, stamp: u64, phase: Phase) -> bool {
+    pub fn add_end(&mut self, job: &JobId, key_version: u64, phase: Phase) -> bool {
         let over = Entry::Over(job.to_string());
         let pages = self.packer.pages_with(entry_bytes(&over));
         if !self.has_room_for_end(pages) {
@@ -187,7 +187,7 @@
             return false;
         }
         let value = to_value(&JobValue { phase, spec: None });
-        self.pending.put(keys::job(job), stamp, value);
+        self.pending.put(keys::job(job), key_version, value);
         true
     }
 
--- a/src/coordination/commit/write.rs
+++ b/src/coordination/log/write.rs
@@ -1,17 +1,17 @@
 //! Writing the log: one transaction at a time, the most urgent changes first.
 
-use super::super::book::{Job, Leader, Stage, TaskState};
-use super::super::leadership::Leadership;
+use super::super::election::Election;
+use super::super::state::{Job, LeaderState, PlacementPhase, TaskState};
 use super::super::store_queue::Urgency;
-use super::super::{JobId, Shared, Site, Wait};
+use super::super::{ClusterConfig, Context, Continuation, JobId};
 use super::packing::PagePacker;
-use super::queues::{ChangedPart, QueuedStarts, Undescribed};
-use super::transaction::{Draft, PendingTransaction, WrittenDescription, WrittenPage, WrittenPart, WrittenStart};
-use super::{LeaderWait, MAX_PAGES};
-use crate::bookkeeping::keys;
-use crate::bookkeeping::records::{self, ranges, to_value, ClaimValue, Entry, Page, Part};
-use crate::protocol::store::{StoreRequest, Txn};
+use super::queues::{ChangedTaskRange, QueuedStarts, Undescribed};
+use super::transaction::{Draft, PendingTransaction, WrittenDescription, WrittenPage, WrittenStart, WrittenTaskRange};
+use super::{LogContinuation, MAX_PAGES};
+use crate::protocol::store::{StoreRequest, Transaction};
 use crate::protocol::users::{Phase, Priority};
+use crate::storage::keys;
+use crate::storage::records::{self, ranges, to_value, ClaimValue, Entry, Page, TaskRangeRecord};
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
@@ -34,73 +34,73 @@
     settled: Vec<String>,
 }
 
-impl Leader {
+impl LeaderState {
     /// Builds and sends the next transaction, if there is something to write and none is on its
     /// way; sends one again that went unanswered.
-    pub fn pump_commit(&mut self, sh: &mut Shared, site: &Site, lead: &Leadership) {
-        let now = sh.now;
-        if let Some(at) = self.committer.resend_at {
+    pub fn pump_commit(&mut self, context: &mut Context, cluster: &ClusterConfig, election: &Election) {
+        let now = context.now;
+        if let Some(at) = self.log_writer.resend_at {
             if now >= at {
-                self.resend(sh);
+                self.resend(context);
             }
             return;
         }
-        if self.committer.in_flight.is_some() || lead.is_taking() {
+        if self.log_writer.in_flight.is_some() || election.is_taking() {
             return;
         }
         let claims = ClaimChanges {
-            wanted: self.fleet.claims_to_record(CLAIMS),
-            settled: self.fleet.claims_to_drop(CLAIMS),
+            wanted: self.provisioning.claims_to_record(CLAIMS),
+            settled: self.provisioning.claims_to_drop(CLAIMS),
         };
         if !self.is_write_due(&claims, now) {
             return;
         }
-        let value_bytes = site.limits.value_bytes();
-        let mut draft = self.begin_draft(site.limits.changes(), value_bytes, lead);
+        let value_bytes = cluster.limits.value_bytes();
+        let mut draft = self.begin_draft(cluster.limits.changes(), value_bytes, election);
         let starts = self.fill(&mut draft, claims, now);
         self.compact(&mut draft, value_bytes);
         if draft.packer.is_empty() {
             return;
         }
-        let pending = self.seal(draft, lead, now);
-        self.send_first(sh, pending, starts);
+        let pending = self.seal(draft, election, now);
+        self.send_first(context, pending, starts);
     }
 
     /// Whether something has waited for company long enough.
     fn is_write_due(&self, claims: &ClaimChanges, now: Micros) -> bool {
-        let committer = &self.committer;
-        let first_start = committer.starting.first();
+        let log_writer = &self.log_writer;
+        let first_start = log_writer.starting.first();
         let hurry = first_start.is_some_and(|s| s.priority() == Priority::Production);
-        let ends = !committer.complete.is_empty() || !committer.withdrawn.is_empty();
-        let soon = first_start.is_some() || ends || !committer.undescribed.is_empty() || !claims.wanted.is_empty();
+        let ends = !log_writer.complete.is_empty() || !log_writer.withdrawn.is_empty();
+        let soon = first_start.is_some() || ends || !log_writer.undescribed.is_empty() || !claims.wanted.is_empty();
         let pause = match (hurry, soon) {
             (true, _) => Micros::ZERO,
             (_, true) => GATHER,
             _ => GATHER_REST,
         };
-        if now.since(committer.last_sent) < pause {
+        if now.since(log_writer.last_sent) < pause {
             return false;
         }
-        let first_change = committer.changed.front();
+        let first_change = log_writer.changed.front();
         let outcome_due = first_change.is_some_and(|c| now.since(c.since) > OUTCOME_DELAY);
-        soon || outcome_due || !committer.ended.is_empty() || !claims.settled.is_empty()
+        soon || outcome_due || !log_writer.ended.is_empty() || !claims.settled.is_empty()
     }
 
     /// A transaction with nothing in it but the condition that this leader leads.
-    fn begin_draft(&self, max_changes: usize, value_bytes: usize, lead: &Leadership) -> Draft {
-        let committer = &self.committer;
+    fn begin_draft(&self, max_changes: usize, value_bytes: usize, election: &Election) -> Draft {
+        let log_writer = &self.log_writer;
         // Ends of jobs take changes of their own; whatever else there is, some go out.
-        let waiting_ends = committer.complete.len() + committer.withdrawn.len();
+        let waiting_ends = log_writer.complete.len() + log_writer.withdrawn.len();
         let ends = waiting_ends.min((max_changes / 4).max(1));
-        let page_budget = MAX_PAGES.min(max_changes * 3 / 4).min(committer.page_budget.max(1));
+        let page_budget = MAX_PAGES.min(max_changes * 3 / 4).min(log_writer.page_budget.max(1));
         let mut draft = Draft {
             pending: PendingTransaction::default(),
             packer: PagePacker::new(value_bytes, page_budget, max_changes - ends),
-            first_seq: committer.last_seq + 1,
+            first_seq: log_writer.last_seq + 1,
             compact_before: self.compaction_goal(value_bytes),
             max_changes,
         };
-        draft.pending.txn.conditions.push(lead.condition());
+        draft.pending.txn.conditions.push(election.condition());
         draft
     }
 
@@ -124,7 +124,7 @@
     /// Parts with starts to be recorded.
     fn write_starts(&mut self, draft: &mut Draft) {
         let most = 4 * draft.max_changes;
-        let queued = self.committer.starting.iter().take(most);
+        let queued = self.log_writer.starting.iter().take(most);
         let parts: Vec<(JobId, u32)> = queued.map(|s| (s.job.clone(), s.part)).collect();
         for (id, part) in parts {
             if !self.write_part(draft, &id, part) {
@@ -135,47 +135,47 @@
 
     /// Arrays whose every task has completed.
     fn write_completed(&mut self, draft: &mut Draft) {
-        let complete: Vec<JobId> = self.committer.complete.iter().cloned().collect();
+        let complete: Vec<JobId> = self.log_writer.complete.iter().cloned().collect();
         for id in complete {
             let Some(job) = self.jobs.get_mut(&id).filter(|j| j.is_live()) else {
-                self.committer.complete.remove(&id);
+                self.log_writer.complete.remove(&id);
                 continue;
             };
-            if !draft.add_end(&id, job.stamp, Phase::Done) {
+            if !draft.add_end(&id, job.key_version, Phase::Done) {
                 break;
             }
             job.closing = true;
-            self.committer.complete.remove(&id);
+            self.log_writer.complete.remove(&id);
             let entry = Undescribed::new(job.version, id.clone());
-            self.committer.undescribed.remove(&entry);
+            self.log_writer.undescribed.remove(&entry);
             draft.pending.completed.push(id);
         }
     }
 
     /// Jobs that are withdrawn with one that they need.
     fn write_withdrawn(&mut self, draft: &mut Draft) {
-        let withdrawn: Vec<JobId> = self.committer.withdrawn.iter().cloned().collect();
+        let withdrawn: Vec<JobId> = self.log_writer.withdrawn.iter().cloned().collect();
         for id in withdrawn {
             let Some(job) = self.jobs.get_mut(&id).filter(|j| j.is_live()) else {
-                self.committer.withdrawn.remove(&id);
+                self.log_writer.withdrawn.remove(&id);
                 continue;
             };
-            if !draft.add_end(&id, job.stamp, Phase::Cancelled) {
+            if !draft.add_end(&id, job.key_version, Phase::Cancelled) {
                 break;
             }
             job.closing = true;
-            self.committer.withdrawn.remove(&id);
+            self.log_writer.withdrawn.remove(&id);
             draft.pending.withdrawn.push(id);
         }
     }
 
     /// Jobs whose description, or cancellation, is not in the log.
     fn write_new_descriptions(&mut self, draft: &mut Draft) {
-        let undescribed = self.committer.undescribed.iter();
+        let undescribed = self.log_writer.undescribed.iter();
         let jobs: Vec<JobId> = undescribed.map(|u| u.job.clone()).collect();
         for id in jobs {
             let Some(job) = self.jobs.get(&id) else { continue };
-            if job.cancelled.is_some() && job.placed.is_empty() {
+            if job.cancelled.is_some() && job.placements.is_empty() {
                 continue; // Over in a moment; that is said next.
             }
             if !self.write_description(draft, &id) {
@@ -186,19 +186,19 @@
 
     /// Cancelled jobs with nothing left on machines.
     fn write_ended(&mut self, draft: &mut Draft) {
-        let ended: Vec<JobId> = self.committer.ended.iter().cloned().collect();
-        let is_over = |job: &&Job| job.cancelled.is_some() && job.placed.is_empty();
+        let ended: Vec<JobId> = self.log_writer.ended.iter().cloned().collect();
+        let is_over = |job: &&Job| job.cancelled.is_some() && job.placements.is_empty();
         for id in ended {
             let Some(job) = self.jobs.get(&id).filter(is_over) else {
-                self.committer.ended.remove(&id);
+                self.log_writer.ended.remove(&id);
                 continue;
             };
             if draft.add(Entry::Over(id.to_string())).is_none() {
                 break;
             }
             let entry = Undescribed::new(job.version, id.clone());
-            self.committer.undescribed.remove(&entry);
-            self.committer.ended.remove(&id);
+            self.log_writer.undescribed.remove(&entry);
+            self.log_writer.ended.remove(&id);
             draft.pending.ended.push(id);
         }
     }
@@ -206,21 +206,21 @@
     /// Parts that have differed from the log for long enough. Outcomes wait for company, so
     /// that a busy array is not written for every one.
     fn write_outcomes(&mut self, draft: &mut Draft, now: Micros) {
-        while let Some(ChangedPart {
+        while let Some(ChangedTaskRange {
             since,
             job: id,
             part: n,
-        }) = self.committer.changed.front().cloned()
+        }) = self.log_writer.changed.front().cloned()
         {
             if now.since(since) <= OUTCOME_DELAY {
                 break;
             }
-            let differs = |job: &Job| job.chunks.get(&n).is_some_and(|c| c.dirty == Some(since));
+            let differs = |job: &Job| job.task_ranges.get(&n).is_some_and(|c| c.dirty == Some(since));
             let is_due = self.jobs.get(&id).is_some_and(differs);
             if is_due && !self.write_part(draft, &id, n) {
                 break;
             }
-            self.committer.changed.pop_front();
+            self.log_writer.changed.pop_front();
         }
     }
 
@@ -228,7 +228,7 @@
     /// room left.
     pub(super) fn write_part(&mut self, draft: &mut Draft, id: &JobId, n: u32) -> bool {
         let Some(job) = self.jobs.get(id) else { return true };
-        if job.closing || draft.has_part(id, n) || !job.chunks.contains_key(&n) {
+        if job.closing || draft.has_part(id, n) || !job.task_ranges.contains_key(&n) {
             return true;
         }
         let starts = self.unrecorded_starts(job, n);
@@ -246,7 +246,7 @@
             return true;
         }
         let full = must_be_full(job, n, draft.compact_before);
-        let Some(page) = draft.add_part(part_value(job, n, self.chunk_tasks, full)) else {
+        let Some(page) = draft.add_part(part_value(job, n, self.tasks_per_range, full)) else {
             if draft.packer.is_empty() {
                 tracing::error!(job = %id, part = n, "a part of a job doesn't fit into a transaction");
             }
@@ -255,7 +255,7 @@
         // Nothing starts after a cancel: a start holds only while the job's key is as it was
         // when it was accepted, not there or with that version.
         if needs_condition {
-            draft.pending.require(key, job.stamp);
+            draft.pending.require(key, job.key_version);
         }
         let written = self.take_changes(id, n, full.then_some(page));
         draft.pending.parts.extend(written);
@@ -265,10 +265,10 @@
 
     /// Starts in a part that are not in the log.
     fn unrecorded_starts(&self, job: &Job, n: u32) -> Vec<WrittenStart> {
-        let from = n * self.chunk_tasks;
-        let to = from + self.chunk_tasks;
-        let placed = job.placed.range(from..to);
-        let unrecorded = placed.filter(|(_, p)| p.stage == Stage::Committing);
+        let from = n * self.tasks_per_range;
+        let to = from + self.tasks_per_range;
+        let placed = job.placements.range(from..to);
+        let unrecorded = placed.filter(|(_, p)| p.phase == PlacementPhase::Committing);
         let start = |task: u32, attempt: u64| WrittenStart {
             job: job.id.clone(),
             task,
@@ -278,15 +278,15 @@
     }
 
     /// A part is in the draft: what had changed in it does no longer wait.
-    fn take_changes(&mut self, id: &JobId, n: u32, page: Option<u64>) -> Option<WrittenPart> {
+    fn take_changes(&mut self, id: &JobId, n: u32, page: Option<u64>) -> Option<WrittenTaskRange> {
         let job = self.jobs.get_mut(id)?;
-        let chunk = job.chunks.get_mut(&n)?;
+        let chunk = job.task_ranges.get_mut(&n)?;
         if let Some(priority) = chunk.queued.take() {
             let entry = QueuedStarts::new(priority, job.version, id.clone(), n);
-            self.committer.starting.remove(&entry);
+            self.log_writer.starting.remove(&entry);
         }
         chunk.dirty = None;
-        Some(WrittenPart {
+        Some(WrittenTaskRange {
             job: id.clone(),
             part: n,
             page,
@@ -300,7 +300,7 @@
     pub(super) fn write_description(&mut self, draft: &mut Draft, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else { return true };
         let entry = Undescribed::new(job.version, id.clone());
-        let due = self.committer.undescribed.contains(&entry) || job.base < draft.compact_before;
+        let due = self.log_writer.undescribed.contains(&entry) || job.base < draft.compact_before;
         if !due || job.closing || draft.describes(id) {
             return true;
         }
@@ -312,7 +312,7 @@
         let Some(page) = draft.add(description) else {
             return false;
         };
-        let was_due = self.committer.undescribed.remove(&entry);
+        let was_due = self.log_writer.undescribed.remove(&entry);
         draft.pending.descriptions.push(WrittenDescription {
             job: id.clone(),
             page,
@@ -323,30 +323,30 @@
 
     /// The entry that describes a job; `None` if it doesn't fit into a page.
     fn description(&self, job: &Job, page_bytes: usize) -> Option<Entry> {
-        let came_ms = self.day_ms + job.came.0 / 1000;
+        let submitted_ms = self.day_ms + job.submitted_at.0 / 1000;
         // It was accepted into a value of this size; one of an older version may be larger.
         let bytes = page_bytes.saturating_sub(JOB_ENTRY_BYTES);
-        let spec = Box::new(records::kept(&job.spec, came_ms, bytes)?);
+        let spec = Box::new(records::kept(&job.spec, submitted_ms, bytes)?);
         let cancelled = job.cancelled.is_some();
-        Some(match job.stamp {
+        Some(match job.key_version {
             0 => Entry::Accepted(job.version, cancelled, spec),
             _ => Entry::Open(job.version, cancelled, spec),
         })
     }
 
     /// Turns the entries into pages of the transaction.
-    fn seal(&mut self, draft: Draft, lead: &Leadership, now: Micros) -> PendingTransaction {
+    fn seal(&mut self, draft: Draft, election: &Election, now: Micros) -> PendingTransaction {
         let Draft {
             mut pending,
             packer,
             first_seq,
             ..
         } = draft;
-        pending.seen = self.seen_after(lead);
-        let at_ms = self.committer.log_ms(now);
+        pending.seen = self.seen_after(election);
+        let at_ms = self.log_writer.log_ms(now);
         for (seq, entries) in (first_seq..).zip(packer.into_pages()) {
             let page = Page {
-                term: lead.term(),
+                term: election.term(),
                 seq,
                 oldest: pending.oldest,
                 seen: pending.seen,
@@ -354,7 +354,7 @@
                 born_ms: self.arrival_times(&entries),
                 entries,
             };
-            let free = self.committer.take_slot();
+            let free = self.log_writer.take_slot();
             pending.put(keys::page(free.slot), free.version, to_value(&page));
             pending.pages.push(WrittenPage { slot: free.slot, seq });
         }
@@ -363,7 +363,7 @@
 
     /// Up to which revision the jobs' keys are in the log, all but what is still to be
     /// written.
-    fn seen_after(&self, lead: &Leadership) -> u64 {
+    fn seen_after(&self, election: &Election) -> u64 {
         let change_of = |entry: &Undescribed| {
             let job = self.jobs.get(&entry.job)?;
             let by_cancellation = job.cancelled.is_some() && job.cancel_version > 0;
@@ -373,27 +373,27 @@
                 entry.version
             })
         };
-        let first = self.committer.undescribed.iter().filter_map(change_of).min();
-        let known = lead.jobs_seen();
+        let first = self.log_writer.undescribed.iter().filter_map(change_of).min();
+        let known = election.jobs_seen();
         let seen = first.map_or(known, |version| known.min(version.saturating_sub(1)));
-        seen.max(self.committer.seen)
+        seen.max(self.log_writer.seen)
     }
 
     /// When the jobs came that these entries describe; 0: not known.
     fn arrival_times(&self, entries: &[Entry]) -> Vec<u64> {
         let arrival = |entry: &Entry| {
             let job = self.jobs.get(entry.describes()?.id.as_str());
-            let job = job.filter(|j| !j.ageless);
-            Some(job.map_or(0, |j| self.committer.log_ms(j.arrived)))
+            let job = job.filter(|j| !j.arrival_unknown);
+            Some(job.map_or(0, |j| self.log_writer.log_ms(j.arrived)))
         };
         entries.iter().filter_map(arrival).collect()
     }
 
-    fn send_first(&mut self, sh: &mut Shared, pending: PendingTransaction, starts: usize) {
+    fn send_first(&mut self, context: &mut Context, pending: PendingTransaction, starts: usize) {
         let urgent = starts > 0 || !pending.claims.is_empty();
         let urgency = if urgent { Urgency::Start } else { Urgency::User };
-        self.committer.written.transactions += 1;
-        self.committer.written.changes += pending.txn.changes.len() as u64;
+        self.log_writer.written.transactions += 1;
+        self.log_writer.written.changes += pending.txn.changes.len() as u64;
         tracing::debug!(
             pages = pending.pages.len(),
             headers = pending.descriptions.len(),
@@ -405,22 +405,24 @@
             "transaction"
         );
         let txn = pending.txn.clone();
-        self.committer.last_sent = sh.now;
-        self.committer.in_flight = Some(Box::new(pending));
-        self.send(sh, txn, urgency);
+        self.log_writer.last_sent = context.now;
+        self.log_writer.in_flight = Some(Box::new(pending));
+        self.send(context, txn, urgency);
     }
 
     /// Sends the transaction again that went unanswered.
-    fn resend(&mut self, sh: &mut Shared) {
-        self.committer.resend_at = None;
-        if let Some(pending) = &self.committer.in_flight {
-            self.send(sh, pending.txn.clone(), Urgency::Start);
+    fn resend(&mut self, context: &mut Context) {
+        self.log_writer.resend_at = None;
+        if let Some(pending) = &self.log_writer.in_flight {
+            self.send(context, pending.txn.clone(), Urgency::Start);
         }
     }
 
-    fn send(&self, sh: &mut Shared, txn: Txn, urgency: Urgency) {
-        let wait = Wait::Leader(self.incarnation, LeaderWait::Commit);
-        sh.store.push(urgency, StoreRequest::Txn(txn), wait, TIMEOUT);
+    fn send(&self, context: &mut Context, txn: Transaction, urgency: Urgency) {
+        let continuation = Continuation::Log(self.incarnation, LogContinuation::Commit);
+        context
+            .store
+            .push(urgency, StoreRequest::Transaction(txn), continuation, TIMEOUT);
     }
 }
 
@@ -436,31 +438,31 @@
 
 /// Whether all of a part has to be said: no page says it, or one that is to go.
 fn must_be_full(job: &Job, n: u32, compact_before: u64) -> bool {
-    let page = job.chunks.get(&n).map_or(0, |c| c.base);
+    let page = job.task_ranges.get(&n).map_or(0, |c| c.base);
     page == 0 || page < compact_before
 }
 
 /// A part as it should be in the log: all of it, or what has changed.
-fn part_value(job: &Job, n: u32, chunk_tasks: u32, full: bool) -> Part {
-    let Some(chunk) = job.chunks.get(&n) else {
-        return Part::default();
+fn part_value(job: &Job, n: u32, tasks_per_range: u32, full: bool) -> TaskRangeRecord {
+    let Some(chunk) = job.task_ranges.get(&n) else {
+        return TaskRangeRecord::default();
     };
-    let from = n * chunk_tasks;
-    let to = (from + chunk_tasks).min(job.spec.tasks);
+    let from = n * tasks_per_range;
+    let to = (from + tasks_per_range).min(job.spec.tasks);
     let is_finished = |t: &u32| matches!(job.states[*t as usize], TaskState::Finished | TaskState::Recorded);
     let is_placed = |t: u32| job.states[t as usize] == TaskState::Placed;
     let placements = job
-        .placed
+        .placements
         .range(from..to)
-        .filter(|(t, p)| is_placed(**t) && (full || p.stage == Stage::Committing))
-        .map(|(t, p)| (*t, p.attempt, p.machine.to_string(), p.session, p.fence))
+        .filter(|(t, p)| is_placed(**t) && (full || p.phase == PlacementPhase::Committing))
+        .map(|(t, p)| (*t, p.attempt, p.machine.to_string(), p.incarnation, p.fencing_token))
         .collect();
     let (done, void) = if full {
         (ranges((from..to).filter(is_finished)), vec![])
     } else {
         (ranges_of(&chunk.done), ranges_of(&chunk.void))
     };
-    Part {
+    TaskRangeRecord {
         job: job.id.to_string(),
         part: n,
         full,
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,58 +1,49 @@
 //! The single owner of all state. It takes batches of commands with the time
 //! and returns effects; there is no I/O, clock or global randomness inside.
 
-pub mod aims;
+pub mod agents;
+pub mod api;
 pub mod audit;
-pub mod book;
-pub mod boots;
-pub mod carry;
-pub mod chained;
-pub mod commit;
-pub mod cuts;
-pub mod deaf;
-pub mod decisions;
-pub mod desk;
-pub mod fleet;
-pub mod gathered;
-pub mod hung;
+pub mod cluster_config;
+pub mod context;
+pub mod decision_log;
+pub mod dependencies;
+pub mod election;
+pub mod events;
+pub mod failure_detection;
+mod fault_injection;
+pub mod forwarding;
 pub mod invariants;
-pub mod job;
-pub mod leadership;
-pub mod machine;
-pub mod messages;
-pub mod pace;
-pub mod placement;
-mod planted;
-pub mod pools;
-pub mod rates;
-pub mod renewal;
-pub mod replicas;
-pub mod shared;
-pub mod site;
+pub mod lease_renewal;
+pub mod log;
+pub mod objectives;
+pub mod provisioning;
+pub mod rate_shares;
+pub mod replica_status;
+pub mod reservation;
+pub mod scheduling;
+pub mod state;
 pub mod store_queue;
 pub mod summary;
 pub mod tick;
-pub mod times;
-pub mod void;
-pub mod workers;
-pub mod worth;
+pub mod timing;
 
 use crate::protocol::peer::{Link, PeerMessage};
-use crate::protocol::store::{StoreAnswer, StoreRequest};
+use crate::protocol::store::{StoreRequest, StoreResponse};
 use crate::settings::Settings;
 use crate::time::Micros;
-use carry::Carrier;
-use desk::Desk;
-use fleet::CloudDesk;
-use leadership::Leadership;
-pub use messages::{CloudAnswer, CloudRequest, Command, DirectAnswer, Effect, UserRequest, Wait};
-use renewal::Vouchers;
-pub use shared::Shared;
-pub use site::Site;
+use agents::HeartbeatProxy;
+use api::JobApi;
+pub use cluster_config::ClusterConfig;
+pub use context::Context;
+use election::Election;
+pub use events::{CloudRequest, CloudResponse, Continuation, Effect, Event, PushResult, UserRequest};
+use forwarding::Forwarder;
+use lease_renewal::CancellationAttestations;
+use provisioning::CloudCallTracker;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use store_queue::{StoreQueue, Urgency};
-use workers::Caretaker;
 
 /// A controller that has done nothing for this long, though it looks at its
 /// clocks every few milliseconds, stood still. What it had queued is old.
@@ -82,24 +73,24 @@
 }
 
 /// The single owner of a controller's state.
-pub struct Core {
-    site: Site,
-    sh: Shared,
-    lead: Leadership,
-    desk: Desk,
-    cloud: CloudDesk,
-    care: Caretaker,
+pub struct Controller {
+    cluster: ClusterConfig,
+    context: Context,
+    election: Election,
+    api: JobApi,
+    cloud: CloudCallTracker,
+    heartbeat_proxy: HeartbeatProxy,
     /// What the others said that they confirmed, while the state service did not answer.
-    vouchers: Vouchers,
-    leader: Option<book::Leader>,
+    attestations: CancellationAttestations,
+    leader: Option<state::LeaderState>,
     peers: BTreeMap<String, PeerView>,
     links: BTreeMap<String, Link>,
     /// What is known of all links, and what goes by way of other controllers.
-    carry: Carrier,
+    forwarder: Forwarder,
     /// Commands sent to workers for the leader: whom to tell, and its number.
-    relays: BTreeMap<u64, (String, u64)>,
+    relayed_pushes: BTreeMap<u64, (String, u64)>,
     /// The leadership of this node that has asked for workers' last reports.
-    recalled: u64,
+    heartbeats_requested: u64,
     next_alive: Micros,
     started: bool,
     next_log: Micros,
@@ -114,26 +105,26 @@
     limited: VecDeque<Micros>,
 }
 
-impl Core {
+impl Controller {
     /// A controller that knows only its settings.
-    pub fn new(settings: Settings, seed: u64, now: Micros) -> Core {
+    pub fn new(settings: Settings, seed: u64, now: Micros) -> Controller {
         let limits = settings.params.state.limits();
         let store = StoreQueue::new(limits.requests_per_s() * 0.2, limits.changes_per_s() * 0.2, now);
-        let lead = Leadership::new(&settings, now);
+        let election = Election::new(&settings, now);
         let mut rng = fastrand::Rng::with_seed(seed);
         // Numbers of an earlier life of this process may still be on their way: the answer
         // to a report that was passed on, or what came of a command, would be taken for
         // that of another machine. Lives count from numbers far apart.
         let (node, life) = (settings.node.clone(), rng.u64(..));
-        let care = Caretaker::new(&settings.params.workers);
-        let mut core = Core {
-            site: Site {
+        let heartbeat_proxy = HeartbeatProxy::new(&settings.params.workers);
+        let mut core = Controller {
+            cluster: ClusterConfig {
                 settings,
                 catalogue: BTreeMap::new(),
                 limits,
                 lagging: None,
             },
-            sh: Shared {
+            context: Context {
                 now,
                 store,
                 out: vec![],
@@ -141,17 +132,17 @@
                 next_id: life >> 1,
                 day_ms: 0,
             },
-            lead,
-            desk: Desk::new(&node),
-            cloud: CloudDesk::new(now),
-            care,
-            vouchers: Vouchers::new(now),
+            election,
+            api: JobApi::new(&node),
+            cloud: CloudCallTracker::new(now),
+            heartbeat_proxy,
+            attestations: CancellationAttestations::new(now),
             leader: None,
             peers: BTreeMap::new(),
             links: BTreeMap::new(),
-            carry: Carrier::new(&node, life),
-            relays: BTreeMap::new(),
-            recalled: 0,
+            forwarder: Forwarder::new(&node, life),
+            relayed_pushes: BTreeMap::new(),
+            heartbeats_requested: 0,
             next_alive: now,
             started: false,
             next_log: now,
@@ -167,90 +158,95 @@
 
     /// Says what time of day it is, in milliseconds since 1970.
     pub fn set_time_of_day(&mut self, now: Micros, day_ms: u64) {
-        self.sh.day_ms = day_ms.saturating_sub(now.0 / 1000);
+        self.context.day_ms = day_ms.saturating_sub(now.0 / 1000);
     }
 
     /// Works through a batch of commands and says what is to be done.
-    pub fn handle(&mut self, now: Micros, batch: Vec<Command>) -> Vec<Effect> {
-        self.sh.now = self.sh.now.max(now);
+    pub fn handle(&mut self, now: Micros, batch: Vec<Event>) -> Vec<Effect> {
+        self.context.now = self.context.now.max(now);
         if !self.started {
             self.started = true;
-            self.lead.start(&mut self.sh);
+            self.election.start(&mut self.context);
         }
-        let still = self.sh.now.since(self.last_batch);
-        self.last_batch = self.sh.now;
+        let still = self.context.now.since(self.last_batch);
+        self.last_batch = self.context.now;
         self.longest_pause = self.longest_pause.max(still);
         if still > STANDSTILL {
-            self.stood_still(still);
+            self.on_process_pause(still);
         }
-        for command in batch {
-            self.one(command);
+        for event in batch {
+            self.apply(event);
         }
         self.tick();
-        for wait in self.sh.store.expire(self.sh.now) {
-            self.on_store_answer(wait, StoreAnswer::Refused);
+        for continuation in self.context.store.expire(self.context.now) {
+            self.on_store_answer(continuation, StoreResponse::Refused);
         }
-        for (id, request, timeout) in self.sh.store.pump(self.sh.now) {
-            self.sh.out.push(Effect::Store { id, request, timeout });
+        for (id, request, timeout) in self.context.store.pump(self.context.now) {
+            self.context.out.push(Effect::Store { id, request, timeout });
         }
-        self.by_their_ways()
+        self.route_effects()
     }
 
     /// The process did nothing for a while. Whatever came due meanwhile says
     /// nothing about others: they get the time to be heard first.
-    fn stood_still(&mut self, still: Micros) {
+    fn on_process_pause(&mut self, still: Micros) {
         tracing::warn!(still_s = still.secs(), "this controller stood still");
-        let now = self.sh.now;
-        self.lead.stood_still(now);
+        let now = self.context.now;
+        self.election.on_process_pause(now);
         if let Some(leader) = self.leader.as_mut() {
             leader.listens_since = now;
         }
     }
 
-    fn one(&mut self, command: Command) {
-        match command {
-            Command::User { id, request } => self.on_user(id, request),
-            Command::Report { id, report } => self.on_report(id, report),
-            Command::Store { id, answer } => {
+    fn apply(&mut self, event: Event) {
+        match event {
+            Event::User { id, request } => self.on_user(id, request),
+            Event::Heartbeat { id, heartbeat } => self.on_report(id, heartbeat),
+            Event::Store { id, answer } => {
                 let answer = self.note_limits(answer);
                 let Some(answer) = self.on_direct_answer(id, answer) else {
                     return;
                 };
-                let refused = matches!(answer, StoreAnswer::Refused);
-                self.desk.note_health(self.sh.now, &answer);
-                if let Some(wait) = self.sh.store.answered(id, refused, self.sh.now) {
-                    self.on_store_answer(wait, answer);
+                let refused = matches!(answer, StoreResponse::Refused);
+                self.api.note_health(self.context.now, &answer);
+                if let Some(continuation) = self.context.store.answered(id, refused, self.context.now) {
+                    self.on_store_answer(continuation, answer);
                 }
             }
-            Command::Cloud { id, answer } => {
+            Event::Cloud { id, answer } => {
                 if let Some(answer) = self.on_direct_call(id, answer) {
                     self.on_cloud(id, answer);
                 }
             }
-            Command::Link { node, link } => {
+            Event::Link { node, link } => {
                 tracing::debug!(node, ?link, "link");
-                self.carry.picture.sends(&node, link == Link::Up, link == Link::Refused);
+                self.forwarder
+                    .link_table
+                    .sends(&node, link == Link::Up, link == Link::Refused);
                 self.links.insert(node, link);
             }
-            Command::Direct { id, answer } => {
-                if let Some((to, id)) = self.relays.remove(&id) {
-                    let message = PeerMessage::Relayed { id, answer };
-                    self.sh.out.push(Effect::Peer { to, message });
+            Event::PushedCommands { id, answer } => {
+                if let Some((to, id)) = self.relayed_pushes.remove(&id) {
+                    let message = PeerMessage::RelayedPushResult { id, answer };
+                    self.context.out.push(Effect::Peer { to, message });
                 } else if let Some(leader) = self.leader.as_mut() {
                     leader.on_direct(id, answer);
                 }
             }
-            Command::Peer(message) => self.on_peer(message),
+            Event::Peer(message) => self.on_peer(message),
         }
     }
 
-    fn on_store_answer(&mut self, wait: Wait, answer: StoreAnswer) {
-        match wait {
-            Wait::Lead(wait) => self.on_lead(wait, answer),
-            Wait::Desk(wait) => self.desk.on_store(&mut self.sh, &self.site, wait, answer),
-            Wait::Leader(incarnation, wait) => {
+    fn on_store_answer(&mut self, continuation: Continuation, answer: StoreResponse) {
+        match continuation {
+            Continuation::Election(continuation) => self.on_lead(continuation, answer),
+            Continuation::Api(continuation) => {
+                self.api
+                    .on_store(&mut self.context, &self.cluster, continuation, answer)
+            }
+            Continuation::Log(incarnation, continuation) => {
                 if self.leader.as_ref().is_some_and(|l| l.incarnation == incarnation) {
-                    self.on_leader_store(wait, answer);
+                    self.on_leader_store(continuation, answer);
                 }
             }
         }
@@ -260,11 +256,11 @@
         match request {
             UserRequest::Ready => {
                 let ready = self.is_ready();
-                self.sh.reply(id, if ready { 200 } else { 503 }, vec![], None);
+                self.context.reply(id, if ready { 200 } else { 503 }, vec![], None);
             }
             other => {
                 let counts = |job: &str| self.leader.as_ref().and_then(|l| l.progress(job));
-                self.desk.on_user(&mut self.sh, &self.site, id, other, counts);
+                self.api.on_user(&mut self.context, &self.cluster, id, other, counts);
             }
         }
     }
@@ -273,21 +269,21 @@
     /// service every node is alike and stays in; a node that alone lost the
     /// service steps out, so that the balancer sends users to the others.
     fn is_ready(&self) -> bool {
-        let now = self.sh.now;
-        if self.site.catalogue.is_empty() || !self.lead.is_known() || !self.desk.is_ready() {
+        let now = self.context.now;
+        if self.cluster.catalogue.is_empty() || !self.election.is_known() || !self.api.is_ready() {
             return false;
         }
-        let stale = now.since(self.lead.fresh()) > Micros::from_secs(4.0);
+        let stale = now.since(self.election.fresh()) > Micros::from_secs(4.0);
         let heard = |p: &&PeerView| now.since(p.at) < Micros::from_secs(2.0);
         let peer_fresh = self.peers.values().filter(heard).any(|p| p.fresh);
         // One that hears nobody at all can't know whether the others are alike: it has lost
         // more than the service, and they are asked instead.
-        let alone = self.site.nodes() > 1 && !self.peers.values().any(|p| heard(&p));
+        let alone = self.cluster.nodes() > 1 && !self.peers.values().any(|p| heard(&p));
         !(stale && (peer_fresh || alone))
     }
 
     fn on_peer(&mut self, message: PeerMessage) {
-        let now = self.sh.now;
+        let now = self.context.now;
         match message {
             PeerMessage::Alive {
                 node,
@@ -300,7 +296,7 @@
                 links,
             } => {
                 if self.is_peer(&node) {
-                    self.carry.hears(&node, at, &links, now);
+                    self.forwarder.hears(&node, at, &links, now);
                     let same_life = self.peers.get(&node).filter(|p| p.clock <= at);
                     let since = same_life.map_or(now, |p| p.since);
                     let view = PeerView {
@@ -315,7 +311,7 @@
                     };
                     self.peers.insert(node, view);
                 }
-                if leads && term > self.lead.term() && self.leader.is_some() {
+                if leads && term > self.election.term() && self.leader.is_some() {
                     // The state service, which alone could tell otherwise, does
                     // not answer this node. Holding on would hold workers here
                     // that the new leader takes for dead.
@@ -324,35 +320,37 @@
             }
             PeerMessage::Progress(list) => {
                 if self.leader.is_none() {
-                    self.desk.on_progress(list);
+                    self.api.on_progress(list);
                 }
             }
-            PeerMessage::Report { node, id, report } => self.on_passed(node, id, report),
-            PeerMessage::Answered { id, orders } => {
-                self.care.answered(&mut self.sh, &self.lead, &self.desk, id, orders)
+            PeerMessage::Heartbeat { node, id, heartbeat } => self.on_passed(node, id, heartbeat),
+            PeerMessage::HeartbeatResponse { id, commands } => {
+                self.heartbeat_proxy
+                    .answered(&mut self.context, &self.election, &self.api, id, commands)
             }
-            PeerMessage::Inquire { node, round, seen } => self.on_inquire(node, round, seen),
-            PeerMessage::Vouched {
+            PeerMessage::AttestationRequest { node, round, seen } => self.on_inquire(node, round, seen),
+            PeerMessage::Attestation {
                 node,
                 round,
                 term,
                 cancelled,
             } => self.on_vouched(&node, round, term, cancelled),
-            PeerMessage::Recall { node } => self.recall(node),
-            PeerMessage::Recalled { node, reports } => self.on_recalled(&node, reports),
-            PeerMessage::Relay { node, id, addr, body } => self.relay(node, id, addr, body),
-            PeerMessage::Relayed { id, answer } => {
+            PeerMessage::LastHeartbeatsRequest { node } => self.recall(node),
+            PeerMessage::LastHeartbeats { node, heartbeats } => self.on_recalled(&node, heartbeats),
+            PeerMessage::RelayPush { node, id, addr, body } => self.relay(node, id, addr, body),
+            PeerMessage::RelayedPushResult { id, answer } => {
                 if let Some(leader) = self.leader.as_mut() {
                     leader.on_direct(id, answer);
                 }
             }
-            PeerMessage::Ask { .. } | PeerMessage::Told { .. } | PeerMessage::Pass { .. } | PeerMessage::Passed(_) => {
-                self.on_carried(message)
-            }
-            PeerMessage::Yield { node, term, to } => {
-                if term == self.lead.term() {
+            PeerMessage::ForwardRequest { .. }
+            | PeerMessage::ForwardedResponse { .. }
+            | PeerMessage::RelayMessage { .. }
+            | PeerMessage::RelayedMessage(_) => self.on_forwarded(message),
+            PeerMessage::TransferLeadership { node, term, to } => {
+                if term == self.election.term() {
                     tracing::info!(node, to, "the leader gives up the lead");
-                    self.lead.prefer(to, now);
+                    self.election.prefer(to, now);
                 }
             }
         }
@@ -365,15 +363,15 @@
 
     /// The node's name.
     pub fn node(&self) -> &str {
-        &self.site.settings.node
+        &self.cluster.settings.node
     }
 
     /// A peer that leads a later term than the one known here.
     fn later_leader(&self) -> Option<String> {
-        let now = self.sh.now;
+        let now = self.context.now;
         self.peers
             .iter()
-            .filter(|(_, p)| p.leads && p.term > self.lead.term() && now.since(p.at) < Micros::from_secs(3.0))
+            .filter(|(_, p)| p.leads && p.term > self.election.term() && now.since(p.at) < Micros::from_secs(3.0))
             .max_by_key(|(_, p)| p.term)
             .map(|(name, _)| name.clone())
     }
@@ -383,17 +381,27 @@
         let mut names: BTreeSet<String> = self
             .peers
             .iter()
-            .filter(|(_, p)| self.sh.now.since(p.at) < Micros::from_secs(3.0))
+            .filter(|(_, p)| self.context.now.since(p.at) < Micros::from_secs(3.0))
             .map(|(name, _)| name.clone())
             .collect();
-        names.insert(self.site.settings.node.clone());
+        names.insert(self.cluster.settings.node.clone());
         names.into_iter().collect()
     }
 
     /// Queues a request of the given urgency for the leadership part.
-    fn later(&mut self, at: Micros, request: StoreRequest, wait: leadership::LeadWait, timeout: Micros) {
-        self.sh
-            .store
-            .push_at(at, Urgency::Lead, request, Wait::Lead(wait), timeout);
+    fn later(
+        &mut self,
+        at: Micros,
+        request: StoreRequest,
+        continuation: election::ElectionContinuation,
+        timeout: Micros,
+    ) {
+        self.context.store.push_at(
+            at,
+            Urgency::Lead,
+            request,
+            Continuation::Election(continuation),
+            timeout,
+        );
     }
 }
--- a/src/coordination/aims.rs
+++ b/src/coordination/objectives.rs
@@ -1,12 +1,12 @@
 //! What is expected of a job by its user and by the operators, and the account of
 //! what each class and team got of it.
 
-use super::book::{Job, Leader, Placement, Stage};
-use super::Site;
-use crate::protocol::users::Spec;
-use crate::protocol::workers::TaskPhase;
+use super::state::{Job, LeaderState, Placement, PlacementPhase};
+use super::ClusterConfig;
+use crate::protocol::agents::TaskPhase;
+use crate::protocol::users::JobSpec;
 use crate::time::Micros;
-use glenhaven_served::Aim;
+use glenhaven_objectives::Aim;
 
 /// A share that is expected where nobody names one.
 const SHARE: f64 = 0.9;
@@ -15,7 +15,7 @@
 
 /// A time that a job is to keep.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct JobAim {
+pub struct JobObjective {
     /// Its number among those of its class.
     pub number: usize,
     /// From the job's arrival on, in seconds.
@@ -34,11 +34,15 @@
 /// user's deadline, or else that it does not wait for ever.
 ///
 /// `deadline_s`: how long after its arrival so many times its user's deadline is over.
-pub fn aims_of(site: &Site, spec: &Spec, deadline_s: impl Fn(f64) -> Option<f64>) -> Vec<JobAim> {
+pub fn objectives_of(
+    cluster: &ClusterConfig,
+    spec: &JobSpec,
+    deadline_s: impl Fn(f64) -> Option<f64>,
+) -> Vec<JobObjective> {
     let mut aims = vec![];
     let mut push = |due_s: Option<f64>, starts: bool, share: Option<f64>| {
         if let Some(due_s) = due_s {
-            aims.push(JobAim {
+            aims.push(JobObjective {
                 number: aims.len(),
                 due_s,
                 starts,
@@ -48,7 +52,13 @@
             });
         }
     };
-    for o in site.settings.params.objectives.iter().filter(|o| o.class == spec.class) {
+    for o in cluster
+        .settings
+        .params
+        .objectives
+        .iter()
+        .filter(|o| o.class == spec.class)
+    {
         match o.kind.as_str() {
             "finished" => push(o.within_s, false, o.share),
             "deadline" => push(deadline_s(o.times.unwrap_or(1.0)), false, o.share),
@@ -60,7 +70,7 @@
         let service = spec.shape == crate::protocol::users::Shape::Service;
         let patient = (!service).then(|| NO_HURRY_S.max(spec.estimate_s * 3.0));
         let due_s = deadline_s(1.0).or(patient);
-        aims.extend(due_s.map(|due_s| JobAim {
+        aims.extend(due_s.map(|due_s| JobObjective {
             number: 0,
             due_s,
             starts: false,
@@ -75,40 +85,41 @@
 impl Job {
     /// Whether every task of it runs or has run.
     fn all_started(&self) -> bool {
-        let runs = |p: &Placement| p.running_since.is_some() || matches!(p.stage, Stage::Seen(TaskPhase::Running));
-        self.waiting.is_empty() && self.placed.values().all(runs)
+        let runs =
+            |p: &Placement| p.running_since.is_some() || matches!(p.phase, PlacementPhase::Seen(TaskPhase::Running));
+        self.waiting.is_empty() && self.placements.values().all(runs)
     }
 }
 
-impl Leader {
+impl LeaderState {
     /// A job that came is counted, and those that kept or missed a time are judged.
-    pub fn keep_account(&mut self, site: &Site, now: Micros) {
+    pub fn update_slo_accounting(&mut self, cluster: &ClusterConfig, now: Micros) {
         let mut judged = vec![];
-        let held = super::placement::team_use(&self.jobs);
+        let held = super::scheduling::team_use(&self.jobs);
         for job in self.jobs.values_mut().filter(|j| !j.blocked) {
-            if job.aims.is_none() {
-                job.aims = Some(aims_of(site, &job.spec, |times| job.deadline_s(times)));
+            if job.objectives.is_none() {
+                job.objectives = Some(objectives_of(cluster, &job.spec, |times| job.deadline_s(times)));
                 let cores = f64::from(job.spec.tasks) * job.spec.cpus;
                 let s = &job.spec;
-                let age = if job.ageless {
+                let age = if job.arrival_unknown {
                     Micros::ZERO
                 } else {
                     now.since(job.arrived)
                 };
-                self.account.arrived(&s.class, &s.team, cores, s.estimate_s, age, now);
+                self.slo.arrived(&s.class, &s.team, cores, s.estimate_s, age, now);
             }
             if !job.is_live() {
                 continue;
             }
             // What fails everywhere, or waits for its own team's limit, is not
             // behind others; nobody knows when a job of an earlier leader came.
-            let (limit, _) = site.limits(&job.spec.team);
+            let (limit, _) = cluster.limits(&job.spec.team);
             let of_team = held.get(&job.spec.team).map_or(0.0, |h| h.0);
             let limited = !job.waiting.is_empty() && of_team + job.spec.cpus > limit;
-            let blameless = job.ageless || job.is_suspect(now) || limited;
+            let blameless = job.arrival_unknown || job.is_suspect(now) || limited;
             let age = now.since(job.arrived).secs();
             let started = job.all_started();
-            for aim in job.aims.iter_mut().flatten().filter(|a| !a.judged) {
+            for aim in job.objectives.iter_mut().flatten().filter(|a| !a.judged) {
                 if (aim.starts && started) || age > aim.due_s {
                     aim.judged = true;
                     let kept = age <= aim.due_s;
@@ -119,36 +130,36 @@
             }
         }
         for (class, number, kept, promised) in judged {
-            self.account.judged(&class, number, kept, now);
+            self.slo.judged(&class, number, kept, now);
             if promised {
-                self.account.promised(&class, kept, now);
+                self.slo.promised(&class, kept, now);
             }
         }
     }
 
     /// Every task of an array has completed: it keeps what is not yet missed.
-    pub fn kept_aims(&mut self, id: &str, now: Micros) {
-        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.ageless) else {
+    pub fn record_objectives_met(&mut self, id: &str, now: Micros) {
+        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.arrival_unknown) else {
             return;
         };
         let age = now.since(job.arrived).secs();
-        for aim in job.aims.iter_mut().flatten().filter(|a| !a.judged) {
+        for aim in job.objectives.iter_mut().flatten().filter(|a| !a.judged) {
             aim.judged = true;
-            self.account.judged(&job.spec.class, aim.number, age <= aim.due_s, now);
+            self.slo.judged(&job.spec.class, aim.number, age <= aim.due_s, now);
             if aim.promised {
-                self.account.promised(&job.spec.class, age <= aim.due_s, now);
+                self.slo.promised(&job.spec.class, age <= aim.due_s, now);
             }
         }
     }
 
     /// Tells operators who is behind, and what each class and team asked for, got
     /// and waited for.
-    pub fn log_account(&self, site: &Site, now: Micros) {
+    pub fn log_slo_accounting(&self, cluster: &ClusterConfig, now: Micros) {
         let mut aims: Vec<Aim> = vec![];
         let mut seen = std::collections::BTreeSet::new();
         for job in self.jobs.values().filter(|j| seen.insert(j.spec.class.as_str())) {
             aims.extend(
-                aims_of(site, &job.spec, |t| job.deadline_s(t))
+                objectives_of(cluster, &job.spec, |t| job.deadline_s(t))
                     .into_iter()
                     .map(|a| Aim {
                         class: job.spec.class.clone(),
@@ -157,7 +168,7 @@
                     }),
             );
         }
-        for b in self.account.behind(&aims, now) {
+        for b in self.slo.behind(&aims, now) {
             let why = self.why_behind(&b.class, now);
             tracing::info!(
                 class = b.class,
@@ -168,15 +179,15 @@
                 "behind"
             );
         }
-        let rows = self.account.classes(now).into_iter().map(|r| ("class", r));
-        let teams = self.account.teams(now).into_iter().map(|r| ("team", r));
+        let rows = self.slo.classes(now).into_iter().map(|r| ("class", r));
+        let teams = self.slo.teams(now).into_iter().map(|r| ("team", r));
         for (of, row) in rows.chain(teams) {
             tracing::debug!(
                 of,
                 name = row.name,
                 asked_cores_s = row.asked,
                 got_cores_s = row.got,
-                trust = self.account.trust(&row.name, now),
+                trust = self.slo.trust(&row.name, now),
                 wait_p50_s = row.wait_p50_s,
                 wait_p99_s = row.wait_p99_s,
                 "account"
@@ -191,12 +202,12 @@
         let booting = self
             .machines
             .values()
-            .any(|m| m.state == super::book::MachineState::Booting);
+            .any(|m| m.state == super::state::MachineState::Booting);
         if waiting.is_empty() {
             "nothing of it waits now"
         } else if waiting.iter().all(|j| j.is_suspect(now)) {
             "what waits fails wherever it is tried"
-        } else if self.zones.any() {
+        } else if self.failures.zones.any() {
             "a zone is cut off"
         } else if booting {
             "machines are booting"
--- a/src/coordination/boots.rs
+++ b/src/coordination/provisioning/boot_times.rs
@@ -1,8 +1,8 @@
 //! How long machines take to boot, learnt for each type, zone and sort of rental
 //! from those that came up lately and those that have yet to.
 
-use super::book::{Machine, MachineId, MachineState};
-use super::Site;
+use crate::coordination::state::{Machine, MachineId, MachineState};
+use crate::coordination::ClusterConfig;
 use crate::time::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -62,13 +62,13 @@
 
 /// The boots of late.
 #[derive(Default)]
-pub struct Boots {
+pub struct BootTimes {
     /// When a machine came up, and how many times its nominal time that took.
     seen: BTreeMap<BootKind, VecDeque<(Micros, f64)>>,
     paces: BTreeMap<BootKind, Pace>,
 }
 
-impl Boots {
+impl BootTimes {
     /// A machine came up.
     pub fn came_up(&mut self, kind: BootKind, took: Micros, boot_s: f64, now: Micros) {
         let seen = self.seen.entry(kind).or_default();
@@ -84,10 +84,10 @@
     }
 
     /// Looks at all machines anew.
-    pub fn look(&mut self, site: &Site, machines: &BTreeMap<MachineId, Machine>, now: Micros) {
+    pub fn look(&mut self, cluster: &ClusterConfig, machines: &BTreeMap<MachineId, Machine>, now: Micros) {
         let mut waits: BTreeMap<BootKind, (usize, usize)> = BTreeMap::new();
         for m in machines.values() {
-            let (Some(t), Some(at)) = (site.catalogue.get(&m.machine_type), m.rented_at) else {
+            let (Some(t), Some(at)) = (cluster.catalogue.get(&m.machine_type), m.rented_at) else {
                 continue;
             };
             let age = now.since(at);
