--- a/src/coordination/fleet/claims.rs
+++ b/src/coordination/provisioning/claims.rs
@@ -1,12 +1,12 @@
 //! Rental requests and their records: each is recorded before it is made, and asked for again
 //! under the same name by the next leader.
 
-use super::{Claim, ClaimState, Fleet};
-use crate::bookkeeping::records::ClaimValue;
+use super::{Claim, ClaimState, Provisioning};
+use crate::storage::records::ClaimValue;
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-impl Fleet {
+impl Provisioning {
     /// Requests of an earlier leader: asked again under the same name, which
     /// tells their machines or, if they were never made, makes them now.
     pub fn adopt_claims(&mut self, claims: BTreeMap<String, (u64, ClaimValue)>, now: Micros) {
--- a/src/coordination/worth.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -1,13 +1,13 @@
 //! Ordinary machines for work that may use spot machines: what they would serve in
-//! time, and cost. The decision is that of `glenhaven-renting`.
+//! time, and cost. The decision is that of `glenhaven-provisioning`.
 
-use super::aims::JobAim;
-use super::book::{Job, Leader, MachineState};
-use super::fleet::effective_cores;
-use super::placement::takes_leftovers;
-use super::{JobId, Site};
+use super::effective_cores;
+use crate::coordination::objectives::JobObjective;
+use crate::coordination::scheduling::is_best_effort;
+use crate::coordination::state::{Job, LeaderState, MachineState};
+use crate::coordination::{ClusterConfig, JobId};
 use crate::time::Micros;
-use glenhaven_renting::{advise, Advice, Due, Offer, Supply, Work};
+use glenhaven_provisioning::{advise, Advice, Due, Offer, Supply, Work};
 use std::collections::BTreeMap;
 
 /// Waiting jobs that are looked at one by one; what is behind them in the queue
@@ -30,7 +30,7 @@
 /// The longest that an image is waited for.
 const FETCH_S: f64 = 60.0;
 
-impl Leader {
+impl LeaderState {
     /// How long a task of the job is expected to run: as those before it did, or as
     /// its owner says, corrected by how wrong the class's owners were lately.
     fn expected_s(&self, job: &Job) -> f64 {
@@ -38,7 +38,7 @@
         if n >= 3 {
             sum / f64::from(n)
         } else {
-            job.spec.estimate_s * self.account.bias(&job.spec.class)
+            job.spec.estimate_s * self.slo.bias(&job.spec.class)
         }
     }
 
@@ -46,20 +46,20 @@
     /// the operators say how long its tasks may wait, they are, as long as most of what
     /// such rentals promised came true. Other work has time: it gets machines for its
     /// backlog, which costs far less for each job that is in time.
-    pub fn must_not_wait(&self, site: &Site, class: &str, now: Micros) -> bool {
-        let mut aims = site.settings.params.objectives.iter();
+    pub fn must_not_wait(&self, cluster: &ClusterConfig, class: &str, now: Micros) -> bool {
+        let mut aims = cluster.settings.params.objectives.iter();
         let named = aims.any(|o| o.class == class && o.kind == "wait");
-        named && self.account.trust(class, now) >= BELIEVED
+        named && self.slo.trust(class, now) >= BELIEVED
     }
 
     /// How many cores of ordinary machines to rent now for what may use spot
     /// machines, when none of those is to be had. `ordinary` cores of the room
     /// that there is and comes are for other work.
-    pub fn worth_ordinary(&self, site: &Site, ordinary: f64, now: Micros) -> (Advice, Promises) {
-        let usable: Vec<_> = site
+    pub fn on_demand_cost_benefit(&self, cluster: &ClusterConfig, ordinary: f64, now: Micros) -> (Advice, Promises) {
+        let usable: Vec<_> = cluster
             .catalogue
             .values()
-            .filter(|t| t.zones.iter().any(|z| !self.zones.is_cut(z)))
+            .filter(|t| t.zones.iter().any(|z| !self.failures.zones.is_cut(z)))
             .collect();
         let per_core = |price: f64, cpus: f64| price / cpus.max(1.0) / 3600.0;
         let price = usable.iter().map(|t| per_core(t.price, t.cpus));
@@ -75,45 +75,45 @@
         // What everything costs a second: each aim of a class is taken to be worth
         // as much as a part of it, each job its share of that.
         let (mut spent, mut demand) = (0.0, 0.0);
-        for m in self.machines.values().filter(|m| m.state != MachineState::Doomed) {
-            if let Some(t) = site.catalogue.get(&m.machine_type) {
+        for m in self.machines.values().filter(|m| m.state != MachineState::Releasing) {
+            if let Some(t) = cluster.catalogue.get(&m.machine_type) {
                 spent += if m.spot { t.spot_price } else { t.price } / 3600.0;
             }
         }
         for job in self.jobs.values().filter(|j| j.may_run()) {
             let tasks = f64::from(job.held) + job.waiting.len() as f64;
-            demand += tasks * effective_cores(&job.spec, site);
+            demand += tasks * effective_cores(&job.spec, cluster);
         }
-        let spent = spent.max(demand * cheap) * site.settings.operator.in_time_worth;
+        let spent = spent.max(demand * cheap) * cluster.settings.operator.in_time_worth;
         let mut hurries: BTreeMap<&str, bool> = BTreeMap::new();
         for job in self.jobs.values().filter(|j| j.spec.spot && !j.waiting.is_empty()) {
             let class = job.spec.class.as_str();
             hurries
                 .entry(class)
-                .or_insert_with(|| self.must_not_wait(site, class, now));
+                .or_insert_with(|| self.must_not_wait(cluster, class, now));
         }
         if !hurries.values().any(|h| *h) {
             return Default::default();
         }
-        let worth = |class: &str, aim: &JobAim| {
+        let worth = |class: &str, aim: &JobObjective| {
             if !hurries.get(class).copied().unwrap_or(false) {
                 return 0.0;
             }
-            let jobs = self.account.inflow(class, now).jobs_per_s;
+            let jobs = self.slo.inflow(class, now).jobs_per_s;
             // A class of which a job comes every few minutes is not worth all.
             let a_job = spent / jobs.max(1.0 / NO_OFTENER_S);
-            a_job * self.account.urgency(class, aim.number, aim.share, now)
+            a_job * self.slo.urgency(class, aim.number, aim.share, now)
         };
 
         // What waits, in the order of the queue.
-        let within = self.within_guarantee(site);
+        let within = self.within_guarantee(cluster);
         let mut left: BTreeMap<&str, f64> = BTreeMap::new();
-        let held = super::placement::team_use(&self.jobs);
+        let held = crate::coordination::scheduling::team_use(&self.jobs);
         let mut waiting: Vec<&Job> = self
             .jobs
             .values()
             .filter(|j| j.spec.spot && j.may_run() && !j.waiting.is_empty())
-            .filter(|j| !j.is_suspect(now) && !takes_leftovers(site, j, now))
+            .filter(|j| !j.is_suspect(now) && !is_best_effort(cluster, j, now))
             .collect();
         waiting.sort_by_key(|j| (std::cmp::Reverse(j.priority), !within.contains(&j.id), j.version));
         let mut queue: Vec<Work> = vec![];
@@ -128,9 +128,9 @@
             }
             let team = left.entry(&job.spec.team).or_insert_with(|| {
                 let of_team = held.get(&job.spec.team).map_or(0.0, |h| h.0);
-                (site.limits(&job.spec.team).0 - of_team).max(0.0)
+                (cluster.limits(&job.spec.team).0 - of_team).max(0.0)
             });
-            let cores = (job.waiting.len() as f64 * effective_cores(&job.spec, site)).min(*team);
+            let cores = (job.waiting.len() as f64 * effective_cores(&job.spec, cluster)).min(*team);
             *team -= cores;
             if cores <= 0.0 {
                 continue;
@@ -140,7 +140,7 @@
             let mut dues: Vec<Due> = vec![];
             let mut numbers = vec![];
             let mut most: f64 = 0.0;
-            for aim in job.aims.iter().flatten() {
+            for aim in job.objectives.iter().flatten() {
                 let worth = worth(class, aim);
                 most = most.max(worth);
                 let start_by_s = aim.due_s - age - if aim.starts { fetch_s(job) } else { run_s };
@@ -187,11 +187,11 @@
         }
         // What is expected to come meanwhile takes its part of the room.
         for (class, job) in last {
-            let inflow = self.account.inflow(class, now);
-            let run_s = inflow.run_s * self.account.bias(class) + fetch_s(job);
+            let inflow = self.slo.inflow(class, now);
+            let run_s = inflow.run_s * self.slo.bias(class) + fetch_s(job);
             let mut from_s = PART_S / 2.0;
             while from_s < EXPECTED_S {
-                let dues = job.aims.iter().flatten().map(|aim| Due {
+                let dues = job.objectives.iter().flatten().map(|aim| Due {
                     start_by_s: from_s + aim.due_s - if aim.starts { fetch_s(job) } else { run_s },
                     worth: worth(class, aim) * inflow.jobs_per_s * PART_S,
                 });
@@ -209,14 +209,14 @@
             free: -ordinary,
             coming: vec![],
         };
-        let quiet = Self::work_silence(site);
-        for m in self.machines.values().filter(|m| !self.zones.is_cut(&m.zone)) {
-            let Some(t) = site.catalogue.get(&m.machine_type) else {
+        let quiet = Self::work_silence(cluster);
+        for m in self.machines.values().filter(|m| !self.failures.zones.is_cut(&m.zone)) {
+            let Some(t) = cluster.catalogue.get(&m.machine_type) else {
                 continue;
             };
             if m.state == MachineState::Booting {
                 let age = now.since(m.since);
-                let counted = self.boots.pace(m).counted(age, t.boot_s);
+                let counted = self.provisioning.boot_times.pace(m).counted(age, t.boot_s);
                 let ready_s = (t.boot_s * BOOTS - age.secs()).max(1.0);
                 supply.coming.push((ready_s, t.cpus * counted));
             } else if m.takes_work(now, quiet) {
@@ -225,15 +225,19 @@
                     let Some(job) = self.jobs.get(id).filter(|j| !j.is_service()) else {
                         continue;
                     };
-                    let Some(p) = job.placed.get(task) else { continue };
+                    let Some(p) = job.placements.get(task) else { continue };
                     let run_s = self.expected_s(job) + fetch_s(job);
                     let ran_s = now.since(p.since).secs();
                     supply.coming.push(((run_s - ran_s).max(2.0), job.spec.cpus));
                 }
             }
         }
-        for claim in self.fleet.coming().filter(|c| !self.zones.is_cut(&c.zone)) {
-            if let Some(t) = site.catalogue.get(&claim.machine_type) {
+        for claim in self
+            .provisioning
+            .coming()
+            .filter(|c| !self.failures.zones.is_cut(&c.zone))
+        {
+            if let Some(t) = cluster.catalogue.get(&claim.machine_type) {
                 let cores = t.cpus * f64::from(claim.count);
                 supply.coming.push((t.boot_s * BOOTS, cores));
             }
@@ -241,7 +245,7 @@
         let offer = Offer {
             ready_s: boot_s,
             price,
-            idle_s: site.settings.operator.idle_s,
+            idle_s: cluster.settings.operator.idle_s,
             most: 1e9,
         };
         let advice = advise(&queue, &supply, &offer);
@@ -266,7 +270,7 @@
     /// of it tells how far such projections are to be believed.
     pub fn promise(&mut self, promises: Promises) {
         for (id, number) in promises {
-            let aims = self.jobs.get_mut(&id).and_then(|j| j.aims.as_mut());
+            let aims = self.jobs.get_mut(&id).and_then(|j| j.objectives.as_mut());
             for aim in aims.into_iter().flatten().filter(|a| a.number == number) {
                 aim.promised = true;
             }
--- a/src/coordination/fleet/listed.rs
+++ b/src/coordination/provisioning/listed.rs
@@ -1,18 +1,18 @@
 //! The cloud's list of machines, and which machines are given up: late and dead boots, silent and
 //! failed machines, those that keep a cancelled task for too long.
 
-use super::super::book::{Leader, Machine, MachineId, MachineState};
-use super::super::{times, Site};
-use crate::protocol::cloud::Listed;
+use super::super::state::{LeaderState, Machine, MachineId, MachineState};
+use super::super::{timing, ClusterConfig};
+use crate::protocol::cloud::ListedMachine;
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-impl Leader {
+impl LeaderState {
     /// A machine in the list: unknown ones are adopted, failed ones returned.
-    pub(super) fn listed(&mut self, listed: Listed, now: Micros) {
+    pub(super) fn listed(&mut self, listed: ListedMachine, now: Micros) {
         let name: MachineId = listed.name.as_str().into();
-        if self.gone.contains(&name) {
+        if self.released.contains(&name) {
             return;
         }
         let age = Micros::from_secs(listed.age_s);
@@ -29,19 +29,19 @@
         if m.addr.is_empty() {
             m.addr = listed.addr;
         }
-        if listed.phase == "failed" && m.state != MachineState::Doomed {
+        if listed.phase == "failed" && m.state != MachineState::Releasing {
             tracing::info!(machine = listed.name, "machine failed");
-            m.state = MachineState::Doomed;
-            self.fleet.to_release.insert(m.name.clone());
+            m.state = MachineState::Releasing;
+            self.provisioning.to_release.insert(m.name.clone());
         }
     }
 
     /// Gives up on machines that are late, silent or taken, and on those that
     /// keep a cancelled task for too long.
-    pub fn judge_machines(&mut self, site: &Site, now: Micros) {
-        self.boots.look(site, &self.machines, now);
-        let w = &site.settings.params.workers;
-        let silent = times::silent(w);
+    pub fn release_failed_machines(&mut self, cluster: &ClusterConfig, now: Micros) {
+        self.provisioning.boot_times.look(cluster, &self.machines, now);
+        let w = &cluster.settings.params.workers;
+        let silent = timing::silent(w);
         let lease = Micros::from_secs(w.lease_s);
         // A silent spot machine was most likely taken back. An ordinary one is
         // more likely cut off with its tasks running; they run on until its
@@ -51,23 +51,25 @@
         // Inside a zone that is cut off, its controllers go on answering for as long as
         // their knowledge is fresh enough, and services run on until the leases renewed
         // by them end. If they were dead instead, the cloud's list would tell.
-        let inside = site.knowledge_limit();
+        let inside = cluster.knowledge_limit();
         let kept_inside = |m: &Machine| {
-            m.services > 0 && self.zones.is_cut(&m.zone) && site.settings.peers.iter().any(|p| p.zone == m.zone)
+            m.services > 0
+                && self.failures.zones.is_cut(&m.zone)
+                && cluster.settings.peers.iter().any(|p| p.zone == m.zone)
         };
         let patience = |m: &Machine| {
             if kept_inside(m) {
-                inside + times::lease_ends(w)
+                inside + timing::lease_ends(w)
             } else if m.spot || m.machine_type.is_empty() {
                 silent
             } else {
-                times::lease_ends(w)
+                timing::lease_ends(w)
             }
         };
         // Where a node is lost, its workers find another one first.
         let listens = |m: &Machine| self.listens_to(m, now);
         // A zone that is cut off says nothing of the node that heard it.
-        let cut_off = |m: &Machine| self.zones.is_cut(&m.zone);
+        let cut_off = |m: &Machine| self.failures.zones.is_cut(&m.zone);
         // Half of the machines that one node hears silent at once says more about
         // that node than about the machines; they get as long as their leases
         // last.
@@ -77,7 +79,7 @@
             .values()
             .filter(|m| m.state == MachineState::Up && !cut_off(m))
         {
-            let quiet = now.since(m.last_report.max(m.kept_at).max(listens(m))) > silent;
+            let quiet = now.since(m.last_heartbeat.max(m.proxied_at).max(listens(m))) > silent;
             let group = heard_by.entry(m.via.clone()).or_default();
             group.0 += 1;
             group.1 += usize::from(quiet);
@@ -89,33 +91,37 @@
             .collect();
         let listening: BTreeMap<MachineId, Micros> =
             self.machines.values().map(|m| (m.name.clone(), listens(m))).collect();
-        let boots = &self.boots;
+        let boots = &self.provisioning.boot_times;
         let held_too_long: BTreeSet<MachineId> = self
             .jobs
             .values()
             .filter(|j| j.cancelled.is_some())
-            .flat_map(|j| j.placed.values())
+            .flat_map(|j| j.placements.values())
             .filter(|p| now.since(p.stop_at) > Micros::from_secs(w.cancel_s * 0.5))
             .map(|p| p.machine.clone())
             .collect();
-        let released = self.released_in_step(site, now);
+        let released = self.released_in_step(cluster, now);
         let alone = |m: &Machine| {
-            let judged = !cut_off(m) && !doubted.contains(&m.via) && now.since(m.kept_at) > times::KEPT_TOLD;
-            judged.then(|| now.since(m.last_report.max(listens(m))))
+            let judged = !cut_off(m) && !doubted.contains(&m.via) && now.since(m.proxied_at) > timing::KEPT_TOLD;
+            judged.then(|| now.since(m.last_heartbeat.max(listens(m))))
         };
-        let hung = self.given_up_early(site, alone);
-        let zones = &self.zones;
-        for m in self.machines.values_mut().filter(|m| m.state != MachineState::Doomed) {
+        let hung = self.given_up_early(cluster, alone);
+        let zones = &self.failures.zones;
+        for m in self
+            .machines
+            .values_mut()
+            .filter(|m| m.state != MachineState::Releasing)
+        {
             let listens = listening.get(&m.name).copied().unwrap_or(self.listens_since);
             // What another node keeps runs on, but nothing that ends there can be
             // recorded: a short cut is sat out, a long one is not.
-            let sat_out = now.since(m.last_report.max(listens)) < times::kept(w);
-            let kept_at = if sat_out { m.kept_at } else { Micros::ZERO };
+            let sat_out = now.since(m.last_heartbeat.max(listens)) < timing::kept(w);
+            let proxied_at = if sat_out { m.proxied_at } else { Micros::ZERO };
             // In a zone that is cut off, leases run on from the last report.
-            let known = zones.is_cut(&m.zone) && m.last_report > Micros::ZERO;
+            let known = zones.is_cut(&m.zone) && m.last_heartbeat > Micros::ZERO;
             let listens = if known { Micros::ZERO } else { listens };
-            let unheard = now.since(m.last_report.max(kept_at).max(listens));
-            let boot = site.catalogue.get(&m.machine_type).map_or(60.0, |t| t.boot_s);
+            let unheard = now.since(m.last_heartbeat.max(proxied_at).max(listens));
+            let boot = cluster.catalogue.get(&m.machine_type).map_or(60.0, |t| t.boot_s);
             let why = match m.state {
                 MachineState::Booting if m.tasks.is_empty() => {
                     // To a new leader all machines are booting until they report.
@@ -130,19 +136,21 @@
                 {
                     Some("silent")
                 }
-                _ if m.taken_at.is_some_and(|at| now > at) && unheard > Micros::from_secs(w.report_s * 1.5 + 1.0) => {
+                _ if m.interruption_at.is_some_and(|at| now > at)
+                    && unheard > Micros::from_secs(w.report_s * 1.5 + 1.0) =>
+                {
                     Some("taken back")
                 }
                 _ => None,
             };
             // A node that keeps a machine stops cancelled tasks there itself.
-            let kept = now.since(m.kept_at) < times::KEPT_TOLD;
+            let kept = now.since(m.proxied_at) < timing::KEPT_TOLD;
             let why = why.or_else(|| (!kept && held_too_long.contains(&m.name)).then_some("keeps a cancelled task"));
             if let Some(why) = why {
                 let (tasks, services) = (m.tasks.len(), m.services);
                 tracing::info!(machine = %m.name, zone = &*m.zone, why, tasks, services, "machine given up");
-                m.state = MachineState::Doomed;
-                self.fleet.to_release.insert(m.name.clone());
+                m.state = MachineState::Releasing;
+                self.provisioning.to_release.insert(m.name.clone());
                 self.dirty = true;
             }
         }
--- a/src/coordination/fleet.rs
+++ b/src/coordination/provisioning/mod.rs
@@ -1,19 +1,22 @@
 //! Renting and returning machines: for what waits and what is coming; late and
 //! dead boots given up, silent machines released, unexpected ones adopted.
 
+pub mod boot_times;
 mod calls;
 mod claims;
+pub mod cost_benefit;
 mod demand;
 mod listed;
-mod rent;
+mod scale_out;
 
-use super::book::{Leader, Machine, MachineId, MachineState};
-use super::{times, CloudAnswer, CloudRequest, Shared, Site};
-use crate::bookkeeping::records::ClaimValue;
-use crate::protocol::cloud::{Hosts, Rent};
+use super::state::{LeaderState, Machine, MachineId, MachineState};
+use super::{timing, CloudRequest, CloudResponse, ClusterConfig, Context};
+use crate::protocol::cloud::{MachineNames, ProvisionRequest};
+use crate::storage::records::ClaimValue;
 use crate::time::Micros;
-pub use calls::CloudDesk;
-use calls::CloudWait;
+use boot_times::BootTimes;
+pub use calls::CloudCallTracker;
+use calls::CloudContinuation;
 pub use demand::effective_cores;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -42,8 +45,10 @@
     tries: u32,
 }
 
-/// The leader's rentals.
-pub struct Fleet {
+/// Machines that the leader has requested, lists and releases.
+pub struct Provisioning {
+    /// How long machines of each kind took to boot lately.
+    pub(super) boot_times: BootTimes,
     claims: Vec<Claim>,
     next_claim: u64,
     next_list: Micros,
@@ -64,9 +69,10 @@
     average_at: Option<Micros>,
 }
 
-impl Fleet {
-    pub fn new(now: Micros) -> Fleet {
-        Fleet {
+impl Provisioning {
+    pub fn new(now: Micros) -> Provisioning {
+        Provisioning {
+            boot_times: BootTimes::default(),
             claims: vec![],
             next_claim: 0,
             next_list: now,
@@ -84,13 +90,13 @@
     }
 }
 
-impl Leader {
-    fn rented(&mut self, id: &str, answer: CloudAnswer, now: Micros, pause: Micros) {
-        let Some(claim) = self.fleet.claims.iter_mut().find(|c| c.id == id) else {
+impl LeaderState {
+    fn rented(&mut self, id: &str, answer: CloudResponse, now: Micros, pause: Micros) {
+        let Some(claim) = self.provisioning.claims.iter_mut().find(|c| c.id == id) else {
             return;
         };
         match answer {
-            CloudAnswer::Rented(names) => {
+            CloudResponse::Rented(names) => {
                 let names: Vec<MachineId> = names.iter().map(|n| n.as_str().into()).collect();
                 if (names.len() as u32) < claim.value.count {
                     let key = (
@@ -98,7 +104,7 @@
                         claim.value.zone.clone(),
                         claim.value.spot,
                     );
-                    self.fleet.blocked.insert(key, now + times::NO_CAPACITY);
+                    self.provisioning.blocked.insert(key, now + timing::NO_CAPACITY);
                 }
                 tracing::debug!(
                     claim = id,
@@ -110,7 +116,7 @@
                     "rented"
                 );
                 for name in &names {
-                    if self.gone.contains(name) {
+                    if self.released.contains(name) {
                         continue;
                     }
                     let m = self
@@ -125,7 +131,7 @@
                 }
                 claim.state = ClaimState::Answered(names);
             }
-            CloudAnswer::NoCapacity | CloudAnswer::Malformed => {
+            CloudResponse::NoCapacity | CloudResponse::Malformed => {
                 // Nothing was rented under this name, and it is not asked
                 // again. An earlier try that went unanswered may still be
                 // executed; its machines are adopted when they show.
@@ -134,7 +140,7 @@
                     claim.value.zone.clone(),
                     claim.value.spot,
                 );
-                self.fleet.blocked.insert(key, now + times::NO_CAPACITY);
+                self.provisioning.blocked.insert(key, now + timing::NO_CAPACITY);
                 claim.state = ClaimState::Over;
             }
             _ => {
@@ -146,25 +152,31 @@
     }
 
     /// Rents, lists and returns machines.
-    pub fn tick_fleet(&mut self, sh: &mut Shared, site: &Site, cloud: &mut CloudDesk) {
-        let now = sh.now;
-        if site.catalogue.is_empty() {
+    pub fn run_provisioning(&mut self, context: &mut Context, cluster: &ClusterConfig, cloud: &mut CloudCallTracker) {
+        let now = context.now;
+        if cluster.catalogue.is_empty() {
             return;
         }
         // What is lost frees its tasks only when it is returned: that first.
         let machines = &self.machines;
-        let waits = |m: &Machine| m.state == MachineState::Doomed && m.release_sent.is_none();
-        self.fleet
+        let waits = |m: &Machine| m.state == MachineState::Releasing && m.release_sent.is_none();
+        self.provisioning
             .to_release
             .retain(|name| machines.get(name).is_some_and(waits));
-        let doomed: Vec<MachineId> = self.fleet.to_release.iter().take(RELEASED_AT_ONCE).cloned().collect();
-        if !doomed.is_empty() && self.fleet.releasing < 2 {
-            let request = CloudRequest::Release(Hosts {
+        let doomed: Vec<MachineId> = self
+            .provisioning
+            .to_release
+            .iter()
+            .take(RELEASED_AT_ONCE)
+            .cloned()
+            .collect();
+        if !doomed.is_empty() && self.provisioning.releasing < 2 {
+            let request = CloudRequest::Release(MachineNames {
                 machines: doomed.iter().map(|n| n.to_string()).collect(),
             });
-            let wait = CloudWait::Release(self.incarnation, doomed.clone());
-            if cloud.call(sh, site, wait, request, 0.0) {
-                self.fleet.releasing += 1;
+            let wait = CloudContinuation::Release(self.incarnation, doomed.clone());
+            if cloud.call(context, cluster, wait, request, 0.0) {
+                self.provisioning.releasing += 1;
                 for name in doomed {
                     if let Some(m) = self.machines.get_mut(&name) {
                         m.release_sent = Some(now);
@@ -172,44 +184,51 @@
                 }
             }
         }
-        for claim in &mut self.fleet.claims {
+        for claim in &mut self.provisioning.claims {
             if matches!(claim.state, ClaimState::Recorded) && now >= claim.again_at {
-                let request = CloudRequest::Rent(Rent {
+                let request = CloudRequest::Provision(ProvisionRequest {
                     claim: claim.id.clone(),
                     machine_type: claim.value.machine_type.clone(),
                     zone: claim.value.zone.clone(),
                     spot: claim.value.spot,
                     count: claim.value.count,
                 });
-                let wait = CloudWait::Rent(self.incarnation, claim.id.clone());
-                if !cloud.call(sh, site, wait, request, 0.1) {
+                let wait = CloudContinuation::ProvisionRequest(self.incarnation, claim.id.clone());
+                if !cloud.call(context, cluster, wait, request, 0.1) {
                     break;
                 }
                 claim.state = ClaimState::Asked;
             }
         }
-        let (machines, gone) = (&self.machines, &self.gone);
-        for claim in &mut self.fleet.claims {
+        let (machines, gone) = (&self.machines, &self.released);
+        for claim in &mut self.provisioning.claims {
             if let ClaimState::Answered(names) = &claim.state {
                 let seen = |n: &MachineId| {
-                    gone.contains(n) || machines.get(n).is_none_or(|m| m.session > 0 || !m.addr.is_empty())
+                    gone.contains(n) || machines.get(n).is_none_or(|m| m.incarnation > 0 || !m.addr.is_empty())
                 };
                 if names.iter().all(seen) {
                     claim.state = ClaimState::Over;
                 }
             }
         }
-        if !self.fleet.list_flying && (self.fleet.listing.is_some() || now >= self.fleet.next_list) {
+        if !self.provisioning.list_flying && (self.provisioning.listing.is_some() || now >= self.provisioning.next_list)
+        {
             let request = CloudRequest::List {
-                after: self.fleet.listing.clone().unwrap_or_default(),
+                after: self.provisioning.listing.clone().unwrap_or_default(),
             };
-            if cloud.call(sh, site, CloudWait::List(self.incarnation), request, 0.3) {
-                self.fleet.list_flying = true;
+            if cloud.call(
+                context,
+                cluster,
+                CloudContinuation::List(self.incarnation),
+                request,
+                0.3,
+            ) {
+                self.provisioning.list_flying = true;
             }
         }
-        if now >= self.fleet.next_decide {
-            self.fleet.next_decide = now + Micros::from_millis(250);
-            self.decide(site, now);
+        if now >= self.provisioning.next_decide {
+            self.provisioning.next_decide = now + Micros::from_millis(250);
+            self.decide(cluster, now);
         }
     }
 }
--- a/src/coordination/fleet/rent.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -1,13 +1,13 @@
 //! Rents machines where they are to be had, and returns idle ones.
 
-use super::super::book::{Leader, MachineState};
-use super::super::placement::allowed;
-use super::super::{times, Site};
+use super::super::scheduling::allowed;
+use super::super::state::{LeaderState, MachineState};
+use super::super::{timing, ClusterConfig};
 use super::demand::Supply;
 use super::{Claim, ClaimState};
-use crate::bookkeeping::records::ClaimValue;
 use crate::protocol::cloud::MachineType;
-use crate::protocol::users::Spec;
+use crate::protocol::users::JobSpec;
+use crate::storage::records::ClaimValue;
 use crate::time::Micros;
 
 /// Machines asked for at once, even if that is all of a need.
@@ -17,27 +17,27 @@
 /// Requests on their way at a time.
 const CLAIMS: usize = 16;
 
-impl Leader {
+impl LeaderState {
     /// Requests machines of one kind for so many cores; false if none can be
     /// asked for now.
-    pub(super) fn rent(&mut self, site: &Site, now: Micros, spot: bool, cores: f64) -> bool {
-        self.rent_where(site, now, spot, cores, None, &|_| true)
+    pub(super) fn rent(&mut self, cluster: &ClusterConfig, now: Micros, spot: bool, cores: f64) -> bool {
+        self.rent_where(cluster, now, spot, cores, None, &|_| true)
     }
 
     /// The same in some zones only and, if given, for one job.
     pub(super) fn rent_where(
         &mut self,
-        site: &Site,
+        cluster: &ClusterConfig,
         now: Micros,
         spot: bool,
         cores: f64,
-        only: Option<&Spec>,
+        only: Option<&JobSpec>,
         zone_open: &dyn Fn(&String) -> bool,
     ) -> bool {
-        if self.fleet.coming().count() >= CLAIMS {
+        if self.provisioning.coming().count() >= CLAIMS {
             return true;
         }
-        let specs: Vec<&Spec> = match only {
+        let specs: Vec<&JobSpec> = match only {
             Some(spec) => vec![spec],
             None => self
                 .jobs
@@ -49,11 +49,15 @@
                 .collect(),
         };
         let mut best: Option<(f64, usize, String, &MachineType)> = None;
-        for t in site.catalogue.values() {
+        for t in cluster.catalogue.values() {
             let price = if spot { t.spot_price } else { t.price };
-            for zone in t.zones.iter().filter(|z| zone_open(z) && !self.zones.is_cut(z)) {
+            for zone in t
+                .zones
+                .iter()
+                .filter(|z| zone_open(z) && !self.failures.zones.is_cut(z))
+            {
                 let key = (t.name.clone(), zone.clone(), spot);
-                if self.fleet.blocked.get(&key).is_some_and(|until| now < *until) {
+                if self.provisioning.blocked.get(&key).is_some_and(|until| now < *until) {
                     continue;
                 }
                 if !specs.is_empty()
@@ -69,7 +73,7 @@
                 let here = self
                     .machines
                     .values()
-                    .filter(|m| m.zone == *zone && m.spot == spot && m.state != MachineState::Doomed)
+                    .filter(|m| m.zone == *zone && m.spot == spot && m.state != MachineState::Releasing)
                     .count();
                 let better = match &best {
                     None => true,
@@ -88,8 +92,8 @@
         let all = (cores / t.cpus.max(1.0)).ceil();
         let share = (all / t.zones.len().max(1) as f64).ceil().max(BATCH);
         let count = all.min(share).clamp(1.0, MOST) as u32;
-        self.fleet.next_claim += 1;
-        let id = format!("r-{}-{}", self.term, self.fleet.next_claim);
+        self.provisioning.next_claim += 1;
+        let id = format!("r-{}-{}", self.term, self.provisioning.next_claim);
         tracing::debug!(
             claim = id,
             machine_type = t.name,
@@ -105,7 +109,7 @@
             spot,
             count,
         };
-        self.fleet.claims.push(Claim {
+        self.provisioning.claims.push(Claim {
             id,
             value,
             state: ClaimState::Wanted,
@@ -119,31 +123,34 @@
     /// Returns machines that have been idle for a while and are not wanted.
     pub(super) fn return_idle(
         &mut self,
-        site: &Site,
+        cluster: &ClusterConfig,
         now: Micros,
         want_ordinary: f64,
         want_flexible: f64,
         mut supply: [Supply; 2],
     ) {
-        let idle = Micros::from_secs(site.settings.operator.idle_s);
+        let idle = Micros::from_secs(cluster.settings.operator.idle_s);
         for m in self.machines.values_mut() {
-            let Some(t) = site.catalogue.get(&m.machine_type) else {
+            let Some(t) = cluster.catalogue.get(&m.machine_type) else {
                 continue;
             };
-            if m.state != MachineState::Up || !m.tasks.is_empty() || !m.strangers.is_empty() {
+            if m.state != MachineState::Up || !m.tasks.is_empty() || !m.orphaned_attempts.is_empty() {
                 m.idle_since = None;
                 continue;
             }
-            if m.taken_at.is_some() {
+            if m.interruption_at.is_some() {
                 continue;
             }
             let since = *m.idle_since.get_or_insert(now);
             // Time to learn whether a job is to blame instead.
-            let faulty = m.doubted_since.is_some_and(|at| now.since(at) > times::FAULTY) && now < m.doubted_until;
-            let doubted = faulty || now < m.slow_until || (m.is_deaf() && now.since(since) > times::FAULTY);
+            let faulty =
+                m.quarantined_since.is_some_and(|at| now.since(at) > timing::FAULTY) && now < m.quarantined_until;
+            let doubted = faulty
+                || now < m.slow_until
+                || (m.is_asymmetrically_partitioned() && now.since(since) > timing::FAULTY);
             if doubted {
-                m.state = MachineState::Doomed;
-                self.fleet.to_release.insert(m.name.clone());
+                m.state = MachineState::Releasing;
+                self.provisioning.to_release.insert(m.name.clone());
                 continue;
             }
             if now.since(since) < idle {
@@ -156,8 +163,8 @@
             if enough {
                 tracing::debug!(machine = %m.name, "idle machine returned");
                 supply[kind].cores = rest;
-                m.state = MachineState::Doomed;
-                self.fleet.to_release.insert(m.name.clone());
+                m.state = MachineState::Releasing;
+                self.provisioning.to_release.insert(m.name.clone());
             }
         }
     }
--- a/src/coordination/rates.rs
+++ b/src/coordination/rate_shares.rs
@@ -1,8 +1,8 @@
 //! This controller's share of what the state service takes.
 
-use super::leadership::Role;
-use super::{Core, PeerView};
-use crate::protocol::store::StoreAnswer;
+use super::election::Role;
+use super::{Controller, PeerView};
+use crate::protocol::store::StoreResponse;
 use crate::time::Micros;
 
 /// So many changes refused within this time, though all controllers together make fewer
@@ -10,15 +10,18 @@
 const LIMITED: usize = 3;
 const LIMITED_WITHIN: Micros = Micros::from_millis(4000);
 
-impl Core {
+impl Controller {
     /// What this node may always ask of the state service, and what it may ask
     /// while the service refuses nothing: users come to the nodes unevenly.
     /// Changes of all nodes together stay below the limit. At the limit, the
     /// service would take the acceptances, one change each, and refuse the
     /// leader's larger transactions time and again.
     pub(super) fn set_rates(&mut self) {
-        let (all_rps, all_writes) = (self.site.limits.requests_per_s(), self.site.limits.changes_per_s());
-        let others = (self.site.nodes() - 1).max(1) as f64;
+        let (all_rps, all_writes) = (
+            self.cluster.limits.requests_per_s(),
+            self.cluster.limits.changes_per_s(),
+        );
+        let others = (self.cluster.nodes() - 1).max(1) as f64;
         let (rps, writes) = if self.leader.is_some() {
             ((all_rps * 0.4, all_rps * 0.6), (all_writes * 0.45, all_writes * 0.45))
         } else {
@@ -30,7 +33,7 @@
                 (all_writes * 0.35 / others, all_writes * 0.5 / others),
             )
         };
-        self.sh.store.set_rates(rps, writes, self.sh.now);
+        self.context.store.set_rates(rps, writes, self.context.now);
     }
 
     /// Sets this node's share of the changes that the state service takes, by what
@@ -38,20 +41,20 @@
     /// nodes unevenly, and the leader does not always need its part. A node that
     /// is not heard counts as wanting an even part.
     pub(super) fn share_changes(&mut self) -> f64 {
-        let now = self.sh.now;
-        let own = self.sh.store.wants(now);
-        let all = self.site.limits.changes_used();
-        let others = (self.site.nodes() - 1).max(1) as f64;
+        let now = self.context.now;
+        let own = self.context.store.wants(now);
+        let all = self.cluster.limits.changes_used();
+        let others = (self.cluster.nodes() - 1).max(1) as f64;
         let even = all * 0.5 / others;
         let heard = |p: &&PeerView| now.since(p.at) < Micros::from_secs(2.5);
-        let peers = &self.site.settings.peers;
+        let peers = &self.cluster.settings.peers;
         let views: Vec<&PeerView> = peers
             .iter()
             .filter_map(|p| self.peers.get(&p.node))
             .filter(heard)
             .collect();
         let unheard = (peers.len() - views.len()) as f64;
-        let leads = self.lead.role() == Role::Leader;
+        let leads = self.election.role() == Role::Leader;
         // The leader's transactions are large and come in bursts.
         let for_leader = |wants: f64| (wants * 1.5 + 2.0).clamp(all * 0.3, all * 0.6);
         let share = if leads {
@@ -67,28 +70,28 @@
             let by_demand = if demand > 0.01 { own / demand } else { 1.0 / others };
             rest * (0.4 / others + 0.6 * by_demand)
         };
-        self.sh.store.set_write_rate(share, now);
+        self.context.store.set_write_rate(share, now);
         own
     }
 
     /// A change was refused because there are too many of them. More than now and then, this
     /// means that the lower limits hold.
-    pub(super) fn note_limits(&mut self, answer: StoreAnswer) -> StoreAnswer {
-        if answer != StoreAnswer::Limited {
+    pub(super) fn note_limits(&mut self, answer: StoreResponse) -> StoreResponse {
+        if answer != StoreResponse::Limited {
             return answer;
         }
-        let now = self.sh.now;
+        let now = self.context.now;
         self.limited.push_back(now);
         while self.limited.front().is_some_and(|at| now.since(*at) > LIMITED_WITHIN) {
             self.limited.pop_front();
         }
-        if self.limited.len() >= LIMITED && self.site.limits.lower() {
+        if self.limited.len() >= LIMITED && self.cluster.limits.lower() {
             tracing::warn!(
-                changes_per_s = self.site.limits.changes_per_s(),
+                changes_per_s = self.cluster.limits.changes_per_s(),
                 "changes are refused: the lower limits of the state service hold"
             );
             self.set_rates();
         }
-        StoreAnswer::Refused
+        StoreResponse::Refused
     }
 }
--- a/src/coordination/replicas.rs
+++ b/src/coordination/replica_status.rs
@@ -1,9 +1,9 @@
 //! Where the replicas of services are, for the log: what of them serves, and what each of
 //! the others waits for. Reads facts only.
 
-use super::book::{Leader, Machine, MachineState, Placement, Stage};
-use super::Site;
-use crate::protocol::workers::TaskPhase;
+use super::state::{LeaderState, Machine, MachineState, Placement, PlacementPhase};
+use super::ClusterConfig;
+use crate::protocol::agents::TaskPhase;
 use crate::time::Micros;
 
 /// Replicas by what becomes of them.
@@ -32,26 +32,26 @@
     }
 }
 
-impl Leader {
+impl LeaderState {
     /// Where the replicas of live services are.
-    pub fn replicas(&self, site: &Site, now: Micros) -> Replicas {
-        let quiet = Self::work_silence(site);
+    pub fn replicas(&self, cluster: &ClusterConfig, now: Micros) -> Replicas {
+        let quiet = Self::work_silence(cluster);
         let mut all = Replicas::default();
         for job in self.jobs.values().filter(|j| j.is_service() && j.may_run()) {
             all.waiting += job.waiting.len() as u32;
-            for p in job.placed.values() {
+            for p in job.placements.values() {
                 let machine = self.machines.get(&p.machine);
-                let unheard = |m: &Machine| now.since(m.last_report) > quiet || self.zones.is_cut(&m.zone);
+                let unheard = |m: &Machine| now.since(m.last_heartbeat) > quiet || self.failures.zones.is_cut(&m.zone);
                 *match (machine, p) {
                     (None, _) => &mut all.leaving,
-                    (Some(m), _) if m.state == MachineState::Doomed => &mut all.leaving,
+                    (Some(m), _) if m.state == MachineState::Releasing => &mut all.leaving,
                     (_, Placement { stop: Some(_), .. }) => &mut all.stopping,
-                    (Some(m), Placement { stage, .. }) => match stage {
-                        Stage::Seen(TaskPhase::Fetching) => &mut all.fetching,
-                        Stage::Seen(_) if unheard(m) => &mut all.unheard,
-                        Stage::Seen(_) => &mut all.serving,
-                        Stage::Committing | Stage::Sent => &mut all.starting,
-                        Stage::Exited(_) => &mut all.waiting,
+                    (Some(m), Placement { phase, .. }) => match phase {
+                        PlacementPhase::Seen(TaskPhase::Fetching) => &mut all.fetching,
+                        PlacementPhase::Seen(_) if unheard(m) => &mut all.unheard,
+                        PlacementPhase::Seen(_) => &mut all.serving,
+                        PlacementPhase::Committing | PlacementPhase::Sent => &mut all.starting,
+                        PlacementPhase::Exited(_) => &mut all.waiting,
                     },
                 } += 1;
             }
@@ -60,12 +60,12 @@
     }
 
     /// Tells it, each second while replicas are missing.
-    pub fn log_replicas(&mut self, site: &Site, now: Micros) {
-        if now < self.next_replicas || !tracing::enabled!(tracing::Level::DEBUG) {
+    pub fn log_replicas(&mut self, cluster: &ClusterConfig, now: Micros) {
+        if now < self.failures.next_replica_log || !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
-        self.next_replicas = now + Micros::from_secs(1.0);
-        let r = self.replicas(site, now);
+        self.failures.next_replica_log = now + Micros::from_secs(1.0);
+        let r = self.replicas(cluster, now);
         if r.missing() > 0 {
             tracing::debug!(
                 serving = r.serving,
--- a/src/coordination/gathered.rs
+++ b/src/coordination/reservation.rs
@@ -1,12 +1,12 @@
 //! Room for tasks that nearly fill a machine, in the spirit of the helpers: oldest first. Which
-//! machines are held for them `glenhaven-gather` decides.
+//! machines are held for them `glenhaven-reservation` decides.
 
-use super::book::{Job, Leader, Machine, MachineId};
-use super::placement::allowed;
-use super::{JobId, Site};
+use super::scheduling::allowed;
+use super::state::{Job, LeaderState, Machine, MachineId};
+use super::{ClusterConfig, JobId};
 use crate::protocol::cloud::MachineType;
 use crate::time::Micros;
-use glenhaven_gather::{Gather, Waits};
+use glenhaven_reservation::{ReservationPolicy, Waits};
 
 /// A task is large if it takes so much of the largest machine that it may run on.
 const LARGE: f64 = 0.5;
@@ -19,14 +19,14 @@
 
 /// Machines that are held.
 #[derive(Default)]
-pub struct Gathered {
-    held: Gather<MachineId, JobId>,
+pub struct Reservations {
+    held: ReservationPolicy<MachineId, JobId>,
     next: Micros,
 }
 
-impl Gathered {
+impl Reservations {
     /// Whether a machine is held for another job.
-    pub fn keeps_out(&self, machine: &MachineId, job: &JobId) -> bool {
+    pub fn is_reserved_against(&self, machine: &MachineId, job: &JobId) -> bool {
         self.held.holds(machine).is_some_and(|j| j != job)
     }
 }
@@ -36,13 +36,13 @@
     t.cpus >= job.spec.cpus && t.gpus >= job.spec.gpus && t.memory >= job.spec.memory
 }
 
-impl Leader {
+impl LeaderState {
     /// Decides which machines are left to empty, and for whom.
-    pub fn gather_room(&mut self, site: &Site, now: Micros) {
-        if now < self.gathered.next {
+    pub fn reserve_machines(&mut self, cluster: &ClusterConfig, now: Micros) {
+        if now < self.reservations.next {
             return;
         }
-        self.gathered.next = now + EVERY;
+        self.reservations.next = now + EVERY;
         let stuck = |j: &&Job| {
             j.may_run()
                 && !j.waiting.is_empty()
@@ -54,12 +54,12 @@
             .values()
             .filter(stuck)
             .filter(|j| {
-                let types = site.catalogue.values().filter(|t| could_hold(j, t));
+                let types = cluster.catalogue.values().filter(|t| could_hold(j, t));
                 let share = |t: &MachineType| (j.spec.cpus / t.cpus.max(0.1)).max(j.spec.memory / t.memory.max(0.1));
                 types.map(share).reduce(f64::min).is_some_and(|s| s >= LARGE)
             })
             .collect();
-        if large.is_empty() && self.gathered.held.is_empty() {
+        if large.is_empty() && self.reservations.held.is_empty() {
             return;
         }
         large.sort_by_key(|j| (std::cmp::Reverse(j.priority), j.order));
@@ -70,7 +70,7 @@
                 tasks: j.waiting.len(),
             })
             .collect();
-        let quiet = Self::work_silence(site);
+        let quiet = Self::work_silence(cluster);
         // A machine with services doesn't empty.
         let empties = |m: &&Machine| m.takes_work(now, quiet) && m.services == 0;
         let machines: Vec<(MachineId, Micros)> = self
@@ -84,15 +84,18 @@
             let (Some(m), Some(job)) = (all.get(name), jobs.get(job)) else {
                 return false;
             };
-            let holds = site.catalogue.get(&m.machine_type).is_some_and(|t| could_hold(job, t));
+            let holds = cluster
+                .catalogue
+                .get(&m.machine_type)
+                .is_some_and(|t| could_hold(job, t));
             holds && allowed(&job.spec, &m.machine_type, &m.zone, m.spot) && !job.failed_on.contains(name)
         };
         let most = ((machines.len() as f64 * MOST) as usize).max(1);
-        let before = self.gathered.held.len();
-        self.gathered.held.decide(&waits, &machines, suits, most);
-        if self.gathered.held.len() > before {
+        let before = self.reservations.held.len();
+        self.reservations.held.decide(&waits, &machines, suits, most);
+        if self.reservations.held.len() > before {
             tracing::info!(
-                machines = self.gathered.held.len(),
+                machines = self.reservations.held.len(),
                 jobs = waits.len(),
                 "machines are left to empty for tasks that nearly fill one"
             );
--- a/src/coordination/placement/rooms.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -1,12 +1,12 @@
 //! Room on machines during a scheduling pass, and the machine that suits a task best.
 
-use super::super::book::{Job, Kind, Leader, Machine, MachineId};
-use super::super::gathered::Gathered;
-use super::super::Site;
+use super::super::reservation::Reservations;
+use super::super::state::{Job, Kind, LeaderState, Machine, MachineId};
+use super::super::ClusterConfig;
 use super::rules::{allowed, lasts};
 use super::{Pass, EPS};
 use crate::protocol::cloud::MachineType;
-use crate::protocol::users::{Priority, Spec};
+use crate::protocol::users::{JobSpec, Priority};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,7 +19,7 @@
 const ALIKE: usize = 12;
 
 /// Free room on one machine.
-pub(super) struct Room {
+pub(super) struct CandidateMachine {
     pub(super) name: MachineId,
     pub(super) kind: usize,
     pub(super) cpus: f64,
@@ -33,18 +33,18 @@
     pub(super) fetching: usize,
 }
 
-impl Room {
-    pub(super) fn fits(&self, spec: &Spec) -> bool {
+impl CandidateMachine {
+    pub(super) fn fits(&self, spec: &JobSpec) -> bool {
         self.cpus + EPS >= spec.cpus && self.gpus + EPS >= spec.gpus && self.memory + EPS >= spec.memory
     }
 }
 
-impl Leader {
+impl LeaderState {
     /// The kind of a machine of this type, zone and sort of rental.
     pub(super) fn kind(&mut self, t: &MachineType, zone: &str, spot: bool) -> usize {
         let same = |k: &Kind| k.machine_type == t.name && k.zone == zone && k.spot == spot;
-        self.kinds.iter().position(same).unwrap_or_else(|| {
-            self.kinds.push(Kind {
+        self.scheduler.kinds.iter().position(same).unwrap_or_else(|| {
+            self.scheduler.kinds.push(Kind {
                 machine_type: t.name.clone(),
                 zone: zone.into(),
                 spot,
@@ -53,13 +53,13 @@
                 memory: t.memory,
                 fetch_gb_per_s: t.fetch_gb_per_s,
             });
-            self.kinds.len() - 1
+            self.scheduler.kinds.len() - 1
         })
     }
 
     /// Free room on the machines that take new work, in order of age.
-    pub(super) fn rooms(&mut self, site: &Site, now: Micros) -> Vec<Room> {
-        let silent = Self::work_silence(site);
+    pub(super) fn rooms(&mut self, cluster: &ClusterConfig, now: Micros) -> Vec<CandidateMachine> {
+        let silent = Self::work_silence(cluster);
         let unknown: Vec<(MachineId, String, String, bool)> = self
             .machines
             .values()
@@ -67,7 +67,7 @@
             .map(|m| (m.name.clone(), m.machine_type.clone(), m.zone.clone(), m.spot))
             .collect();
         for (name, machine_type, zone, spot) in unknown {
-            let Some(t) = site.catalogue.get(&machine_type) else {
+            let Some(t) = cluster.catalogue.get(&machine_type) else {
                 continue;
             };
             let kind = self.kind(t, &zone, spot);
@@ -78,17 +78,17 @@
         let mut rooms = Vec::with_capacity(self.machines.len());
         for m in self.machines.values_mut() {
             m.room = None;
-            if !m.takes_work(now, silent) || self.zones.is_cut(&m.zone) {
+            if !m.takes_work(now, silent) || self.failures.zones.is_cut(&m.zone) {
                 continue;
             }
             let Some(kind) = m.kind else { continue };
-            let k = &self.kinds[kind];
+            let k = &self.scheduler.kinds[kind];
             m.room = Some(rooms.len());
             if m.tasks.is_empty() {
                 m.until = Micros::ZERO;
                 m.fetching.clear();
             }
-            rooms.push(Room {
+            rooms.push(CandidateMachine {
                 name: m.name.clone(),
                 kind,
                 cpus: k.cpus - m.used[0],
@@ -108,13 +108,13 @@
 /// another task, and the longer the more it has to fetch, since fetches share the
 /// machine's rate.
 pub(super) fn fetch_steps(
-    spec: &Spec,
+    spec: &JobSpec,
     kind: &Kind,
-    room: &Room,
-    image_at: Option<&BTreeSet<MachineId>>,
+    room: &CandidateMachine,
+    image_locations: Option<&BTreeSet<MachineId>>,
     machines: &BTreeMap<MachineId, Machine>,
 ) -> u64 {
-    if image_at.is_some_and(|at| at.contains(&room.name)) {
+    if image_locations.is_some_and(|at| at.contains(&room.name)) {
         return 0;
     }
     if room.fetching > 0 {
@@ -131,7 +131,7 @@
     /// The kinds a job may use, in groups: off spot machines only if need be;
     /// within a group the largest first, then always in the same order, so that
     /// the last machines of the order fall idle when there is less to do.
-    pub(super) fn kinds_for(spec: &Spec, kinds: &[Kind]) -> [Vec<usize>; 2] {
+    pub(super) fn kinds_for(spec: &JobSpec, kinds: &[Kind]) -> [Vec<usize>; 2] {
         let mut groups = [vec![], vec![]];
         for (i, k) in kinds.iter().enumerate() {
             if allowed(spec, &k.machine_type, &k.zone, k.spot) {
@@ -148,31 +148,31 @@
     /// there: images first for a service, then a fixed order, so that others
     /// fall idle and can be returned.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn best_room(
+    pub(super) fn best_fit(
         &mut self,
         job: &Job,
         leftovers: bool,
         zones: &BTreeMap<String, u32>,
         groups: &[Vec<usize>; 2],
         kinds: &[Kind],
-        image_at: Option<&BTreeSet<MachineId>>,
+        image_locations: Option<&BTreeSet<MachineId>>,
         machines: &BTreeMap<MachineId, Machine>,
-        gathered: &Gathered,
+        reservations: &Reservations,
     ) -> Option<(usize, bool)> {
         let spec = &job.spec;
         let suspect = job.is_suspect(self.now);
         let most = spec.tasks.div_ceil(2);
         let production = spec.priority >= Priority::Production;
-        let keeps_reserve = self.ordinary_free - spec.cpus >= self.reserve - EPS;
+        let preserves_reserve = self.ordinary_free - spec.cpus >= self.reserve - EPS;
         let kind_open = |k: &Kind| {
-            (production || k.spot || keeps_reserve)
+            (production || k.spot || preserves_reserve)
                 && !(spec.one_zone && zones.keys().any(|z| *z != k.zone))
                 && !(spec.spread && zones.get(&k.zone).copied().unwrap_or(0) >= most)
         };
         for group in groups {
             let open: Vec<usize> = group.iter().copied().filter(|k| kind_open(&kinds[*k])).collect();
             if job.is_service() {
-                let cached = image_at.into_iter().flatten().filter_map(|name| {
+                let cached = image_locations.into_iter().flatten().filter_map(|name| {
                     let at = machines.get(name)?.room?;
                     let room = &self.rooms[at];
                     let place = open.iter().position(|k| *k == room.kind)?;
@@ -211,7 +211,7 @@
                         if full[kind] == at {
                             full[kind] += 1;
                         }
-                    } else if !production && gathered.keeps_out(&room.name, &job.id) {
+                    } else if !production && reservations.is_reserved_against(&room.name, &job.id) {
                         // Left to empty for another job.
                     } else if suspect || !job.failed_on.contains(&room.name) {
                         // Beside services, room is kept for the next ones: they
@@ -226,7 +226,7 @@
                             at += 1;
                             continue;
                         }
-                        let fetch = fetch_steps(spec, &kinds[kind], room, image_at, machines);
+                        let fetch = fetch_steps(spec, &kinds[kind], room, image_locations, machines);
                         let cost = longer * 2 + fetch * if job.is_service() { USERS_WAIT } else { 1 };
                         if best.is_none_or(|(_, c, b)| (cost, i) < (c, b)) {
                             best = Some((cpus, cost, i));
@@ -240,7 +240,7 @@
                 }
             }
             if let Some((_, _, i)) = best {
-                let there = image_at.is_some_and(|a| a.contains(&self.rooms[i].name));
+                let there = image_locations.is_some_and(|a| a.contains(&self.rooms[i].name));
                 return Some((i, there));
             }
             if leftovers && ordinary {
--- a/src/coordination/placement.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -1,25 +1,26 @@
 //! Where and when tasks start: pools, helpers first come first served, oldest
 //! first pulls, borrowing, and room made for production.
 
+mod candidates;
+pub mod pools;
 mod preemption;
-mod rooms;
+mod quota;
 mod rules;
-mod team_use;
 
-use super::book::{Job, Leader, Placement, Stage, TaskState};
-use super::commit::queues::QueuedStarts;
-use super::decisions::Decided;
-use super::pools::{split, ClassKey};
-use super::{times, JobId, Shared, Site};
-use crate::protocol::users::{Priority, Spec};
+use super::decision_log::Decided;
+use super::log::queues::QueuedStarts;
+use super::state::{Job, Kind, LeaderState, Placement, PlacementPhase, TaskState};
+use super::{timing, ClusterConfig, Context, JobId};
+use crate::protocol::users::{JobSpec, Priority};
 use crate::time::Micros;
-use rooms::Room;
-pub use rules::{allowed, latest_start, open_zones, takes_leftovers, team_use};
+use candidates::CandidateMachine;
+use pools::{split, ClassKey, Estimate};
+pub use quota::unexplained;
+use quota::QuotaLedger;
+pub use rules::{allowed, is_best_effort, latest_start, open_zones, team_use};
 use rules::{lasts, lateness, zones_of, Rank};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
-pub use team_use::unexplained;
-use team_use::TeamUse;
 
 /// Starts in one pass; the rest follow with the next, moments later.
 const STARTS: usize = 400;
@@ -35,15 +36,47 @@
 /// A service waits this long for room where its image is.
 const IMAGE_PATIENCE: Micros = Micros::from_millis(2000);
 
-impl Leader {
+/// What the scheduler keeps between its passes.
+pub struct Scheduler {
+    estimate: Estimate,
+    next_estimate: Micros,
+    /// Slots of each class's pool.
+    pub(super) pools: BTreeMap<Rc<ClassKey>, u32>,
+    /// Helper slots: cores, and GPUs.
+    pub(super) helpers: [u32; 2],
+    /// Kinds of machines that were seen; machines name theirs by index.
+    kinds: Vec<Kind>,
+    next_pass: Micros,
+    last_pass: Micros,
+    /// When work may be preempted again.
+    next_preemption: Micros,
+}
+
+impl Scheduler {
+    /// No pools, no kinds; the first pass is due at once.
+    pub fn new(now: Micros) -> Scheduler {
+        Scheduler {
+            estimate: Estimate::default(),
+            next_estimate: now,
+            pools: BTreeMap::new(),
+            helpers: [0, 0],
+            kinds: vec![],
+            next_pass: now,
+            last_pass: Micros::ZERO,
+            next_preemption: now,
+        }
+    }
+}
+
+impl LeaderState {
     /// How long without a report a machine still gets new work.
-    pub fn work_silence(site: &Site) -> Micros {
-        times::no_new_work(&site.settings.params.workers)
+    pub fn work_silence(cluster: &ClusterConfig) -> Micros {
+        timing::no_new_work(&cluster.settings.params.workers)
     }
 
     /// Recomputes the estimate of demand and the split, at its period and when
     /// the number of slots changes.
-    fn resize_pools(&mut self, site: &Site, rooms: &[Room], now: Micros) {
+    fn resize_pools(&mut self, cluster: &ClusterConfig, rooms: &[CandidateMachine], now: Micros) {
         let mut holding: BTreeMap<Rc<ClassKey>, f64> = BTreeMap::new();
         for job in self.jobs.values() {
             // What waits is demand as well: with machines that come and go the
@@ -56,9 +89,9 @@
             let slots = (job.held as usize + waits) as f64 * f64::from(job.class.need);
             *holding.entry(job.class.clone()).or_default() += slots;
         }
-        let half_life = site.settings.operator.estimate_s;
-        self.estimate.observe(&holding, half_life, now);
-        let mut demands = self.estimate.demands(&holding, half_life);
+        let half_life = cluster.settings.operator.estimate_s;
+        self.scheduler.estimate.observe(&holding, half_life, now);
+        let mut demands = self.scheduler.estimate.demands(&holding, half_life);
         // A backlog of low priority, however large, is split only what the
         // others leave: it would hold most of the slots against them otherwise.
         let higher: BTreeSet<Rc<ClassKey>> = self
@@ -68,7 +101,7 @@
             .map(|j| j.class.clone())
             .collect();
         let is_low = |c: &Rc<ClassKey>| holding.contains_key(c) && !higher.contains(c);
-        let slots: f64 = rooms.iter().map(|r| self.kinds[r.kind].cpus).sum();
+        let slots: f64 = rooms.iter().map(|r| self.scheduler.kinds[r.kind].cpus).sum();
         let (mut low, mut rest) = (0.0, 0.0);
         for (class, demand) in &demands {
             *(if is_low(class) { &mut low } else { &mut rest }) += demand.load;
@@ -81,18 +114,18 @@
                 }
             }
         }
-        self.pools.clear();
+        self.scheduler.pools.clear();
         for (i, gpu) in [false, true].into_iter().enumerate() {
             let k: f64 = rooms
                 .iter()
-                .map(|r| &self.kinds[r.kind])
+                .map(|r| &self.scheduler.kinds[r.kind])
                 .map(|t| if gpu { t.gpus } else { t.cpus })
                 .sum();
             let classes: Vec<_> = demands.iter().filter(|(c, _)| c.gpu == gpu).collect();
             let (sizes, _) = split(k as u32, &classes.iter().map(|(_, d)| *d).collect::<Vec<_>>());
-            self.helpers[i] = (k as u32).saturating_sub(sizes.iter().sum());
+            self.scheduler.helpers[i] = (k as u32).saturating_sub(sizes.iter().sum());
             for ((class, _), size) in classes.into_iter().zip(sizes) {
-                self.pools.insert(class.clone(), size);
+                self.scheduler.pools.insert(class.clone(), size);
             }
         }
     }
@@ -115,47 +148,55 @@
 
     /// How long a machine that is up needs to have the image; nothing, if one
     /// has it already.
-    fn fetch_s(&self, site: &Site, spec: &Spec) -> f64 {
-        if self.image_at.get(spec.image.as_str()).is_some_and(|at| !at.is_empty()) {
+    fn fetch_s(&self, cluster: &ClusterConfig, spec: &JobSpec) -> f64 {
+        if self
+            .image_locations
+            .get(spec.image.as_str())
+            .is_some_and(|at| !at.is_empty())
+        {
             return 0.0;
         }
-        let rates = site.catalogue.values().map(|t| t.fetch_gb_per_s);
+        let rates = cluster.catalogue.values().map(|t| t.fetch_gb_per_s);
         spec.image_gb / rates.fold(0.01, f64::max)
     }
 
     /// One scheduling pass.
-    pub fn schedule(&mut self, sh: &mut Shared, site: &Site) {
-        let now = sh.now;
+    pub fn schedule(&mut self, context: &mut Context, cluster: &ClusterConfig) {
+        let now = context.now;
         let due = if self.dirty {
-            self.last_schedule + PASS
+            self.scheduler.last_pass + PASS
         } else {
-            self.next_schedule
+            self.scheduler.next_pass
         };
-        if now < due || site.catalogue.is_empty() {
+        if now < due || cluster.catalogue.is_empty() {
             return;
         }
         self.dirty = false;
-        self.last_schedule = now;
-        self.next_schedule = now + Micros::from_millis(500);
-        self.gather_room(site, now);
-        let mut rooms = self.rooms(site, now);
-        if now >= self.next_estimate {
-            self.next_estimate = now + Micros::from_secs(1.0);
-            self.resize_pools(site, &rooms, now);
+        self.scheduler.last_pass = now;
+        self.scheduler.next_pass = now + Micros::from_millis(500);
+        self.reserve_machines(cluster, now);
+        let mut rooms = self.rooms(cluster, now);
+        if now >= self.scheduler.next_estimate {
+            self.scheduler.next_estimate = now + Micros::from_secs(1.0);
+            self.resize_pools(cluster, &rooms, now);
         }
         let mut pass = Pass {
-            held: TeamUse::of(&self.jobs, &self.machines),
+            held: QuotaLedger::of(&self.jobs, &self.machines),
             pool_used: BTreeMap::new(),
             helper_used: [0; 2],
             reserve: self.service_reserve(),
             service_free: rooms
                 .iter()
-                .filter(|r| r.serves && !self.kinds[r.kind].spot)
+                .filter(|r| r.serves && !self.scheduler.kinds[r.kind].spot)
+                .map(|r| r.cpus)
+                .sum(),
+            ordinary_free: rooms
+                .iter()
+                .filter(|r| !self.scheduler.kinds[r.kind].spot)
                 .map(|r| r.cpus)
                 .sum(),
-            ordinary_free: rooms.iter().filter(|r| !self.kinds[r.kind].spot).map(|r| r.cpus).sum(),
             starts: 0,
-            by_kind: vec![vec![]; self.kinds.len()],
+            by_kind: vec![vec![]; self.scheduler.kinds.len()],
             rooms: vec![],
             full: BTreeMap::new(),
             no_leftovers: BTreeMap::new(),
@@ -172,7 +213,7 @@
             pass.helper_used[usize::from(class.gpu)] += job.on_helpers * class.need;
             *pass.pool_used.entry(class.clone()).or_default() += (job.held - job.on_helpers) * class.need;
         }
-        let within = self.within_guarantee(site);
+        let within = self.within_guarantee(cluster);
         let mut order: Vec<(Rank, JobId)> = self
             .jobs
             .values()
@@ -183,7 +224,7 @@
                     j.is_suspect(now),
                     std::cmp::Reverse(j.priority),
                     !first,
-                    lateness(site, j, self.fetch_s(site, &j.spec), now),
+                    lateness(cluster, j, self.fetch_s(cluster, &j.spec), now),
                     j.order,
                 );
                 (rank, j.id.clone())
@@ -199,14 +240,14 @@
             let Some(job) = self.jobs.get(id) else { continue };
             let guaranteed = within.contains(id) && now.since(job.arrived) >= GUARANTEE_PATIENCE;
             if job.priority >= Priority::High || guaranteed {
-                self.start_job(&mut pass, site, id, Via::Pool);
-                self.start_job(&mut pass, site, id, Via::Borrow(u32::MAX));
+                self.start_job(&mut pass, cluster, id, Via::Pool);
+                self.start_job(&mut pass, cluster, id, Via::Borrow(u32::MAX));
             }
         }
         // Pools, oldest first: this is also the pull of the paper's third rule,
         // since what waits for the helpers and what waits at all is one queue.
         for (_, id) in &order {
-            self.start_job(&mut pass, site, id, Via::Pool);
+            self.start_job(&mut pass, cluster, id, Via::Pool);
         }
         // Helpers, first come first served. A job that no machine or its team's
         // limit has room for lets the next one pass: the paper's servers are
@@ -214,12 +255,12 @@
         let mut closed = [false; 2];
         for (_, id) in &order {
             let gpu = self.jobs.get(id).is_some_and(|j| j.spec.gpus > 0.0);
-            if !closed[usize::from(gpu)] && self.start_job(&mut pass, site, id, Via::Helper) {
+            if !closed[usize::from(gpu)] && self.start_job(&mut pass, cluster, id, Via::Helper) {
                 closed[usize::from(gpu)] = true;
             }
         }
         // Any other job may borrow once it has waited.
-        let patience = Micros::from_secs(site.settings.operator.borrow_after_s);
+        let patience = Micros::from_secs(cluster.settings.operator.borrow_after_s);
         let queued: BTreeSet<Rc<ClassKey>> = self
             .jobs
             .values()
@@ -231,25 +272,26 @@
             if now.since(job.arrived) >= patience {
                 let gpu = job.spec.gpus > 0.0;
                 let idle: u32 = self
+                    .scheduler
                     .pools
                     .iter()
                     .filter(|(class, _)| class.gpu == gpu && !queued.contains(*class))
                     .map(|(class, size)| size.saturating_sub(pass.pool_used.get(class).copied().unwrap_or(0)) / 2)
                     .sum();
                 let i = usize::from(gpu);
-                let borrowed = pass.helper_used[i].saturating_sub(self.helpers[i]);
-                self.start_job(&mut pass, site, id, Via::Borrow(idle.saturating_sub(borrowed)));
+                let borrowed = pass.helper_used[i].saturating_sub(self.scheduler.helpers[i]);
+                self.start_job(&mut pass, cluster, id, Via::Borrow(idle.saturating_sub(borrowed)));
             }
         }
         for (team, held) in pass.held.teams() {
-            let over = held.0 - site.guarantee(team).0;
+            let over = held.0 - cluster.guarantee(team).0;
             pass.excess.insert(team.clone(), over);
         }
         // Room that was made shows in the reports of the machines it is on; to
         // look again before they come would find the same.
-        let again = now >= self.next_room;
+        let again = now >= self.scheduler.next_preemption;
         if again {
-            self.next_room = now + Micros::from_millis(200);
+            self.scheduler.next_preemption = now + Micros::from_millis(200);
         }
         let any_low = self
             .jobs
@@ -272,7 +314,7 @@
                         || higher)
             });
             if wants {
-                self.make_room(&mut pass, site, id, &within);
+                self.preempt_for(&mut pass, cluster, id, &within);
             }
         }
         if pass.starts >= STARTS {
@@ -282,8 +324,8 @@
 
     /// Jobs that fit into their team's guarantee together with the team's
     /// earlier unfinished ones.
-    pub fn within_guarantee(&self, site: &Site) -> BTreeSet<JobId> {
-        if site
+    pub fn within_guarantee(&self, cluster: &ClusterConfig) -> BTreeSet<JobId> {
+        if cluster
             .settings
             .params
             .teams
@@ -305,7 +347,7 @@
             let sum = sums.entry(&job.spec.team).or_default();
             sum.0 += left * job.spec.cpus;
             sum.1 += left * job.spec.gpus;
-            let (cpus, gpus) = site.guarantee(&job.spec.team);
+            let (cpus, gpus) = cluster.guarantee(&job.spec.team);
             if sum.0 <= cpus + EPS && sum.1 <= gpus + EPS {
                 within.insert(job.id.clone());
             }
@@ -315,7 +357,7 @@
 
     /// Starts tasks of a job as far as budget, limits and machines allow.
     /// Returns whether the budget is what stopped it.
-    fn start_job(&mut self, pass: &mut Pass, site: &Site, id: &JobId, via: Via) -> bool {
+    fn start_job(&mut self, pass: &mut Pass, cluster: &ClusterConfig, id: &JobId, via: Via) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
         let hurries = job.priority == Priority::Production
             && job.is_service()
@@ -336,7 +378,7 @@
         let mut borrowed = 0;
         // A job that fails everywhere is tried with one task at a time.
         let suspect = job.is_suspect(pass.now);
-        let leftovers = takes_leftovers(site, job, pass.now);
+        let leftovers = is_best_effort(cluster, job, pass.now);
         while let Some(task) = job.waiting.first().copied() {
             if pass.starts >= STARTS || (suspect && job.held > 0) {
                 return false;
@@ -344,29 +386,29 @@
             let room = match via {
                 Via::Pool => {
                     pass.pool_used.get(&class).copied().unwrap_or(0) + class.need
-                        <= self.pools.get(&class).copied().unwrap_or(0)
+                        <= self.scheduler.pools.get(&class).copied().unwrap_or(0)
                 }
-                Via::Helper => pass.helper_used[i] + class.need <= self.helpers[i],
+                Via::Helper => pass.helper_used[i] + class.need <= self.scheduler.helpers[i],
                 Via::Borrow(budget) => borrowed + class.need <= budget,
             };
             if !room {
                 return true;
             }
-            if !pass.held.admits(site, &job.spec) {
+            if !pass.held.admits(cluster, &job.spec) {
                 return false;
             }
-            let kinds = kinds.get_or_insert_with(|| Pass::kinds_for(&job.spec, &self.kinds));
-            let image_at = self.image_at.get_key_value(job.spec.image.as_str());
-            let at = image_at.map(|(_, at)| at);
-            let Some((best, there)) = pass.best_room(
+            let kinds = kinds.get_or_insert_with(|| Pass::kinds_for(&job.spec, &self.scheduler.kinds));
+            let image_locations = self.image_locations.get_key_value(job.spec.image.as_str());
+            let at = image_locations.map(|(_, at)| at);
+            let Some((best, there)) = pass.best_fit(
                 job,
                 leftovers,
                 &zones,
                 kinds,
-                &self.kinds,
+                &self.scheduler.kinds,
                 at,
                 &self.machines,
-                &self.gathered,
+                &self.reservations,
             ) else {
                 job.stuck_since.get_or_insert(pass.now);
                 return false;
@@ -375,13 +417,14 @@
                 return false;
             }
             job.stuck_since = None;
-            let image: Rc<str> = image_at.map_or_else(|| job.spec.image.as_str().into(), |(name, _)| name.clone());
+            let image: Rc<str> =
+                image_locations.map_or_else(|| job.spec.image.as_str().into(), |(name, _)| name.clone());
             let room = &mut pass.rooms[best];
             room.cpus -= job.spec.cpus;
             room.gpus -= job.spec.gpus;
             room.memory -= job.spec.memory;
             room.until = room.until.max(pass.now + lasts(&job.spec));
-            if !self.kinds[room.kind].spot {
+            if !self.scheduler.kinds[room.kind].spot {
                 pass.ordinary_free -= job.spec.cpus;
                 if room.serves {
                     pass.service_free -= job.spec.cpus;
@@ -389,7 +432,7 @@
             }
             if job.is_service() && !room.serves {
                 room.serves = true;
-                if !self.kinds[room.kind].spot {
+                if !self.scheduler.kinds[room.kind].spot {
                     pass.service_free += room.cpus;
                 }
             }
@@ -397,7 +440,7 @@
             pass.held.charge(&job.spec);
             let room = &pass.rooms[best];
             if job.spec.one_zone || job.spec.spread {
-                *zones.entry(self.kinds[room.kind].zone.clone()).or_default() += 1;
+                *zones.entry(self.scheduler.kinds[room.kind].zone.clone()).or_default() += 1;
             }
             match via {
                 Via::Pool => *pass.pool_used.entry(class.clone()).or_default() += class.need,
@@ -408,11 +451,11 @@
             let Some(machine) = self.machines.get_mut(&room.name) else {
                 return false;
             };
-            let part = task / self.chunk_tasks;
-            let chunk = job.chunks.entry(part).or_default();
+            let part = task / self.tasks_per_range;
+            let chunk = job.task_ranges.entry(part).or_default();
             chunk.last_attempt += 1;
             let queued = *chunk.queued.get_or_insert(job.priority);
-            self.committer
+            self.log_writer
                 .starting
                 .insert(QueuedStarts::new(queued, job.version, id.clone(), part));
             job.waiting.remove(&task);
@@ -420,9 +463,9 @@
             let placement = Placement {
                 attempt: chunk.last_attempt,
                 machine: room.name.clone(),
-                session: machine.session,
-                fence: self.term,
-                stage: Stage::Committing,
+                incarnation: machine.incarnation,
+                fencing_token: self.term,
+                phase: PlacementPhase::Committing,
                 sent: false,
                 stop: None,
                 stop_at: pass.now,
@@ -431,7 +474,7 @@
                 running_since: None,
                 restored: false,
             };
-            let limit = site.limits(&job.spec.team);
+            let limit = cluster.limits(&job.spec.team);
             tracing::debug!(
                 job = %id,
                 task,
@@ -446,8 +489,10 @@
                 "start allowed"
             );
             let decided = Decided::Start { held, limit };
-            self.decisions.note(job.decision(task, &placement, decided, pass.now));
-            job.placed.insert(task, placement);
+            self.invariants
+                .decisions
+                .note(job.decision(task, &placement, decided, pass.now));
+            job.placements.insert(task, placement);
             job.held += 1;
             if !matches!(via, Via::Pool) {
                 job.on_helpers += 1;
@@ -478,7 +523,7 @@
 
 /// What one scheduling pass keeps count of.
 struct Pass {
-    rooms: Vec<Room>,
+    rooms: Vec<CandidateMachine>,
     /// Rooms of each kind, in order of age.
     by_kind: Vec<Vec<usize>>,
     /// For tasks of a size, how many rooms of each kind from the first on are
@@ -489,7 +534,7 @@
     no_leftovers: BTreeMap<Size, f64>,
     /// CPUs that each team holds beyond its guarantee.
     excess: BTreeMap<String, f64>,
-    held: TeamUse,
+    held: QuotaLedger,
     pool_used: BTreeMap<Rc<ClassKey>, u32>,
     helper_used: [u32; 2],
     reserve: f64,
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -1,12 +1,12 @@
 //! Stops work to make room for work that comes before it.
 
-use super::super::book::{Job, Leader, MachineId, Placement, Stage};
-use super::super::{JobId, Site};
-use super::rooms::Room;
-use super::rules::{allowed, takes_leftovers};
-use super::team_use::TeamUse;
+use super::super::state::{Job, LeaderState, MachineId, Placement, PlacementPhase};
+use super::super::{ClusterConfig, JobId};
+use super::candidates::CandidateMachine;
+use super::quota::QuotaLedger;
+use super::rules::{allowed, is_best_effort};
 use super::{Pass, EPS};
-use crate::protocol::users::{Priority, Spec};
+use crate::protocol::users::{JobSpec, Priority};
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
@@ -14,28 +14,34 @@
 /// loses more than the guarantee gains, and room falls idle soon enough.
 const YOUNG: Micros = Micros::from_millis(4000);
 
-impl Leader {
+impl LeaderState {
     /// Stops work to make room for production, and for work within its team's
     /// guarantee, unless room is being made already. What was started last is
     /// stopped first: it loses the least.
-    pub(super) fn make_room(&mut self, pass: &mut Pass, site: &Site, id: &JobId, within: &BTreeSet<JobId>) {
+    pub(super) fn preempt_for(
+        &mut self,
+        pass: &mut Pass,
+        cluster: &ClusterConfig,
+        id: &JobId,
+        within: &BTreeSet<JobId>,
+    ) {
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
         let priority = job.priority;
         let mut wanted = job.waiting.len().min(64);
         let mut victims: Vec<(JobId, u32)> = vec![];
-        if !pass.held.admits(site, &spec) {
+        if !pass.held.admits(cluster, &spec) {
             // Only its own team's work stands in the way.
             if priority == Priority::Production {
-                let fits = |r: &Room| r.fits(&spec) && self.allows(&spec, r);
+                let fits = |r: &CandidateMachine| r.fits(&spec) && self.allows(&spec, r);
                 pass.looks += pass.rooms.len();
                 if pass.rooms.iter().any(fits) {
-                    victims = self.own_victims(&pass.held, site, &spec, priority, wanted);
+                    victims = self.own_victims(&pass.held, cluster, &spec, priority, wanted);
                 }
             }
         } else {
             let guaranteed = within.contains(id);
-            let first: BTreeSet<usize> = match self.image_at.get(spec.image.as_str()) {
+            let first: BTreeSet<usize> = match self.image_locations.get(spec.image.as_str()) {
                 Some(at) if job.is_service() => at
                     .iter()
                     .filter_map(|name| self.machines.get(name).and_then(|m| m.room))
@@ -56,7 +62,7 @@
                     // What is stopped must still be done in its time.
                     let spare = priority == Priority::Production
                         || pass.now.since(p.since) < YOUNG
-                        || takes_leftovers(site, j, pass.now);
+                        || is_best_effort(cluster, j, pass.now);
                     (j.priority < priority && spare)
                         || (guaranteed
                             && pass.now.since(p.since) < YOUNG
@@ -97,8 +103,8 @@
     }
 
     /// Whether a job's tasks may run there.
-    pub(super) fn allows(&self, spec: &Spec, room: &Room) -> bool {
-        let k = &self.kinds[room.kind];
+    pub(super) fn allows(&self, spec: &JobSpec, room: &CandidateMachine) -> bool {
+        let k = &self.scheduler.kinds[room.kind];
         allowed(spec, &k.machine_type, &k.zone, k.spot)
     }
 
@@ -111,8 +117,8 @@
         let mut list = vec![];
         for (id, task) in &m.tasks {
             let Some(job) = self.jobs.get(id) else { continue };
-            let Some(p) = job.placed.get(task) else { continue };
-            if p.stop.is_some() || (!matches!(p.stage, Stage::Exited(_)) && may(job, p)) {
+            let Some(p) = job.placements.get(task) else { continue };
+            if p.stop.is_some() || (!matches!(p.phase, PlacementPhase::Exited(_)) && may(job, p)) {
                 list.push(Victim {
                     fresh: p.stop.is_none(),
                     priority: job.priority,
@@ -132,9 +138,9 @@
     /// waits for: as much as lets its tasks start, and nothing if none could start even so.
     pub(super) fn own_victims(
         &self,
-        held: &TeamUse,
-        site: &Site,
-        spec: &Spec,
+        held: &QuotaLedger,
+        cluster: &ClusterConfig,
+        spec: &JobSpec,
         priority: Priority,
         wanted: usize,
     ) -> Vec<(JobId, u32)> {
@@ -145,7 +151,7 @@
             .filter(|v| v.team == spec.team)
             .collect();
         list.sort_by_key(|v| (v.fresh, v.priority, std::cmp::Reverse(v.since)));
-        let mut excess = Excess::of(held, site, spec);
+        let mut excess = Excess::of(held, cluster, spec);
         let mut chosen = vec![];
         for _ in 0..wanted {
             excess.add(spec);
@@ -165,9 +171,9 @@
 
     /// Whether a machine that has the service's image could take it if work of
     /// lower priority stopped: faster than fetching the image elsewhere.
-    pub(super) fn better_to_stop(&self, rooms: &[Room], job: &Job) -> bool {
+    pub(super) fn better_to_stop(&self, rooms: &[CandidateMachine], job: &Job) -> bool {
         let spec = &job.spec;
-        let Some(at) = self.image_at.get(spec.image.as_str()) else {
+        let Some(at) = self.image_locations.get(spec.image.as_str()) else {
             return false;
         };
         at.iter().filter_map(|name| self.machines.get(name)).any(|m| {
@@ -177,8 +183,8 @@
             let (mut cpus, mut gpus, mut memory) = (room.cpus, room.gpus, room.memory);
             for (id, task) in &m.tasks {
                 let Some(other) = self.jobs.get(id) else { continue };
-                let Some(p) = other.placed.get(task) else { continue };
-                let lower = other.priority < job.priority && !matches!(p.stage, Stage::Exited(_));
+                let Some(p) = other.placements.get(task) else { continue };
+                let lower = other.priority < job.priority && !matches!(p.phase, PlacementPhase::Exited(_));
                 if p.stop.is_some() || lower {
                     cpus += other.spec.cpus;
                     gpus += other.spec.gpus;
@@ -210,9 +216,9 @@
 }
 
 impl Excess {
-    fn of(held: &TeamUse, site: &Site, spec: &Spec) -> Excess {
+    fn of(held: &QuotaLedger, cluster: &ClusterConfig, spec: &JobSpec) -> Excess {
         let (cpus, gpus) = held.of_team(&spec.team);
-        let (max_cpus, max_gpus) = site.limits(&spec.team);
+        let (max_cpus, max_gpus) = cluster.limits(&spec.team);
         Excess {
             cpus: cpus - max_cpus,
             gpus: gpus - max_gpus,
@@ -224,7 +230,7 @@
     }
 
     /// One more task is to start.
-    fn add(&mut self, spec: &Spec) {
+    fn add(&mut self, spec: &JobSpec) {
         self.cpus += spec.cpus;
         self.gpus += spec.gpus;
     }
--- a/src/coordination/placement/team_use.rs
+++ b/src/coordination/scheduling/quota.rs
@@ -1,24 +1,24 @@
 //! What each team holds, and whether its limit admits one more task: the one place that decides it,
 //! for starts as for work that is stopped to make room.
 
-use super::super::book::{Job, Machine, MachineId};
-use super::super::workers::parse_task;
-use super::super::{JobId, Site};
+use super::super::agents::parse_task;
+use super::super::state::{Job, Machine, MachineId};
+use super::super::{ClusterConfig, JobId};
 use super::rules::team_use;
 use super::EPS;
-use crate::protocol::users::Spec;
+use crate::protocol::users::JobSpec;
 use std::collections::BTreeMap;
 
 /// CPUs and GPUs that each team holds: every record that is not proven void, and every attempt
 /// without a record that a machine lists.
-pub struct TeamUse {
+pub struct QuotaLedger {
     held: BTreeMap<String, (f64, f64)>,
 }
 
-impl TeamUse {
+impl QuotaLedger {
     /// What teams hold by the records and reports that the leader has.
-    pub fn of(jobs: &BTreeMap<JobId, Job>, machines: &BTreeMap<MachineId, Machine>) -> TeamUse {
-        let mut held = TeamUse { held: team_use(jobs) };
+    pub fn of(jobs: &BTreeMap<JobId, Job>, machines: &BTreeMap<MachineId, Machine>) -> QuotaLedger {
+        let mut held = QuotaLedger { held: team_use(jobs) };
         for spec in unexplained(jobs, machines) {
             held.charge(spec);
         }
@@ -36,14 +36,14 @@
     }
 
     /// Whether a team's limit has room for one more task of this job.
-    pub fn admits(&self, site: &Site, spec: &Spec) -> bool {
+    pub fn admits(&self, cluster: &ClusterConfig, spec: &JobSpec) -> bool {
         let (cpus, gpus) = self.of_team(&spec.team);
-        let (max_cpus, max_gpus) = site.limits(&spec.team);
+        let (max_cpus, max_gpus) = cluster.limits(&spec.team);
         cpus + spec.cpus <= max_cpus + EPS && gpus + spec.gpus <= max_gpus + EPS
     }
 
     /// One more task of this job is held.
-    pub fn charge(&mut self, spec: &Spec) {
+    pub fn charge(&mut self, spec: &JobSpec) {
         let held = self.held.entry(spec.team.clone()).or_default();
         held.0 += spec.cpus;
         held.1 += spec.gpus;
@@ -54,8 +54,8 @@
 pub fn unexplained<'a>(
     jobs: &'a BTreeMap<JobId, Job>,
     machines: &'a BTreeMap<MachineId, Machine>,
-) -> impl Iterator<Item = &'a Spec> {
-    let attempts = machines.values().flat_map(|machine| &machine.strangers);
+) -> impl Iterator<Item = &'a JobSpec> {
+    let attempts = machines.values().flat_map(|machine| &machine.orphaned_attempts);
     attempts.filter_map(|attempt| {
         let (job, _) = parse_task(&attempt.task)?;
         jobs.get(job).map(|job| &job.spec)
--- a/src/coordination/placement/rules.rs
+++ b/src/coordination/scheduling/rules.rs
@@ -1,8 +1,8 @@
 //! Where a job may run, when it has to begin, and what its team holds.
 
-use super::super::book::{Job, Machine, MachineId};
-use super::super::{JobId, Site};
-use crate::protocol::users::{Priority, Shape, Spec};
+use super::super::state::{Job, Machine, MachineId};
+use super::super::{ClusterConfig, JobId};
+use crate::protocol::users::{JobSpec, Priority, Shape};
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 const LEFTOVER_PATIENCE: Micros = Micros::from_millis(150_000);
 
 /// Whether a job's tasks may run on machines like this one.
-pub fn allowed(spec: &Spec, machine_type: &str, zone: &str, spot: bool) -> bool {
+pub fn allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
     !machine_type.is_empty()
         && (spec.spot || !spot)
         && spec.types.as_ref().is_none_or(|t| t.iter().any(|t| t == machine_type))
@@ -43,8 +43,8 @@
 
 /// When a job's last task must start for the job to be done as its user and the
 /// operators' objectives expect; `None` if nothing is expected.
-pub fn latest_start(site: &Site, job: &Job) -> Option<Micros> {
-    let by_objective = site
+pub fn latest_start(cluster: &ClusterConfig, job: &Job) -> Option<Micros> {
+    let by_objective = cluster
         .settings
         .params
         .objectives
@@ -63,8 +63,8 @@
 /// Whether a job takes only what others leave: work of low priority that may use
 /// spot machines and still has the time. On an ordinary machine it starts where
 /// other work keeps the machine at least as long.
-pub fn takes_leftovers(site: &Site, job: &Job, now: Micros) -> bool {
-    let late = match latest_start(site, job) {
+pub fn is_best_effort(cluster: &ClusterConfig, job: &Job, now: Micros) -> bool {
+    let late = match latest_start(cluster, job) {
         Some(at) => now + LEFTOVER_MARGIN >= at,
         None => now.since(job.arrived) > LEFTOVER_PATIENCE,
     };
@@ -74,8 +74,8 @@
 /// How many of the times by which a job should be done it can no longer keep.
 /// It lets others go first that can: time spent on it would make them late as
 /// well. Not for ever: after a while its age counts again.
-pub(super) fn lateness(site: &Site, job: &Job, fetch_s: f64, now: Micros) -> u8 {
-    let objectives = site.settings.params.objectives.iter();
+pub(super) fn lateness(cluster: &ClusterConfig, job: &Job, fetch_s: f64, now: Micros) -> u8 {
+    let objectives = cluster.settings.params.objectives.iter();
     let mut dues: Vec<f64> = objectives
         .filter(|o| o.class == job.spec.class)
         .filter_map(|o| match o.kind.as_str() {
@@ -90,7 +90,7 @@
     let latest = |due: f64| job.arrived + Micros::from_secs((due - job.spec.estimate_s - fetch_s).max(0.0));
     let missed = dues.iter().filter(|due| now > latest(**due)).count();
     // A time by which tasks start: what waits for longer has missed it.
-    let objectives = site.settings.params.objectives.iter();
+    let objectives = cluster.settings.params.objectives.iter();
     let waits = objectives
         .filter(|o| !job.is_service() && o.kind == "wait" && o.class == job.spec.class)
         .filter_map(|o| o.within_s);
@@ -138,7 +138,7 @@
 
 /// How long a task of this kind is expected to hold its machine. Nobody says it
 /// of a service.
-pub(super) fn lasts(spec: &Spec) -> Micros {
+pub(super) fn lasts(spec: &JobSpec) -> Micros {
     match spec.shape {
         Shape::Service => SERVICE_LASTS,
         Shape::Array => Micros::from_secs(spec.estimate_s),
--- a/src/coordination/job.rs
+++ b/src/coordination/state/job.rs
@@ -1,13 +1,13 @@
 //! An open job as the leader holds it: its tasks, their placements and what is recorded of them.
 
-use super::aims::JobAim;
-use super::decisions::{Decided, Decision};
-use super::machine::MachineId;
-use super::planted::{is_planted, Planted};
-use super::pools::ClassKey;
-use super::JobId;
-use crate::protocol::users::{Priority, Shape, Spec};
-use crate::protocol::workers::{Cause, TaskPhase};
+use crate::coordination::decision_log::{Decided, Decision};
+use crate::coordination::fault_injection::{is_injected, InjectedFault};
+use crate::coordination::objectives::JobObjective;
+use crate::coordination::scheduling::pools::ClassKey;
+use crate::coordination::state::MachineId;
+use crate::coordination::JobId;
+use crate::protocol::agents::{Cause, TaskPhase};
+use crate::protocol::users::{JobSpec, Priority, Shape};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -28,7 +28,7 @@
 
 /// How far a placement has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum PlacementPhase {
     /// Its record is being committed; nothing has been sent.
     Committing,
     /// Recorded; the start may be on its way.
@@ -43,10 +43,10 @@
 pub struct Placement {
     pub attempt: u64,
     pub machine: MachineId,
-    pub session: u64,
+    pub incarnation: u64,
     /// The highest term under which a start was sent or may have been.
-    pub fence: u64,
-    pub stage: Stage,
+    pub fencing_token: u64,
+    pub phase: PlacementPhase,
     /// Whether this process has sent a start, directly or in an answer, or an earlier leader may
     /// have.
     pub sent: bool,
@@ -68,14 +68,14 @@
     /// written: its start is never sent again. Either a machine lists the task, or the record is
     /// proven void.
     pub fn may_be_sent(&self) -> bool {
-        let sends_any = is_planted(Planted::SendsInheritedStarts);
-        self.stage == Stage::Sent && (!self.restored || sends_any)
+        let sends_any = is_injected(InjectedFault::SendsInheritedStarts);
+        self.phase == PlacementPhase::Sent && (!self.restored || sends_any)
     }
 }
 
 /// A part of a job's records.
 #[derive(Clone, Debug, Default)]
-pub struct Chunk {
+pub struct TaskRange {
     pub last_attempt: u64,
     /// The page of the book that says all of it; 0: none does.
     pub base: u64,
@@ -91,14 +91,14 @@
 /// An open job.
 pub struct Job {
     pub id: JobId,
-    pub spec: Spec,
+    pub spec: JobSpec,
     /// The revision at which it was accepted: its place in the order of acceptance.
     pub version: u64,
     /// The version that its own key has while it is open; 0: there is none.
-    pub stamp: u64,
+    pub key_version: u64,
     pub cancelled: Option<Micros>,
     /// Up to then nobody had confirmed its cancellation, as far as is known.
-    pub unknown_at: Micros,
+    pub cancel_unconfirmed_until: Micros,
     /// Version of the job's key that says so, if known.
     pub cancel_version: u64,
     /// The page of the book that describes it; 0: none does.
@@ -107,7 +107,7 @@
     pub closing: bool,
     pub states: Vec<TaskState>,
     pub waiting: BTreeSet<u32>,
-    pub placed: BTreeMap<u32, Placement>,
+    pub placements: BTreeMap<u32, Placement>,
     /// Tasks that take room on machines, and those of them on the helpers: an
     /// exit frees room at once, though the record stays until the outcome is
     /// durable.
@@ -115,12 +115,12 @@
     pub on_helpers: u32,
     /// The class of the job: its need in slots, and what it is.
     pub class: Rc<ClassKey>,
-    pub chunks: BTreeMap<u32, Chunk>,
+    pub task_ranges: BTreeMap<u32, TaskRange>,
     pub finished: u32,
     /// When it came, in the paper's sense: when all it needs was done.
     pub arrived: Micros,
     /// When it was submitted.
-    pub came: Micros,
+    pub submitted_at: Micros,
     /// Its place among those of its rank: the revision at which it came.
     pub order: u64,
     /// It waits for jobs that it needs: it holds nothing and asks for nothing.
@@ -128,7 +128,7 @@
     /// Its own, or what a job that needs it has.
     pub priority: Priority,
     /// When it has to be done for a job that needs it.
-    pub lent_due: Option<Micros>,
+    pub inherited_due: Option<Micros>,
     /// Failures in a row, and until when they keep the job from starting.
     pub failures: u32,
     pub not_before: Micros,
@@ -136,12 +136,12 @@
     pub runs: (f64, u32),
     /// Machines it failed on since a task of it last completed.
     pub failed_on: BTreeSet<MachineId>,
-    pub told: (u32, u32),
+    pub last_published: (u32, u32),
     /// What is expected of it; `None`: it has not been looked at.
-    pub aims: Option<Vec<JobAim>>,
+    pub objectives: Option<Vec<JobObjective>>,
     /// An earlier leader had it; and when it came is not known.
     pub restored: bool,
-    pub ageless: bool,
+    pub arrival_unknown: bool,
     /// Since when no machine that is up has had room for it.
     pub stuck_since: Option<Micros>,
 }
@@ -160,20 +160,20 @@
         }
     }
 
-    pub fn new(id: &str, spec: Spec, version: u64, stamp: u64, now: Micros) -> Job {
+    pub fn new(id: &str, spec: JobSpec, version: u64, key_version: u64, now: Micros) -> Job {
         let tasks = spec.tasks;
         Job {
             id: id.into(),
             version,
-            stamp,
+            key_version,
             cancelled: None,
-            unknown_at: Micros::ZERO,
+            cancel_unconfirmed_until: Micros::ZERO,
             cancel_version: 0,
             base: 0,
             closing: false,
             states: vec![TaskState::Waiting; tasks as usize],
             waiting: (0..tasks).collect(),
-            placed: BTreeMap::new(),
+            placements: BTreeMap::new(),
             held: 0,
             on_helpers: 0,
             class: Rc::new(ClassKey {
@@ -181,22 +181,22 @@
                 class: spec.class.clone(),
                 need: need(&spec),
             }),
-            chunks: BTreeMap::new(),
+            task_ranges: BTreeMap::new(),
             finished: 0,
             arrived: now,
-            came: now,
+            submitted_at: now,
             order: version,
             blocked: false,
             priority: spec.priority,
-            lent_due: None,
+            inherited_due: None,
             failures: 0,
             not_before: Micros::ZERO,
             runs: (0.0, 0),
             failed_on: BTreeSet::new(),
-            told: (0, 0),
-            aims: None,
+            last_published: (0, 0),
+            objectives: None,
             restored: false,
-            ageless: false,
+            arrival_unknown: false,
             stuck_since: None,
             spec,
         }
@@ -231,14 +231,14 @@
     /// How long after its arrival so many times the time that its user gave it is over;
     /// that time counts from its submission.
     pub fn deadline_s(&self, times: f64) -> Option<f64> {
-        let at = self.came + Micros::from_secs(self.spec.deadline_s? * times);
+        let at = self.submitted_at + Micros::from_secs(self.spec.deadline_s? * times);
         Some(at.since(self.arrived).secs())
     }
 
     /// When it has to be done by its own time or that of a job that needs it.
     pub fn due(&self) -> Option<Micros> {
-        let own = self.spec.deadline_s.map(|d| self.came + Micros::from_secs(d));
-        match (own, self.lent_due) {
+        let own = self.spec.deadline_s.map(|d| self.submitted_at + Micros::from_secs(d));
+        match (own, self.inherited_due) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         }
@@ -249,14 +249,16 @@
     /// on, one task now and then, because only its user may give it up.
     pub fn is_suspect(&self, now: Micros) -> bool {
         let runs = |p: &Placement| {
-            matches!(p.stage, Stage::Seen(_)) && p.running_since.is_some_and(|at| now.since(at) > RUNS_WELL)
+            matches!(p.phase, PlacementPhase::Seen(_)) && p.running_since.is_some_and(|at| now.since(at) > RUNS_WELL)
         };
-        self.failed_on.len() >= 2 && self.finished == 0 && !(self.is_service() && self.placed.values().any(runs))
+        self.failed_on.len() >= 2 && self.finished == 0 && !(self.is_service() && self.placements.values().any(runs))
     }
 
     /// Placements that take room on machines.
     pub fn holding(&self) -> impl Iterator<Item = &Placement> {
-        self.placed.values().filter(|p| !matches!(p.stage, Stage::Exited(_)))
+        self.placements
+            .values()
+            .filter(|p| !matches!(p.phase, PlacementPhase::Exited(_)))
     }
 
     /// One task fewer takes room.
@@ -268,29 +270,33 @@
     }
 
     pub fn running(&self) -> u32 {
-        self.placed
+        self.placements
             .values()
-            .filter(|p| matches!(p.stage, Stage::Seen(TaskPhase::Running | TaskPhase::Saving)))
+            .filter(|p| matches!(p.phase, PlacementPhase::Seen(TaskPhase::Running | TaskPhase::Saving)))
             .count() as u32
     }
 
     /// The task's proof of being on a machine is void: it may start again,
     /// unless it is finished.
-    pub fn free(&mut self, task: u32, chunk_tasks: u32) -> Option<Placement> {
-        let placement = self.placed.remove(&task)?;
+    pub fn free(&mut self, task: u32, tasks_per_range: u32) -> Option<Placement> {
+        let placement = self.placements.remove(&task)?;
         if let Some(state) = self.states.get_mut(task as usize) {
             if *state == TaskState::Placed {
                 *state = TaskState::Waiting;
                 self.waiting.insert(task);
             }
         }
-        self.chunks.entry(task / chunk_tasks).or_default().void.insert(task);
+        self.task_ranges
+            .entry(task / tasks_per_range)
+            .or_default()
+            .void
+            .insert(task);
         Some(placement)
     }
 }
 
 /// Slots one task holds: its GPUs, or its CPUs rounded up.
-pub fn need(spec: &Spec) -> u32 {
+pub fn need(spec: &JobSpec) -> u32 {
     let slots = if spec.gpus > 0.0 { spec.gpus } else { spec.cpus };
     (slots.ceil() as u32).max(1)
 }
--- a/src/coordination/machine.rs
+++ b/src/coordination/state/machine.rs
@@ -1,8 +1,8 @@
 //! A rented machine as the leader holds it, and what it is before anything is known of it.
 
-use super::workers::{Attempt, Outbox};
-use super::JobId;
-use crate::protocol::users::{Shape, Spec};
+use crate::coordination::agents::{Attempt, Outbox};
+use crate::coordination::JobId;
+use crate::protocol::users::{JobSpec, Shape};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -17,7 +17,7 @@
     Booting,
     Up,
     /// To be returned; nothing may start there.
-    Doomed,
+    Releasing,
 }
 
 /// A rented machine.
@@ -32,10 +32,10 @@
     pub since: Micros,
     /// When it was rented, if this leader or the list says so.
     pub rented_at: Option<Micros>,
-    pub session: u64,
-    pub serial: u64,
-    pub fence: u64,
-    pub last_report: Micros,
+    pub incarnation: u64,
+    pub sequence: u64,
+    pub fencing_token: u64,
+    pub last_heartbeat: Micros,
     /// The controller that passed its last report on; `None`: it came here.
     pub via: Option<Rc<str>>,
     /// Reports in a row that came to another controller than the one before, though that
@@ -44,17 +44,17 @@
     /// It was asked whether it hears: when.
     pub asked_at: Micros,
     /// How many reports of it were taken in.
-    pub reports: u32,
+    pub heartbeats: u32,
     /// The book or the list named it.
     pub named: bool,
     /// When another node last said that it keeps the machine.
-    pub kept_at: Micros,
+    pub proxied_at: Micros,
     /// When the cloud takes it away.
-    pub taken_at: Option<Micros>,
+    pub interruption_at: Option<Micros>,
     /// Tasks with records here.
     pub tasks: BTreeSet<(JobId, u32)>,
     /// Attempts that it lists and no record explains, and that have not ended.
-    pub strangers: Vec<Attempt>,
+    pub orphaned_attempts: Vec<Attempt>,
     /// Its kind, in the leader's list of kinds.
     pub kind: Option<usize>,
     /// CPUs, GPUs and memory that tasks take here.
@@ -75,8 +75,8 @@
     /// Jobs whose tasks failed here lately, and how many of them; doubted
     /// machines get nothing new.
     pub faults: BTreeMap<JobId, u32>,
-    pub doubted_since: Option<Micros>,
-    pub doubted_until: Micros,
+    pub quarantined_since: Option<Micros>,
+    pub quarantined_until: Micros,
     pub release_sent: Option<Micros>,
     /// When the last of its tasks is expected to end.
     pub until: Micros,
@@ -96,19 +96,19 @@
             state: MachineState::Booting,
             since: now,
             rented_at: None,
-            session: 0,
-            serial: 0,
-            fence: 0,
-            last_report: now,
+            incarnation: 0,
+            sequence: 0,
+            fencing_token: 0,
+            last_heartbeat: now,
             via: None,
             moves: 0,
             asked_at: Micros::ZERO,
-            reports: 0,
+            heartbeats: 0,
             named: false,
-            kept_at: Micros::ZERO,
-            taken_at: None,
+            proxied_at: Micros::ZERO,
+            interruption_at: None,
             tasks: BTreeSet::new(),
-            strangers: vec![],
+            orphaned_attempts: vec![],
             images: VecDeque::new(),
             fetching: BTreeSet::new(),
             kind: None,
@@ -119,8 +119,8 @@
             to_forget: false,
             outbox: Outbox::default(),
             faults: BTreeMap::new(),
-            doubted_since: None,
-            doubted_until: Micros::ZERO,
+            quarantined_since: None,
+            quarantined_until: Micros::ZERO,
             release_sent: None,
             until: Micros::ZERO,
             slow_until: Micros::ZERO,
@@ -138,7 +138,7 @@
     }
 
     /// A task begins to take room, or no longer does.
-    pub fn take(&mut self, spec: &Spec, sign: f64) {
+    pub fn take(&mut self, spec: &JobSpec, sign: f64) {
         self.used[0] += sign * spec.cpus;
         self.used[1] += sign * spec.gpus;
         self.used[2] += sign * spec.memory;
@@ -150,14 +150,14 @@
     /// Whether something new may start here.
     pub fn takes_work(&self, now: Micros, silent: Micros) -> bool {
         self.state == MachineState::Up
-            && self.taken_at.is_none()
-            && !self.is_deaf()
+            && self.interruption_at.is_none()
+            && !self.is_asymmetrically_partitioned()
             // A copy of a report of a machine that is long gone is not followed by another.
-            && (self.reports > 1 || self.named || self.rented_at.is_some())
-            && self.strangers.is_empty()
-            && now >= self.doubted_until
+            && (self.heartbeats > 1 || self.named || self.rented_at.is_some())
+            && self.orphaned_attempts.is_empty()
+            && now >= self.quarantined_until
             && now >= self.slow_until
-            && now.since(self.last_report) < silent
+            && now.since(self.last_heartbeat) < silent
             && self.release_sent.is_none()
     }
 }
--- a/src/coordination/book.rs
+++ b/src/coordination/state/mod.rs
@@ -1,29 +1,37 @@
 //! The leader's state: open jobs and machines, and what happens to them.
 
-use super::commit::queues::Undescribed;
-use super::commit::Committer;
-use super::decisions::{Decided, Decisions};
-pub use super::job::{need, Chunk, Job, Placement, Stage, TaskState};
-pub use super::machine::{Kind, Machine, MachineId, MachineState};
-use super::planted::{is_planted, Planted};
-use super::pools::{ClassKey, Estimate};
-use super::void::VoidProof;
-use super::{JobId, Shared};
-use crate::bookkeeping::keys;
-use crate::bookkeeping::records::{from_value, restored, Accepted, JobValue};
+mod job;
+mod machine;
+pub mod void_proof;
+
+use super::agents::AgentChannels;
+use super::decision_log::Decided;
+use super::failure_detection::FailureDetector;
+use super::fault_injection::{is_injected, InjectedFault};
+use super::invariants::InvariantMonitor;
+use super::log::queues::Undescribed;
+use super::log::LogWriter;
+use super::provisioning::Provisioning;
+use super::scheduling::Scheduler;
+use super::{Context, JobId};
 use crate::protocol::peer::Progress;
-use crate::protocol::store::Event;
+use crate::protocol::store::WatchEvent;
 use crate::protocol::users::Phase;
+use crate::storage::keys;
+use crate::storage::records::{from_value, restored, Accepted, JobValue};
 use crate::time::Micros;
+pub use job::{need, Job, Placement, PlacementPhase, TaskRange, TaskState};
+pub use machine::{Kind, Machine, MachineId, MachineState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
+use void_proof::VoidProof;
 
 /// The account of classes and teams forgets half in this time.
 const ACCOUNT: Micros = Micros::from_millis(120_000);
 
 /// The leader's state; built from the state service and from reports, dropped
 /// when another leads.
-pub struct Leader {
+pub struct LeaderState {
     pub incarnation: u64,
     pub term: u64,
     pub began: Micros,
@@ -33,66 +41,39 @@
     pub jobs: BTreeMap<JobId, Job>,
     pub machines: BTreeMap<MachineId, Machine>,
     /// Machines proven gone; their late reports and listings mean nothing.
-    pub gone: BTreeSet<MachineId>,
-    pub estimate: Estimate,
-    pub next_estimate: Micros,
-    pub pools: BTreeMap<Rc<ClassKey>, u32>,
-    pub kinds: Vec<Kind>,
+    pub released: BTreeSet<MachineId>,
     /// Which machines have an image.
-    pub image_at: BTreeMap<Rc<str>, BTreeSet<MachineId>>,
-    /// Machines whose outbox is not empty.
-    pub outboxes: BTreeSet<MachineId>,
-    /// Helper slots: cores, and GPUs.
-    pub helpers: [u32; 2],
-    pub committer: Committer,
+    pub image_locations: BTreeMap<Rc<str>, BTreeSet<MachineId>>,
+    pub log_writer: LogWriter,
+    /// Pools, queue passes and their timers.
+    pub scheduler: Scheduler,
+    /// What is sent to agents outside of answers to their heartbeats.
+    pub agents: AgentChannels,
+    /// Machines rented and asked for.
+    pub provisioning: Provisioning,
+    /// Which controllers and zones are heard.
+    pub failures: FailureDetector,
+    /// What was found broken, and the decisions that preceded it.
+    pub invariants: InvariantMonitor,
     pub dirty: bool,
-    pub next_schedule: Micros,
-    pub last_schedule: Micros,
-    /// When work may be stopped again to make room.
-    pub next_room: Micros,
-    pub chunk_tasks: u32,
+    pub tasks_per_range: u32,
     /// Reports and job events that came before everything was read.
-    pub early_reports: Vec<(EarlyReport, crate::protocol::workers::Report, Micros)>,
+    pub early_heartbeats: Vec<(EarlyHeartbeat, crate::protocol::agents::Heartbeat, Micros)>,
     pub early_events: Vec<(String, u64, u64, JobValue)>,
-    pub direct: BTreeMap<u64, super::workers::SentDirect>,
-    /// Reports that came as answers to direct orders, not yet taken in.
-    pub direct_reports: Vec<crate::protocol::workers::Report>,
-    pub fleet: super::fleet::Fleet,
-    pub boots: super::boots::Boots,
     pub new_term: Option<&'static str>,
     /// The term that this leadership began with: a report with this token or a higher one says
     /// what was on its machine after all earlier leaderships.
     pub first_term: u64,
-    /// The last decisions about starts.
-    pub decisions: Decisions,
-    pub next_invariants: Micros,
-    /// Broken invariants that are not counted by the process yet.
-    pub broken_invariants: u64,
-    /// Teams whose tasks were seen to exceed their limits.
-    pub over_limit: BTreeSet<String>,
     /// Every cancellation that was confirmed before this is in the book.
-    pub proven: Micros,
+    pub cancellation_watermark: Micros,
     /// Machines on which a cancelled job's task may be, or come to be, for some time.
     pub unsettled: BTreeSet<MachineId>,
-    pub next_machines: Micros,
-    pub next_pace: Micros,
-    pub next_care: Micros,
-    /// When zones that were cut off were heard again.
-    pub zones_back: BTreeMap<String, Micros>,
-    /// When it is told next where replicas are.
-    pub next_replicas: Micros,
-    /// What is known of the other controllers.
-    pub nodes: BTreeMap<String, super::cuts::NodeSign>,
     /// What each class and team asked for and got.
-    pub account: glenhaven_served::Account,
-    /// Zones that are cut off.
-    pub zones: glenhaven_zones::Zones,
-    /// Versions of what other nodes say they keep, as last read.
-    pub care: BTreeMap<String, u64>,
+    pub slo: glenhaven_objectives::SloAccounting,
     /// Jobs that name others, as far as the leader has to look at them.
-    pub chained: super::chained::Chained,
+    pub blocked_jobs: super::dependencies::BlockedJobs,
     /// Machines that are left to empty for large tasks.
-    pub gathered: super::gathered::Gathered,
+    pub reservations: super::reservation::Reservations,
     /// What this leader misses of what was accepted.
     pub audit: super::audit::Audit,
     /// The last revision at which a job is known to have come.
@@ -102,61 +83,41 @@
 }
 
 /// Whom to answer once an early report can be.
-pub enum EarlyReport {
+pub enum EarlyHeartbeat {
     Worker(u64),
     Peer(String, u64),
     /// Nobody: another node told it from memory.
-    Recalled(String),
+    FromMemory(String),
 }
 
-impl Leader {
-    pub fn new(incarnation: u64, term: u64, now: Micros) -> Leader {
-        Leader {
+impl LeaderState {
+    pub fn new(incarnation: u64, term: u64, now: Micros) -> LeaderState {
+        LeaderState {
             incarnation,
             term,
             began: now,
             listens_since: now,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            gone: BTreeSet::new(),
-            estimate: Estimate::default(),
-            next_estimate: now,
-            pools: BTreeMap::new(),
-            kinds: vec![],
-            image_at: BTreeMap::new(),
-            outboxes: BTreeSet::new(),
-            next_room: now,
-            last_schedule: Micros::ZERO,
-            helpers: [0, 0],
-            committer: Committer::default(),
+            released: BTreeSet::new(),
+            image_locations: BTreeMap::new(),
+            log_writer: LogWriter::default(),
+            scheduler: Scheduler::new(now),
+            agents: AgentChannels::new(now),
+            provisioning: Provisioning::new(now),
+            failures: FailureDetector::new(now),
+            invariants: InvariantMonitor::new(now),
             dirty: true,
-            next_schedule: now,
-            chunk_tasks: 64,
-            early_reports: vec![],
+            tasks_per_range: 64,
+            early_heartbeats: vec![],
             early_events: vec![],
-            direct: BTreeMap::new(),
-            direct_reports: vec![],
-            fleet: super::fleet::Fleet::new(now),
-            boots: super::boots::Boots::default(),
             new_term: None,
             first_term: term,
-            decisions: Decisions::default(),
-            next_invariants: now,
-            broken_invariants: 0,
-            over_limit: BTreeSet::new(),
-            proven: Micros::ZERO,
+            cancellation_watermark: Micros::ZERO,
             unsettled: BTreeSet::new(),
-            next_machines: now,
-            next_pace: now,
-            next_care: now,
-            zones_back: BTreeMap::new(),
-            next_replicas: now,
-            nodes: BTreeMap::new(),
-            account: glenhaven_served::Account::new(ACCOUNT),
-            zones: glenhaven_zones::Zones::default(),
-            care: BTreeMap::new(),
-            chained: super::chained::Chained::default(),
-            gathered: super::gathered::Gathered::default(),
+            slo: glenhaven_objectives::SloAccounting::new(ACCOUNT),
+            blocked_jobs: super::dependencies::BlockedJobs::default(),
+            reservations: super::reservation::Reservations::default(),
             audit: super::audit::Audit::default(),
             last_version: 0,
             day_ms: 0,
@@ -170,10 +131,10 @@
         self.machines.values().filter(up).count() as u32
     }
 
-    pub fn abandon(self, sh: &mut Shared) {
-        for (from, _, _) in self.early_reports {
-            if let EarlyReport::Worker(id) = from {
-                sh.reply(id, 503, vec![], Some(1));
+    pub fn abandon(self, context: &mut Context) {
+        for (from, _, _) in self.early_heartbeats {
+            if let EarlyHeartbeat::Worker(id) = from {
+                context.reply(id, 503, vec![], Some(1));
             }
         }
     }
@@ -181,7 +142,7 @@
     pub fn term_raised(&mut self, term: u64) {
         self.term = term;
         self.new_term = None;
-        self.committer.term_raised();
+        self.log_writer.term_raised();
     }
 
     /// Display counts of a job.
@@ -194,8 +155,8 @@
         let mut out = vec![];
         for job in self.jobs.values_mut() {
             let now = (job.finished, job.running());
-            if now != job.told && out.len() < 500 {
-                job.told = now;
+            if now != job.last_published && out.len() < 500 {
+                job.last_published = now;
                 out.push(Progress {
                     id: job.id.to_string(),
                     done: now.0,
@@ -207,9 +168,9 @@
     }
 
     /// News of jobs from the state service, in the order in which they were made.
-    pub fn on_job_news(&mut self, events: Vec<Event>, now: Micros) {
+    pub fn on_job_news(&mut self, events: Vec<WatchEvent>, now: Micros) {
         for event in events {
-            let Event::Put { key, value, version } = event else {
+            let WatchEvent::Put { key, value, version } = event else {
                 continue;
             };
             if keys::parse_accepted(&key).is_some() {
@@ -229,10 +190,10 @@
 
     /// News of a job from the state service.
     ///
-    /// `stamp`: the version of the job's own key; 0: it was accepted in a page.
-    pub fn on_job_event(&mut self, id: &str, version: u64, stamp: u64, value: JobValue, now: Micros) {
+    /// `key_version`: the version of the job's own key; 0: it was accepted in a page.
+    pub fn on_job_event(&mut self, id: &str, version: u64, key_version: u64, value: JobValue, now: Micros) {
         if !self.is_loaded() {
-            self.early_events.push((id.to_string(), version, stamp, value));
+            self.early_events.push((id.to_string(), version, key_version, value));
             return;
         }
         match (value.phase, value.spec) {
@@ -243,18 +204,18 @@
                 }
             }
             (Phase::Pending | Phase::Running, Some(spec)) => {
-                if self.jobs.contains_key(id) || self.committer.is_closed(id) {
+                if self.jobs.contains_key(id) || self.log_writer.is_closed(id) {
                     return;
                 }
-                let (spec, came_ms) = match restored(spec.clone()) {
-                    Some((spec, came_ms)) if spec.needs.is_empty() => (spec, came_ms),
+                let (spec, submitted_ms) = match restored(spec.clone()) {
+                    Some((spec, submitted_ms)) if spec.needs.is_empty() => (spec, submitted_ms),
                     found => return self.hold_back(found.unwrap_or((spec, 0)), version, now),
                 };
                 tracing::debug!(job = id, class = spec.class, tasks = spec.tasks, "job arrived");
                 self.last_version = self.last_version.max(version);
-                let mut job = Job::new(id, spec, version, stamp, now);
-                job.came = self.came(came_ms, now);
-                self.committer
+                let mut job = Job::new(id, spec, version, key_version, now);
+                job.submitted_at = self.came(submitted_ms, now);
+                self.log_writer
                     .undescribed
                     .insert(Undescribed::new(version, job.id.clone()));
                 self.jobs.insert(job.id.clone(), job);
@@ -271,16 +232,16 @@
         if job.cancelled.is_some() {
             return;
         }
-        tracing::debug!(job = id, on_machines = job.placed.len(), "job cancelled");
+        tracing::debug!(job = id, on_machines = job.placements.len(), "job cancelled");
         job.cancelled = Some(now);
-        job.unknown_at = self.proven;
+        job.cancel_unconfirmed_until = self.cancellation_watermark;
         job.waiting.clear();
         let entry = Undescribed::new(job.version, job.id.clone());
-        self.committer.undescribed.insert(entry);
-        if job.placed.is_empty() {
-            self.committer.ended.insert(job.id.clone());
+        self.log_writer.undescribed.insert(entry);
+        if job.placements.is_empty() {
+            self.log_writer.ended.insert(job.id.clone());
         }
-        let tasks: Vec<u32> = job.placed.keys().copied().collect();
+        let tasks: Vec<u32> = job.placements.keys().copied().collect();
         for task in tasks {
             self.stop(id, task, 0.0, now);
         }
@@ -297,10 +258,10 @@
         };
         let key = job.id.clone();
         let unrecorded = |(task, p): (&u32, &Placement)| {
-            let flies = self.committer.carries(&key, *task);
-            (p.stage == Stage::Committing && !flies).then_some(*task)
+            let flies = self.log_writer.carries(&key, *task);
+            (p.phase == PlacementPhase::Committing && !flies).then_some(*task)
         };
-        let tasks: Vec<u32> = job.placed.iter().filter_map(unrecorded).collect();
+        let tasks: Vec<u32> = job.placements.iter().filter_map(unrecorded).collect();
         for task in tasks {
             self.free(&key, task, VoidProof::NotRecorded, now);
         }
@@ -308,7 +269,7 @@
 
     /// Asks a task to stop, at once and again with every report's answer.
     pub fn stop(&mut self, id: &str, task: u32, grace_s: f64, now: Micros) {
-        let Some(placement) = self.jobs.get_mut(id).and_then(|j| j.placed.get_mut(&task)) else {
+        let Some(placement) = self.jobs.get_mut(id).and_then(|j| j.placements.get_mut(&task)) else {
             return;
         };
         let first = placement.stop.is_none();
@@ -317,19 +278,21 @@
         }
         placement.stop = Some(grace_s);
         let stopped = placement.clone();
-        let (stage, sent) = (placement.stage, placement.sent);
+        let (stage, sent) = (placement.phase, placement.sent);
         if let Some(job) = self.jobs.get(id).filter(|_| first) {
-            self.decisions.note(job.decision(task, &stopped, Decided::Stop, now));
+            self.invariants
+                .decisions
+                .note(job.decision(task, &stopped, Decided::Stop, now));
         }
-        if is_planted(Planted::FreesWithoutProof) {
+        if is_injected(InjectedFault::FreesWithoutProof) {
             return self.free(&id.into(), task, VoidProof::MachineReleased, now);
         }
         match (stage, sent) {
             // Its start is being recorded, and will not be sent.
-            (Stage::Committing, _) => {}
+            (PlacementPhase::Committing, _) => {}
             // Nothing was ever sent for this record, and only this leadership could have: it is
             // void without a word from the machine.
-            (Stage::Sent, false) => self.free(&id.into(), task, VoidProof::NeverSent, now),
+            (PlacementPhase::Sent, false) => self.free(&id.into(), task, VoidProof::NeverSent, now),
             _ => self.queue_stop(&id.into(), task),
         }
     }
@@ -338,25 +301,26 @@
     /// proof does not cover stays.
     pub fn free(&mut self, id: &JobId, task: u32, proof: VoidProof, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let Some(placement) = job.placed.get(&task) else {
+        let Some(placement) = job.placements.get(&task) else {
             return;
         };
         if !proof.covers(placement) {
             tracing::error!(job = %id, task, ?proof, ?placement, "a record is to be freed without proof");
-            self.broken_invariants += 1;
+            self.invariants.broken += 1;
             return;
         }
-        self.decisions
+        self.invariants
+            .decisions
             .note(job.decision(task, placement, Decided::Freed(proof), now));
         let live = job.is_live();
-        if let Some(placement) = job.free(task, self.chunk_tasks) {
+        if let Some(placement) = job.free(task, self.tasks_per_range) {
             if !live {
                 job.waiting.remove(&task);
             }
-            if job.cancelled.is_some() && job.placed.is_empty() {
-                self.committer.ended.insert(id.clone());
+            if job.cancelled.is_some() && job.placements.is_empty() {
+                self.log_writer.ended.insert(id.clone());
             }
-            let holds = !matches!(placement.stage, Stage::Exited(_));
+            let holds = !matches!(placement.phase, PlacementPhase::Exited(_));
             if holds {
                 job.vacates(placement.helper);
             }
@@ -366,19 +330,19 @@
                     machine.take(&job.spec, -1.0);
                 }
             }
-            self.touch(id, task / self.chunk_tasks, now);
+            self.touch(id, task / self.tasks_per_range, now);
             self.dirty = true;
         }
     }
 
     /// The machine and everything on it is gone, by the cloud's word.
-    pub fn machine_gone(&mut self, name: &MachineId, now: Micros) {
-        self.gone.insert(name.clone());
-        while self.gone.len() > 20_000 {
-            self.gone.pop_first();
+    pub fn machine_released(&mut self, name: &MachineId, now: Micros) {
+        self.released.insert(name.clone());
+        while self.released.len() > 20_000 {
+            self.released.pop_first();
         }
         self.drop_images(name);
-        self.outboxes.remove(name);
+        self.agents.outboxes.remove(name);
         if let Some(machine) = self.machines.remove(name) {
             for (job, task) in machine.tasks {
                 self.free(&job, task, VoidProof::MachineReleased, now);
@@ -399,17 +363,20 @@
             Some(at) => m.images.remove(at).map_or_else(|| image.into(), |i| i.0),
             None => {
                 let image: Rc<str> = self
-                    .image_at
+                    .image_locations
                     .get_key_value(image)
                     .map_or_else(|| image.into(), |(k, _)| k.clone());
-                self.image_at.entry(image.clone()).or_default().insert(name.clone());
+                self.image_locations
+                    .entry(image.clone())
+                    .or_default()
+                    .insert(name.clone());
                 image
             }
         };
         m.images.push_back((image, gb));
         while m.images.len() > 1 && m.images.iter().map(|i| i.1).sum::<f64>() > cache_gb {
             let Some((old, _)) = m.images.pop_front() else { break };
-            if let Some(at) = self.image_at.get_mut(&old) {
+            if let Some(at) = self.image_locations.get_mut(&old) {
                 at.remove(name);
             }
         }
@@ -420,10 +387,10 @@
         let Some(m) = self.machines.get_mut(name) else { return };
         m.fetching.clear();
         for (image, _) in std::mem::take(&mut m.images) {
-            if let Some(at) = self.image_at.get_mut(&image) {
+            if let Some(at) = self.image_locations.get_mut(&image) {
                 at.remove(name);
                 if at.is_empty() {
-                    self.image_at.remove(&image);
+                    self.image_locations.remove(&image);
                 }
             }
         }
--- a/src/coordination/void.rs
+++ b/src/coordination/state/void_proof.rs
@@ -3,8 +3,8 @@
 //! A record is charged to its team and its machine for as long as the attempt may be, or come to
 //! be, on the machine. It is freed only with one of these proofs, and only if the proof covers it.
 
-use super::book::{Placement, Stage};
-use crate::protocol::workers::Cause;
+use crate::coordination::state::{Placement, PlacementPhase};
+use crate::protocol::agents::Cause;
 
 /// Proof that an attempt is not on its machine and that no start of it will be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,11 +27,11 @@
     /// Whether this proves that the record is void, by what the record itself says.
     pub fn covers(self, placement: &Placement) -> bool {
         match self {
-            VoidProof::NotRecorded => placement.stage == Stage::Committing && !placement.sent,
-            VoidProof::NeverSent => placement.stage == Stage::Sent && !placement.sent && !placement.restored,
-            VoidProof::LaterSession { reported } => reported > placement.session,
-            VoidProof::RefusedByToken { reported } => placement.sent && reported > placement.fence,
-            VoidProof::Exited(cause) => placement.stage == Stage::Exited(cause),
+            VoidProof::NotRecorded => placement.phase == PlacementPhase::Committing && !placement.sent,
+            VoidProof::NeverSent => placement.phase == PlacementPhase::Sent && !placement.sent && !placement.restored,
+            VoidProof::LaterSession { reported } => reported > placement.incarnation,
+            VoidProof::RefusedByToken { reported } => placement.sent && reported > placement.fencing_token,
+            VoidProof::Exited(cause) => placement.phase == PlacementPhase::Exited(cause),
             VoidProof::MachineReleased => true,
         }
     }
--- a/src/coordination/store_queue.rs
+++ b/src/coordination/store_queue.rs
@@ -2,8 +2,8 @@
 
 use crate::protocol::store::StoreRequest;
 use crate::time::Micros;
-use crate::transport::pace::Bucket;
-use glenhaven_intake::{Waited, Waits};
+use crate::transport::rate_limit::Bucket;
+use glenhaven_group_commit::{Waited, Waits};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How urgent a request is; the first is the most urgent.
@@ -26,7 +26,7 @@
 
 struct Queued<W> {
     request: StoreRequest,
-    wait: W,
+    continuation: W,
     timeout: Micros,
     /// When it was queued, or was to be.
     at: Option<Micros>,
@@ -34,7 +34,7 @@
 
 /// A request that was sent and has not been answered.
 struct InFlight<W> {
-    wait: W,
+    continuation: W,
     watch: bool,
     sent: Micros,
 }
@@ -75,7 +75,7 @@
 /// How many changes a request makes.
 fn changes(request: &StoreRequest) -> f64 {
     match request {
-        StoreRequest::Txn(txn) => txn.changes.len() as f64,
+        StoreRequest::Transaction(txn) => txn.changes.len() as f64,
         _ => 0.0,
     }
 }
@@ -156,18 +156,18 @@
     }
 
     /// Queues a request.
-    pub fn push(&mut self, urgency: Urgency, request: StoreRequest, wait: W, timeout: Micros) {
+    pub fn push(&mut self, urgency: Urgency, request: StoreRequest, continuation: W, timeout: Micros) {
         self.asked += changes(&request);
         self.queues[urgency as usize].push_back(Queued {
             request,
-            wait,
+            continuation,
             timeout,
             at: None,
         });
     }
 
     /// Queues a request for later.
-    pub fn push_at(&mut self, at: Micros, urgency: Urgency, request: StoreRequest, wait: W, timeout: Micros) {
+    pub fn push_at(&mut self, at: Micros, urgency: Urgency, request: StoreRequest, continuation: W, timeout: Micros) {
         self.next += 1;
         self.delayed.insert(
             (at, self.next),
@@ -175,7 +175,7 @@
                 urgency,
                 Queued {
                     request,
-                    wait,
+                    continuation,
                     timeout,
                     at: None,
                 },
@@ -201,7 +201,7 @@
             let mut at = 0;
             while at < queue.len() {
                 if now.since(*queue[at].at.get_or_insert(now)) > TOO_OLD {
-                    old.extend(queue.remove(at).map(|q| q.wait));
+                    old.extend(queue.remove(at).map(|q| q.continuation));
                 } else {
                     at += 1;
                 }
@@ -255,9 +255,16 @@
                 if let Some(queued) = self.queues[level].pop_front() {
                     self.next += 1;
                     self.watches += usize::from(watch);
-                    let wait = queued.wait;
+                    let continuation = queued.continuation;
                     let sent = now;
-                    self.in_flight.insert(self.next, InFlight { wait, watch, sent });
+                    self.in_flight.insert(
+                        self.next,
+                        InFlight {
+                            continuation,
+                            watch,
+                            sent,
+                        },
+                    );
                     out.push((self.next, queued.request, queued.timeout));
                 }
             }
@@ -268,7 +275,11 @@
     /// What an answer is for. A refusal empties the buckets a little, so that
     /// nodes whose shares do not add up slow down together.
     pub fn answered(&mut self, id: u64, refused: bool, now: Micros) -> Option<W> {
-        let InFlight { wait, watch, sent } = self.in_flight.remove(&id)?;
+        let InFlight {
+            continuation,
+            watch,
+            sent,
+        } = self.in_flight.remove(&id)?;
         if watch {
             self.watches -= 1;
         } else {
@@ -283,6 +294,6 @@
             self.requests.set_rate(self.rates.0, now);
             self.writes.set_rate(self.rates.1, now);
         }
-        Some(wait)
+        Some(continuation)
     }
 }
--- a/src/coordination/summary.rs
+++ b/src/coordination/summary.rs
@@ -1,8 +1,8 @@
 //! What an operator wants to see of the leader, in the log: machines, the book, and what each team
 //! holds and waits for.
 
-use super::book::{Leader, MachineState, Placement, Stage};
-use super::Site;
+use super::state::{LeaderState, MachineState, Placement, PlacementPhase};
+use super::ClusterConfig;
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
@@ -26,26 +26,26 @@
 
 impl TeamShare {
     fn count(&mut self, placement: &Placement, cpus: f64) {
-        match placement.stage {
-            Stage::Exited(_) => self.exited += cpus,
-            Stage::Committing | Stage::Sent => self.unseen += cpus,
-            Stage::Seen(_) => {}
+        match placement.phase {
+            PlacementPhase::Exited(_) => self.exited += cpus,
+            PlacementPhase::Committing | PlacementPhase::Sent => self.unseen += cpus,
+            PlacementPhase::Seen(_) => {}
         }
-        let holds = !matches!(placement.stage, Stage::Exited(_));
+        let holds = !matches!(placement.phase, PlacementPhase::Exited(_));
         if holds && placement.stop.is_some() {
             self.stopping += cpus;
         }
     }
 }
 
-impl Leader {
+impl LeaderState {
     /// What each team that has jobs holds and waits for.
     fn team_shares(&self, now: Micros) -> BTreeMap<&str, TeamShare> {
         let mut shares: BTreeMap<&str, TeamShare> = BTreeMap::new();
         for job in self.jobs.values() {
             let share = shares.entry(&job.spec.team).or_default();
             share.held += f64::from(job.held) * job.spec.cpus;
-            for placement in job.placed.values() {
+            for placement in job.placements.values() {
                 share.count(placement, job.spec.cpus);
             }
             if job.may_run() && !job.waiting.is_empty() {
@@ -58,12 +58,14 @@
 
     /// Records of earlier leaders that no machine has confirmed or disproved.
     fn inherited(&self) -> usize {
-        let placements = self.jobs.values().flat_map(|job| job.placed.values());
-        placements.filter(|p| p.restored && p.stage == Stage::Sent).count()
+        let placements = self.jobs.values().flat_map(|job| job.placements.values());
+        placements
+            .filter(|p| p.restored && p.phase == PlacementPhase::Sent)
+            .count()
     }
 
     /// What an operator wants to see: what each team holds and what waits.
-    pub fn log_summary(&self, site: &Site, now: Micros) {
+    pub fn log_summary(&self, cluster: &ClusterConfig, now: Micros) {
         let up = self.machines.values().filter(|m| m.state == MachineState::Up).count();
         let booting = self
             .machines
@@ -76,7 +78,7 @@
             .filter(|j| j.may_run())
             .map(|j| j.waiting.len())
             .sum();
-        let placed: usize = self.jobs.values().map(|j| j.placed.len()).sum();
+        let placed: usize = self.jobs.values().map(|j| j.placements.len()).sum();
         tracing::info!(
             term = self.term,
             jobs = self.jobs.len(),
@@ -86,12 +88,12 @@
             booting,
             doomed = self.machines.len() - up - booting,
             inherited = self.inherited(),
-            unexplained = self.machines.values().map(|m| m.strangers.len()).sum::<usize>(),
-            helpers = self.helpers[0],
-            pools = ?self.pools.iter().map(|(k, v)| format!("{}x{}={}", k.class, k.need, v)).collect::<Vec<_>>(),
+            unexplained = self.machines.values().map(|m| m.orphaned_attempts.len()).sum::<usize>(),
+            helpers = self.scheduler.helpers[0],
+            pools = ?self.scheduler.pools.iter().map(|(k, v)| format!("{}x{}={}", k.class, k.need, v)).collect::<Vec<_>>(),
             "fleet"
         );
-        let c = &self.committer;
+        let c = &self.log_writer;
         tracing::info!(
             pages = c.pages_kept(),
             transactions = c.written.transactions,
@@ -102,7 +104,7 @@
             "book"
         );
         let shares = self.team_shares(now);
-        for team in &site.settings.params.teams {
+        for team in &cluster.settings.params.teams {
             let share = shares.get(team.name.as_str()).copied().unwrap_or_default();
             if share.held > 0.0 || share.wanted > 0.0 {
                 tracing::info!(
--- a/src/coordination/tick.rs
+++ b/src/coordination/tick.rs
@@ -1,40 +1,45 @@
 //! What a controller does after every batch of commands, and at times of its own: it says that it
 //! is alive, lets the leader act, and logs.
 
-use super::leadership::Role;
-use super::{Core, Effect, HEARD};
+use super::election::Role;
+use super::{Controller, Effect, HEARD};
 use crate::protocol::peer::PeerMessage;
 use crate::time::Micros;
 
-impl Core {
+impl Controller {
     pub(super) fn tick(&mut self) {
-        let now = self.sh.now;
-        self.tick_links();
-        self.tick_lead();
-        self.tick_say();
-        self.tick_chains();
-        self.tick_audit();
-        let seen = self.lead.jobs_seen_if_known();
-        self.desk.tick(&mut self.sh, &self.site, seen);
-        self.tick_vouchers();
-        self.care
-            .tick(&mut self.sh, &self.lead, &self.vouchers, &self.desk, &self.site);
-        self.tick_cloud();
-        self.tick_leader();
+        let now = self.context.now;
+        self.run_link_probes();
+        self.run_election();
+        self.run_announcements();
+        self.run_dependencies();
+        self.run_acceptance_audit();
+        let seen = self.election.jobs_seen_if_known();
+        self.api.tick(&mut self.context, &self.cluster, seen);
+        self.run_attestations();
+        self.heartbeat_proxy.tick(
+            &mut self.context,
+            &self.election,
+            &self.attestations,
+            &self.api,
+            &self.cluster,
+        );
+        self.run_cloud_calls();
+        self.run_leader();
         if now >= self.next_alive {
             self.next_alive = now + Micros::from_millis(500);
             let message = PeerMessage::Alive {
-                node: self.site.settings.node.clone(),
-                term: self.lead.term(),
-                fresh: now.since(self.lead.fresh()) < Micros::from_secs(2.5),
-                leads: self.lead.role() == Role::Leader,
+                node: self.cluster.settings.node.clone(),
+                term: self.election.term(),
+                fresh: now.since(self.election.fresh()) < Micros::from_secs(2.5),
+                leads: self.election.role() == Role::Leader,
                 wants: (self.share_changes() * 1000.0).min(4e9) as u32,
-                serves: self.care.serves(now, self.lead.role() == Role::Leader),
+                serves: self.heartbeat_proxy.serves(now, self.election.role() == Role::Leader),
                 at: now.0,
-                links: self.tell_links(),
+                links: self.observed_links(),
             };
-            for peer in &self.site.settings.peers {
-                self.sh.out.push(Effect::Peer {
+            for peer in &self.cluster.settings.peers {
+                self.context.out.push(Effect::Peer {
                     to: peer.node.clone(),
                     message: message.clone(),
                 });
@@ -42,8 +47,8 @@
             if let Some(leader) = self.leader.as_mut() {
                 let changed = leader.changed_progress();
                 if !changed.is_empty() {
-                    for peer in &self.site.settings.peers {
-                        self.sh.out.push(Effect::Peer {
+                    for peer in &self.cluster.settings.peers {
+                        self.context.out.push(Effect::Peer {
                             to: peer.node.clone(),
                             message: PeerMessage::Progress(changed.clone()),
                         });
@@ -54,25 +59,25 @@
         if now >= self.next_log {
             self.next_log = now + Micros::from_secs(10.0);
             self.log_state_service();
-            if let Some(waited) = self.desk.take_waits() {
-                let (open, pages) = self.desk.pages();
+            if let Some(waited) = self.api.take_waits() {
+                let (open, pages) = self.api.pages();
                 tracing::debug!(?waited, open, pages, "accepted");
             }
-            let (answered, asked_anew) = self.desk.take_answered();
+            let (answered, asked_anew) = self.api.take_answered();
             if !answered.is_empty() {
                 tracing::info!(?answered, asked_anew, "answers, by what they rested on");
             }
-            let refused = self.desk.take_refusals();
+            let refused = self.api.take_refusals();
             if !refused.is_empty() {
-                let (open, pages) = self.desk.pages();
+                let (open, pages) = self.api.pages();
                 tracing::info!(?refused, open, pages, "requests were refused");
             }
             if let Some(leader) = self.leader.as_mut() {
-                if let Some(waited) = leader.chained.take_waits() {
+                if let Some(waited) = leader.blocked_jobs.take_waits() {
                     tracing::info!(?waited, "tasks of jobs that waited for others began");
                 }
-                leader.log_summary(&self.site, now);
-                leader.log_account(&self.site, now);
+                leader.log_summary(&self.cluster, now);
+                leader.log_slo_accounting(&self.cluster, now);
             }
         }
     }
@@ -88,47 +93,47 @@
     fn log_state_service(&mut self) {
         let longest_pause = std::mem::take(&mut self.longest_pause);
         tracing::info!(
-            term = self.lead.term(),
+            term = self.election.term(),
             leads = self.leader.is_some(),
-            jobs_seen = self.lead.jobs_seen_if_known(),
-            round_trips = ?self.sh.store.take_round_trips(),
+            jobs_seen = self.election.jobs_seen_if_known(),
+            round_trips = ?self.context.store.take_round_trips(),
             longest_pause_ms = longest_pause.0 / 1000,
             broken_invariants = self.broken_invariants,
             "state service"
         );
     }
 
-    fn tick_leader(&mut self) {
+    fn run_leader(&mut self) {
         self.ask_recall();
         let Some(leader) = self.leader.as_mut() else { return };
         if !leader.is_loaded() {
-            leader.load(&mut self.sh);
+            leader.load(&mut self.context);
             return;
         }
         // After a standstill, another node may lead by now.
-        if self.lead.in_doubt() {
+        if self.election.in_doubt() {
             return;
         }
-        let sure = self.lead.is_sure(self.sh.now);
+        let sure = self.election.is_sure(self.context.now);
         for (name, peer) in &self.peers {
-            leader.hear_node(name, peer.at, HEARD, self.sh.now);
+            leader.record_controller_contact(name, peer.at, HEARD, self.context.now);
         }
-        leader.tick_machines(&mut self.sh, &self.site, sure);
-        leader.look_at_invariants(&self.site, self.sh.now);
-        self.broken_invariants += std::mem::take(&mut leader.broken_invariants);
-        leader.schedule(&mut self.sh, &self.site);
+        leader.run_machine_checks(&mut self.context, &self.cluster, sure);
+        leader.check_invariants(&self.cluster, self.context.now);
+        self.broken_invariants += std::mem::take(&mut leader.invariants.broken);
+        leader.schedule(&mut self.context, &self.cluster);
         // A leader that may have been deposed returns no machines: the next one
         // may be using them.
         if sure {
-            leader.tick_fleet(&mut self.sh, &self.site, &mut self.cloud);
+            leader.run_provisioning(&mut self.context, &self.cluster, &mut self.cloud);
         }
-        leader.pump_commit(&mut self.sh, &self.site, &self.lead);
-        if let Some(why) = leader.wants_new_term(self.sh.now) {
-            self.lead.raise(&mut self.sh, why);
+        leader.pump_commit(&mut self.context, &self.cluster, &self.election);
+        if let Some(why) = leader.wants_new_term(self.context.now) {
+            self.election.raise(&mut self.context, why);
         }
-        let now = self.sh.now;
-        let carry = &self.carry;
+        let now = self.context.now;
+        let carry = &self.forwarder;
         let reached = |node: &str| carry.reaches(node, now);
-        leader.flush_outboxes(&mut self.sh, &self.lead, &self.desk, reached);
+        leader.flush_outboxes(&mut self.context, &self.election, &self.api, reached);
     }
 }
--- a/src/coordination/times.rs
+++ b/src/coordination/timing.rs
@@ -19,7 +19,7 @@
 pub const NO_CAPACITY: Micros = Micros::from_millis(8_000);
 /// A machine on which tasks fail gets nothing new for this long: several boots, so that
 /// it is replaced rather than waited for.
-pub const DOUBTED: Micros = Micros::from_millis(120_000);
+pub const QUARANTINED: Micros = Micros::from_millis(120_000);
 /// A machine on which tasks fail is returned after this long, which is time for a job to
 /// turn out to be the cause.
 pub const FAULTY: Micros = Micros::from_millis(15_000);
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,11 +1,11 @@
 //! Joins the layers into a process: sockets on one side, the owner of all state
 //! on the other, and a queue of commands between them.
 
-use crate::coordination::{CloudAnswer, CloudRequest, Command, Core, DirectAnswer, Effect, UserRequest};
+use crate::coordination::{CloudRequest, CloudResponse, Controller, Effect, Event, PushResult, UserRequest};
+use crate::protocol::agents::{Heartbeat, PushedCommands};
 use crate::protocol::peer::{Link, PeerMessage};
-use crate::protocol::store::{Events, Lease, NewLease, Revision, Row, Rows, StoreAnswer, StoreRequest};
+use crate::protocol::store::{Lease, NewLease, Revision, Row, Rows, StoreRequest, StoreResponse, WatchEvents};
 use crate::protocol::users::ErrorBody;
-use crate::protocol::workers::{Direct, Report};
 use crate::protocol::{from_cbor, to_cbor};
 use crate::settings::Settings;
 use crate::time::Micros;
@@ -38,7 +38,7 @@
 
 struct Process {
     ex: Rc<LocalExecutor<'static>>,
-    commands: Sender<Command>,
+    commands: Sender<Event>,
     replies: Replies,
     state: Rc<Client>,
     watches: Rc<Client>,
@@ -72,7 +72,7 @@
 }
 
 /// Makes one request to the state service.
-async fn ask_state(state: &Client, watches: &Client, request: StoreRequest, timeout: Micros) -> StoreAnswer {
+async fn ask_state(state: &Client, watches: &Client, request: StoreRequest, timeout: Micros) -> StoreResponse {
     let watch = matches!(request, StoreRequest::Watch { .. });
     let (method, path, body) = match &request {
         StoreRequest::Get { key } => (Method::Get, format!("/kv/{key}"), None),
@@ -88,7 +88,7 @@
                 None,
             )
         }
-        StoreRequest::Txn(txn) => (Method::Post, "/txn".into(), Some(to_cbor(txn))),
+        StoreRequest::Transaction(txn) => (Method::Post, "/txn".into(), Some(to_cbor(txn))),
         StoreRequest::Grant { ttl_ms } => (
             Method::Post,
             "/holds".into(),
@@ -105,22 +105,24 @@
     let client = if watch { watches } else { state };
     let (status, body) = match client.call(method, &path, body, timeout).await {
         CallResult::Answer { status, body } => (status, body),
-        CallResult::NotSent => return StoreAnswer::Refused,
-        CallResult::NoAnswer => return StoreAnswer::Unknown,
+        CallResult::NotSent => return StoreResponse::Refused,
+        CallResult::NoAnswer => return StoreResponse::Unknown,
     };
-    use StoreAnswer as A;
+    use StoreResponse as A;
     match (status, &request) {
-        (429, StoreRequest::Txn(txn)) if !txn.changes.is_empty() => A::Limited,
+        (429, StoreRequest::Transaction(txn)) if !txn.changes.is_empty() => A::Limited,
         (429 | 503, _) => A::Refused,
         (200, StoreRequest::Get { .. }) => read(&body, A::Unknown, |row: Row| A::Row(row)),
         (404, StoreRequest::Get { .. }) => read(&body, A::Unknown, |r: Revision| A::Missing { revision: r.revision }),
         (200, StoreRequest::List { .. }) => read(&body, A::Unknown, |rows: Rows| A::Rows(rows)),
-        (200, StoreRequest::Txn(_)) => read(&body, A::Unknown, |r: Revision| A::Committed { revision: r.revision }),
-        (409, StoreRequest::Txn(_)) => read(&body, A::Unknown, |r: Revision| A::Conflict {
+        (200, StoreRequest::Transaction(_)) => {
+            read(&body, A::Unknown, |r: Revision| A::Committed { revision: r.revision })
+        }
+        (409, StoreRequest::Transaction(_)) => read(&body, A::Unknown, |r: Revision| A::Conflict {
             failed: r.failed,
             revision: r.revision,
         }),
-        (400, StoreRequest::Txn(_)) => read(&body, A::Malformed, |e: ErrorBody| {
+        (400, StoreRequest::Transaction(_)) => read(&body, A::Malformed, |e: ErrorBody| {
             if e.error == "no such lease" {
                 A::NoLease
             } else {
@@ -132,7 +134,7 @@
         (200, StoreRequest::Renew { lease }) => A::Lease(*lease),
         (200 | 204, StoreRequest::Drop { lease }) => A::Lease(*lease),
         (404, StoreRequest::Renew { .. } | StoreRequest::Drop { .. }) => A::NoLease,
-        (200, StoreRequest::Watch { .. }) => read(&body, A::Unknown, |e: Events| A::Events(e)),
+        (200, StoreRequest::Watch { .. }) => read(&body, A::Unknown, |e: WatchEvents| A::Events(e)),
         (410, StoreRequest::Watch { .. }) => A::Compacted,
         (400, _) => {
             tracing::error!(path, "the state service calls a request malformed");
@@ -143,28 +145,28 @@
 }
 
 /// Makes one call to the cloud.
-async fn ask_cloud(cloud: &Client, request: CloudRequest, timeout: Micros) -> CloudAnswer {
+async fn ask_cloud(cloud: &Client, request: CloudRequest, timeout: Micros) -> CloudResponse {
     let (method, path, body) = match &request {
         CloudRequest::Catalogue => (Method::Get, "/catalog".into(), None),
-        CloudRequest::Rent(rent) => (Method::Post, "/machines".into(), Some(to_cbor(rent))),
+        CloudRequest::Provision(rent) => (Method::Post, "/machines".into(), Some(to_cbor(rent))),
         CloudRequest::Release(hosts) => (Method::Post, "/machines/release".into(), Some(to_cbor(hosts))),
         CloudRequest::List { after } if after.is_empty() => (Method::Get, "/machines?most=500".into(), None),
         CloudRequest::List { after } => (Method::Get, format!("/machines?after={}&most=500", query(after)), None),
     };
     let (status, body) = match cloud.call(method, &path, body, timeout).await {
         CallResult::Answer { status, body } => (status, body),
-        CallResult::NotSent => return CloudAnswer::Refused,
-        CallResult::NoAnswer => return CloudAnswer::Unknown,
+        CallResult::NotSent => return CloudResponse::Refused,
+        CallResult::NoAnswer => return CloudResponse::Unknown,
     };
-    use CloudAnswer as A;
+    use CloudResponse as A;
     match (status, &request) {
         (200, CloudRequest::Catalogue) => read(&body, A::Unknown, A::Catalogue),
-        (200, CloudRequest::Rent(_)) => read(&body, A::Unknown, |h: crate::protocol::cloud::Hosts| {
+        (200, CloudRequest::Provision(_)) => read(&body, A::Unknown, |h: crate::protocol::cloud::MachineNames| {
             A::Rented(h.machines)
         }),
         (200, CloudRequest::Release(_)) => A::Released,
         (200, CloudRequest::List { .. }) => read(&body, A::Unknown, A::List),
-        (503, CloudRequest::Rent(_)) => read(&body, A::Refused, |e: ErrorBody| {
+        (503, CloudRequest::Provision(_)) => read(&body, A::Refused, |e: ErrorBody| {
             if e.error == "no capacity" {
                 A::NoCapacity
             } else {
@@ -181,21 +183,21 @@
 }
 
 /// Sends commands straight to a worker.
-async fn ask_worker(client: Option<Rc<Client>>, body: Direct, timeout: Micros) -> DirectAnswer {
+async fn ask_worker(client: Option<Rc<Client>>, body: PushedCommands, timeout: Micros) -> PushResult {
     let Some(client) = client else {
-        return DirectAnswer::NotSent;
+        return PushResult::NotSent;
     };
     match client.call(Method::Post, "/do", Some(to_cbor(&body)), timeout).await {
         CallResult::Answer { status: 200, body } => {
-            read(&body, DirectAnswer::Unknown, |r: Report| DirectAnswer::Done(r))
+            read(&body, PushResult::Unknown, |r: Heartbeat| PushResult::Done(r))
         }
         CallResult::Answer { status: 409, body } => {
-            read(&body, DirectAnswer::Unknown, |r: Report| DirectAnswer::Rejected(r))
+            read(&body, PushResult::Unknown, |r: Heartbeat| PushResult::Rejected(r))
         }
-        CallResult::NotSent => DirectAnswer::NotSent,
+        CallResult::NotSent => PushResult::NotSent,
         _ => {
             client.forget();
-            DirectAnswer::Unknown
+            PushResult::Unknown
         }
     }
 }
@@ -234,17 +236,17 @@
                 let (state, watches) = (self.state.clone(), self.watches.clone());
                 self.spawn(async move {
                     let answer = ask_state(&state, &watches, request, timeout).await;
-                    Command::Store { id, answer }
+                    Event::Store { id, answer }
                 });
             }
             Effect::Cloud { id, request, timeout } => {
                 let cloud = self.cloud.clone();
                 self.spawn(async move {
                     let answer = ask_cloud(&cloud, request, timeout).await;
-                    Command::Cloud { id, answer }
+                    Event::Cloud { id, answer }
                 });
             }
-            Effect::Direct {
+            Effect::PushedCommands {
                 id,
                 addr,
                 body,
@@ -253,7 +255,7 @@
                 let client = self.worker(&addr);
                 self.spawn(async move {
                     let answer = ask_worker(client, body, timeout).await;
-                    Command::Direct { id, answer }
+                    Event::PushedCommands { id, answer }
                 });
             }
             Effect::Peer { to, message } => {
@@ -273,24 +275,24 @@
                 let answer = if answer.status < 300 { come_back() } else { answer };
                 return self.perform(Effect::Reply { id, answer });
             }
-            Effect::Store { id, .. } => Command::Store {
+            Effect::Store { id, .. } => Event::Store {
                 id,
-                answer: StoreAnswer::Refused,
+                answer: StoreResponse::Refused,
             },
-            Effect::Cloud { id, .. } => Command::Cloud {
+            Effect::Cloud { id, .. } => Event::Cloud {
                 id,
-                answer: CloudAnswer::Refused,
+                answer: CloudResponse::Refused,
             },
-            Effect::Direct { id, .. } => Command::Direct {
+            Effect::PushedCommands { id, .. } => Event::PushedCommands {
                 id,
-                answer: DirectAnswer::NotSent,
+                answer: PushResult::NotSent,
             },
             Effect::Peer { .. } => return,
         };
         self.spawn(async move { command });
     }
 
-    fn spawn(&self, work: impl std::future::Future<Output = Command> + 'static) {
+    fn spawn(&self, work: impl std::future::Future<Output = Event> + 'static) {
         let commands = self.commands.clone();
         self.ex
             .spawn(async move {
@@ -312,8 +314,8 @@
         "/ready" => user(get, UserRequest::Ready),
         "/v2/runs" => user(post, UserRequest::Submit(request.body)),
         "/hello" if !post => Err(405),
-        "/hello" => match from_cbor::<Report>(&request.body) {
-            Ok(report) => Ok(Route::Report(report)),
+        "/hello" => match from_cbor::<Heartbeat>(&request.body) {
+            Ok(heartbeat) => Ok(Route::Heartbeat(heartbeat)),
             Err(error) => {
                 tracing::warn!(%error, "malformed report");
                 Err(400)
@@ -334,7 +336,7 @@
 
 enum Route {
     User(UserRequest),
-    Report(Report),
+    Heartbeat(Heartbeat),
 }
 
 /// Runs a controller until the process is killed.
@@ -346,7 +348,7 @@
 async fn serve(ex: Rc<LocalExecutor<'static>>, settings: Settings) -> Result<(), String> {
     let began = Instant::now();
     let now = move || AGO + Micros(began.elapsed().as_micros() as u64);
-    let (commands, queue) = async_channel::unbounded::<Command>();
+    let (commands, queue) = async_channel::unbounded::<Event>();
     let (from_peers, peer_queue) = async_channel::bounded::<PeerMessage>(1024);
     let replies: Replies = Rc::default();
     let client =
@@ -359,7 +361,7 @@
         let tell = move |link: Link| {
             if last.replace(Some(link)) != Some(link) {
                 let node = name.clone();
-                told.try_send(Command::Link { node, link }).ok();
+                told.try_send(Event::Link { node, link }).ok();
             }
         };
         ex.spawn(peers::send(addr, queue, tell)).detach();
@@ -389,7 +391,7 @@
     let forward = commands.clone();
     ex.spawn(async move {
         while let Ok(message) = peer_queue.recv().await {
-            forward.send(Command::Peer(message)).await.ok();
+            forward.send(Event::Peer(message)).await.ok();
         }
     })
     .detach();
@@ -418,8 +420,8 @@
                 replies: replies.clone(),
             };
             let command = match command {
-                Route::User(request) => Command::User { id, request },
-                Route::Report(report) => Command::Report { id, report },
+                Route::User(request) => Event::User { id, request },
+                Route::Heartbeat(heartbeat) => Event::Heartbeat { id, heartbeat },
             };
             commands.send(command).await.ok();
             match answer.recv().await {
@@ -450,7 +452,7 @@
     );
     // Nodes that begin in the same moment must not retry in step.
     let seed = fastrand::u64(..) ^ own_number(&settings.node);
-    let mut core = Core::new(settings, seed, now());
+    let mut core = Controller::new(settings, seed, now());
     let day = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     core.set_time_of_day(now(), day.map_or(0, |d| d.as_millis() as u64));
     own(&mut core, &process, &queue, now, &failed).await
@@ -476,9 +478,9 @@
 
 /// The owner's loop: batches of commands in, effects out.
 async fn own(
-    core: &mut Core,
+    core: &mut Controller,
     process: &Process,
-    queue: &Receiver<Command>,
+    queue: &Receiver<Event>,
     now: impl Fn() -> Micros,
     failed: &RefCell<Option<String>>,
 ) -> Result<(), String> {
@@ -488,7 +490,7 @@
             Timer::after(TICK).await;
             None
         };
-        let mut batch: Vec<Command> = first.or(tick).await.into_iter().collect();
+        let mut batch: Vec<Event> = first.or(tick).await.into_iter().collect();
         while batch.len() < BATCH {
             match queue.try_recv() {
                 Ok(command) => batch.push(command),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,11 +6,11 @@
 //! of all state), and [`daemon`], which joins them into a process.
 #![forbid(unsafe_code)]
 
-pub mod bookkeeping;
 pub mod coordination;
 pub mod daemon;
 pub mod protocol;
 pub mod settings;
+pub mod storage;
 pub mod transport;
 
-pub use glenhaven_units as time;
+pub use glenhaven_time as time;
--- a/src/protocol/workers.rs
+++ b/src/protocol/agents.rs
@@ -42,7 +42,7 @@
 
 /// One task in a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Encode, Decode)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "piece")]
     pub task: String,
     #[serde(rename = "try")]
@@ -54,7 +54,7 @@
 
 /// A worker's report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Encode, Decode)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "host")]
     pub machine: String,
     pub addr: String,
@@ -65,19 +65,21 @@
     #[serde(rename = "reclaimable")]
     pub spot: bool,
     #[serde(rename = "tenure")]
-    pub session: u64,
-    pub serial: u64,
-    pub fence: u64,
+    pub incarnation: u64,
+    #[serde(rename = "serial")]
+    pub sequence: u64,
+    #[serde(rename = "fence")]
+    pub fencing_token: u64,
     #[serde(rename = "warning_s", default, deserialize_with = "maybe_amount")]
     pub notice_s: Option<f64>,
     #[serde(rename = "pieces")]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A command for a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Encode, Decode)]
 #[serde(tag = "verb")]
-pub enum Order {
+pub enum AgentCommand {
     #[serde(rename = "run")]
     Start {
         #[serde(rename = "piece")]
@@ -105,34 +107,38 @@
 
 /// The answer to a report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, Encode, Decode)]
-pub struct Orders {
-    pub fence: u64,
-    pub orders: Vec<Order>,
+pub struct HeartbeatResponse {
+    #[serde(rename = "fence")]
+    pub fencing_token: u64,
+    #[serde(rename = "orders")]
+    pub commands: Vec<AgentCommand>,
 }
 
 /// Commands sent straight to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Encode, Decode)]
-pub struct Direct {
-    pub fence: u64,
+pub struct PushedCommands {
+    #[serde(rename = "fence")]
+    pub fencing_token: u64,
     #[serde(rename = "tenure")]
-    pub session: u64,
-    pub orders: Vec<Order>,
+    pub incarnation: u64,
+    #[serde(rename = "orders")]
+    pub commands: Vec<AgentCommand>,
 }
 
 /// The body of a 421: the node to report to, if this one knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Elsewhere {
+pub struct Redirect {
     #[serde(rename = "steward", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
 
 /// What came of commands sent straight to a worker.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum DirectAnswer {
+pub enum PushResult {
     /// Executed; the worker's report after it.
-    Done(Report),
+    Done(Heartbeat),
     /// Nothing executed; the worker's report.
-    Rejected(Report),
+    Rejected(Heartbeat),
     /// The request never left.
     NotSent,
     /// It may have been executed, or may be later.
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -37,7 +37,7 @@
 
 /// A rental request; `claim` names it for ever.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rent {
+pub struct ProvisionRequest {
     pub claim: String,
     #[serde(rename = "flavor")]
     pub machine_type: String,
@@ -50,14 +50,14 @@
 
 /// Machine names: those rented, or those to return.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Hosts {
+pub struct MachineNames {
     #[serde(rename = "hosts")]
     pub machines: Vec<String>,
 }
 
 /// A machine as the list shows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     #[serde(rename = "ref")]
     pub name: String,
     pub addr: String,
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListPage {
     #[serde(rename = "hosts")]
-    pub machines: Vec<Listed>,
+    pub machines: Vec<ListedMachine>,
     #[serde(rename = "truncated")]
     pub more: bool,
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,11 +1,11 @@
 //! Typed messages of every interface. Wire names stay in this module's files;
 //! the rest of the program uses the field's standard terms.
 
+pub mod agents;
 pub mod cloud;
 pub mod peer;
 pub mod store;
 pub mod users;
-pub mod workers;
 
 use serde::{de::DeserializeOwned, Deserialize, Deserializer, Serialize};
 
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -1,8 +1,8 @@
 //! What controllers tell each other (bitcode, length-prefixed).
 
-use super::workers::{Direct, DirectAnswer, Orders, Report};
+use super::agents::{Heartbeat, HeartbeatResponse, PushResult, PushedCommands};
 use bitcode::{Decode, Encode};
-use glenhaven_links::Cell;
+use glenhaven_connectivity::LinkObservation;
 
 /// Display counts of one job.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
@@ -32,30 +32,37 @@
         /// clock; differences tell how late a later message is.
         at: u64,
         /// How its links are.
-        links: Vec<Cell>,
+        links: Vec<LinkObservation>,
     },
     /// Display counts that changed, from the leader.
     Progress(Vec<Progress>),
     /// A worker's report, passed on to the leader.
-    Report { node: String, id: u64, report: Report },
+    Heartbeat {
+        node: String,
+        id: u64,
+        heartbeat: Heartbeat,
+    },
     /// The leader's answer to it.
-    Answered { id: u64, orders: Orders },
+    HeartbeatResponse { id: u64, commands: HeartbeatResponse },
     /// A new leader wants to hear what workers reported last.
-    Recall { node: String },
+    LastHeartbeatsRequest { node: String },
     /// Workers' last reports, each with its age in milliseconds.
-    Recalled { node: String, reports: Vec<(u32, Report)> },
+    LastHeartbeats {
+        node: String,
+        heartbeats: Vec<(u32, Heartbeat)>,
+    },
     /// Commands for a worker that reports to the receiver.
-    Relay {
+    RelayPush {
         node: String,
         id: u64,
         addr: String,
-        body: Direct,
+        body: PushedCommands,
     },
     /// What came of them.
-    Relayed { id: u64, answer: DirectAnswer },
+    RelayedPushResult { id: u64, answer: PushResult },
     /// A request to the state service or the cloud which the sender can't make itself.
     /// The receiver makes it itself or not at all.
-    Ask {
+    ForwardRequest {
         node: String,
         /// A number of the sender's process: its earlier lives asked other things.
         life: u64,
@@ -65,18 +72,18 @@
         /// The term as the sender knows it.
         term: u64,
         timeout_ms: u32,
-        what: Carried,
+        what: ForwardedBody,
     },
     /// What came of it.
-    Told { life: u64, id: u64, what: Carried },
+    ForwardedResponse { life: u64, id: u64, what: ForwardedBody },
     /// A message for another controller, which the sender can't reach. The receiver
     /// sends it there directly or drops it.
-    Pass { to: String, body: Vec<u8> },
+    RelayMessage { to: String, body: Vec<u8> },
     /// A message that came by way of the sender.
-    Passed(Vec<u8>),
+    RelayedMessage(Vec<u8>),
     /// The sender leads no more, by its own decision; if it names a controller, the
     /// others let that one go first.
-    Yield {
+    TransferLeadership {
         node: String,
         term: u64,
         to: Option<String>,
@@ -84,10 +91,10 @@
     /// The state service answers nobody: which cancellations does the receiver know beyond
     /// those up to this revision, which the sender has seen? Sent only to controllers that
     /// said that they run this release.
-    Inquire { node: String, round: u64, seen: u64 },
+    AttestationRequest { node: String, round: u64, seen: u64 },
     /// All of them, with the versions of their jobs' keys, and the term that the sender
     /// knows, as of now.
-    Vouched {
+    Attestation {
         node: String,
         round: u64,
         term: u64,
@@ -98,7 +105,7 @@
 /// A request or answer that is carried for another controller, in the form in which the
 /// state service or the cloud has it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Carried {
+pub enum ForwardedBody {
     State(Vec<u8>),
     Cloud(Vec<u8>),
 }
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -39,7 +39,7 @@
 
 /// A transaction.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Txn {
+pub struct Transaction {
     #[serde(rename = "when")]
     pub conditions: Vec<Condition>,
     #[serde(rename = "apply")]
@@ -69,7 +69,7 @@
 /// A change seen by a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Event {
+pub enum WatchEvent {
     Put {
         #[serde(rename = "put")]
         key: String,
@@ -87,11 +87,11 @@
 
 /// The answer of a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Events {
+pub struct WatchEvents {
     #[serde(rename = "epoch")]
     pub revision: u64,
     #[serde(rename = "news")]
-    pub events: Vec<Event>,
+    pub events: Vec<WatchEvent>,
 }
 
 /// A revision, as transactions and missing keys answer it.
@@ -128,7 +128,8 @@
         prefix: String,
         after: String,
     },
-    Txn(Txn),
+    #[serde(rename = "Txn")]
+    Transaction(Transaction),
     Grant {
         ttl_ms: u64,
     },
@@ -148,7 +149,7 @@
 
 /// What came of a request to the state service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum StoreAnswer {
+pub enum StoreResponse {
     Row(Row),
     Missing {
         revision: u64,
@@ -162,7 +163,7 @@
         revision: u64,
     },
     Lease(u64),
-    Events(Events),
+    Events(WatchEvents),
     /// The watch starts before what the service keeps.
     Compacted,
     /// The lease is over.
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -32,7 +32,7 @@
 
 /// A job as its user submitted it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Spec {
+pub struct JobSpec {
     #[serde(rename = "ref")]
     pub id: String,
     #[serde(rename = "jobclass")]
@@ -82,19 +82,19 @@
     pub needs: Vec<String>,
     /// Only in records, of a job that names others; never from users.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
-    pub apart: Option<Box<Apart>>,
+    pub apart: Option<Box<HiddenFields>>,
 }
 
 /// What the record of a job that names others says beside its description. The version of
 /// this service before chains knows neither this nor the names: what it reads says that
 /// no machine type is allowed, so that it starts nothing of the job.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Apart {
+pub struct HiddenFields {
     #[serde(rename = "flavors", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
     /// When it was submitted, by the time of day: milliseconds since 1970; 0: not known.
     #[serde(rename = "at", default)]
-    pub came_ms: u64,
+    pub submitted_ms: u64,
     /// The whole description, packed, where it is too large as it is.
     #[serde(rename = "all", default, skip_serializing_if = "Option::is_none")]
     pub packed: Option<String>,
@@ -113,10 +113,10 @@
             .is_some_and(|n| !n.is_empty() && n.bytes().all(|b| b.is_ascii_digit()))
 }
 
-impl Spec {
+impl JobSpec {
     /// Reads and checks a submission.
-    pub fn parse(body: &[u8]) -> Result<Spec, Malformed> {
-        let mut spec: Spec = from_cbor(body)?;
+    pub fn parse(body: &[u8]) -> Result<JobSpec, Malformed> {
+        let mut spec: JobSpec = from_cbor(body)?;
         spec.apart = None;
         let bad = |what: &str| Err(Malformed(format!("field {what} is not valid")));
         if !is_job_id(&spec.id) {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,6 @@
 //! The platform's file (TOML) and the operators' own settings (S-expressions).
 
-use glenhaven_limits::{Bounds, Limits};
+use glenhaven_store_limits::{Bounds, Limits};
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
--- a/src/bookkeeping/records.rs
+++ b/src/storage/records.rs
@@ -1,6 +1,6 @@
 //! The values of the state service.
 
-use crate::protocol::users::{Apart, Phase, Spec};
+use crate::protocol::users::{HiddenFields, JobSpec, Phase};
 use crate::protocol::{from_cbor, json_size, to_cbor};
 use ciborium::Value;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
@@ -17,11 +17,11 @@
 }
 
 /// The first release that keeps jobs waiting for others.
-pub const CHAINS: u32 = 1;
+pub const RELEASE_DEPENDENCIES: u32 = 1;
 /// The first that says what it confirmed while the state service answers nobody.
-pub const VOUCHES: u32 = 2;
+pub const RELEASE_ATTESTATIONS: u32 = 2;
 /// The present one.
-pub const RELEASE: u32 = VOUCHES;
+pub const CURRENT_RELEASE: u32 = RELEASE_ATTESTATIONS;
 
 /// Who leads.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -36,12 +36,16 @@
 /// it is and therefore packed, is kept so that a controller of the version before chains,
 /// which would not wait or could not read it, starts nothing of it: by what that version
 /// reads, no machine type is allowed.
-pub fn kept(spec: &Spec, came_ms: u64, bytes: usize) -> Option<Spec> {
+pub fn kept(spec: &JobSpec, submitted_ms: u64, bytes: usize) -> Option<JobSpec> {
     let mut plain = spec.clone();
     if !spec.needs.is_empty() {
         let types = plain.types.replace(vec![]);
         let packed = None;
-        plain.apart = Some(Box::new(Apart { types, came_ms, packed }));
+        plain.apart = Some(Box::new(HiddenFields {
+            types,
+            submitted_ms,
+            packed,
+        }));
     }
     let size = json_size(&plain);
     if size <= bytes {
@@ -52,12 +56,16 @@
     stub.types = Some(vec![]);
     let apart = |packed| {
         let types = None;
-        Some(Box::new(Apart { types, came_ms, packed }))
+        Some(Box::new(HiddenFields {
+            types,
+            submitted_ms,
+            packed,
+        }))
     };
     stub.apart = apart(Some(String::new()));
     let room = bytes.checked_sub(json_size(&stub))?;
     let whole = to_cbor(spec);
-    let (text, taken) = glenhaven_packed::pack(&whole, room);
+    let (text, taken) = glenhaven_compression::pack(&whole, room);
     stub.apart = apart(Some(text));
     (taken == whole.len()).then_some(stub)
 }
@@ -65,7 +73,7 @@
 /// What was kept: the description, and when the job was submitted, if that is said.
 /// `None`: a controller of the version before chains wrote the record anew, and only the
 /// page of acceptances still tells what the job is.
-pub fn restored(mut spec: Spec) -> Option<(Spec, u64)> {
+pub fn restored(mut spec: JobSpec) -> Option<(JobSpec, u64)> {
     let Some(apart) = spec.apart.take() else {
         // Nobody can submit a job that no machine type is allowed for.
         let bare = spec.types.as_ref().is_some_and(Vec::is_empty);
@@ -74,8 +82,8 @@
     match apart.packed {
         None => spec.types = apart.types,
         Some(text) => {
-            let whole = glenhaven_packed::unpack::<u8>(&text).ok();
-            match whole.and_then(|bytes| from_cbor::<Spec>(&bytes).ok()) {
+            let whole = glenhaven_compression::unpack::<u8>(&text).ok();
+            match whole.and_then(|bytes| from_cbor::<JobSpec>(&bytes).ok()) {
                 Some(whole) => spec = whole,
                 None => {
                     tracing::error!(job = spec.id, "malformed description");
@@ -84,7 +92,7 @@
             }
         }
     }
-    Some((spec, apart.came_ms))
+    Some((spec, apart.submitted_ms))
 }
 
 /// Jobs that a node accepted together: the page is written once, while none of them is
@@ -92,7 +100,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Accepted {
     #[serde(rename = "a")]
-    pub jobs: Vec<Spec>,
+    pub jobs: Vec<JobSpec>,
 }
 
 /// A job's final phase. Versions of this service that accepted each job by a key of its
@@ -101,7 +109,7 @@
 pub struct JobValue {
     pub phase: Phase,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub spec: Option<Spec>,
+    pub spec: Option<JobSpec>,
 }
 
 /// What a node says of the machines whose workers it answers without the leader.
@@ -120,7 +128,7 @@
 
 /// A part of a job's records: finished tasks and placements.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Part {
+pub struct TaskRangeRecord {
     #[serde(rename = "j")]
     pub job: String,
     #[serde(rename = "n")]
@@ -148,12 +156,12 @@
     /// An open job: version of its acceptance, whether its user has cancelled
     /// it, and its description.
     #[serde(rename = "o")]
-    Open(u64, bool, Box<Spec>),
+    Open(u64, bool, Box<JobSpec>),
     /// An open job that was accepted in a page: its key does not exist while it is open.
     #[serde(rename = "a")]
-    Accepted(u64, bool, Box<Spec>),
+    Accepted(u64, bool, Box<JobSpec>),
     #[serde(rename = "p")]
-    Part(Part),
+    TaskRangeRecord(TaskRangeRecord),
     /// The job is over and nothing of it is left.
     #[serde(rename = "x")]
     Over(String),
@@ -167,7 +175,7 @@
 
 impl Entry {
     /// The job that this entry describes.
-    pub fn describes(&self) -> Option<&Spec> {
+    pub fn describes(&self) -> Option<&JobSpec> {
         match self {
             Entry::Open(_, _, spec) | Entry::Accepted(_, _, spec) => Some(spec),
             _ => None,
@@ -213,7 +221,7 @@
 /// Tasks per part. Which tasks a part is about follows from its number, so that all
 /// versions must count alike: by the limit that values have at present, whatever is
 /// announced.
-pub fn chunk_tasks(present_value_bytes: f64) -> u32 {
+pub fn tasks_per_range(present_value_bytes: f64) -> u32 {
     ((present_value_bytes / 64.0) as u32).clamp(8, 1024)
 }
 
@@ -251,7 +259,7 @@
             "cores":8.0,"cards":1.0,"mem_gb":64.0,"bundle":"img-07","size_gb":6.2,"flavors":["g8"],"yard":null,
             "together":false,"apart":false,"reclaimable":true,"expected_s":240.0,"snapshot_every_s":0.0,
             "snapshot_cost_s":0.0,"due_s":900.0}"#;
-        let mut spec: Spec = serde_json::from_str(text).expect("a description");
+        let mut spec: JobSpec = serde_json::from_str(text).expect("a description");
         let mut rng = fastrand::Rng::with_seed(5);
         let mut fits = 0;
         for count in (10..2000).step_by(10) {
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,7 +1,7 @@
 //! HTTP server and client, links between controllers, and pacing.
 
 pub mod client;
-pub mod pace;
 pub mod peers;
+pub mod rate_limit;
 pub mod server;
 pub mod stream;
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -6,7 +6,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
-use glenhaven_links::Backoff;
+use glenhaven_connectivity::Backoff;
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -24,8 +24,8 @@
     public: u16,
     store: Arc<Mutex<Store>>,
     log: PathBuf,
-    serial: u64,
-    fence: u64,
+    sequence: u64,
+    fencing_token: u64,
     attempt: u64,
     /// Bad input of which the log didn't say one line.
     untold: Vec<String>,
@@ -35,9 +35,9 @@
     cbor!({"piece" => task, "try" => attempt, "phase" => "running"}).unwrap()
 }
 
-fn report(machine: &str, session: u64, serial: u64, fence: u64, tasks: Vec<Value>) -> Value {
+fn heartbeat(machine: &str, incarnation: u64, sequence: u64, fencing_token: u64, tasks: Vec<Value>) -> Value {
     cbor!({"host" => machine, "addr" => "127.0.0.1:1", "flavor" => "m", "yard" => "a", "reclaimable" => false,
-        "tenure" => session, "serial" => serial, "fence" => fence, "warning_s" => null, "pieces" => tasks})
+        "tenure" => incarnation, "serial" => sequence, "fence" => fencing_token, "warning_s" => null, "pieces" => tasks})
     .unwrap()
 }
 
@@ -60,8 +60,8 @@
             public,
             store,
             log,
-            serial: 0,
-            fence: 0,
+            sequence: 0,
+            fencing_token: 0,
             attempt: 0,
             untold: vec![],
         };
@@ -79,10 +79,10 @@
     async fn start(&mut self) {
         let began = Instant::now();
         while self.attempt == 0 {
-            let (_, body) = self.reports(vec![]).await;
-            self.fence = number(&body, "fence").unwrap_or(0);
-            let orders = field(&body, "orders").and_then(Value::as_array).cloned();
-            let start = orders.unwrap_or_default().into_iter().next();
+            let (_, body) = self.heartbeats(vec![]).await;
+            self.fencing_token = number(&body, "fence").unwrap_or(0);
+            let commands = field(&body, "orders").and_then(Value::as_array).cloned();
+            let start = commands.unwrap_or_default().into_iter().next();
             self.attempt = start.and_then(|order| number(&order, "try")).unwrap_or(0);
             assert!(began.elapsed() < Duration::from_secs(10), "no start for the worker");
             Timer::after(Duration::from_millis(100)).await;
@@ -91,22 +91,22 @@
     }
 
     /// What the machine says of itself.
-    async fn reports(&mut self, tasks: Vec<Value>) -> (u16, Value) {
-        self.serial += 1;
-        self.hello(&report(MACHINE, SESSION, self.serial, self.fence, tasks))
+    async fn heartbeats(&mut self, tasks: Vec<Value>) -> (u16, Value) {
+        self.sequence += 1;
+        self.hello(&heartbeat(MACHINE, SESSION, self.sequence, self.fencing_token, tasks))
             .await
     }
 
-    async fn hello(&self, report: &Value) -> (u16, Value) {
-        ask(self.public, "POST", "/hello", encode(report)).await
+    async fn hello(&self, heartbeat: &Value) -> (u16, Value) {
+        ask(self.public, "POST", "/hello", encode(heartbeat)).await
     }
 
     /// The machine reports its task and is told nothing; the job's user is told that it runs.
     async fn runs_on(&mut self) {
         let task = running(&format!("{JOB}/0"), self.attempt);
-        let (status, body) = self.reports(vec![task]).await;
-        let orders = field(&body, "orders").and_then(Value::as_array).map(Vec::len);
-        assert_eq!((status, orders), (200, Some(0)), "{body:?}");
+        let (status, body) = self.heartbeats(vec![task]).await;
+        let commands = field(&body, "orders").and_then(Value::as_array).map(Vec::len);
+        assert_eq!((status, commands), (200, Some(0)), "{body:?}");
         let (status, body) = ask(self.public, "GET", &format!("/v2/runs/{JOB}"), vec![]).await;
         assert_eq!((status, number(&body, "running")), (200, Some(1)), "{body:?}");
     }
@@ -167,7 +167,13 @@
         site.unmoved("a body that goes no further", &records, lines, "/hello")
             .await;
 
-        let mut body = encode(&report(MACHINE, SESSION, site.serial + 1, site.fence, vec![]));
+        let mut body = encode(&heartbeat(
+            MACHINE,
+            SESSION,
+            site.sequence + 1,
+            site.fencing_token,
+            vec![],
+        ));
         body.truncate(body.len() / 2);
         let lines = site.log().len();
         assert_eq!(ask(site.public, "POST", "/hello", body).await.0, 400);
@@ -189,11 +195,14 @@
         let records = site.records();
         // It claims the task that runs elsewhere, and one of a job that no one submitted.
         let tasks = vec![running(&format!("{JOB}/0"), site.attempt), running("run-000777/0", 1)];
-        let (status, body) = site.hello(&report("n-777777", 1, 1, 0, tasks)).await;
-        let orders = field(&body, "orders").and_then(Value::as_array).cloned();
+        let (status, body) = site.hello(&heartbeat("n-777777", 1, 1, 0, tasks)).await;
+        let commands = field(&body, "orders").and_then(Value::as_array).cloned();
         let kills = |order: &Value| text(order, "verb").as_deref() == Some("kill");
         assert_eq!(status, 200);
-        assert!(orders.is_some_and(|o| o.len() == 2 && o.iter().all(kills)), "{body:?}");
+        assert!(
+            commands.is_some_and(|o| o.len() == 2 && o.iter().all(kills)),
+            "{body:?}"
+        );
         let said = std::fs::read_to_string(&site.log).unwrap();
         assert_eq!(said.matches("n-777777").count(), 1, "{said}");
         assert_eq!(ask(site.public, "GET", "/v2/runs/run-000777", vec![]).await.0, 404);
@@ -206,13 +215,15 @@
 fn a_token_never_given_out() {
     play("token", async |site| {
         let records = site.records();
-        for fence in [site.fence + 1, u64::MAX] {
+        for fencing_token in [site.fencing_token + 1, u64::MAX] {
             let lines = site.log().len();
             // By this token the start would be refused, and its task gone.
-            site.serial += 1;
-            let (status, body) = site.hello(&report(MACHINE, SESSION, site.serial, fence, vec![])).await;
-            let orders = field(&body, "orders").and_then(Value::as_array).map_or(0, Vec::len);
-            assert!(status != 200 || orders == 0, "{status} {body:?}");
+            site.sequence += 1;
+            let (status, body) = site
+                .hello(&heartbeat(MACHINE, SESSION, site.sequence, fencing_token, vec![]))
+                .await;
+            let commands = field(&body, "orders").and_then(Value::as_array).map_or(0, Vec::len);
+            assert!(status != 200 || commands == 0, "{status} {body:?}");
             site.unmoved("a token never given out", &records, lines, MACHINE).await;
         }
     });
@@ -235,9 +246,9 @@
             "run-000001/99999999999",
         ] {
             let lines = site.log().len();
-            site.serial += 1;
+            site.sequence += 1;
             let tasks = vec![running(&own, site.attempt), running(name, site.attempt + 7)];
-            let told = report(MACHINE, SESSION, site.serial, site.fence, tasks);
+            let told = heartbeat(MACHINE, SESSION, site.sequence, site.fencing_token, tasks);
             assert_eq!(site.hello(&told).await.0, 200, "{name}");
             site.unmoved(&format!("a task called {name:?}"), &records, lines, MACHINE)
                 .await;
@@ -249,10 +260,10 @@
 fn a_session_that_goes_back() {
     play("session", async |site| {
         let (records, lines) = (site.records(), site.log().len());
-        let earlier = report(MACHINE, SESSION - 1, site.serial + 5, site.fence, vec![]);
+        let earlier = heartbeat(MACHINE, SESSION - 1, site.sequence + 5, site.fencing_token, vec![]);
         let (_, body) = site.hello(&earlier).await;
-        let orders = field(&body, "orders").and_then(Value::as_array).map_or(0, Vec::len);
-        assert_eq!(orders, 0, "{body:?}");
+        let commands = field(&body, "orders").and_then(Value::as_array).map_or(0, Vec::len);
+        assert_eq!(commands, 0, "{body:?}");
         site.unmoved("a session that goes back", &records, lines, MACHINE).await;
     });
 }
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -1,24 +1,24 @@
-// One message of every kind that controllers exchange; the production version wrote
-// `messages.hex` from these very lines.
+// One message of every kind that controllers exchange. The production version wrote `messages.hex`
+// from these values; its names for some types and fields were others, and bitcode stores no names.
 fn messages() -> Vec<PeerMessage> {
-    let report = || Report {
+    let heartbeat = || Heartbeat {
         machine: "n-000231".into(),
         addr: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        session: 3,
-        serial: 88,
-        fence: 41,
+        incarnation: 3,
+        sequence: 88,
+        fencing_token: 41,
         notice_s: Some(7.5),
         tasks: vec![
-            TaskReport {
+            TaskStatus {
                 task: "run-000412/3".into(),
                 attempt: 2,
                 phase: TaskPhase::Running,
                 cause: None,
             },
-            TaskReport {
+            TaskStatus {
                 task: "run-000398/0".into(),
                 attempt: 1,
                 phase: TaskPhase::Exited,
@@ -26,18 +26,18 @@
             },
         ],
     };
-    let orders = || {
+    let commands = || {
         vec![
-            Order::Start {
+            AgentCommand::Start {
                 task: "run-000412/4".into(),
                 attempt: 2,
             },
-            Order::Stop {
+            AgentCommand::Stop {
                 task: "run-000377/1".into(),
                 attempt: 1,
                 grace_s: 10.0,
             },
-            Order::Forget {
+            AgentCommand::Forget {
                 task: "run-000398/0".into(),
                 attempt: 1,
             },
@@ -59,61 +59,61 @@
             done: 3,
             running: 13,
         }]),
-        PeerMessage::Report {
+        PeerMessage::Heartbeat {
             node: "worker-1".into(),
             id: 9,
-            report: report(),
+            heartbeat: heartbeat(),
         },
-        PeerMessage::Answered {
+        PeerMessage::HeartbeatResponse {
             id: 9,
-            orders: Orders {
-                fence: 41,
-                orders: orders(),
+            commands: HeartbeatResponse {
+                fencing_token: 41,
+                commands: commands(),
             },
         },
-        PeerMessage::Recall { node: "worker-0".into() },
-        PeerMessage::Recalled {
+        PeerMessage::LastHeartbeatsRequest { node: "worker-0".into() },
+        PeerMessage::LastHeartbeats {
             node: "worker-1".into(),
-            reports: vec![(1200, report())],
+            heartbeats: vec![(1200, heartbeat())],
         },
-        PeerMessage::Relay {
+        PeerMessage::RelayPush {
             node: "worker-0".into(),
             id: 10,
             addr: "10.1.0.232:9000".into(),
-            body: Direct {
-                fence: 41,
-                session: 3,
-                orders: orders(),
+            body: PushedCommands {
+                fencing_token: 41,
+                incarnation: 3,
+                commands: commands(),
             },
         },
-        PeerMessage::Relayed {
+        PeerMessage::RelayedPushResult {
             id: 10,
-            answer: DirectAnswer::Rejected(report()),
+            answer: PushResult::Rejected(heartbeat()),
         },
-        PeerMessage::Relayed {
+        PeerMessage::RelayedPushResult {
             id: 11,
-            answer: DirectAnswer::NotSent,
+            answer: PushResult::NotSent,
         },
-        PeerMessage::Ask {
+        PeerMessage::ForwardRequest {
             node: "worker-1".into(),
             life: 77,
             id: 12,
             at: 86_400_123_456,
             term: 41,
             timeout_ms: 700,
-            what: Carried::State(vec![1, 2, 3]),
+            what: ForwardedBody::State(vec![1, 2, 3]),
         },
-        PeerMessage::Told {
+        PeerMessage::ForwardedResponse {
             life: 77,
             id: 12,
-            what: Carried::Cloud(vec![4, 5]),
+            what: ForwardedBody::Cloud(vec![4, 5]),
         },
-        PeerMessage::Pass {
+        PeerMessage::RelayMessage {
             to: "worker-2".into(),
             body: vec![6, 7],
         },
-        PeerMessage::Passed(vec![8]),
-        PeerMessage::Yield {
+        PeerMessage::RelayedMessage(vec![8]),
+        PeerMessage::TransferLeadership {
             node: "worker-0".into(),
             term: 41,
             to: Some("worker-2".into()),
--- a/tests/log_pages.rs
+++ b/tests/log_pages.rs
@@ -1,22 +1,22 @@
 //! The pages of the leader's log: what is packed into them is read back as it was, within the
 //! limits of a page and of a transaction.
 
-use glenhaven::bookkeeping::records::{ClaimValue, Entry, Page, Part, PlacementRow};
-use glenhaven::coordination::commit::compaction::{extra_pages, pages_allowed};
-use glenhaven::coordination::commit::packing::PagePacker;
-use glenhaven::coordination::commit::queues::QueuedStarts;
-use glenhaven::coordination::commit::replay::{FreeSlot, Replay, StoredPage};
+use glenhaven::coordination::log::compaction::{extra_pages, pages_allowed};
+use glenhaven::coordination::log::packing::PagePacker;
+use glenhaven::coordination::log::queues::QueuedStarts;
+use glenhaven::coordination::log::replay::{FreeSlot, Replay, StoredPage};
 use glenhaven::protocol::json_size;
-use glenhaven::protocol::users::{Priority, Spec};
+use glenhaven::protocol::users::{JobSpec, Priority};
+use glenhaven::storage::records::{ClaimValue, Entry, Page, PlacementRow, TaskRangeRecord};
 use std::collections::BTreeSet;
 
 /// The smallest values that the service announces, and the largest transaction.
 const VALUE_BYTES: usize = 2048;
 const TRANSACTION_BYTES: usize = 64 * 1024;
 
-fn part(job: &str, full: bool, tasks: u32) -> Part {
+fn part(job: &str, full: bool, tasks: u32) -> TaskRangeRecord {
     let row = |task: u32| (task, u64::from(task) + 1, format!("n-{task:06}"), 7, 3);
-    Part {
+    TaskRangeRecord {
         job: job.into(),
         part: 0,
         full,
@@ -38,10 +38,10 @@
     packer.into_pages().into_iter().map(page).collect()
 }
 
-fn fragments<'a>(pages: &'a [Page]) -> Vec<&'a Part> {
+fn fragments<'a>(pages: &'a [Page]) -> Vec<&'a TaskRangeRecord> {
     let entries = pages.iter().flat_map(|p| &p.entries);
     let part = |entry: &'a Entry| match entry {
-        Entry::Part(part) => Some(part),
+        Entry::TaskRangeRecord(part) => Some(part),
         _ => None,
     };
     entries.filter_map(part).collect()
@@ -138,12 +138,12 @@
     assert!(packer.is_empty());
 }
 
-fn job_of(id: &str) -> Box<Spec> {
+fn job_of(id: &str) -> Box<JobSpec> {
     let text = r#"{"ref":"run-000000","jobclass":"train","owner":"vision","shape":"array","rank":"urgent","pieces":16,
         "cores":8.0,"cards":1.0,"mem_gb":64.0,"bundle":"img-07","size_gb":6.2,"flavors":["g8"],"yard":null,
         "together":false,"apart":false,"reclaimable":true,"expected_s":240.0,"snapshot_every_s":0.0,
         "snapshot_cost_s":0.0,"due_s":900.0}"#;
-    let mut spec: Spec = serde_json::from_str(text).expect("a description");
+    let mut spec: JobSpec = serde_json::from_str(text).expect("a description");
     spec.id = id.into();
     Box::new(spec)
 }
@@ -196,10 +196,13 @@
         let replay = Replay::of(pages);
         assert_eq!(replay.jobs.len(), 2);
         let job = &replay.jobs["run-000001"];
-        assert_eq!((job.page, job.stamp, job.cancelled, job.arrived_ms), (2, 5, true, 2002));
+        assert_eq!(
+            (job.page, job.key_version, job.cancelled, job.arrived_ms),
+            (2, 5, true, 2002)
+        );
         let job = &replay.jobs["run-000002"];
         assert_eq!(
-            (job.version, job.stamp, job.arrived_ms),
+            (job.version, job.key_version, job.arrived_ms),
             (6, 0, 2001),
             "accepted in a page: no key of its own"
         );
@@ -231,7 +234,7 @@
             0,
             vec![
                 Entry::Open(5, false, job_of("run-000001")),
-                Entry::Part(part("run-000001", true, 3)),
+                Entry::TaskRangeRecord(part("run-000001", true, 3)),
             ],
         ),
         stored(2, 0, vec![Entry::Over("run-000001".into())]),
@@ -242,14 +245,14 @@
 
 #[test]
 fn a_part_adds_to_earlier_ones_unless_it_says_all() {
-    let full = Part {
+    let full = TaskRangeRecord {
         full: true,
         last_attempt: 4,
         done: vec![(0, 1)],
         placements: vec![placed(5), placed(6)],
         ..part("run-000001", true, 0)
     };
-    let more = Part {
+    let more = TaskRangeRecord {
         full: false,
         last_attempt: 9,
         done: vec![(2, 2)],
@@ -258,16 +261,16 @@
         ..full.clone()
     };
     let added = Replay::of(vec![
-        stored(1, 0, vec![Entry::Part(full.clone())]),
-        stored(2, 0, vec![Entry::Part(more.clone())]),
+        stored(1, 0, vec![Entry::TaskRangeRecord(full.clone())]),
+        stored(2, 0, vec![Entry::TaskRangeRecord(more.clone())]),
     ]);
     let found = &added.parts["run-000001"][&0];
     assert_eq!((found.page, found.last_attempt), (1, 9));
     assert_eq!(found.done, [(0, 2)]);
     assert_eq!(found.placements.keys().collect::<Vec<_>>(), [&6, &7]);
     let replaced = Replay::of(vec![
-        stored(1, 0, vec![Entry::Part(more)]),
-        stored(2, 0, vec![Entry::Part(full)]),
+        stored(1, 0, vec![Entry::TaskRangeRecord(more)]),
+        stored(2, 0, vec![Entry::TaskRangeRecord(full)]),
     ]);
     let found = &replaced.parts["run-000001"][&0];
     assert_eq!((found.page, found.last_attempt), (2, 4));
