--- a/tests/sim/workers.rs
+++ b/tests/sim/agents.rs
@@ -1,19 +1,19 @@
 //! Workers among simulated hosts.
 
 use super::answers::Carrier;
-use super::{Ev, World, SEC};
-use glenhaven::coordination::{Command, DirectAnswer};
-use glenhaven::protocol::workers::{Direct, Order};
+use super::{ScheduledEvent, World, SEC};
+use glenhaven::coordination::{Event, PushResult};
+use glenhaven::protocol::agents::{AgentCommand, PushedCommands};
 use glenhaven::transport::server::Outgoing;
-use glenhaven_standins::worker::Executed;
-pub use glenhaven_standins::worker::Worker;
+use glenhaven_fakes::worker::Executed;
+pub use glenhaven_fakes::worker::Worker;
 
 impl World {
     /// A machine hangs until then.
     pub fn hang(&mut self, name: &str, until: u64) {
         if let Some(w) = self.workers.get_mut(name) {
             w.hangs_until = w.hangs_until.max(until);
-            self.after(until - self.now, Ev::Worker(name.into()));
+            self.after(until - self.now, ScheduledEvent::Worker(name.into()));
         }
     }
 
@@ -24,7 +24,7 @@
         if let Some(w) = self.workers.get_mut(name) {
             if !w.dead {
                 w.boots(now, node);
-                self.after(1, Ev::Worker(name.into()));
+                self.after(1, ScheduledEvent::Worker(name.into()));
             }
         }
     }
@@ -35,8 +35,8 @@
             if w.up {
                 w.taken = Some(now + seconds * SEC);
                 w.changed(now);
-                self.after(1, Ev::Worker(name.into()));
-                self.after(seconds * SEC, Ev::Worker(name.into()));
+                self.after(1, ScheduledEvent::Worker(name.into()));
+                self.after(seconds * SEC, ScheduledEvent::Worker(name.into()));
             }
         }
     }
@@ -66,26 +66,29 @@
         {
             due = None;
         }
-        if let Some((rid, report)) = due {
+        if let Some((rid, heartbeat)) = due {
             let pause = (report_s * (0.75 + 0.5 * self.rng.f64()) * SEC as f64) as u64;
             if let Some(w) = self.workers.get_mut(name) {
                 w.report_next(now + pause);
             }
-            self.keep_for_next(&report);
+            self.keep_for_next(&heartbeat);
             let hop = self.hop();
             let share = self.broken.late_reports.values().copied().fold(0.0, f64::max);
             if share > 0.0 && self.rng.f64() < share {
                 let late = 2 * SEC + self.rng.u64(0..2 * lease);
                 let to = self.rng.usize(0..nodes);
-                self.after(late, Ev::Report(name.into(), to, u64::MAX, report.clone()));
+                self.after(
+                    late,
+                    ScheduledEvent::Heartbeat(name.into(), to, u64::MAX, heartbeat.clone()),
+                );
             }
             if let Some(late) = self.broken.copies.values().copied().max() {
                 // Nobody waits for the answer to a copy.
-                let ev = Ev::Report(name.into(), node, u64::MAX, report.clone());
+                let ev = ScheduledEvent::Heartbeat(name.into(), node, u64::MAX, heartbeat.clone());
                 self.after(hop + late, ev);
             }
-            self.after(hop, Ev::Report(name.into(), node, rid, report));
-            self.after(4 * SEC, Ev::ReportLate(name.into(), rid));
+            self.after(hop, ScheduledEvent::Heartbeat(name.into(), node, rid, heartbeat));
+            self.after(4 * SEC, ScheduledEvent::ReportLate(name.into(), rid));
         }
         for task in progress.completed {
             self.task_ended(&task);
@@ -98,7 +101,7 @@
         let Some(w) = self.workers.get(name) else { return };
         let next = w.wakes_at(now, lease);
         if next < self.script.until {
-            self.after(next - now, Ev::Worker(name.into()));
+            self.after(next - now, ScheduledEvent::Worker(name.into()));
         }
     }
 
@@ -106,23 +109,23 @@
         let now = self.now;
         let nodes = self.nodes.len();
         let Some(w) = self.workers.get_mut(name) else { return };
-        let Some((flying, sent, session)) = w.flying else {
+        let Some((flying, sent, incarnation)) = w.flying else {
             return;
         };
         if flying == rid && w.up && now < w.hangs_until {
             // It lies there until the machine goes on, if its time is not over by then.
             let pause = w.hangs_until - now + 1;
-            return self.after(pause, Ev::ReportAnswer(name.into(), rid, answer));
+            return self.after(pause, ScheduledEvent::ReportAnswer(name.into(), rid, answer));
         }
         if flying != rid || !w.up {
             return;
         }
         w.flying = None;
         match World::read_answer(&answer) {
-            Ok(orders) if w.accepts(orders.fence, session) => {
-                let executed = w.take_orders(now, sent, &orders, &self.users);
+            Ok(commands) if w.accepts(commands.fencing_token, incarnation) => {
+                let executed = w.take_orders(now, sent, &commands, &self.users);
                 let carrier = Carrier::Answer(name.into(), rid);
-                self.note_executed(&carrier, name, &orders.orders, executed);
+                self.note_executed(&carrier, name, &commands.commands, executed);
             }
             Ok(_) => {}
             Err(other) => {
@@ -130,11 +133,11 @@
                 w.redirected(now, other, nodes);
             }
         }
-        self.after(1, Ev::Worker(name.into()));
+        self.after(1, ScheduledEvent::Worker(name.into()));
     }
 
     /// Notes what a worker did by the orders that it got.
-    fn note_executed(&mut self, carrier: &Carrier, machine: &str, orders: &[Order], executed: Executed) {
+    fn note_executed(&mut self, carrier: &Carrier, machine: &str, commands: &[AgentCommand], executed: Executed) {
         self.rules.stops += executed.stops;
         for (task, _) in &executed.taken {
             self.rules.start_taken(self.now, task, &self.workers, &self.users);
@@ -146,7 +149,7 @@
         for (task, attempt) in executed.forgotten {
             self.answers.forgotten(machine, &task, attempt);
         }
-        self.answers.executed(carrier, machine, orders);
+        self.answers.executed(carrier, machine, commands);
     }
 
     pub fn report_late(&mut self, name: &str, rid: u64) {
@@ -156,11 +159,11 @@
         if w.flying.is_some_and(|f| f.0 == rid) {
             w.flying = None;
             w.tries_next(now, nodes);
-            self.after(SEC, Ev::Worker(name.into()));
+            self.after(SEC, ScheduledEvent::Worker(name.into()));
         }
     }
 
-    pub fn direct_request(&mut self, n: usize, life: u64, id: u64, addr: &str, body: &Direct) {
+    pub fn direct_request(&mut self, n: usize, life: u64, id: u64, addr: &str, body: &PushedCommands) {
         let now = self.now;
         let Some(name) = self
             .workers
@@ -173,12 +176,12 @@
         if !self.passes(&super::links::End::Node(n), &self.zone_end(&name)) {
             return;
         }
-        if self.broken.is_deaf(&name) {
+        if self.broken.is_asymmetrically_partitioned(&name) {
             return;
         }
         if !self.reaches(n, &name) {
             // Held back, and delivered when the cut is over.
-            let ev = Ev::Direct(n, life, id, addr.into(), body.clone());
+            let ev = ScheduledEvent::PushedCommands(n, life, id, addr.into(), body.clone());
             self.held.push((n, ev));
             return;
         }
@@ -188,24 +191,30 @@
         }
         if now < w.hangs_until {
             let pause = w.hangs_until - now + 1;
-            return self.after(pause, Ev::Direct(n, life, id, addr.into(), body.clone()));
+            return self.after(
+                pause,
+                ScheduledEvent::PushedCommands(n, life, id, addr.into(), body.clone()),
+            );
         }
         let executed = w.take_direct(now, body, &self.users);
-        let report = w.report(now);
+        let heartbeat = w.heartbeat(now);
         let answer = if executed.is_some() {
-            DirectAnswer::Done(report)
+            PushResult::Done(heartbeat)
         } else {
-            DirectAnswer::Rejected(report)
+            PushResult::Rejected(heartbeat)
         };
         if let Some(executed) = executed {
-            let carrier = Carrier::Direct((n, life), id);
-            self.note_executed(&carrier, &name, &body.orders, executed);
+            let carrier = Carrier::PushedCommands((n, life), id);
+            self.note_executed(&carrier, &name, &body.commands, executed);
         }
         let hop = self.hop();
         if self.passes(&self.zone_end(&name), &super::links::End::Node(n)) {
             let held = self.answer_held(&name);
-            self.after(hop + held, Ev::Command(n, life, Command::Direct { id, answer }));
+            self.after(
+                hop + held,
+                ScheduledEvent::Event(n, life, Event::PushedCommands { id, answer }),
+            );
         }
-        self.after(1, Ev::Worker(name));
+        self.after(1, ScheduledEvent::Worker(name));
     }
 }
--- a/tests/sim/answers.rs
+++ b/tests/sim/answers.rs
@@ -7,14 +7,14 @@
 
 use super::script::Script;
 use super::MS;
-use glenhaven::bookkeeping::keys;
-use glenhaven::bookkeeping::records::{from_value, Accepted, JobValue};
+use glenhaven::protocol::agents::AgentCommand;
 use glenhaven::protocol::cloud::MachineType;
 use glenhaven::protocol::from_cbor;
 use glenhaven::protocol::store::Change;
-use glenhaven::protocol::users::{JobState, Phase, Shape, Spec};
-use glenhaven::protocol::workers::Order;
+use glenhaven::protocol::users::{JobSpec, JobState, Phase, Shape};
 use glenhaven::settings::Team;
+use glenhaven::storage::keys;
+use glenhaven::storage::records::{from_value, Accepted, JobValue};
 use std::collections::BTreeMap;
 
 /// The fields of a submission that may not be absent.
@@ -69,7 +69,7 @@
     /// The worker and its report's number.
     Answer(String, u64),
     /// The request's number.
-    Direct(Life, u64),
+    PushedCommands(Life, u64),
 }
 
 /// An answer to a user.
@@ -132,8 +132,8 @@
     }
 
     /// Commands leave a controller.
-    pub fn leaves(&mut self, from: Life, carrier: Carrier, orders: &[Order], now: u64) {
-        if orders.iter().any(|order| matches!(order, Order::Start { .. })) {
+    pub fn leaves(&mut self, from: Life, carrier: Carrier, commands: &[AgentCommand], now: u64) {
+        if commands.iter().any(|order| matches!(order, AgentCommand::Start { .. })) {
             self.leaving.insert(carrier, (from, now));
         }
     }
@@ -146,12 +146,12 @@
     }
 
     /// Commands have arrived at a worker, which executes them.
-    pub fn executed(&mut self, carrier: &Carrier, machine: &str, orders: &[Order]) {
+    pub fn executed(&mut self, carrier: &Carrier, machine: &str, commands: &[AgentCommand]) {
         let Some(left) = self.leaving.remove(carrier) else {
             return;
         };
-        for order in orders {
-            if let Order::Start { task, attempt } = order {
+        for order in commands {
+            if let AgentCommand::Start { task, attempt } = order {
                 let start = (machine.to_string(), task.clone(), *attempt);
                 self.commanded.entry(start).or_insert(left);
             }
@@ -246,14 +246,14 @@
         if let Some(name) = REQUIRED.iter().find(absent) {
             return Some(format!("accepted, though it lacks {name}"));
         }
-        let Ok(spec) = from_cbor::<Spec>(body) else {
+        let Ok(spec) = from_cbor::<JobSpec>(body) else {
             return Some("accepted, though it is malformed".into());
         };
         self.never_runs(&spec)
             .map(|why| format!("{} accepted, though it can't run: {why}", spec.id))
     }
 
-    fn never_runs(&self, spec: &Spec) -> Option<&'static str> {
+    fn never_runs(&self, spec: &JobSpec) -> Option<&'static str> {
         let Some(team) = self.teams.iter().find(|team| team.name == spec.team) else {
             return Some("unknown team");
         };
@@ -279,8 +279,8 @@
 mod tests {
     use super::super::script::plain_spec;
     use super::*;
-    use glenhaven::bookkeeping::records::to_value;
     use glenhaven::protocol::to_cbor;
+    use glenhaven::storage::records::to_value;
 
     const JOB: &str = "run-000001";
 
@@ -346,7 +346,7 @@
 
     #[test]
     fn a_start_after_a_confirmed_cancellation_is_told() {
-        let start = |attempt| Order::Start {
+        let start = |attempt| AgentCommand::Start {
             task: format!("{JOB}/0"),
             attempt,
         };
@@ -362,7 +362,7 @@
         let starts = [(0, 9, false), (0, 11, true), (1, 11, false), (1, 11 + NEWS, true)];
         for (attempt, (node, left, wrong)) in starts.into_iter().enumerate() {
             let attempt = attempt as u64;
-            let carrier = || Carrier::Direct((node, 1), attempt);
+            let carrier = || Carrier::PushedCommands((node, 1), attempt);
             a.leaves((node, 1), carrier(), &[start(attempt)], left);
             a.executed(&carrier(), "n-1", &[start(attempt)]);
             assert_eq!(a.started("n-1", "run-000001/0", attempt).is_some(), wrong, "{attempt}");
@@ -372,18 +372,18 @@
     #[test]
     fn what_can_not_run_or_lacks_a_field_is_told() {
         let a = answers();
-        let good = Spec {
+        let good = JobSpec {
             cpus: 4.0,
             tasks: 3,
             ..plain_spec(JOB)
         };
         assert_eq!(a.accepted(&to_cbor(&good)), None);
-        let change = |change: fn(&mut Spec)| {
+        let change = |change: fn(&mut JobSpec)| {
             let mut spec = good.clone();
             change(&mut spec);
             a.accepted(&to_cbor(&spec))
         };
-        let changes: [fn(&mut Spec); 6] = [
+        let changes: [fn(&mut JobSpec); 6] = [
             |s| s.team = "green".into(),
             |s| s.cpus = 9.0,
             |s| s.shape = Shape::Service,
--- a/tests/sim/cloud.rs
+++ b/tests/sim/cloud.rs
@@ -1,10 +1,10 @@
 //! The cloud among simulated hosts.
 
-use super::workers::Worker;
-use super::{Ev, World, SEC};
-use glenhaven::coordination::{CloudAnswer, CloudRequest, Command};
-use glenhaven::protocol::cloud::Rent;
-pub use glenhaven_standins::cloud::{Cloud, Rental};
+use super::agents::Worker;
+use super::{ScheduledEvent, World, SEC};
+use glenhaven::coordination::{CloudRequest, CloudResponse, Event};
+use glenhaven::protocol::cloud::ProvisionRequest;
+pub use glenhaven_fakes::cloud::{Cloud, Rental};
 
 impl World {
     fn create(&mut self, machine_type: &str, zone: &str, spot: bool) -> String {
@@ -17,7 +17,7 @@
             let addr = format!("10.1.{}.{}:9000", number / 250, number % 250 + 1);
             self.workers
                 .insert(name.clone(), Worker::new(&name, &addr, &t, zone, spot));
-            self.after(boot, Ev::Boot(name.clone()));
+            self.after(boot, ScheduledEvent::Boot(name.clone()));
         }
         name
     }
@@ -37,25 +37,25 @@
         self.cloud.calls += 1;
         let answer = if self.broken.cloud_out.is_empty() {
             match request {
-                CloudRequest::Catalogue => CloudAnswer::Catalogue(self.cloud.catalogue()),
-                CloudRequest::Rent(rent) => self.rent(rent),
+                CloudRequest::Catalogue => CloudResponse::Catalogue(self.cloud.catalogue()),
+                CloudRequest::Provision(rent) => self.rent(rent),
                 CloudRequest::Release(hosts) => {
                     for name in hosts.machines {
                         self.machine_dies(&name);
                     }
-                    CloudAnswer::Released
+                    CloudResponse::Released
                 }
-                CloudRequest::List { after } => CloudAnswer::List(self.cloud.list(now, &after, &self.workers)),
+                CloudRequest::List { after } => CloudResponse::List(self.cloud.list(now, &after, &self.workers)),
             }
         } else {
-            CloudAnswer::Refused
+            CloudResponse::Refused
         };
         if self.passes(&super::links::End::Cloud, &super::links::End::Node(n)) {
-            self.after(hop, Ev::Command(n, life, Command::Cloud { id, answer }));
+            self.after(hop, ScheduledEvent::Event(n, life, Event::Cloud { id, answer }));
         }
     }
 
-    fn rent(&mut self, rent: Rent) -> CloudAnswer {
+    fn rent(&mut self, rent: ProvisionRequest) -> CloudResponse {
         let count = match self.cloud.rent(&rent) {
             Rental::Answered(answer) => return answer,
             Rental::Machines(count) => count,
--- a/tests/sim/planted.rs
+++ b/tests/sim/fault_injection.rs
@@ -2,15 +2,15 @@
 //! to show that the search for meetings finds them. The controllers' own code is what it is
 //! in the daemon: nothing there can be switched.
 
-use super::{Ev, Origin, World, SEC};
-use glenhaven::coordination::{CloudAnswer, CloudRequest, Command, Effect, UserRequest};
+use super::{Origin, ScheduledEvent, World, SEC};
+use glenhaven::coordination::{CloudRequest, CloudResponse, Effect, Event, UserRequest};
+use glenhaven::protocol::agents::{AgentCommand, Heartbeat, HeartbeatResponse, PushedCommands};
 use glenhaven::protocol::peer::PeerMessage;
-use glenhaven::protocol::store::{Change, StoreRequest, Txn};
+use glenhaven::protocol::store::{Change, StoreRequest, Transaction};
 use glenhaven::protocol::users::{id_in, JobState, Phase};
-use glenhaven::protocol::workers::{Direct, Order, Orders, Report};
 use glenhaven::protocol::{from_cbor, to_cbor};
 use glenhaven::transport::server::Outgoing;
-use glenhaven_standins::user::job_of;
+use glenhaven_fakes::user::job_of;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -76,7 +76,7 @@
 const CACHED: u64 = SEC;
 
 /// Starts last sent straight to each address, and the token under which they left.
-pub type Kept = BTreeMap<String, (u64, Vec<Order>)>;
+pub type Kept = BTreeMap<String, (u64, Vec<AgentCommand>)>;
 
 /// The submission of a job that each life of a node has yet to answer, and those that get the
 /// same answer.
@@ -87,49 +87,49 @@
 
 impl World {
     /// A copy of an earlier session's report, made to look like a later one's.
-    pub fn plant_copy(&mut self, report: &mut Report) {
+    pub fn plant_copy(&mut self, heartbeat: &mut Heartbeat) {
         if self.planted != Some(Fault::TakesEarlierSessions) {
             return;
         }
-        let session = self.workers.get(&report.machine).map_or(0, |w| w.session());
-        if report.session < session {
-            report.session = session + 1;
+        let incarnation = self.workers.get(&heartbeat.machine).map_or(0, |w| w.incarnation());
+        if heartbeat.incarnation < incarnation {
+            heartbeat.incarnation = incarnation + 1;
         }
     }
 
     /// Starts too many, or too few.
-    fn plant_starts(&self, fault: Fault, orders: &mut Vec<Order>) {
+    fn plant_starts(&self, fault: Fault, commands: &mut Vec<AgentCommand>) {
         if fault == Fault::StartsNotAll {
-            orders.retain(|o| !matches!(o, Order::Start { task, .. } if job_of(task).ends_with('7')));
+            commands.retain(|o| !matches!(o, AgentCommand::Start { task, .. } if job_of(task).ends_with('7')));
         }
         if fault != Fault::StartsCancelled {
             return;
         }
-        for order in orders {
-            if let Order::Stop { task, attempt, .. } = order {
+        for order in commands {
+            if let AgentCommand::Stop { task, attempt, .. } = order {
                 let user = self.users.get(job_of(task));
                 if user.is_some_and(|u| u.cancelled.is_some_and(|at| at < self.now)) {
                     let (task, attempt) = (task.clone(), *attempt + 1000);
-                    *order = Order::Start { task, attempt };
+                    *order = AgentCommand::Start { task, attempt };
                 }
             }
         }
     }
 
     /// Adds the starts that left for this address under an earlier term.
-    fn plant_kept(&mut self, addr: &str, body: &mut Direct) {
-        let starts = body.orders.iter().filter(|o| matches!(o, Order::Start { .. }));
-        let starts: Vec<Order> = starts.cloned().collect();
+    fn plant_kept(&mut self, addr: &str, body: &mut PushedCommands) {
+        let starts = body.commands.iter().filter(|o| matches!(o, AgentCommand::Start { .. }));
+        let starts: Vec<AgentCommand> = starts.cloned().collect();
         let kept = self.planted_kept.entry(addr.into()).or_default();
-        if kept.0 < body.fence {
-            body.orders.append(&mut kept.1);
-            kept.0 = body.fence;
+        if kept.0 < body.fencing_token {
+            body.commands.append(&mut kept.1);
+            kept.0 = body.fencing_token;
         }
         kept.1.extend(starts);
     }
 
     /// Keeps submissions from a node that has one of the same job to answer.
-    pub fn plant_joins(&mut self, n: usize, batch: Vec<Command>) -> Vec<Command> {
+    pub fn plant_joins(&mut self, n: usize, batch: Vec<Event>) -> Vec<Event> {
         if self.planted != Some(Fault::JoinsSubmissions) {
             return batch;
         }
@@ -137,7 +137,7 @@
         let mut taken = vec![];
         for command in batch {
             let submitted = match &command {
-                Command::User {
+                Event::User {
                     id,
                     request: UserRequest::Submit(body),
                 } => id_in(body).map(|job| (*id, job)),
@@ -208,24 +208,27 @@
             match &mut effect {
                 Effect::Reply { id, answer } => match self.origins.get(id) {
                     Some(Origin::Worker(..)) if fault == Fault::RenewsUnproven && answer.status == 503 => {
-                        let fence = self.last_term();
+                        let fencing_token = self.last_term();
                         answer.status = 200;
-                        answer.body = to_cbor(&Orders { fence, orders: vec![] });
+                        answer.body = to_cbor(&HeartbeatResponse {
+                            fencing_token,
+                            commands: vec![],
+                        });
                     }
                     Some(Origin::Worker(name, _)) if answer.status == 200 => {
-                        if let Ok(mut orders) = from_cbor::<Orders>(&answer.body) {
+                        if let Ok(mut commands) = from_cbor::<HeartbeatResponse>(&answer.body) {
                             if fault == Fault::StopsNothing {
-                                orders.orders.retain(|o| !matches!(o, Order::Stop { .. }));
+                                commands.commands.retain(|o| !matches!(o, AgentCommand::Stop { .. }));
                             }
                             if fault == Fault::ForgetsAtOnce {
                                 let tasks = self.workers.get(name).map(|w| &w.tasks);
                                 for (task, attempt) in tasks.into_iter().flat_map(|t| t.keys()) {
                                     let (task, attempt) = (task.clone(), *attempt);
-                                    orders.orders.push(Order::Forget { task, attempt });
+                                    commands.commands.push(AgentCommand::Forget { task, attempt });
                                 }
                             }
-                            self.plant_starts(fault, &mut orders.orders);
-                            answer.body = to_cbor(&orders);
+                            self.plant_starts(fault, &mut commands.commands);
+                            answer.body = to_cbor(&commands);
                         }
                     }
                     Some(Origin::User(..)) if fault == Fault::ForgetsInDoubt && answer.status == 503 => {
@@ -235,18 +238,18 @@
                     _ => {}
                 },
                 Effect::Store {
-                    request: StoreRequest::Txn(txn),
+                    request: StoreRequest::Transaction(txn),
                     ..
                 } => strip(fault, txn),
-                Effect::Direct { body, .. } if fault == Fault::StopsNothing => {
-                    body.orders.retain(|o| !matches!(o, Order::Stop { .. }));
+                Effect::PushedCommands { body, .. } if fault == Fault::StopsNothing => {
+                    body.commands.retain(|o| !matches!(o, AgentCommand::Stop { .. }));
                 }
-                Effect::Direct { addr, body, .. } if fault == Fault::KeepsStarts => self.plant_kept(addr, body),
-                Effect::Direct { body, .. } => self.plant_starts(fault, &mut body.orders),
+                Effect::PushedCommands { addr, body, .. } if fault == Fault::KeepsStarts => self.plant_kept(addr, body),
+                Effect::PushedCommands { body, .. } => self.plant_starts(fault, &mut body.commands),
                 Effect::Peer {
                     to,
                     message:
-                        PeerMessage::Vouched {
+                        PeerMessage::Attestation {
                             round, term, cancelled, ..
                         },
                 } if fault == Fault::OneVouchesForAll => {
@@ -257,7 +260,7 @@
                             let (round, term, cancelled) = (*round, *term, cancelled.clone());
                             out.push(Effect::Peer {
                                 to: to.clone(),
-                                message: PeerMessage::Vouched {
+                                message: PeerMessage::Attestation {
                                     node,
                                     round,
                                     term,
@@ -272,9 +275,9 @@
                     request: CloudRequest::Release(_),
                     ..
                 } if fault == Fault::TakesReleaseForGranted => {
-                    let answer = CloudAnswer::Released;
+                    let answer = CloudResponse::Released;
                     let life = self.nodes[n].life;
-                    self.after(1, Ev::Command(n, life, Command::Cloud { id: *id, answer }));
+                    self.after(1, ScheduledEvent::Event(n, life, Event::Cloud { id: *id, answer }));
                     continue;
                 }
                 _ => {}
@@ -286,8 +289,8 @@
 }
 
 /// Takes those conditions away that guard against this fault.
-fn strip(fault: Fault, txn: &mut Txn) {
-    use glenhaven::bookkeeping::keys;
+fn strip(fault: Fault, txn: &mut Transaction) {
+    use glenhaven::storage::keys;
     let puts = |prefix: &str| {
         txn.changes
             .iter()
--- a/tests/sim/links.rs
+++ b/tests/sim/links.rs
@@ -2,8 +2,8 @@
 //! its answer the other: with only the way back cut, requests are carried out and
 //! nobody hears of it.
 
-use super::{Ev, World, MS};
-use glenhaven::coordination::Command;
+use super::{ScheduledEvent, World, MS};
+use glenhaven::coordination::Event;
 use glenhaven::protocol::peer::Link;
 
 /// One end of a link.
@@ -101,6 +101,6 @@
         };
         let node = self.nodes[other].settings.node.clone();
         let life = self.nodes[n].life;
-        self.after(pause, Ev::Command(n, life, Command::Link { node, link }));
+        self.after(pause, ScheduledEvent::Event(n, life, Event::Link { node, link }));
     }
 }
--- a/tests/sim/lives.rs
+++ b/tests/sim/lives.rs
@@ -2,14 +2,14 @@
 //! earlier life asked are still on their way.
 
 use super::script::Script;
-use glenhaven::bookkeeping::records::{to_value, Term};
-use glenhaven::coordination::book::{Job, Leader, Placement, Stage, TaskState};
-use glenhaven::coordination::desk::Desk;
-use glenhaven::coordination::workers::{Due, Leave};
-use glenhaven::coordination::{Command, Core, Effect, Site};
+use glenhaven::coordination::agents::{Due, Leave};
+use glenhaven::coordination::api::JobApi;
+use glenhaven::coordination::state::{Job, LeaderState, Placement, PlacementPhase, TaskState};
+use glenhaven::coordination::{ClusterConfig, Controller, Effect, Event};
+use glenhaven::protocol::agents::{Heartbeat, HeartbeatResponse, TaskStatus};
 use glenhaven::protocol::peer::{Link, PeerMessage};
-use glenhaven::protocol::store::{Row, Rows, StoreAnswer, StoreRequest};
-use glenhaven::protocol::workers::{Orders, Report, TaskReport};
+use glenhaven::protocol::store::{Row, Rows, StoreRequest, StoreResponse};
+use glenhaven::storage::records::{to_value, Term};
 use glenhaven::time::Micros;
 
 pub fn at(ms: u64) -> Micros {
@@ -17,9 +17,9 @@
 }
 
 /// A life of a node that knows node-1 to lead and reaches it.
-pub fn life(seed: u64) -> Core {
+pub fn life(seed: u64) -> Controller {
     let settings = Script::parse("nodes a a").unwrap().settings().remove(0);
-    let mut core = Core::new(settings, seed, at(0));
+    let mut core = Controller::new(settings, seed, at(0));
     let effects = core.handle(at(0), vec![]);
     let read = effects.iter().find_map(|e| match e {
         Effect::Store {
@@ -40,17 +40,17 @@
         version: 7,
     };
     let items = vec![row("term", to_value(&term)), row("term-live", to_value(&"node-1"))];
-    let answer = StoreAnswer::Rows(Rows {
+    let answer = StoreResponse::Rows(Rows {
         items,
         more: false,
         revision: 9,
     });
     let id = read.expect("the term is read first");
-    let link = Command::Link {
+    let link = Event::Link {
         node: "node-1".into(),
         link: Link::Up,
     };
-    let alive = Command::Peer(PeerMessage::Alive {
+    let alive = Event::Peer(PeerMessage::Alive {
         node: "node-1".into(),
         term: 3,
         fresh: true,
@@ -60,28 +60,28 @@
         at: 5,
         links: vec![],
     });
-    core.handle(at(10), vec![Command::Store { id, answer }, alive, link]);
+    core.handle(at(10), vec![Event::Store { id, answer }, alive, link]);
     core
 }
 
 /// Has a worker report; the number under which the report is passed on to the leader.
-fn passes_on(core: &mut Core, machine: &str) -> u64 {
-    let report = Report {
+fn passes_on(core: &mut Controller, machine: &str) -> u64 {
+    let heartbeat = Heartbeat {
         machine: machine.into(),
         addr: "10.1.0.1:9000".into(),
         machine_type: "m".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        serial: 5,
-        fence: 3,
+        incarnation: 1,
+        sequence: 5,
+        fencing_token: 3,
         notice_s: None,
         tasks: vec![],
     };
-    let effects = core.handle(at(20), vec![Command::Report { id: 1, report }]);
+    let effects = core.handle(at(20), vec![Event::Heartbeat { id: 1, heartbeat }]);
     let passed = effects.iter().find_map(|e| match e {
         Effect::Peer {
-            message: PeerMessage::Report { id, .. },
+            message: PeerMessage::Heartbeat { id, .. },
             ..
         } => Some(*id),
         _ => None,
@@ -89,12 +89,12 @@
     passed.expect("the report is passed on")
 }
 
-fn answers(core: &mut Core, id: u64) -> usize {
-    let orders = Orders {
-        fence: 3,
-        orders: vec![],
+fn answers(core: &mut Controller, id: u64) -> usize {
+    let commands = HeartbeatResponse {
+        fencing_token: 3,
+        commands: vec![],
     };
-    let told = Command::Peer(PeerMessage::Answered { id, orders });
+    let told = Event::Peer(PeerMessage::HeartbeatResponse { id, commands });
     let effects = core.handle(at(30), vec![told]);
     effects.iter().filter(|e| matches!(e, Effect::Reply { .. })).count()
 }
@@ -115,9 +115,9 @@
 }
 
 /// What every part of a controller looks at.
-pub fn site() -> Site {
+pub fn cluster() -> ClusterConfig {
     let settings = Script::parse("nodes a a").unwrap().settings().remove(0);
-    Site {
+    ClusterConfig {
         limits: settings.params.state.limits(),
         settings,
         catalogue: Default::default(),
@@ -126,23 +126,23 @@
 }
 
 /// What n-000001 reports in its first session.
-pub fn report(serial: u64, tasks: Vec<TaskReport>) -> Report {
-    Report {
+pub fn heartbeat(sequence: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
+    Heartbeat {
         machine: "n-000001".into(),
         addr: "10.1.0.1:9000".into(),
         machine_type: "m".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        serial,
-        fence: 1,
+        incarnation: 1,
+        sequence,
+        fencing_token: 1,
         notice_s: None,
         tasks,
     }
 }
 
 /// Has a leader that knows n-000001 in its first session take `run-000001/0` for started there.
-pub fn place(leader: &mut Leader, since: Micros) {
+pub fn place(leader: &mut LeaderState, since: Micros) {
     let mut job = Job::new("run-000001", super::script::plain_spec("run-000001"), 5, 0, since);
     job.waiting.clear();
     job.states[0] = TaskState::Placed;
@@ -150,9 +150,9 @@
     let placement = Placement {
         attempt: 1,
         machine: "n-000001".into(),
-        session: 1,
-        fence: 1,
-        stage: Stage::Sent,
+        incarnation: 1,
+        fencing_token: 1,
+        phase: PlacementPhase::Sent,
         sent: true,
         stop: None,
         stop_at: since,
@@ -161,7 +161,7 @@
         running_since: None,
         restored: false,
     };
-    job.placed.insert(0, placement);
+    job.placements.insert(0, placement);
     let machine = leader.machines.get_mut("n-000001").expect("it reported");
     machine.tasks.insert((job.id.clone(), 0));
     machine.take(&job.spec, 1.0);
@@ -173,47 +173,57 @@
 /// would run again when the answer comes, beside its next attempt.
 #[test]
 fn a_start_in_an_answer_keeps_its_attempt_known() {
-    use glenhaven::protocol::workers::{Cause, Order, TaskPhase};
+    use glenhaven::protocol::agents::{AgentCommand, Cause, TaskPhase};
 
-    let site = site();
-    let report = |serial: u64, phase: Option<(TaskPhase, Option<Cause>)>| {
-        let task = |(phase, cause)| TaskReport {
+    let cluster = cluster();
+    let heartbeat = |sequence: u64, phase: Option<(TaskPhase, Option<Cause>)>| {
+        let task = |(phase, cause)| TaskStatus {
             task: "run-000001/0".into(),
             attempt: 1,
             phase,
             cause,
         };
-        report(serial, phase.map(task).into_iter().collect())
+        heartbeat(sequence, phase.map(task).into_iter().collect())
     };
-    let mut leader = Leader::new(1, 1, at(0));
-    let desk = Desk::new("node-0");
-    let commands = |leader: &mut Leader, due: Due, ms: u64| {
+    let mut leader = LeaderState::new(1, 1, at(0));
+    let api = JobApi::new("node-0");
+    let commands = |leader: &mut LeaderState, due: Due, ms: u64| {
         let leave = Leave {
-            fence: 1,
-            desk: &desk,
+            fencing_token: 1,
+            api: &api,
             now: at(ms),
         };
         leader.commands_in_answer(&"n-000001".into(), due, &leave)
     };
-    let due = leader.take_heartbeat(&site, &report(1, None), None, at(10), at(10));
+    let due = leader.take_heartbeat(&cluster, &heartbeat(1, None), None, at(10), at(10));
     assert!(commands(&mut leader, due, 10).is_empty());
     place(&mut leader, at(20));
-    let starts = |orders: &[Order]| orders.iter().filter(|o| matches!(o, Order::Start { .. })).count();
-    let forgets = |orders: &[Order]| orders.iter().filter(|o| matches!(o, Order::Forget { .. })).count();
+    let starts = |commands: &[AgentCommand]| {
+        commands
+            .iter()
+            .filter(|o| matches!(o, AgentCommand::Start { .. }))
+            .count()
+    };
+    let forgets = |commands: &[AgentCommand]| {
+        commands
+            .iter()
+            .filter(|o| matches!(o, AgentCommand::Forget { .. }))
+            .count()
+    };
     // This report left before the command that starts the task arrived.
-    let due = leader.take_heartbeat(&site, &report(2, None), None, at(30), at(30));
+    let due = leader.take_heartbeat(&cluster, &heartbeat(2, None), None, at(30), at(30));
     assert_eq!(starts(&commands(&mut leader, due, 30)), 1);
-    let running = report(3, Some((TaskPhase::Running, None)));
-    leader.take_report(&site, &running, None, at(40), at(40));
+    let running = heartbeat(3, Some((TaskPhase::Running, None)));
+    leader.take_report(&cluster, &running, None, at(40), at(40));
     let stopped = || Some((TaskPhase::Exited, Some(Cause::Stopped)));
-    let due = leader.take_report(&site, &report(4, stopped()), None, at(60), at(60));
-    let orders = commands(&mut leader, due, 60);
-    assert_eq!(forgets(&orders), 0, "the answer to report 2 may still be on its way");
+    let due = leader.take_report(&cluster, &heartbeat(4, stopped()), None, at(60), at(60));
+    let sent = commands(&mut leader, due, 60);
+    assert_eq!(forgets(&sent), 0, "the answer to report 2 may still be on its way");
     // A copy of an old report says nothing of that answer.
-    leader.take_heartbeat(&site, &report(1, None), None, at(65), at(65));
-    let due = leader.take_report(&site, &report(5, stopped()), None, at(70), at(70));
+    leader.take_heartbeat(&cluster, &heartbeat(1, None), None, at(65), at(65));
+    let due = leader.take_report(&cluster, &heartbeat(5, stopped()), None, at(70), at(70));
     assert_eq!(forgets(&commands(&mut leader, due, 70)), 0);
     // The worker's next report does.
-    let due = leader.take_heartbeat(&site, &report(6, stopped()), None, at(500), at(500));
+    let due = leader.take_heartbeat(&cluster, &heartbeat(6, stopped()), None, at(500), at(500));
     assert_eq!(forgets(&commands(&mut leader, due, 500)), 1);
 }
--- a/tests/sim/looks.rs
+++ b/tests/sim/looks.rs
@@ -5,12 +5,12 @@
 use super::answers::REQUIRED;
 use super::script::plain_spec;
 use super::users::Asked;
-use super::{Ev, Origin, World, MS, SEC};
-use glenhaven::coordination::{Command, UserRequest};
-use glenhaven::protocol::users::{JobState, Shape, Spec};
+use super::{Origin, ScheduledEvent, World, MS, SEC};
+use glenhaven::coordination::{Event, UserRequest};
+use glenhaven::protocol::users::{JobSpec, JobState, Shape};
 use glenhaven::protocol::{from_cbor, to_cbor};
 use glenhaven::transport::server::Outgoing;
-use glenhaven_standins::user::job_of;
+use glenhaven_fakes::user::job_of;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// When all nodes are asked, after something has happened to a job.
@@ -95,7 +95,7 @@
         self.troubles.looks.insert(number, look);
         self.origins.insert(id, Origin::Look(number));
         let (hop, life) = (self.hop(), self.nodes[n].life);
-        self.after(hop, Ev::Command(n, life, Command::User { id, request }));
+        self.after(hop, ScheduledEvent::Event(n, life, Event::User { id, request }));
     }
 
     pub fn look_answered(&mut self, number: u64, left: u64, answer: &Outgoing) {
@@ -139,7 +139,7 @@
     /// Asks some node in a moment.
     fn ask_some(&mut self, job: &str, asked: Asked, pause: u64) {
         let n = self.rng.usize(0..self.nodes.len());
-        self.after(pause, Ev::Ask(job.into(), asked, n));
+        self.after(pause, ScheduledEvent::Ask(job.into(), asked, n));
     }
 
     /// Users ask at all nodes, again and again, and repeat the submission.
@@ -150,7 +150,7 @@
         for pause in LOOKS {
             for n in 0..self.nodes.len() {
                 let pause = pause + self.rng.u64(0..2 * MS);
-                self.after(pause, Ev::Ask(job.into(), Asked::Poll, n));
+                self.after(pause, ScheduledEvent::Ask(job.into(), Asked::Poll, n));
             }
             let pause = pause + self.rng.u64(0..5 * MS);
             self.ask_some(job, Asked::Submit, pause);
@@ -221,7 +221,7 @@
             let look = self.look(&job, asked, Some(body.clone()));
             self.send(n, look, body.clone());
         }
-        self.after(SEC / 4, Ev::OddRequests(step));
+        self.after(SEC / 4, ScheduledEvent::OddRequests(step));
     }
 
     fn look(&self, job: &str, asked: Asked, odd: Option<Vec<u8>>) -> Look {
@@ -235,7 +235,7 @@
 
     /// A submission that fits no machine, is over a limit, of nobody's team, or lacks a field.
     fn odd_submission(&mut self, job: &str, number: u64) -> Vec<u8> {
-        let mut spec = Spec {
+        let mut spec = JobSpec {
             team: self.script.base.params.teams[0].name.clone(),
             ..plain_spec(job)
         };
--- a/tests/sim/meetings.rs
+++ b/tests/sim/meetings.rs
@@ -7,7 +7,7 @@
 //! and part of a name looks for such faults only. What breaks a rule is printed as a scenario to be
 //! saved as a file.
 
-use super::planted::{Fault, ALL};
+use super::fault_injection::{Fault, ALL};
 use super::script::Script;
 use super::troubles;
 use super::World;
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -2,15 +2,16 @@
 //! workers and users, written from the protocol, around real controllers'
 //! coordination code. Every rule is checked as things happen.
 
+pub mod agents;
 mod answers;
 pub mod cloud;
+pub mod fault_injection;
 pub mod links;
 mod lives;
 mod looks;
 mod matrix;
 mod meetings;
 mod outbox;
-pub mod planted;
 mod renewals;
 pub mod script;
 pub mod shares;
@@ -19,28 +20,27 @@
 mod steps;
 pub mod troubles;
 pub mod users;
-pub mod workers;
 
-use glenhaven::coordination::{Command, Core, Effect};
+use glenhaven::coordination::{Controller, Effect, Event};
+use glenhaven::protocol::agents::{Heartbeat, HeartbeatResponse, Redirect};
 use glenhaven::protocol::from_cbor;
 use glenhaven::protocol::store::StoreRequest;
-use glenhaven::protocol::workers::{Elsewhere, Orders, Report};
 use glenhaven::settings::Settings;
 use glenhaven::time::Micros;
 use glenhaven::transport::server::Outgoing;
-pub use glenhaven_standins::{rules, store, MS, SEC};
+pub use glenhaven_fakes::{rules, store, MS, SEC};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Something that will happen.
-pub enum Ev {
+pub enum ScheduledEvent {
     Tick(usize, u64),
-    Command(usize, u64, Command),
+    Event(usize, u64, Event),
     Store(usize, u64, u64, glenhaven::protocol::store::StoreRequest),
     Cloud(usize, u64, u64, glenhaven::coordination::CloudRequest),
-    Direct(usize, u64, u64, String, glenhaven::protocol::workers::Direct),
+    PushedCommands(usize, u64, u64, String, glenhaven::protocol::agents::PushedCommands),
     WatchEnds(u64),
     Worker(String),
-    Report(String, usize, u64, Report),
+    Heartbeat(String, usize, u64, Heartbeat),
     ReportAnswer(String, u64, Outgoing),
     ReportLate(String, u64),
     Boot(String),
@@ -69,11 +69,11 @@
 }
 
 pub struct Node {
-    pub core: Option<Core>,
+    pub core: Option<Controller>,
     pub life: u64,
     pub settings: Settings,
     /// What has come while it stands still.
-    pub inbox: Vec<Command>,
+    pub inbox: Vec<Event>,
 }
 
 /// What is broken just now, by the step that broke it.
@@ -124,7 +124,7 @@
 
 impl Broken {
     /// Whether this machine gets no answers and no commands.
-    pub fn is_deaf(&self, machine: &str) -> bool {
+    pub fn is_asymmetrically_partitioned(&self, machine: &str) -> bool {
         self.deaf.values().any(|d| d.contains(machine))
     }
 
@@ -147,13 +147,13 @@
 pub struct World {
     pub now: u64,
     seq: u64,
-    pub queue: BTreeMap<(u64, u64), Ev>,
+    pub queue: BTreeMap<(u64, u64), ScheduledEvent>,
     pub rng: fastrand::Rng,
     pub nodes: Vec<Node>,
     pub store: store::Store,
     watches: BTreeMap<u64, state_service::Watch>,
     pub cloud: cloud::Cloud,
-    pub workers: BTreeMap<String, workers::Worker>,
+    pub workers: BTreeMap<String, agents::Worker>,
     pub users: BTreeMap<String, users::User>,
     pub rules: rules::Rules,
     pub answers: answers::Answers,
@@ -162,16 +162,16 @@
     pub script: script::Script,
     pub broken: Broken,
     pub origins: BTreeMap<u64, Origin>,
-    pub held: Vec<(usize, Ev)>,
+    pub held: Vec<(usize, ScheduledEvent)>,
     next_id: u64,
     /// What each controller was last told of its link to another.
     pub links_told: BTreeMap<(usize, usize), bool>,
     pub results: BTreeSet<String>,
     /// A fault that the search for meetings is to find.
-    pub planted: Option<planted::Fault>,
-    planted_kept: planted::Kept,
-    planted_cache: planted::Cache,
-    planted_joined: planted::Joined,
+    pub planted: Option<fault_injection::Fault>,
+    planted_kept: fault_injection::Kept,
+    planted_cache: fault_injection::Cache,
+    planted_joined: fault_injection::Joined,
 }
 
 impl World {
@@ -233,7 +233,7 @@
         self.next_id
     }
 
-    pub fn after(&mut self, delay: u64, ev: Ev) {
+    pub fn after(&mut self, delay: u64, ev: ScheduledEvent) {
         self.seq += 1;
         self.queue.insert((self.now + delay, self.seq), ev);
     }
@@ -250,9 +250,9 @@
             return;
         }
         node.life += 1;
-        node.core = Some(Core::new(node.settings.clone(), seed, Micros(self.now)));
+        node.core = Some(Controller::new(node.settings.clone(), seed, Micros(self.now)));
         let life = node.life;
-        self.after(1, Ev::Tick(n, life));
+        self.after(1, ScheduledEvent::Tick(n, life));
     }
 
     /// A process ends: its connections are reset at once, unlike those of a host that
@@ -260,11 +260,11 @@
     pub fn crash_node(&mut self, n: usize) {
         self.nodes[n].core = None;
         self.nodes[n].inbox.clear();
-        let reports = self.workers.iter().filter(|(_, w)| w.node == n);
-        let reports = reports.filter_map(|(name, w)| Some(Ev::ReportLate(name.clone(), w.flying?.0)));
+        let heartbeats = self.workers.iter().filter(|(_, w)| w.node == n);
+        let heartbeats = heartbeats.filter_map(|(name, w)| Some(ScheduledEvent::ReportLate(name.clone(), w.flying?.0)));
         let asked = self.users.iter().filter_map(|(job, u)| Some((job, u.asked_of(n)?)));
-        let lost: Vec<Ev> = reports
-            .chain(asked.map(|(job, rid)| Ev::UserLate(job.clone(), rid)))
+        let lost: Vec<ScheduledEvent> = heartbeats
+            .chain(asked.map(|(job, rid)| ScheduledEvent::UserLate(job.clone(), rid)))
             .collect();
         for ev in lost {
             let hop = self.hop();
@@ -273,19 +273,19 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        (0..self.nodes.len()).find(|n| self.nodes[*n].core.as_ref().is_some_and(Core::is_leader))
+        (0..self.nodes.len()).find(|n| self.nodes[*n].core.as_ref().is_some_and(Controller::is_leader))
     }
 
     /// Plays the script to its end.
     pub fn play(&mut self) {
         for n in 0..self.nodes.len() {
-            self.after(n as u64 * 10 * MS, Ev::Start(n));
+            self.after(n as u64 * 10 * MS, ScheduledEvent::Start(n));
         }
         for i in 0..self.script.steps.len() {
             let at = self.script.steps[i].at;
-            self.after(at, Ev::Step(i));
+            self.after(at, ScheduledEvent::Step(i));
         }
-        self.after(SEC, Ev::Look);
+        self.after(SEC, ScheduledEvent::Look);
         let end = self.script.until;
         while let Some((&(at, seq), _)) = self.queue.first_key_value() {
             if at > end {
@@ -297,7 +297,12 @@
             // anything: what they cause happens later, by events of its own.
             let within_controllers = matches!(
                 ev,
-                Ev::Tick(..) | Ev::Command(..) | Ev::Store(..) | Ev::WatchEnds(_) | Ev::Report(..) | Ev::User(_)
+                ScheduledEvent::Tick(..)
+                    | ScheduledEvent::Event(..)
+                    | ScheduledEvent::Store(..)
+                    | ScheduledEvent::WatchEnds(_)
+                    | ScheduledEvent::Heartbeat(..)
+                    | ScheduledEvent::User(_)
             );
             self.event(ev);
             if !within_controllers {
@@ -307,67 +312,68 @@
         self.now = end;
     }
 
-    fn event(&mut self, ev: Ev) {
+    fn event(&mut self, ev: ScheduledEvent) {
         match ev {
-            Ev::Start(n) => self.start_node(n),
-            Ev::Tick(n, life) => {
+            ScheduledEvent::Start(n) => self.start_node(n),
+            ScheduledEvent::Tick(n, life) => {
                 if self.nodes[n].life == life && self.nodes[n].core.is_some() {
                     self.run(n, vec![]);
-                    self.after(20 * MS, Ev::Tick(n, life));
+                    self.after(20 * MS, ScheduledEvent::Tick(n, life));
                 }
             }
-            Ev::Command(n, life, command) => {
+            ScheduledEvent::Event(n, life, command) => {
                 if self.nodes[n].life == life {
                     self.run(n, vec![command]);
                 }
             }
-            Ev::Store(n, life, id, request) => self.store_request(n, life, id, request),
-            Ev::WatchEnds(id) => self.watch_ends(id),
-            Ev::Cloud(n, life, id, request) => self.cloud_request(n, life, id, request),
-            Ev::Direct(n, life, id, addr, body) => self.direct_request(n, life, id, &addr, &body),
-            Ev::Worker(name) => self.worker_wakes(&name),
-            Ev::Report(name, n, rid, mut report) => {
+            ScheduledEvent::Store(n, life, id, request) => self.store_request(n, life, id, request),
+            ScheduledEvent::WatchEnds(id) => self.watch_ends(id),
+            ScheduledEvent::Cloud(n, life, id, request) => self.cloud_request(n, life, id, request),
+            ScheduledEvent::PushedCommands(n, life, id, addr, body) => self.direct_request(n, life, id, &addr, &body),
+            ScheduledEvent::Worker(name) => self.worker_wakes(&name),
+            ScheduledEvent::Heartbeat(name, n, rid, mut heartbeat) => {
                 if rid == u64::MAX {
-                    self.plant_copy(&mut report);
+                    self.plant_copy(&mut heartbeat);
                 }
                 let life = self.nodes[n].life;
                 let arrives = self.passes(&self.zone_end(&name), &links::End::Node(n));
                 if self.nodes[n].core.is_none() && self.reaches(n, &name) && arrives {
                     // Refused.
                     let hop = self.hop();
-                    self.after(hop, Ev::ReportLate(name, rid));
+                    self.after(hop, ScheduledEvent::ReportLate(name, rid));
                 } else if self.reaches(n, &name) && arrives {
                     let id = self.id();
                     self.origins.insert(id, Origin::Worker(name, rid));
-                    self.event(Ev::Command(n, life, Command::Report { id, report }));
+                    self.event(ScheduledEvent::Event(n, life, Event::Heartbeat { id, heartbeat }));
                 } else if self.script.held_packets && rid != u64::MAX {
                     // It arrives when its worker has long asked another controller.
-                    self.held.push((n, Ev::Report(name, n, u64::MAX, report)));
+                    self.held
+                        .push((n, ScheduledEvent::Heartbeat(name, n, u64::MAX, heartbeat)));
                 }
             }
-            Ev::ReportAnswer(name, rid, answer) => self.report_answered(&name, rid, answer),
-            Ev::ReportLate(name, rid) => self.report_late(&name, rid),
-            Ev::Boot(name) => self.boot(&name),
-            Ev::User(job) => self.user_acts(&job),
-            Ev::UserAnswer(job, rid, left, answer) => self.user_answered(&job, rid, left, answer),
-            Ev::UserLate(job, rid) => self.user_late(&job, rid),
-            Ev::Ask(job, asked, n) => self.ask(&job, asked, n),
-            Ev::LookAnswer(number, left, answer) => self.look_answered(number, left, &answer),
-            Ev::OddRequests(step) => self.odd_requests(step),
-            Ev::Step(i) => self.step(i),
-            Ev::Heal(i) => self.heal(i),
-            Ev::Throttle(i) => self.throttle(i),
-            Ev::Look => {
+            ScheduledEvent::ReportAnswer(name, rid, answer) => self.report_answered(&name, rid, answer),
+            ScheduledEvent::ReportLate(name, rid) => self.report_late(&name, rid),
+            ScheduledEvent::Boot(name) => self.boot(&name),
+            ScheduledEvent::User(job) => self.user_acts(&job),
+            ScheduledEvent::UserAnswer(job, rid, left, answer) => self.user_answered(&job, rid, left, answer),
+            ScheduledEvent::UserLate(job, rid) => self.user_late(&job, rid),
+            ScheduledEvent::Ask(job, asked, n) => self.ask(&job, asked, n),
+            ScheduledEvent::LookAnswer(number, left, answer) => self.look_answered(number, left, &answer),
+            ScheduledEvent::OddRequests(step) => self.odd_requests(step),
+            ScheduledEvent::Step(i) => self.step(i),
+            ScheduledEvent::Heal(i) => self.heal(i),
+            ScheduledEvent::Throttle(i) => self.throttle(i),
+            ScheduledEvent::Look => {
                 self.rules.look_at_services(self.now, &self.workers, &self.users);
                 self.look_for_starving();
-                self.look_at_invariants();
-                self.after(SEC, Ev::Look);
+                self.check_invariants();
+                self.after(SEC, ScheduledEvent::Look);
             }
         }
     }
 
     /// What the controllers themselves saw broken.
-    fn look_at_invariants(&mut self) {
+    fn check_invariants(&mut self) {
         for node in &self.nodes {
             let broken = node.core.as_ref().map_or(0, |core| core.broken_invariants());
             if broken > 0 {
@@ -393,7 +399,7 @@
         !self.broken.zones.values().any(parted) && !self.broken.zone_off.values().any(off)
     }
 
-    fn run(&mut self, n: usize, batch: Vec<Command>) {
+    fn run(&mut self, n: usize, batch: Vec<Event>) {
         if self.broken.is_frozen(n) {
             self.nodes[n].inbox.extend(batch);
             return;
@@ -412,7 +418,7 @@
         if effects.iter().any(asks) {
             if let Some((i, lasts)) = self.broken.trap.take() {
                 self.broken.frozen.insert(i, n);
-                self.after(lasts, Ev::Heal(i));
+                self.after(lasts, ScheduledEvent::Heal(i));
             }
         }
         for effect in effects {
@@ -422,49 +428,54 @@
                 Effect::Reply { id, answer } => match self.origins.remove(&id) {
                     Some(Origin::Worker(name, rid)) => {
                         let arrives = self.passes(&links::End::Node(n), &self.zone_end(&name));
-                        if self.reaches(n, &name) && arrives && !self.broken.is_deaf(&name) {
+                        if self.reaches(n, &name) && arrives && !self.broken.is_asymmetrically_partitioned(&name) {
                             let late = self.broken.slow_answers.values().copied().max().unwrap_or(0);
                             let late = if late > 0 { self.rng.u64(0..=late) } else { 0 };
-                            self.after(hop + late, Ev::ReportAnswer(name, rid, answer));
+                            self.after(hop + late, ScheduledEvent::ReportAnswer(name, rid, answer));
                         }
                     }
                     Some(Origin::User(..) | Origin::Look(_)) if self.broken.cut_off(n, "users") => {}
-                    Some(Origin::Look(number)) => self.after(hop, Ev::LookAnswer(number, self.now, answer)),
-                    Some(Origin::User(job, rid)) => self.after(hop, Ev::UserAnswer(job, rid, self.now, answer)),
+                    Some(Origin::Look(number)) => self.after(hop, ScheduledEvent::LookAnswer(number, self.now, answer)),
+                    Some(Origin::User(job, rid)) => {
+                        self.after(hop, ScheduledEvent::UserAnswer(job, rid, self.now, answer))
+                    }
                     None => {}
                 },
                 Effect::Store { id, request, timeout } => {
-                    let answer = glenhaven::protocol::store::StoreAnswer::Unknown;
-                    self.after(timeout.0, Ev::Command(n, life, Command::Store { id, answer }));
+                    let answer = glenhaven::protocol::store::StoreResponse::Unknown;
+                    self.after(timeout.0, ScheduledEvent::Event(n, life, Event::Store { id, answer }));
                     if self.broken.cut_off(n, "state") || !self.passes(&links::End::Node(n), &links::End::State) {
                         // Its sender has given it up by the time that it is delivered.
-                        if self.script.held_packets && matches!(request, StoreRequest::Txn(_)) {
-                            self.held.push((n, Ev::Store(n, u64::MAX, id, request)));
+                        if self.script.held_packets && matches!(request, StoreRequest::Transaction(_)) {
+                            self.held.push((n, ScheduledEvent::Store(n, u64::MAX, id, request)));
                         }
                         continue;
                     }
-                    self.after(hop, Ev::Store(n, life, id, request));
+                    self.after(hop, ScheduledEvent::Store(n, life, id, request));
                 }
                 Effect::Cloud { id, request, timeout } => {
-                    let answer = glenhaven::coordination::CloudAnswer::Unknown;
-                    self.after(timeout.0, Ev::Command(n, life, Command::Cloud { id, answer }));
+                    let answer = glenhaven::coordination::CloudResponse::Unknown;
+                    self.after(timeout.0, ScheduledEvent::Event(n, life, Event::Cloud { id, answer }));
                     if self.broken.cut_off(n, "cloud") || !self.passes(&links::End::Node(n), &links::End::Cloud) {
                         let late = !matches!(request, glenhaven::coordination::CloudRequest::Release(_));
                         if self.script.held_packets && late {
-                            self.held.push((n, Ev::Cloud(n, u64::MAX, id, request)));
+                            self.held.push((n, ScheduledEvent::Cloud(n, u64::MAX, id, request)));
                         }
                         continue;
                     }
-                    self.after(hop * 10, Ev::Cloud(n, life, id, request));
+                    self.after(hop * 10, ScheduledEvent::Cloud(n, life, id, request));
                 }
-                Effect::Direct {
+                Effect::PushedCommands {
                     id,
                     addr,
                     body,
                     timeout,
                 } => {
-                    let answer = glenhaven::coordination::DirectAnswer::Unknown;
-                    self.after(timeout.0, Ev::Command(n, life, Command::Direct { id, answer }));
+                    let answer = glenhaven::coordination::PushResult::Unknown;
+                    self.after(
+                        timeout.0,
+                        ScheduledEvent::Event(n, life, Event::PushedCommands { id, answer }),
+                    );
                     self.send_direct(n, life, id, hop, addr, body);
                 }
                 Effect::Peer { to, message } => {
@@ -478,10 +489,10 @@
                     self.tell_link(n, other, arrives);
                     if arrives {
                         let life = self.nodes[other].life;
-                        self.after(hop, Ev::Command(other, life, Command::Peer(message)));
+                        self.after(hop, ScheduledEvent::Event(other, life, Event::Peer(message)));
                     } else if self.script.held_packets && self.broken.refuse.is_empty() {
                         let life = self.nodes[other].life;
-                        let ev = Ev::Command(other, life, Command::Peer(message));
+                        let ev = ScheduledEvent::Event(other, life, Event::Peer(message));
                         self.held.push((n, ev));
                     }
                 }
@@ -493,15 +504,15 @@
     fn note(&mut self, from: answers::Life, effect: &Effect) {
         let now = self.now;
         match effect {
-            Effect::Direct { id, body, .. } => {
-                let carrier = answers::Carrier::Direct(from, *id);
-                self.answers.leaves(from, carrier, &body.orders, now);
+            Effect::PushedCommands { id, body, .. } => {
+                let carrier = answers::Carrier::PushedCommands(from, *id);
+                self.answers.leaves(from, carrier, &body.commands, now);
             }
             Effect::Reply { id, answer } => match self.origins.get(id) {
                 Some(Origin::Worker(name, rid)) => {
                     let carrier = answers::Carrier::Answer(name.clone(), *rid);
-                    if let Ok(orders) = Self::read_answer(answer) {
-                        self.answers.leaves(from, carrier, &orders.orders, now);
+                    if let Ok(commands) = Self::read_answer(answer) {
+                        self.answers.leaves(from, carrier, &commands.commands, now);
                     }
                 }
                 Some(_) => {
@@ -521,10 +532,10 @@
     }
 
     /// Reads the orders or the new node from an answer to a report.
-    pub fn read_answer(answer: &Outgoing) -> Result<Orders, Option<String>> {
+    pub fn read_answer(answer: &Outgoing) -> Result<HeartbeatResponse, Option<String>> {
         match answer.status {
             200 => from_cbor(&answer.body).map_err(|_| None),
-            421 => Err(from_cbor::<Elsewhere>(&answer.body).ok().and_then(|e| e.report_to)),
+            421 => Err(from_cbor::<Redirect>(&answer.body).ok().and_then(|e| e.report_to)),
             _ => Err(None),
         }
     }
--- a/tests/sim/outbox.rs
+++ b/tests/sim/outbox.rs
@@ -1,42 +1,50 @@
 //! Commands are built from the records when they leave: what was decided before is a reason, not
 //! a command.
 
-use super::lives::{at, place, report, site};
-use glenhaven::coordination::book::{Leader, MachineId, MachineState};
-use glenhaven::coordination::desk::Desk;
-use glenhaven::coordination::void::VoidProof;
-use glenhaven::coordination::workers::{parse_task, Due, Leave};
+use super::lives::{at, cluster, heartbeat, place};
+use glenhaven::coordination::agents::{parse_task, Due, Leave};
+use glenhaven::coordination::api::JobApi;
+use glenhaven::coordination::state::void_proof::VoidProof;
+use glenhaven::coordination::state::{LeaderState, MachineId, MachineState};
+use glenhaven::protocol::agents::{AgentCommand, Cause, Heartbeat, TaskPhase, TaskStatus};
 use glenhaven::protocol::users::Phase;
-use glenhaven::protocol::workers::{Cause, Order, Report, TaskPhase, TaskReport};
 
 /// A leader of term 1 that has recorded a start for n-000001 and not sent it yet.
-fn recorded() -> Leader {
-    let mut leader = Leader::new(1, 1, at(0));
-    leader.take_heartbeat(&site(), &report(1, vec![]), None, at(10), at(10));
+fn recorded() -> LeaderState {
+    let mut leader = LeaderState::new(1, 1, at(0));
+    leader.take_heartbeat(&cluster(), &heartbeat(1, vec![]), None, at(10), at(10));
     place(&mut leader, at(20));
     let job = leader.jobs.get_mut("run-000001").expect("it was placed");
-    job.placed.get_mut(&0).expect("it was placed").sent = false;
+    job.placements.get_mut(&0).expect("it was placed").sent = false;
     leader.queue_start(&"run-000001".into(), 0);
     leader
 }
 
 /// What a direct message that leaves now under this token holds.
-fn leaves(leader: &mut Leader, fence: u64, desk: &Desk) -> Vec<Order> {
+fn leaves(leader: &mut LeaderState, fencing_token: u64, api: &JobApi) -> Vec<AgentCommand> {
     let name: MachineId = "n-000001".into();
     let due: Due = leader.machines[&name].outbox.due.clone();
     let now = at(500);
-    leader.commands_in_answer(&name, due, &Leave { fence, desk, now })
+    leader.commands_in_answer(
+        &name,
+        due,
+        &Leave {
+            fencing_token,
+            api,
+            now,
+        },
+    )
 }
 
-fn fenced(serial: u64, fence: u64) -> Report {
-    Report {
-        fence,
-        ..report(serial, vec![])
+fn fenced(sequence: u64, fencing_token: u64) -> Heartbeat {
+    Heartbeat {
+        fencing_token,
+        ..heartbeat(sequence, vec![])
     }
 }
 
-fn is_placed(leader: &Leader) -> bool {
-    leader.jobs["run-000001"].placed.contains_key(&0)
+fn is_placed(leader: &LeaderState) -> bool {
+    leader.jobs["run-000001"].placements.contains_key(&0)
 }
 
 /// A record for which nothing was sent is not proven void by a report with a higher token: its
@@ -45,84 +53,84 @@
 fn a_start_that_was_not_sent_outlives_a_raise_of_the_term() {
     let mut leader = recorded();
     leader.term_raised(2);
-    leader.take_heartbeat(&site(), &fenced(2, 2), None, at(100), at(100));
+    leader.take_heartbeat(&cluster(), &fenced(2, 2), None, at(100), at(100));
     assert!(is_placed(&leader), "nothing was sent that could have been refused");
     // Counted as free, its cores would let the team start more than its limit allows.
     assert_eq!(leader.jobs["run-000001"].held, 1);
-    assert_eq!(leaves(&mut leader, 2, &Desk::new("node-0")).len(), 1);
+    assert_eq!(leaves(&mut leader, 2, &JobApi::new("node-0")).len(), 1);
     // The next report was sent before that start arrived, and proves nothing of it.
-    leader.take_heartbeat(&site(), &fenced(3, 2), None, at(600), at(600));
+    leader.take_heartbeat(&cluster(), &fenced(3, 2), None, at(600), at(600));
     assert!(is_placed(&leader), "the start under token 2 may be on its way");
     leader.term_raised(3);
-    leader.take_heartbeat(&site(), &fenced(4, 3), None, at(700), at(700));
+    leader.take_heartbeat(&cluster(), &fenced(4, 3), None, at(700), at(700));
     assert!(!is_placed(&leader), "it is refused from here on");
 }
 
 /// A queued start whose record was freed, and one of a stopped or cancelled job, don't exist.
 #[test]
 fn a_start_whose_reason_is_gone_does_not_leave() {
-    let desk = Desk::new("node-0");
+    let api = JobApi::new("node-0");
     let mut freed = recorded();
     freed.free(&"run-000001".into(), 0, VoidProof::NeverSent, at(100));
-    assert!(leaves(&mut freed, 1, &desk).is_empty());
+    assert!(leaves(&mut freed, 1, &api).is_empty());
 
     let mut stopped = recorded();
     stopped.stop("run-000001", 0, 5.0, at(100));
     assert!(!is_placed(&stopped), "nothing was sent: no word is needed");
-    assert!(leaves(&mut stopped, 1, &desk).is_empty());
+    assert!(leaves(&mut stopped, 1, &api).is_empty());
 
     let mut cancelled = recorded();
     cancelled.cancel("run-000001", at(100));
-    assert!(leaves(&mut cancelled, 1, &desk).is_empty());
+    assert!(leaves(&mut cancelled, 1, &api).is_empty());
 
     // Confirmed by this controller itself; the records have yet to hear of it.
     let mut confirmed = recorded();
-    let mut desk = Desk::new("node-0");
-    desk.learn("run-000001", 9, Phase::Cancelled);
-    assert!(leaves(&mut confirmed, 1, &desk).is_empty());
+    let mut api = JobApi::new("node-0");
+    api.learn("run-000001", 9, Phase::Cancelled);
+    assert!(leaves(&mut confirmed, 1, &api).is_empty());
 }
 
 /// Nothing starts on a machine that is given up, nor in a session that is over.
 #[test]
 fn a_start_for_a_machine_that_goes_or_began_anew_does_not_leave() {
-    let desk = Desk::new("node-0");
+    let api = JobApi::new("node-0");
     let mut doomed = recorded();
-    doomed.machines.get_mut("n-000001").expect("it reported").state = MachineState::Doomed;
-    assert!(leaves(&mut doomed, 1, &desk).is_empty());
+    doomed.machines.get_mut("n-000001").expect("it reported").state = MachineState::Releasing;
+    assert!(leaves(&mut doomed, 1, &api).is_empty());
     assert!(!is_placed(&doomed), "it was never sent, and may start elsewhere");
 
     let mut renewed = recorded();
-    let next_session = Report {
-        session: 2,
-        ..report(1, vec![])
+    let next_session = Heartbeat {
+        incarnation: 2,
+        ..heartbeat(1, vec![])
     };
-    renewed.take_heartbeat(&site(), &next_session, None, at(100), at(100));
-    assert!(leaves(&mut renewed, 1, &desk).is_empty());
+    renewed.take_heartbeat(&cluster(), &next_session, None, at(100), at(100));
+    assert!(leaves(&mut renewed, 1, &api).is_empty());
 }
 
 /// An attempt that ended and a later one of the same task are told apart, however they are listed.
 #[test]
 fn attempts_at_one_task_are_told_apart() {
-    let listed = |attempt: u64, phase: TaskPhase| TaskReport {
+    let listed = |attempt: u64, phase: TaskPhase| TaskStatus {
         task: "run-000001/0".into(),
         attempt,
         phase,
         cause: None,
     };
     for last_first in [false, true] {
-        let mut leader = Leader::new(1, 1, at(0));
-        leader.take_heartbeat(&site(), &report(1, vec![]), None, at(10), at(10));
+        let mut leader = LeaderState::new(1, 1, at(0));
+        leader.take_heartbeat(&cluster(), &heartbeat(1, vec![]), None, at(10), at(10));
         place(&mut leader, at(20));
         leader.term_raised(2);
         let mut tasks = vec![listed(0, TaskPhase::Exited), listed(1, TaskPhase::Running)];
         if last_first {
             tasks.reverse();
         }
-        let report = Report {
-            fence: 2,
-            ..report(2, tasks)
+        let heartbeat = Heartbeat {
+            fencing_token: 2,
+            ..heartbeat(2, tasks)
         };
-        leader.take_heartbeat(&site(), &report, None, at(100), at(100));
+        leader.take_heartbeat(&cluster(), &heartbeat, None, at(100), at(100));
         assert!(is_placed(&leader), "attempt 1 is on the machine");
     }
 }
@@ -159,7 +167,7 @@
         assert_eq!(leader.jobs["run-000001"].held, 1);
     }
     let mut sent = recorded();
-    assert_eq!(leaves(&mut sent, 1, &Desk::new("node-0")).len(), 1);
+    assert_eq!(leaves(&mut sent, 1, &JobApi::new("node-0")).len(), 1);
     sent.free(&id, 0, VoidProof::NeverSent, at(100));
     assert!(is_placed(&sent), "its start has left");
     sent.free(&id, 0, VoidProof::MachineReleased, at(100));
@@ -172,14 +180,14 @@
 fn an_inherited_start_is_not_sent_again() {
     let mut leader = recorded();
     let job = leader.jobs.get_mut("run-000001").expect("it is open");
-    let placement = job.placed.get_mut(&0).expect("it is placed");
+    let placement = job.placements.get_mut(&0).expect("it is placed");
     (placement.restored, placement.sent) = (true, true);
     leader.term_raised(2);
-    let due = leader.take_heartbeat(&site(), &fenced(2, 1), None, at(100), at(100));
+    let due = leader.take_heartbeat(&cluster(), &fenced(2, 1), None, at(100), at(100));
     assert!(due.starts.is_empty(), "{due:?}");
     assert!(due.asks_for_report, "nobody asks the machine for a report");
-    assert!(leaves(&mut leader, 2, &Desk::new("node-0")).is_empty());
+    assert!(leaves(&mut leader, 2, &JobApi::new("node-0")).is_empty());
     assert!(is_placed(&leader), "an earlier token proves nothing");
-    leader.take_heartbeat(&site(), &fenced(3, 2), None, at(200), at(200));
+    leader.take_heartbeat(&cluster(), &fenced(3, 2), None, at(200), at(200));
     assert!(!is_placed(&leader));
 }
--- a/tests/sim/renewals.rs
+++ b/tests/sim/renewals.rs
@@ -1,23 +1,23 @@
 //! Whether an answer may renew a worker's lease: what the other controllers say while the state
 //! service answers nobody, and starts of cancelled jobs that may still be on their way.
 
-use super::lives::{at, life, place, site};
+use super::lives::{at, cluster, life, place};
 use super::script::Script;
-use glenhaven::coordination::book::Leader;
-use glenhaven::coordination::leadership::Leadership;
-use glenhaven::coordination::renewal::Vouchers;
-use glenhaven::coordination::{Command, Effect};
+use glenhaven::coordination::election::Election;
+use glenhaven::coordination::lease_renewal::CancellationAttestations;
+use glenhaven::coordination::state::LeaderState;
+use glenhaven::coordination::{Effect, Event};
+use glenhaven::protocol::agents::{AgentCommand, Heartbeat, PushResult, PushedCommands, TaskPhase, TaskStatus};
 use glenhaven::protocol::peer::PeerMessage;
-use glenhaven::protocol::workers::{Direct, DirectAnswer, Order, Report, TaskPhase, TaskReport};
 
-fn report(serial: u64, tasks: &[&str]) -> Report {
-    let running = |task: &&str| TaskReport {
+fn heartbeat(sequence: u64, tasks: &[&str]) -> Heartbeat {
+    let running = |task: &&str| TaskStatus {
         task: task.to_string(),
         attempt: 1,
         phase: TaskPhase::Running,
         cause: None,
     };
-    super::lives::report(serial, tasks.iter().map(running).collect())
+    super::lives::heartbeat(sequence, tasks.iter().map(running).collect())
 }
 
 /// A leader's word for a question counts from all others, for this very question, and as long
@@ -25,19 +25,28 @@
 #[test]
 fn only_the_word_of_all_others_for_this_question_counts() {
     let settings = Script::parse("nodes a b a").unwrap().settings().remove(0);
-    let lead = Leadership::new(&settings, at(0));
+    let election = Election::new(&settings, at(0));
     let others = || ["node-1", "node-2"].into_iter().map(str::to_string);
-    let mut vouchers = Vouchers::new(at(0));
-    vouchers.ask(7, others(), at(1000));
-    assert!(!vouchers.answered(&lead, "node-1", 7, 0));
-    assert!(!vouchers.answered(&lead, "node-1", 7, 0), "twice is not two");
-    assert!(!vouchers.answered(&lead, "node-9", 7, 0), "a stranger");
-    assert!(!vouchers.answered(&lead, "node-2", 6, 0), "for an earlier question");
-    assert!(!vouchers.answered(&lead, "node-2", 7, 1), "it knows a later term");
-    assert!(vouchers.answered(&lead, "node-2", 7, 0));
-    vouchers.ask(8, others(), at(2000));
-    assert!(!vouchers.answered(&lead, "node-2", 7, 0), "a copy of the last one");
-    assert!(!vouchers.answered(&lead, "node-1", 8, 0));
+    let mut attestations = CancellationAttestations::new(at(0));
+    attestations.ask(7, others(), at(1000));
+    assert!(!attestations.answered(&election, "node-1", 7, 0));
+    assert!(!attestations.answered(&election, "node-1", 7, 0), "twice is not two");
+    assert!(!attestations.answered(&election, "node-9", 7, 0), "a stranger");
+    assert!(
+        !attestations.answered(&election, "node-2", 6, 0),
+        "for an earlier question"
+    );
+    assert!(
+        !attestations.answered(&election, "node-2", 7, 1),
+        "it knows a later term"
+    );
+    assert!(attestations.answered(&election, "node-2", 7, 0));
+    attestations.ask(8, others(), at(2000));
+    assert!(
+        !attestations.answered(&election, "node-2", 7, 0),
+        "a copy of the last one"
+    );
+    assert!(!attestations.answered(&election, "node-1", 8, 0));
 }
 
 /// What this life of a process was told is all it can say: asked from before it began, it is
@@ -46,17 +55,17 @@
 fn a_process_that_has_begun_says_nothing_of_its_earlier_lives() {
     let mut core = life(3);
     let mut answers = |seen: u64, ms: u64| {
-        let question = PeerMessage::Inquire {
+        let question = PeerMessage::AttestationRequest {
             node: "node-1".into(),
             round: 1,
             seen,
         };
-        let effects = core.handle(at(ms), vec![Command::Peer(question)]);
+        let effects = core.handle(at(ms), vec![Event::Peer(question)]);
         let word = |e: &Effect| {
             matches!(
                 e,
                 Effect::Peer {
-                    message: PeerMessage::Vouched { .. },
+                    message: PeerMessage::Attestation { .. },
                     ..
                 }
             )
@@ -69,9 +78,9 @@
 }
 
 /// A leader of term 1 whose cancelled job's start was sent and never seen.
-fn flying() -> Leader {
-    let mut leader = Leader::new(1, 1, at(0));
-    leader.take_heartbeat(&site(), &report(1, &[]), None, at(10), at(10));
+fn flying() -> LeaderState {
+    let mut leader = LeaderState::new(1, 1, at(0));
+    leader.take_heartbeat(&cluster(), &heartbeat(1, &[]), None, at(10), at(10));
     place(&mut leader, at(20));
     leader
 }
@@ -80,23 +89,24 @@
 fn a_start_that_was_never_seen_raises_the_term_also_when_its_machine_is_not_heard() {
     let mut leader = flying();
     leader.cancel("run-000001", at(1000));
-    leader.look_for_unsettled(at(3000));
+    leader.check_unsettled(at(3000));
     assert!(leader.new_term.is_none(), "its next report may tell");
-    leader.look_for_unsettled(at(5000));
+    leader.check_unsettled(at(5000));
     assert!(leader.new_term.is_some());
     leader.term_raised(2);
-    leader.look_for_unsettled(at(9000));
+    leader.check_unsettled(at(9000));
     assert!(leader.new_term.is_none(), "once is enough");
 }
 
 #[test]
 fn a_lease_ends_in_time_where_a_cancelled_start_may_still_arrive() {
-    let site = site();
-    let lapses = |leader: &Leader, ms: u64, tasks: &[&str]| leader.must_lapse(&site, &report(2, tasks), at(ms));
+    let cluster = cluster();
+    let lapses =
+        |leader: &LeaderState, ms: u64, tasks: &[&str]| leader.must_lapse(&cluster, &heartbeat(2, tasks), at(ms));
     let mut leader = flying();
-    leader.proven = at(900);
+    leader.cancellation_watermark = at(900);
     leader.cancel("run-000001", at(1000));
-    leader.look_for_unsettled(at(5000));
+    leader.check_unsettled(at(5000));
     assert!(!lapses(&leader, 5000, &[]), "there is time to raise the term");
     // 40 s after the cancellation, at the latest, nothing may begin: 10 s of lease before.
     assert!(lapses(&leader, 31_000, &[]));
@@ -108,25 +118,25 @@
 /// A token that nobody gave out proves nothing.
 #[test]
 fn a_report_with_a_token_never_given_out_frees_nothing() {
-    let site = site();
+    let cluster = cluster();
     let mut leader = flying();
-    let forged = Report {
-        fence: 99,
-        ..report(2, &[])
+    let forged = Heartbeat {
+        fencing_token: 99,
+        ..heartbeat(2, &[])
     };
-    leader.take_heartbeat(&site, &forged, None, at(100), at(100));
+    leader.take_heartbeat(&cluster, &forged, None, at(100), at(100));
     assert!(
-        leader.jobs["run-000001"].placed.contains_key(&0),
+        leader.jobs["run-000001"].placements.contains_key(&0),
         "the start may be on its way"
     );
     // With a higher term of its own, the same report is a proof.
     leader.term_raised(2);
-    let real = Report {
-        fence: 2,
-        ..report(3, &[])
+    let real = Heartbeat {
+        fencing_token: 2,
+        ..heartbeat(3, &[])
     };
-    leader.take_heartbeat(&site, &real, None, at(200), at(200));
-    assert!(!leader.jobs["run-000001"].placed.contains_key(&0));
+    leader.take_heartbeat(&cluster, &real, None, at(200), at(200));
+    assert!(!leader.jobs["run-000001"].placements.contains_key(&0));
 }
 
 /// A start that was held up on its way to the node that is to hand it on, until its job was
@@ -135,28 +145,28 @@
 fn a_start_held_up_until_its_job_was_cancelled_is_not_handed_on() {
     let handed_on = |job: &str| {
         let mut core = life(3);
-        let word = PeerMessage::Vouched {
+        let word = PeerMessage::Attestation {
             node: "node-1".into(),
             round: 1,
             term: 3,
             cancelled: vec![("run-000007".into(), 44)],
         };
-        let start = Order::Start {
+        let start = AgentCommand::Start {
             task: format!("{job}/0"),
             attempt: 1,
         };
-        let relay = PeerMessage::Relay {
+        let relay = PeerMessage::RelayPush {
             node: "node-1".into(),
             id: 5,
             addr: "10.1.0.1:9000".into(),
-            body: Direct {
-                fence: 3,
-                session: 1,
-                orders: vec![start],
+            body: PushedCommands {
+                fencing_token: 3,
+                incarnation: 1,
+                commands: vec![start],
             },
         };
-        let effects = core.handle(at(100), vec![Command::Peer(word), Command::Peer(relay)]);
-        let sent = effects.iter().any(|e| matches!(e, Effect::Direct { .. }));
+        let effects = core.handle(at(100), vec![Event::Peer(word), Event::Peer(relay)]);
+        let sent = effects.iter().any(|e| matches!(e, Effect::PushedCommands { .. }));
         let told = |e: &Effect| {
             let message = match e {
                 Effect::Peer { message, .. } => message,
@@ -164,9 +174,9 @@
             };
             matches!(
                 message,
-                PeerMessage::Relayed {
+                PeerMessage::RelayedPushResult {
                     id: 5,
-                    answer: DirectAnswer::NotSent
+                    answer: PushResult::NotSent
                 }
             )
         };
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -3,17 +3,17 @@
 use super::troubles::Trouble;
 use super::SEC;
 use glenhaven::protocol::cloud::MachineType;
-use glenhaven::protocol::users::{Priority, Shape, Spec};
+use glenhaven::protocol::users::{JobSpec, Priority, Shape};
 use glenhaven::settings::{NextState, Peer, Settings, Team};
-use glenhaven_standins::cloud::Cloud;
-pub use glenhaven_standins::user::plain_spec;
+use glenhaven_fakes::cloud::Cloud;
+pub use glenhaven_fakes::user::plain_spec;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
 pub enum Act {
-    Submit(Box<Spec>),
+    Submit(Box<JobSpec>),
     /// A job that an earlier version of the service accepted, by a key of its own.
-    Inherit(Box<Spec>),
+    Inherit(Box<JobSpec>),
     Abort(String),
     Resubmit(String),
     AskUnknown(String),
@@ -63,7 +63,7 @@
     /// Copies of all reports arrive this much later.
     Copies(u64),
     /// Machines rented now boot so many times as long; 0: never.
-    Boots(f64),
+    BootTimes(f64),
     /// Users ask so many times as often.
     Storm(u64),
     /// A controller is said to run the release before the present one.
@@ -387,7 +387,7 @@
                     "deaf" => Act::Deaf(count()?),
                     "slow-answers" => Act::SlowAnswers(secs(w.word(3)?)?),
                     "copies" => Act::Copies(secs(w.word(3)?)?),
-                    "boots" => Act::Boots(w.word(3)?.parse().map_err(|_| "factor")?),
+                    "boots" => Act::BootTimes(w.word(3)?.parse().map_err(|_| "factor")?),
                     "old-release" => Act::OldRelease(w.word(3)?.into()),
                     "garbage" => Act::Garbage(w.word(3)?.into()),
                     "state-limits" => Act::StateLimits,
@@ -471,7 +471,7 @@
         Ok(())
     }
 
-    fn spec(w: &Words) -> Result<Spec, String> {
+    fn spec(w: &Words) -> Result<JobSpec, String> {
         let mut spec = plain_spec(w.word(3)?);
         spec.class = w.named.get("class").unwrap_or(&"plain").to_string();
         spec.team = w.named.get("team").unwrap_or(&"blue").to_string();
--- a/tests/sim/starving.rs
+++ b/tests/sim/starving.rs
@@ -1,11 +1,11 @@
 //! Jobs left waiting, once all troubles are over, while a machine that fits has room and
 //! their team is under its limit. Worked out from machines and submissions alone.
 
+use super::agents::Worker;
 use super::users::User;
-use super::workers::Worker;
 use super::{World, SEC};
-use glenhaven::protocol::users::Spec;
-use glenhaven_standins::user::job_of;
+use glenhaven::protocol::users::JobSpec;
+use glenhaven_fakes::user::job_of;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a job may wait like this.
@@ -46,7 +46,7 @@
 }
 
 /// How many more tasks of this job a machine has room for.
-fn room(world: &World, worker: &Worker, spec: &Spec) -> u32 {
+fn room(world: &World, worker: &Worker, spec: &JobSpec) -> u32 {
     let usable = worker.up && world.now >= worker.hangs_until && worker.taken.is_none() && !worker.faulty;
     let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&worker.machine_type))
         && spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone)
@@ -75,7 +75,7 @@
 }
 
 /// Whether the machines have room for what waits of this job, its zones and team allow it.
-fn could_begin(world: &World, places: &Places, spec: &Spec) -> bool {
+fn could_begin(world: &World, places: &Places, spec: &JobSpec) -> bool {
     let none = BTreeMap::new();
     let zones = places.by_job.get(spec.id.as_str()).unwrap_or(&none);
     let placed: u32 = zones.values().sum();
@@ -146,7 +146,7 @@
     fn a_job_left_waiting_is_told() {
         let text =
             "until 250\nteam blue max=4\nat 1 submit run-000001 service cores=2\nat 30 submit run-000002 service";
-        let play = |change: fn(&mut Spec), inherits: bool| {
+        let play = |change: fn(&mut JobSpec), inherits: bool| {
             let mut world = World::new(Script::parse(text).unwrap());
             world.play();
             assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
--- a/tests/sim/state_service.rs
+++ b/tests/sim/state_service.rs
@@ -1,9 +1,9 @@
 //! The state service among simulated hosts: lost and late requests, and watches.
 
 use super::links::End;
-use super::{Ev, World, MS, SEC};
-use glenhaven::coordination::Command;
-use glenhaven::protocol::store::{StoreAnswer, StoreRequest};
+use super::{ScheduledEvent, World, MS, SEC};
+use glenhaven::coordination::Event;
+use glenhaven::protocol::store::{StoreRequest, StoreResponse};
 
 /// A watch that waits for news.
 pub struct Watch {
@@ -17,7 +17,9 @@
 
 impl World {
     fn is_late_write(&mut self, request: &StoreRequest) -> bool {
-        let StoreRequest::Txn(txn) = request else { return false };
+        let StoreRequest::Transaction(txn) = request else {
+            return false;
+        };
         let writes = |prefix: &String| txn.changes.iter().any(|c| c.key().starts_with(prefix.as_str()));
         let shares = self.broken.late_writes.values().filter(|(_, prefix)| writes(prefix));
         let share = shares.map(|(share, _)| *share).fold(0.0, f64::max);
@@ -35,14 +37,14 @@
         let delay = self.state_delay(&request);
         let mut lost = false;
         // What comes late was taken in long ago: it is executed whatever happens meanwhile.
-        let late = life == u64::MAX && matches!(request, StoreRequest::Txn(_));
+        let late = life == u64::MAX && matches!(request, StoreRequest::Transaction(_));
         let answer = if late && !self.store.out {
             self.store.answer(&request, now)
         } else if self.store.out || self.deaf(n) {
-            StoreAnswer::Refused
+            StoreResponse::Refused
         } else {
             let writes = match &request {
-                StoreRequest::Txn(txn) => txn.changes.len() as f64,
+                StoreRequest::Transaction(txn) => txn.changes.len() as f64,
                 _ => 0.0,
             };
             if let Err(refused) = self.store.allow(writes, now) {
@@ -60,15 +62,15 @@
                         ends: now + wait_ms * MS,
                     },
                 );
-                self.after(wait_ms * MS, Ev::WatchEnds(watch));
+                self.after(wait_ms * MS, ScheduledEvent::WatchEnds(watch));
                 self.tell_watches();
                 return;
             } else if self.is_late_write(&request) {
                 // Its sender hears nothing, and newer ones are executed before it.
                 let late = 2 * SEC + self.rng.u64(0..10 * SEC);
-                self.after(late, Ev::Store(n, u64::MAX, id, request));
+                self.after(late, ScheduledEvent::Store(n, u64::MAX, id, request));
                 return;
-            } else if let (StoreRequest::Txn(txn), Some(late)) =
+            } else if let (StoreRequest::Transaction(txn), Some(late)) =
                 (&request, self.broken.lose_txn.values().copied().next())
             {
                 // Unanswered; executed now, or later when the sender has
@@ -77,31 +79,31 @@
                     lost = true;
                     if late > 0 && self.rng.bool() {
                         let _ = hop;
-                        let request = StoreRequest::Txn(txn.clone());
+                        let request = StoreRequest::Transaction(txn.clone());
                         // A life that never was: the answer reaches nobody.
-                        self.after(late, Ev::Store(n, u64::MAX, id, request));
+                        self.after(late, ScheduledEvent::Store(n, u64::MAX, id, request));
                         return;
                     }
                 }
                 self.store.answer(&request, now)
             } else {
-                lost = matches!(&request, StoreRequest::Txn(txn) if self.loses_answer(txn));
+                lost = matches!(&request, StoreRequest::Transaction(txn) if self.loses_answer(txn));
                 self.store.answer(&request, now)
             }
         };
-        if let (StoreRequest::Txn(txn), StoreAnswer::Committed { .. }) = (&request, &answer) {
+        if let (StoreRequest::Transaction(txn), StoreResponse::Committed { .. }) = (&request, &answer) {
             self.answers.written(&txn.changes, now);
             let writes = |key: &String| txn.changes.iter().any(|c| c.key().starts_with(key.as_str()));
             let found = self.broken.ends_on.iter().position(|(key, _)| writes(key));
             if let Some(at) = found {
                 let (_, lasts) = self.broken.ends_on.remove(at);
                 self.crash_node(n);
-                self.after(lasts, Ev::Start(n));
+                self.after(lasts, ScheduledEvent::Start(n));
             }
         }
         self.tell_watches();
         if !lost && self.passes(&End::State, &End::Node(n)) {
-            self.after(hop + delay, Ev::Command(n, life, Command::Store { id, answer }));
+            self.after(hop + delay, ScheduledEvent::Event(n, life, Event::Store { id, answer }));
         }
     }
 
@@ -128,7 +130,7 @@
         };
         if self.store.out || self.deaf(w.node) {
             // Open watches stay open.
-            self.after(100 * MS, Ev::WatchEnds(watch));
+            self.after(100 * MS, ScheduledEvent::WatchEnds(watch));
             return;
         }
         if self.now >= w.ends {
@@ -142,10 +144,13 @@
         let Some(w) = self.watches.remove(&watch) else {
             return;
         };
-        let answer = StoreAnswer::Events(self.store.news(&w.prefix, w.after));
+        let answer = StoreResponse::Events(self.store.news(&w.prefix, w.after));
         let hop = self.hop();
         if self.passes(&End::State, &End::Node(w.node)) {
-            self.after(hop, Ev::Command(w.node, w.life, Command::Store { id: w.id, answer }));
+            self.after(
+                hop,
+                ScheduledEvent::Event(w.node, w.life, Event::Store { id: w.id, answer }),
+            );
         }
     }
 }
--- a/tests/sim/steps.rs
+++ b/tests/sim/steps.rs
@@ -1,8 +1,8 @@
 //! What the steps of a scenario do to the world, and how it heals.
 
 use super::script::Act;
-use super::{users, Ev, World, MS, SEC};
-use glenhaven::coordination::Command;
+use super::{users, ScheduledEvent, World, MS, SEC};
+use glenhaven::coordination::Event;
 use std::collections::BTreeSet;
 
 impl World {
@@ -14,14 +14,14 @@
             return;
         }
         if let Some(lasts) = step.lasts {
-            self.after(lasts, Ev::Heal(i));
+            self.after(lasts, ScheduledEvent::Heal(i));
         }
         match step.act {
             Act::Submit(spec) => {
                 let id = spec.id.clone();
                 self.users
                     .insert(id.clone(), users::User::new(*spec, step.run_s, step.mistake));
-                self.event(Ev::User(id));
+                self.event(ScheduledEvent::User(id));
             }
             Act::Inherit(spec) => {
                 self.store.inherit(&spec);
@@ -30,23 +30,23 @@
                 user.accepted = Some(self.now);
                 self.answers.inherited(&spec.id);
                 self.users.insert(spec.id.clone(), user);
-                self.event(Ev::User(spec.id));
+                self.event(ScheduledEvent::User(spec.id));
             }
             Act::Abort(job) => {
                 if let Some(user) = self.users.get_mut(&job) {
                     user.wants_abort = true;
                 }
-                self.event(Ev::User(job));
+                self.event(ScheduledEvent::User(job));
             }
             Act::Resubmit(job) => {
                 if let Some(user) = self.users.get_mut(&job) {
                     user.resubmit = true;
                 }
-                self.event(Ev::User(job));
+                self.event(ScheduledEvent::User(job));
             }
             Act::AskUnknown(job) => {
                 self.users.insert(job.clone(), users::User::stranger(&job));
-                self.event(Ev::User(job));
+                self.event(ScheduledEvent::User(job));
             }
             Act::Crash(who) => {
                 let nodes: Vec<usize> = match who.as_str() {
@@ -56,7 +56,7 @@
                 };
                 for n in nodes {
                     self.crash_node(n);
-                    self.after(step.lasts.unwrap_or(3 * SEC), Ev::Start(n));
+                    self.after(step.lasts.unwrap_or(3 * SEC), ScheduledEvent::Start(n));
                 }
             }
             Act::CrashOn(key) => self.broken.ends_on.push((key, step.lasts.unwrap_or(3 * SEC))),
@@ -161,7 +161,7 @@
             Act::Copies(late) => {
                 self.broken.copies.insert(i, late);
             }
-            Act::Boots(factor) => {
+            Act::BootTimes(factor) => {
                 self.broken.boots.insert(i, factor);
             }
             Act::OldRelease(node) => {
@@ -189,7 +189,7 @@
                 self.broken.storm.insert(i, factor);
                 let all: Vec<String> = self.users.keys().cloned().collect();
                 for job in all {
-                    self.event(Ev::User(job));
+                    self.event(ScheduledEvent::User(job));
                 }
             }
         }
@@ -215,7 +215,7 @@
         self.nodes[n].inbox = inbox;
         while !self.broken.is_frozen(n) && !self.nodes[n].inbox.is_empty() {
             let most = self.nodes[n].inbox.len().min(256);
-            let batch: Vec<Command> = self.nodes[n].inbox.drain(..most).collect();
+            let batch: Vec<Event> = self.nodes[n].inbox.drain(..most).collect();
             self.run(n, batch);
         }
     }
--- a/tests/sim/troubles.rs
+++ b/tests/sim/troubles.rs
@@ -2,9 +2,9 @@
 //! open: a request is carried out and its answer lost, a machine reaches nobody and is reached.
 
 use super::script::Words;
-use super::{Ev, World, MS, SEC};
-use glenhaven::protocol::store::{StoreRequest, Txn};
-use glenhaven::protocol::workers::{Direct, Report};
+use super::{ScheduledEvent, World, MS, SEC};
+use glenhaven::protocol::agents::{Heartbeat, PushedCommands};
+use glenhaven::protocol::store::{StoreRequest, Transaction};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Kinds of these for the search, written as in `meetings.rs`.
@@ -128,7 +128,7 @@
     /// Messages that these troubles lost, held up or copied.
     pub met: usize,
     /// Copies of reports for the next leader.
-    kept: Vec<Report>,
+    kept: Vec<Heartbeat>,
     /// The controller that led last, and its life.
     led: Option<(usize, u64)>,
 }
@@ -205,10 +205,10 @@
         let runs = (PERIOD as f64 * share) as u64;
         if self.broken.frozen.contains_key(&step) {
             self.thaw(step);
-            return self.after(runs, Ev::Throttle(step));
+            return self.after(runs, ScheduledEvent::Throttle(step));
         }
         self.broken.frozen.insert(step, n);
-        self.after(PERIOD - runs, Ev::Throttle(step));
+        self.after(PERIOD - runs, ScheduledEvent::Throttle(step));
     }
 
     /// Whether so large a share, drawn anew each time, includes this message.
@@ -219,7 +219,7 @@
     }
 
     /// Whether this transaction is carried out and its sender hears nothing.
-    pub fn loses_answer(&mut self, txn: &Txn) -> bool {
+    pub fn loses_answer(&mut self, txn: &Transaction) -> bool {
         let writes = |prefix: &str| txn.changes.iter().any(|c| c.key().starts_with(prefix));
         let shares = self.broken.lasting.lost_answers.values();
         let share = shares.filter(|(_, prefix)| writes(prefix)).map(|(share, _)| *share);
@@ -244,16 +244,16 @@
         }
         self.broken.lasting.met += 1;
         let pause = if self.rng.bool() { MS } else { 4 * SEC };
-        self.after(pause, Ev::ReportLate(name.into(), rid));
+        self.after(pause, ScheduledEvent::ReportLate(name.into(), rid));
         true
     }
 
     /// Keeps a copy of a share of the reports for the next leader.
-    pub fn keep_for_next(&mut self, report: &Report) {
+    pub fn keep_for_next(&mut self, heartbeat: &Heartbeat) {
         let shares = self.broken.lasting.kept_reports.values();
         let share = shares.copied().fold(0.0, f64::max);
         if self.drawn(share) {
-            self.broken.lasting.kept.push(report.clone());
+            self.broken.lasting.kept.push(heartbeat.clone());
         }
     }
 
@@ -266,26 +266,26 @@
             return;
         }
         self.broken.lasting.led = life;
-        for report in std::mem::take(&mut self.broken.lasting.kept) {
+        for heartbeat in std::mem::take(&mut self.broken.lasting.kept) {
             for to in 0..self.nodes.len() {
                 let pause = self.rng.u64(0..SEC);
-                let name = report.machine.clone();
-                self.after(pause, Ev::Report(name, to, u64::MAX, report.clone()));
+                let name = heartbeat.machine.clone();
+                self.after(pause, ScheduledEvent::Heartbeat(name, to, u64::MAX, heartbeat.clone()));
             }
         }
     }
 
     /// Sends a command on its way to a machine, or has it held up there: nobody hears then
     /// what became of it.
-    pub fn send_direct(&mut self, n: usize, life: u64, id: u64, hop: u64, addr: String, body: Direct) {
+    pub fn send_direct(&mut self, n: usize, life: u64, id: u64, hop: u64, addr: String, body: PushedCommands) {
         let held = self.broken.hold_direct.values().copied().max().unwrap_or(0);
         let shares = self.broken.lasting.late_commands.values();
         let share = shares.copied().fold(0.0, f64::max);
         if self.drawn(share) {
             let late = 2 * SEC + self.rng.u64(0..14 * SEC);
-            return self.after(late, Ev::Direct(n, u64::MAX, id, addr, body));
+            return self.after(late, ScheduledEvent::PushedCommands(n, u64::MAX, id, addr, body));
         }
-        self.after(hop + held, Ev::Direct(n, life, id, addr, body));
+        self.after(hop + held, ScheduledEvent::PushedCommands(n, life, id, addr, body));
     }
 
     /// How much later than usual this machine's answer to a direct command is there.
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -2,12 +2,12 @@
 
 use super::answers::Answer;
 use super::looks::Moment;
-use super::{Ev, Origin, World, SEC};
-use glenhaven::coordination::{Command, UserRequest};
+use super::{Origin, ScheduledEvent, World, SEC};
+use glenhaven::coordination::{Event, UserRequest};
 use glenhaven::protocol::users::{JobState, Phase};
 use glenhaven::protocol::{from_cbor, to_cbor};
 use glenhaven::transport::server::Outgoing;
-pub use glenhaven_standins::user::{Asked, User};
+pub use glenhaven_fakes::user::{Asked, User};
 
 impl World {
     /// Sends a user's next request, unless one is under way.
@@ -25,7 +25,7 @@
         let Some(user) = self.users.get(job) else { return };
         let early = |need: &String| *need != *job && self.users.get(need).is_some_and(|u| u.accepted.is_none());
         if !user.submitted && user.spec.needs.iter().any(early) {
-            return self.after(SEC / 50, Ev::User(job.into()));
+            return self.after(SEC / 50, ScheduledEvent::User(job.into()));
         }
         let Some(user) = self.users.get_mut(job) else { return };
         let Some(asked) = user.asks(self.now, rid, pick) else {
@@ -37,13 +37,13 @@
             Asked::Poll => UserRequest::Poll(job.into()),
         };
         let limit = asked.limit();
-        self.after(limit, Ev::UserLate(job.into(), rid));
+        self.after(limit, ScheduledEvent::UserLate(job.into(), rid));
         if let Some(n) = pick {
             let id = self.id();
             let life = self.nodes[n].life;
             self.origins.insert(id, Origin::User(job.into(), rid));
             let hop = self.hop();
-            self.after(hop, Ev::Command(n, life, Command::User { id, request }));
+            self.after(hop, ScheduledEvent::Event(n, life, Event::User { id, request }));
         }
     }
 
@@ -54,7 +54,7 @@
         if user.asked.is_some_and(|a| a.0 == rid) {
             user.asked = None;
             user.unanswered(now, calm);
-            self.after(SEC, Ev::User(job.into()));
+            self.after(SEC, ScheduledEvent::User(job.into()));
         }
     }
 
@@ -141,7 +141,7 @@
             _ => asked.pause(),
         };
         if user.refused.is_none() {
-            self.after(pause, Ev::User(job.into()));
+            self.after(pause, ScheduledEvent::User(job.into()));
         }
     }
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -88,26 +88,26 @@
         assert_eq!(ask(public, "POST", "/v2/runs", encode(&foreign)).await.0, 200);
         // A worker that comes up gets its start, with the fence of the term.
         let began = Instant::now();
-        let mut serial = 0;
-        let orders = loop {
-            serial += 1;
-            let report = cbor!({"host" => "n-000001", "addr" => "127.0.0.1:1", "flavor" => "m", "yard" => "a",
-                "reclaimable" => false, "tenure" => 1, "serial" => serial, "fence" => 0, "warning_s" => null, "pieces" => []})
+        let mut sequence = 0;
+        let commands = loop {
+            sequence += 1;
+            let heartbeat = cbor!({"host" => "n-000001", "addr" => "127.0.0.1:1", "flavor" => "m", "yard" => "a",
+                "reclaimable" => false, "tenure" => 1, "serial" => sequence, "fence" => 0, "warning_s" => null, "pieces" => []})
             .unwrap();
-            let (status, body) = ask(public, "POST", "/hello", encode(&report)).await;
+            let (status, body) = ask(public, "POST", "/hello", encode(&heartbeat)).await;
             if status == 200 && number(&body, "fence").unwrap_or(0) > 0 {
-                let orders = field(&body, "orders")
+                let commands = field(&body, "orders")
                     .and_then(Value::as_array)
                     .cloned()
                     .unwrap_or_default();
-                if orders.len() == 2 {
-                    break orders;
+                if commands.len() == 2 {
+                    break commands;
                 }
             }
             assert!(began.elapsed() < Duration::from_secs(10), "no start for the worker");
             Timer::after(Duration::from_millis(100)).await;
         };
-        assert!(orders.iter().all(|o| text(o, "verb").as_deref() == Some("run")));
+        assert!(commands.iter().all(|o| text(o, "verb").as_deref() == Some("run")));
         let (status, body) = ask(public, "POST", "/v2/runs/run-000001/abort", vec![]).await;
         assert_eq!((status, text(&body, "phase").as_deref()), (200, Some("withdrawn")));
         let (_, body) = ask(public, "GET", "/v2/runs/run-000001", vec![]).await;
--- a/tests/two_versions.rs
+++ b/tests/two_versions.rs
@@ -9,11 +9,13 @@
 use async_io::Timer;
 use ciborium::{cbor, Value};
 use futures_lite::future;
-use glenhaven::bookkeeping::records::{from_value, kept, restored, to_value, Accepted, Care, JobValue, Page, Term};
-use glenhaven::protocol::peer::{Carried, PeerMessage, Progress};
+use glenhaven::protocol::agents::{
+    AgentCommand, Cause, Heartbeat, HeartbeatResponse, PushResult, PushedCommands, TaskPhase, TaskStatus,
+};
+use glenhaven::protocol::peer::{ForwardedBody, PeerMessage, Progress};
 use glenhaven::protocol::to_cbor;
-use glenhaven::protocol::users::Spec;
-use glenhaven::protocol::workers::{Cause, Direct, DirectAnswer, Order, Orders, Report, TaskPhase, TaskReport};
+use glenhaven::protocol::users::JobSpec;
+use glenhaven::storage::records::{from_value, kept, restored, to_value, Accepted, Care, JobValue, Page, Term};
 use net::*;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -61,7 +63,7 @@
     }
 }
 
-fn chained_spec() -> Spec {
+fn chained_spec() -> JobSpec {
     let mut spec: Accepted = serde_json::from_str(
         r#"{"a":[{"ref":"run-000500","jobclass":"train","owner":"vision","shape":"array","rank":"urgent","pieces":16,
         "cores":8.0,"cards":1.0,"mem_gb":64.0,"bundle":"img-07","size_gb":6.2,"flavors":["g8"],"yard":null,
@@ -270,9 +272,10 @@
 /// A worker that runs what it is told to, a second each, and reports to controllers in turn
 /// until one answers.
 async fn work(public: Vec<u16>) {
-    let (mut tasks, mut serial, mut fence, mut node) = (BTreeMap::<(String, u64), Instant>::new(), 0u64, 0u64, 0usize);
+    let (mut tasks, mut sequence, mut fencing_token, mut node) =
+        (BTreeMap::<(String, u64), Instant>::new(), 0u64, 0u64, 0usize);
     loop {
-        serial += 1;
+        sequence += 1;
         let pieces: Vec<Value> = tasks
             .iter()
             .map(
@@ -282,11 +285,11 @@
                 },
             )
             .collect();
-        let report = cbor!({"host" => "n-000001", "addr" => "127.0.0.1:1", "flavor" => "m", "yard" => "a",
-            "reclaimable" => false, "tenure" => 1, "serial" => serial, "fence" => fence, "warning_s" => null,
+        let heartbeat = cbor!({"host" => "n-000001", "addr" => "127.0.0.1:1", "flavor" => "m", "yard" => "a",
+            "reclaimable" => false, "tenure" => 1, "serial" => sequence, "fence" => fencing_token, "warning_s" => null,
             "pieces" => pieces})
         .unwrap();
-        let body = encode(&report);
+        let body = encode(&heartbeat);
         let mut request = format!(
             "POST /hello HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n",
             body.len()
@@ -294,13 +297,13 @@
         .into_bytes();
         request.extend_from_slice(&body);
         let answer = raw(public[node], request).await;
-        let orders = answer
+        let commands = answer
             .filter(|a| a.0 == 200)
             .and_then(|a| ciborium::from_reader::<Value, _>(&a.2[..]).ok());
-        match orders.filter(|o| number(o, "fence").is_some_and(|f| f >= fence)) {
-            Some(orders) => {
-                fence = number(&orders, "fence").unwrap_or(fence);
-                for order in field(&orders, "orders")
+        match commands.filter(|o| number(o, "fence").is_some_and(|f| f >= fencing_token)) {
+            Some(commands) => {
+                fencing_token = number(&commands, "fence").unwrap_or(fencing_token);
+                for order in field(&commands, "orders")
                     .and_then(Value::as_array)
                     .cloned()
                     .unwrap_or_default()
