--- a/crates/capacity/src/estimate.rs
+++ b/crates/capacity/src/estimate.rs
@@ -7,6 +7,7 @@
 /// What a target's quantity comes to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Estimate {
+    /// The row it is for.
     pub target: Target,
     /// The line, or why there is none.
     pub line: Result<Line, FitError>,
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -19,7 +19,9 @@
 /// A straight line through measured points.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
+    /// Change of the value for each unit of size.
     pub slope: f64,
+    /// The value at size 0.
     pub intercept: f64,
     /// Standard error of the regression: the root of the residuals' squares over the degrees
     /// of freedom, in the unit of the values.
--- a/crates/capacity/src/records.rs
+++ b/crates/capacity/src/records.rs
@@ -13,7 +13,9 @@
     pub quantity: String,
     /// What was varied: workers, starts a second, teams.
     pub by: String,
+    /// How much of it there was.
     pub size: f64,
+    /// The measured value, in the unit that `quantity` names.
     pub value: f64,
     /// The journal's entry of the run that gave it.
     pub journal: String,
@@ -22,22 +24,32 @@
 /// A row of the capacity table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Target {
+    /// As in [`Point::role`].
     pub role: String,
+    /// As in [`Point::quantity`].
     pub quantity: String,
+    /// As in [`Point::by`].
     pub by: String,
     /// The size at which the value is wanted.
     pub size: f64,
     /// What it may not exceed; empty: no limit is stated.
     pub limit: Option<f64>,
     /// The mechanism that carries it; empty: there is none.
-    pub carrier: String,
+    #[serde(rename = "carrier")]
+    pub mechanism: String,
 }
 
 /// Why a file can't be read.
 #[derive(Debug, Error)]
 pub enum RecordsError {
+    /// The file can't be opened, or a line of it doesn't parse.
     #[error("{}: {source}", path.display())]
-    Csv { path: PathBuf, source: csv::Error },
+    Csv {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong, with the line.
+        source: csv::Error,
+    },
 }
 
 /// Reads the records of a CSV file with a header line.
--- a/crates/capacity/src/table.rs
+++ b/crates/capacity/src/table.rs
@@ -39,7 +39,7 @@
     let headroom = row
         .headroom()
         .map_or_else(|| NONE.into(), |share| format!("{:.0}%", share * 100.0));
-    let carrier = match target.carrier.as_str() {
+    let mechanism = match target.mechanism.as_str() {
         "" => MISSING,
         named => named,
     };
@@ -47,7 +47,7 @@
     // Writing to a string does not fail.
     let _ = writeln!(
         text,
-        "| {} | {} | {} | {slope} | {intercept} | {error} | {r_squared} | {} | {value} | {limit} | {headroom} | {carrier} | {} |",
+        "| {} | {} | {} | {slope} | {intercept} | {error} | {r_squared} | {} | {value} | {limit} | {headroom} | {mechanism} | {} |",
         target.role,
         target.quantity,
         target.by,
--- a/crates/capacity/tests/fits.rs
+++ b/crates/capacity/tests/fits.rs
@@ -6,14 +6,14 @@
 use glenhaven_capacity::table::{markdown, MISSING};
 use proptest::prelude::*;
 
-fn target(limit: Option<f64>, carrier: &str) -> Target {
+fn target(limit: Option<f64>, mechanism: &str) -> Target {
     Target {
         role: "leader".into(),
         quantity: "memory (MB)".into(),
         by: "workers".into(),
         size: 3300.0,
         limit,
-        carrier: carrier.into(),
+        mechanism: mechanism.into(),
     }
 }
 
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_row_without_a_carrier_says_so() {
+fn a_row_without_a_mechanism_says_so() {
     let measured = points(&[(400.0, 1.0), (800.0, 2.0), (1600.0, 4.0), (3300.0, 8.25)]);
     let rows = [
         Estimate::of(&target(Some(10.0), ""), &measured),
--- a/crates/emulator/src/balancer.rs
+++ b/crates/emulator/src/balancer.rs
@@ -14,7 +14,7 @@
 const IN_A_ROW: i32 = 2;
 
 /// Probes one controller, for ever.
-pub async fn probe(cluster: Arc<EmulatedCluster>, node: usize) {
+pub(crate) async fn probe(cluster: Arc<EmulatedCluster>, node: usize) {
     let request = Request {
         method: "GET".into(),
         path: "/ready".into(),
@@ -24,10 +24,10 @@
     // Good probes in a row; bad ones, if negative. One that was never healthy needs one.
     let mut row = IN_A_ROW - 1;
     loop {
-        let kept = connection.take();
-        let answer = within(PROBE, exchange(&cluster, kept, node, Side::Users, &request)).await;
+        let reused = connection.take();
+        let answer = within(PROBE, exchange(&cluster, reused, node, Side::Users, &request)).await;
         let good = answer.as_ref().is_some_and(|(_, response)| response.status == 200);
-        connection = answer.and_then(|(kept, _)| kept);
+        connection = answer.and_then(|(reused, _)| reused);
         row = match good {
             true => row.max(0) + 1,
             false => row.min(0) - 1,
@@ -40,7 +40,7 @@
 }
 
 /// A healthy controller for a new connection.
-pub fn choose(cluster: &EmulatedCluster, rng: &mut fastrand::Rng) -> Option<usize> {
+pub(crate) fn choose(cluster: &EmulatedCluster, rng: &mut fastrand::Rng) -> Option<usize> {
     let healthy = |n: &usize| cluster.nodes[*n].healthy.load(Ordering::Relaxed);
     let healthy: Vec<usize> = (0..cluster.nodes.len()).filter(healthy).collect();
     rng.choice(&healthy).copied()
--- a/crates/emulator/src/cloud_service.rs
+++ b/crates/emulator/src/cloud_service.rs
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 
 /// Machines in one page of the list.
-pub const PAGE: usize = 500;
+pub(crate) const PAGE: usize = 500;
 
 /// Answers one request.
-pub async fn handle(cluster: Arc<EmulatedCluster>, _node: usize, request: Request) -> Option<Response> {
+pub(crate) async fn handle(cluster: Arc<EmulatedCluster>, _node: usize, request: Request) -> Option<Response> {
     let Some(request) = wire::cloud_request(&request) else {
         return Some(wire::malformed());
     };
--- a/crates/emulator/src/cluster.rs
+++ b/crates/emulator/src/cluster.rs
@@ -34,13 +34,13 @@
 /// The addresses of an experiment, all on loopback. The state service and the cloud have
 /// an address for each controller, so that bytes are counted for each.
 #[derive(Clone, Copy)]
-pub struct Addresses {
+pub(crate) struct Addresses {
     network: u8,
 }
 
 impl Addresses {
     /// The addresses 127.`network`.x.y.
-    pub fn new(network: u8) -> Addresses {
+    pub(crate) fn new(network: u8) -> Addresses {
         Addresses { network }
     }
 
@@ -50,33 +50,33 @@
     }
 
     /// Where a controller serves users and workers.
-    pub fn public(self, node: usize) -> SocketAddr {
+    pub(crate) fn public(self, node: usize) -> SocketAddr {
         self.at(CONTROLLERS, node, PUBLIC_PORT)
     }
 
     /// Where a controller listens to the others.
-    pub fn peer(self, node: usize) -> SocketAddr {
+    pub(crate) fn peer(self, node: usize) -> SocketAddr {
         self.at(CONTROLLERS, node, PEER_PORT)
     }
 
     /// Where a controller finds another one whose links go through the emulator.
-    pub fn forwarder(self, from: usize, to: usize) -> SocketAddr {
+    pub(crate) fn forwarder(self, from: usize, to: usize) -> SocketAddr {
         let third = u8::try_from(FORWARDERS + from).unwrap_or(u8::MAX);
         self.at(third, to, PEER_PORT)
     }
 
     /// Where a controller finds the state service.
-    pub fn state(self, node: usize) -> SocketAddr {
+    pub(crate) fn state(self, node: usize) -> SocketAddr {
         self.at(STATE, node, STATE_PORT)
     }
 
     /// Where a controller finds the cloud.
-    pub fn cloud(self, node: usize) -> SocketAddr {
+    pub(crate) fn cloud(self, node: usize) -> SocketAddr {
         self.at(CLOUD, node, CLOUD_PORT)
     }
 
     /// Where a machine takes direct commands.
-    pub fn machine(self, number: u64) -> SocketAddr {
+    pub(crate) fn machine(self, number: u64) -> SocketAddr {
         let third = u8::try_from(MACHINES + number / MACHINES_IN_A_NET).unwrap_or(u8::MAX);
         self.at(third, (number % MACHINES_IN_A_NET) as usize, MACHINE_PORT)
     }
@@ -84,7 +84,7 @@
 
 /// Who exchanges bytes with a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub(crate) enum Side {
     Workers,
     Users,
     State,
@@ -99,7 +99,7 @@
 }
 
 /// A controller as the others see it.
-pub struct Node {
+pub(crate) struct Node {
     pub name: String,
     pub zone: String,
     /// Whether the load balancer sends users to it.
@@ -118,14 +118,14 @@
     }
 
     /// Bytes that this program has read from a controller and written to it.
-    pub fn count(&self, side: Side, traffic: Traffic) {
+    pub(crate) fn count(&self, side: Side, traffic: Traffic) {
         let counter = &self.counters[side as usize];
         counter.sent.fetch_add(traffic.read, Ordering::Relaxed);
         counter.received.fetch_add(traffic.written, Ordering::Relaxed);
     }
 
     /// Bytes that the controller has received from one side and sent to it.
-    pub fn bytes(&self, side: Side) -> (u64, u64) {
+    pub(crate) fn bytes(&self, side: Side) -> (u64, u64) {
         let counter = &self.counters[side as usize];
         let read = |n: &AtomicU64| n.load(Ordering::Relaxed);
         (read(&counter.received), read(&counter.sent))
@@ -133,7 +133,7 @@
 }
 
 /// A running experiment.
-pub struct EmulatedCluster {
+pub(crate) struct EmulatedCluster {
     pub experiment: Experiment,
     pub addresses: Addresses,
     pub nodes: Vec<Node>,
@@ -155,7 +155,7 @@
 
 impl EmulatedCluster {
     /// An experiment that has not begun.
-    pub fn new(experiment: Experiment, controllers: Controllers) -> EmulatedCluster {
+    pub(crate) fn new(experiment: Experiment, controllers: Controllers) -> EmulatedCluster {
         let services = &experiment.services;
         let mut store = Store::new(
             services.state_rps,
@@ -182,49 +182,49 @@
     }
 
     /// Microseconds since the beginning.
-    pub fn now(&self) -> u64 {
+    pub(crate) fn now(&self) -> u64 {
         self.began.elapsed().as_micros() as u64
     }
 
     /// The state service.
-    pub fn store(&self) -> MutexGuard<'_, Store> {
+    pub(crate) fn store(&self) -> MutexGuard<'_, Store> {
         lock(&self.store)
     }
 
     /// Machines, jobs and the rules.
-    pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
+    pub(crate) fn fleet(&self) -> MutexGuard<'_, Fleet> {
         lock(&self.fleet)
     }
 
     /// The processes under test.
-    pub fn processes(&self) -> MutexGuard<'_, Controllers> {
+    pub(crate) fn processes(&self) -> MutexGuard<'_, Controllers> {
         lock(&self.controllers)
     }
 
     /// The controller that leads by what the state service says.
-    pub fn leader(&self) -> Option<usize> {
+    pub(crate) fn leader(&self) -> Option<usize> {
         let leader = self.store().leader()?;
         self.nodes.iter().position(|node| node.name == leader)
     }
 
     /// Something happens that the history keeps.
-    pub fn note(&self, event: impl FnOnce() -> String) {
+    pub(crate) fn note(&self, event: impl FnOnce() -> String) {
         let now = self.now();
         self.fleet().history.note(now, event);
     }
 
     /// Ends the experiment before its time.
-    pub fn stop(&self, why: EmulatorError) {
+    pub(crate) fn stop(&self, why: EmulatorError) {
         lock(&self.stopped).get_or_insert(why);
     }
 
     /// Why it is to end, once.
-    pub fn take_stop(&self) -> Option<EmulatorError> {
+    pub(crate) fn take_stop(&self) -> Option<EmulatorError> {
         lock(&self.stopped).take()
     }
 }
 
 /// A controller's name.
-pub fn node_name(node: usize) -> String {
+pub(crate) fn node_name(node: usize) -> String {
     format!("node-{node}")
 }
--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -145,18 +145,18 @@
 }
 
 /// The controller processes of an experiment. They end with this value.
-pub struct Controllers {
+pub(crate) struct Controllers {
     program: PathBuf,
     dir: PathBuf,
     log_level: String,
     children: Vec<Option<Child>>,
     /// Processes started so far.
-    pub lives: usize,
+    pub process_starts: usize,
 }
 
 impl Controllers {
     /// Writes the settings files into a directory; no process runs yet.
-    pub fn prepare(experiment: &Experiment, program: &Path, dir: &Path) -> Result<Controllers, EmulatorError> {
+    pub(crate) fn prepare(experiment: &Experiment, program: &Path, dir: &Path) -> Result<Controllers, EmulatorError> {
         let write = |path: &Path, text: &str| {
             std::fs::write(path, text).map_err(|source| EmulatorError::Unwritable {
                 path: path.to_path_buf(),
@@ -191,17 +191,17 @@
             dir,
             log_level: experiment.controllers.log_level.clone(),
             children: (0..experiment.controllers.count).map(|_| None).collect(),
-            lives: 0,
+            process_starts: 0,
         })
     }
 
     /// Where settings and logs are.
-    pub fn dir(&self) -> &Path {
+    pub(crate) fn dir(&self) -> &Path {
         &self.dir
     }
 
     /// Starts a controller, unless it runs.
-    pub fn start(&mut self, node: usize) -> Result<(), EmulatorError> {
+    pub(crate) fn start(&mut self, node: usize) -> Result<(), EmulatorError> {
         if self.children[node].is_some() {
             return Ok(());
         }
@@ -215,7 +215,7 @@
             .append(true)
             .open(&log)
             .map_err(unwritable)?;
-        self.lives += 1;
+        self.process_starts += 1;
         let child = Command::new(&self.program)
             .arg("--config")
             .arg(self.dir.join(format!("{}.toml", node_name(node))))
@@ -233,7 +233,7 @@
     }
 
     /// Kills a controller; whether it ran.
-    pub fn kill(&mut self, node: usize) -> bool {
+    pub(crate) fn kill(&mut self, node: usize) -> bool {
         let Some(mut child) = self.children[node].take() else {
             return false;
         };
@@ -243,7 +243,7 @@
     }
 
     /// Lets a controller stand still, or go on.
-    pub fn pause(&mut self, node: usize, paused: bool) {
+    pub(crate) fn pause(&mut self, node: usize, paused: bool) {
         let signal = if paused { Signal::STOP } else { Signal::CONT };
         let pid = self.children[node]
             .as_ref()
@@ -254,7 +254,7 @@
     }
 
     /// The processes that run: number and process id.
-    pub fn running(&self) -> Vec<(usize, u32)> {
+    pub(crate) fn running(&self) -> Vec<(usize, u32)> {
         let children = self.children.iter().enumerate();
         children
             .filter_map(|(node, child)| Some((node, child.as_ref()?.id())))
@@ -262,7 +262,7 @@
     }
 
     /// Controllers that have ended by themselves since the last look.
-    pub fn ended(&mut self) -> Vec<usize> {
+    pub(crate) fn ended(&mut self) -> Vec<usize> {
         let mut ended = vec![];
         for (node, slot) in self.children.iter_mut().enumerate() {
             let over = slot
@@ -277,7 +277,7 @@
     }
 
     /// Kills all of them.
-    pub fn kill_all(&mut self) {
+    pub(crate) fn kill_all(&mut self) {
         for node in 0..self.children.len() {
             self.kill(node);
         }
--- a/crates/emulator/src/errors.rs
+++ b/crates/emulator/src/errors.rs
@@ -5,7 +5,7 @@
 
 /// Why an experiment can't be run, or not to its end.
 #[derive(Debug, thiserror::Error)]
-pub enum EmulatorError {
+pub(crate) enum EmulatorError {
     #[error("{path}: cannot be read: {source}")]
     Unreadable { path: PathBuf, source: std::io::Error },
     #[error("{path}: {message}")]
@@ -42,7 +42,7 @@
 
 impl EmulatorError {
     /// The exit status of the program.
-    pub fn status(&self) -> u8 {
+    pub(crate) fn status(&self) -> u8 {
         match self {
             EmulatorError::Interrupted => 130,
             _ => 2,
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -9,7 +9,7 @@
 /// An experiment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Experiment {
+pub(crate) struct Experiment {
     pub name: String,
     #[serde(default = "one")]
     pub seed: u64,
@@ -33,7 +33,7 @@
 /// The controllers: how many, and what each may use.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Controllers {
+pub(crate) struct Controllers {
     pub count: usize,
     /// Zones of controllers and machines, in turn.
     pub zones: Vec<String>,
@@ -51,7 +51,7 @@
 /// The state service's and the cloud's limits.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Services {
+pub(crate) struct Services {
     pub state_rps: f64,
     pub state_write_rps: f64,
     pub value_kb: f64,
@@ -63,7 +63,7 @@
 /// Machines, all of one type, and their workers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Workers {
+pub(crate) struct Workers {
     pub count: usize,
     pub cpus: f64,
     #[serde(default)]
@@ -80,7 +80,7 @@
 /// Teams, all with the same guarantee and limit.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Teams {
+pub(crate) struct Teams {
     pub count: usize,
     pub cpus: f64,
     /// 0: no limit.
@@ -95,7 +95,7 @@
 /// Jobs that come again and again, each for the next team.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Load {
+pub(crate) struct Load {
     pub class: String,
     pub priority: Priority,
     pub shape: Shape,
@@ -132,16 +132,16 @@
 
 /// What happens at a moment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Injection {
+pub(crate) struct Injection {
     pub at_s: f64,
     #[serde(flatten)]
-    pub what: Trouble,
+    pub what: InjectionKind,
 }
 
 /// What is done to machines and controllers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum Trouble {
+pub(crate) enum InjectionKind {
     /// So many machines die.
     MachineDeaths { count: usize },
     /// So many machines die, and others come up in their places.
@@ -160,7 +160,7 @@
 /// A controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Who {
+pub(crate) enum Who {
     Leader,
     /// Some controller that does not lead.
     Follower,
@@ -188,14 +188,14 @@
 
 impl Experiment {
     /// Reads and checks an experiment file.
-    pub fn load(path: &Path) -> Result<Experiment, EmulatorError> {
+    pub(crate) fn load(path: &Path) -> Result<Experiment, EmulatorError> {
         let experiment: Experiment = read_toml(path)?;
         experiment.check().map_err(|message| wrong(path, message))?;
         Ok(experiment)
     }
 
     /// Whether the numbers make sense together.
-    pub fn check(&self) -> Result<(), String> {
+    pub(crate) fn check(&self) -> Result<(), String> {
         let within = |name: &str, value: usize, most: usize| match (1..=most).contains(&value) {
             true => Ok(()),
             false => Err(format!("{name}: {value} is not between 1 and {most}")),
@@ -221,7 +221,7 @@
         let known = |zone: &String| self.controllers.zones.contains(zone);
         for injection in &self.inject {
             match &injection.what {
-                Trouble::Rack { zone, .. } | Trouble::Zone { zone, .. } if !known(zone) => {
+                InjectionKind::Rack { zone, .. } | InjectionKind::Zone { zone, .. } if !known(zone) => {
                     return Err(format!("inject: no zone {zone}"));
                 }
                 _ => {}
@@ -231,18 +231,18 @@
     }
 
     /// How long users and troubles go on.
-    pub fn duration(&self) -> Duration {
+    pub(crate) fn duration(&self) -> Duration {
         seconds(self.duration_s)
     }
 
     /// The zone of a controller or machine with this number.
-    pub fn zone_of(&self, number: usize) -> &str {
+    pub(crate) fn zone_of(&self, number: usize) -> &str {
         &self.controllers.zones[number % self.controllers.zones.len()]
     }
 }
 
 /// Reads a file that says what is played.
-pub fn read_toml<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, EmulatorError> {
+pub(crate) fn read_toml<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, EmulatorError> {
     let text = std::fs::read_to_string(path).map_err(|source| EmulatorError::Unreadable {
         path: path.to_path_buf(),
         source,
@@ -251,7 +251,7 @@
 }
 
 /// What is wrong with such a file.
-pub fn wrong(path: &Path, message: String) -> EmulatorError {
+pub(crate) fn wrong(path: &Path, message: String) -> EmulatorError {
     EmulatorError::Experiment {
         path: path.to_path_buf(),
         message,
@@ -259,6 +259,6 @@
 }
 
 /// A duration that an experiment file names; nothing for what is none.
-pub fn seconds(seconds: f64) -> Duration {
+pub(crate) fn seconds(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -13,7 +13,7 @@
 /// One end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Party {
+pub(crate) enum Party {
     /// A controller, by its number.
     Node(usize),
     /// The controller that leads when the trouble begins.
@@ -28,19 +28,19 @@
 
 /// A link in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Route {
+pub(crate) struct Route {
     pub from: Party,
     pub to: Party,
 }
 
 impl Route {
     /// The link from one to the other.
-    pub fn between(from: Party, to: Party) -> Route {
+    pub(crate) fn between(from: Party, to: Party) -> Route {
         Route { from, to }
     }
 
     /// The same link in the other direction.
-    pub fn back(self) -> Route {
+    pub(crate) fn back(self) -> Route {
         Route::between(self.to, self.from)
     }
 }
@@ -48,7 +48,7 @@
 /// What is wrong with a link.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case")]
-pub enum LinkFault {
+pub(crate) enum LinkFault {
     /// Nothing passes; what was sent is delivered, in order, when the fault is over.
     Cut,
     /// Everything takes so much longer.
@@ -67,7 +67,7 @@
 
 /// What becomes of one message.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fate {
+pub(crate) enum Delivery {
     Deliver,
     Refuse,
     Reset,
@@ -104,14 +104,14 @@
 }
 
 /// The faults of an experiment.
-pub struct Faults {
+pub(crate) struct Faults {
     state: Mutex<State>,
     changed: Event,
 }
 
 impl Faults {
     /// No faults yet.
-    pub fn new(seed: u64) -> Faults {
+    pub(crate) fn new(seed: u64) -> Faults {
         let state = State {
             active: vec![],
             rng: fastrand::Rng::with_seed(seed),
@@ -127,7 +127,7 @@
     }
 
     /// A fault begins.
-    pub fn begin(&self, route: Route, hosts: f64, fault: LinkFault, lasts: Duration) {
+    pub(crate) fn begin(&self, route: Route, hosts: f64, fault: LinkFault, lasts: Duration) {
         let until = Instant::now() + lasts;
         let mut state = self.state();
         state.active.retain(|active| Instant::now() < active.until);
@@ -142,7 +142,7 @@
     }
 
     /// All faults are over.
-    pub fn end(&self) {
+    pub(crate) fn end(&self) {
         self.state().active.clear();
         self.changed.notify(usize::MAX);
     }
@@ -155,12 +155,12 @@
     }
 
     /// Whether messages are held back.
-    pub fn is_held(&self, route: &Route, host: &str) -> bool {
+    pub(crate) fn is_held(&self, route: &Route, host: &str) -> bool {
         self.held_until(route, host).is_some()
     }
 
     /// Waits until a message gets through.
-    pub async fn passes(&self, route: &Route, host: &str) {
+    pub(crate) async fn passes(&self, route: &Route, host: &str) {
         let delay = self.delay(route, host);
         if !delay.is_zero() {
             Timer::after(delay).await;
@@ -189,26 +189,26 @@
     }
 
     /// What becomes of a message that got through.
-    pub fn fate(&self, route: &Route, host: &str) -> Fate {
+    pub(crate) fn delivery(&self, route: &Route, host: &str) -> Delivery {
         let mut state = self.state();
         let State { active, rng } = &mut *state;
         for active in active.iter().filter(|active| active.concerns(route, host)) {
-            let (share, fate) = match active.fault {
-                LinkFault::Refuses { share } => (share, Fate::Refuse),
-                LinkFault::Resets { share } => (share, Fate::Reset),
-                LinkFault::LosesAnswers { share } => (share, Fate::LoseAnswer),
-                LinkFault::Late { share, least_s, most_s } => (share, Fate::Late(between(rng, least_s, most_s))),
+            let (share, delivery) = match active.fault {
+                LinkFault::Refuses { share } => (share, Delivery::Refuse),
+                LinkFault::Resets { share } => (share, Delivery::Reset),
+                LinkFault::LosesAnswers { share } => (share, Delivery::LoseAnswer),
+                LinkFault::Late { share, least_s, most_s } => (share, Delivery::Late(between(rng, least_s, most_s))),
                 LinkFault::Cut | LinkFault::Slow { .. } | LinkFault::Copies { .. } => continue,
             };
             if rng.f64() < share {
-                return fate;
+                return delivery;
             }
         }
-        Fate::Deliver
+        Delivery::Deliver
     }
 
     /// How long after a message its copy arrives, if there is one.
-    pub fn copies(&self, route: &Route, host: &str) -> Option<Duration> {
+    pub(crate) fn copies(&self, route: &Route, host: &str) -> Option<Duration> {
         let mut state = self.state();
         let State { active, rng } = &mut *state;
         let mut concerned = active.iter().filter(|active| active.concerns(route, host));
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The one machine type.
-pub const MACHINE_TYPE: &str = "m";
+pub(crate) const MACHINE_TYPE: &str = "m";
 /// What a machine costs an hour for each core, ordinary and spot.
 const PRICE: f64 = 0.06;
 const SPOT_PRICE: f64 = 0.02;
@@ -22,7 +22,7 @@
 const FETCH_GB_PER_S: f64 = 1.0;
 
 /// A machine's tasks in this program: dropped, they end; poked, they look again.
-pub struct Link {
+pub(crate) struct Link {
     pub poke: Sender<()>,
     /// Closed when the machine is gone.
     pub _alive: Sender<()>,
@@ -30,13 +30,13 @@
 
 /// The first answer that a worker took with a new token.
 #[derive(Clone, Copy, Debug)]
-pub struct FirstOfTerm {
+pub(crate) struct FirstOfTerm {
     pub fence: u64,
     pub at: u64,
 }
 
 /// Machines, jobs and the rules.
-pub struct Fleet {
+pub(crate) struct Fleet {
     pub cloud: Cloud,
     pub workers: BTreeMap<String, Worker>,
     pub links: BTreeMap<String, Link>,
@@ -55,7 +55,7 @@
 }
 
 /// The machine type of an experiment.
-pub fn machine_type(experiment: &Experiment) -> MachineType {
+pub(crate) fn machine_type(experiment: &Experiment) -> MachineType {
     let workers = &experiment.workers;
     let zones: BTreeSet<String> = experiment.controllers.zones.iter().cloned().collect();
     MachineType {
@@ -73,7 +73,7 @@
 }
 
 /// The teams of an experiment.
-pub fn teams(experiment: &Experiment) -> Vec<Team> {
+pub(crate) fn teams(experiment: &Experiment) -> Vec<Team> {
     let team = |n: usize| Team {
         name: format!("team-{n:03}"),
         cpus: experiment.teams.cpus,
@@ -86,7 +86,7 @@
 
 impl Fleet {
     /// No machine and no job yet.
-    pub fn new(experiment: &Experiment) -> Fleet {
+    pub(crate) fn new(experiment: &Experiment) -> Fleet {
         let kind = machine_type(experiment);
         let in_a_zone = experiment.workers.count.div_ceil(kind.zones.len().max(1)) as u32;
         let lag = (experiment.services.list_lag_s * SEC as f64) as u64;
@@ -109,15 +109,15 @@
     }
 
     /// A new number of a request.
-    pub fn request_number(&mut self) -> u64 {
+    pub(crate) fn request_number(&mut self) -> u64 {
         self.next_request += 1;
         self.next_request
     }
 
     /// The machine and everything on it is gone.
-    pub fn machine_dies(&mut self, now: u64, name: &str) {
+    pub(crate) fn machine_dies(&mut self, now: u64, name: &str) {
         self.history.note(now, || format!("{name} is gone"));
-        self.cloud.gone(now, name);
+        self.cloud.terminate(now, name);
         if let Some(worker) = self.workers.get_mut(name) {
             worker.dies();
         }
@@ -125,7 +125,7 @@
     }
 
     /// Machines that are up, of one zone or of all, in any order.
-    pub fn up(&mut self, zone: Option<&str>) -> Vec<String> {
+    pub(crate) fn up(&mut self, zone: Option<&str>) -> Vec<String> {
         let here = |w: &&Worker| w.up && zone.is_none_or(|z| w.zone == z);
         let mut names: Vec<String> = self.workers.values().filter(here).map(|w| w.name.clone()).collect();
         self.rng.shuffle(&mut names);
@@ -133,7 +133,7 @@
     }
 
     /// A worker took an answer with this token.
-    pub fn saw_fence(&mut self, now: u64, fence: u64) {
+    pub(crate) fn saw_fence(&mut self, now: u64, fence: u64) {
         if self.terms.last().is_none_or(|last| fence > last.fence) {
             self.history.note(now, || format!("the first worker has token {fence}"));
             self.terms.push(FirstOfTerm { fence, at: now });
@@ -141,7 +141,7 @@
     }
 
     /// A worker has executed orders: what they began is looked at.
-    pub fn orders_executed(&mut self, now: u64, machine: &str, fence: u64, executed: &Executed) {
+    pub(crate) fn orders_executed(&mut self, now: u64, machine: &str, fence: u64, executed: &Executed) {
         self.rules.stops += executed.stops;
         for (task, attempt) in &executed.taken {
             self.history.note(now, || {
@@ -162,12 +162,12 @@
     }
 
     /// What holds at every moment is looked at.
-    pub fn look(&mut self, now: u64) {
-        self.rules.look(now, &self.workers, &self.users);
+    pub(crate) fn check_rules(&mut self, now: u64) {
+        self.rules.check(now, &self.workers, &self.users);
     }
 
     /// Tasks that run, machines that are up, and jobs that are neither done nor cancelled.
-    pub fn counts(&self) -> Counts {
+    pub(crate) fn counts(&self) -> Counts {
         let up = || self.workers.values().filter(|w| w.up);
         let open = |u: &&User| u.accepted.is_some() && u.done.is_none() && u.cancelled.is_none();
         Counts {
@@ -181,7 +181,7 @@
 
 /// What is there at a moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counts {
+pub(crate) struct Counts {
     pub machines: usize,
     pub running: usize,
     pub open_jobs: usize,
--- a/crates/emulator/src/forward.rs
+++ b/crates/emulator/src/forward.rs
@@ -3,7 +3,7 @@
 
 use crate::cluster::EmulatedCluster;
 use crate::errors::EmulatorError;
-use crate::faults::{Fate, Party, Route};
+use crate::faults::{Delivery, Party, Route};
 use crate::server;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
@@ -14,7 +14,7 @@
 const CHUNK: usize = 16 * 1024;
 
 /// Forwards every link from one controller to another, until the experiment ends.
-pub fn start(cluster: &Arc<EmulatedCluster>) -> Result<(), EmulatorError> {
+pub(crate) fn start(cluster: &Arc<EmulatedCluster>) -> Result<(), EmulatorError> {
     let nodes = cluster.nodes.len();
     for from in 0..nodes {
         for to in (0..nodes).filter(|to| *to != from) {
@@ -55,7 +55,7 @@
             return;
         };
         cluster.faults.passes(&route, "").await;
-        if cluster.faults.fate(&route, "") == Fate::Reset {
+        if cluster.faults.delivery(&route, "") == Delivery::Reset {
             // Half of what was sent arrives.
             to.write_all(&chunk[..n / 2]).await.ok();
             return;
--- a/crates/emulator/src/history.rs
+++ b/crates/emulator/src/history.rs
@@ -9,19 +9,19 @@
 
 /// The last events, each with the microseconds since the beginning.
 #[derive(Default)]
-pub struct History {
+pub(crate) struct History {
     on: bool,
     events: VecDeque<(u64, String)>,
 }
 
 impl History {
     /// From now on events are kept.
-    pub fn switch_on(&mut self) {
+    pub(crate) fn switch_on(&mut self) {
         self.on = true;
     }
 
     /// Something happens.
-    pub fn note(&mut self, now: u64, event: impl FnOnce() -> String) {
+    pub(crate) fn note(&mut self, now: u64, event: impl FnOnce() -> String) {
         if !self.on {
             return;
         }
@@ -32,7 +32,7 @@
     }
 
     /// Writes the events into a file, one a line.
-    pub fn write(&self, path: &Path) -> std::io::Result<()> {
+    pub(crate) fn write(&self, path: &Path) -> std::io::Result<()> {
         let mut file = std::io::BufWriter::new(std::fs::File::create(path)?);
         for (at, event) in &self.events {
             writeln!(file, "{:11.6} {event}", *at as f64 / 1e6)?;
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -21,17 +21,17 @@
 
 /// Numbers of jobs.
 #[derive(Default)]
-pub struct Numbers(AtomicU64);
+pub(crate) struct Numbers(AtomicU64);
 
 impl Numbers {
     /// The next number.
-    pub fn next(&self) -> u64 {
+    pub(crate) fn next(&self) -> u64 {
         self.0.fetch_add(1, Ordering::Relaxed) + 1
     }
 }
 
 /// Submits the jobs of one kind until their time is over.
-pub async fn submit(cluster: Arc<EmulatedCluster>, load: Load, numbers: Arc<Numbers>) {
+pub(crate) async fn submit(cluster: Arc<EmulatedCluster>, load: Load, numbers: Arc<Numbers>) {
     let until = load.until_s.unwrap_or(cluster.experiment.duration_s);
     let mut at = load.from_s;
     while at < until {
@@ -55,7 +55,7 @@
 }
 
 /// The job with this number.
-pub fn spec(cluster: &EmulatedCluster, load: &Load, number: u64) -> JobSpec {
+pub(crate) fn spec(cluster: &EmulatedCluster, load: &Load, number: u64) -> JobSpec {
     let teams = teams(&cluster.experiment);
     let team = &teams[number as usize % teams.len()];
     let high = matches!(load.priority, Priority::High | Priority::Production);
--- a/crates/emulator/src/machines.rs
+++ b/crates/emulator/src/machines.rs
@@ -1,7 +1,7 @@
 //! Machines: each a worker that reports to a controller and takes direct commands.
 
 use crate::cluster::{EmulatedCluster, Side};
-use crate::faults::{Fate, Party, Route};
+use crate::faults::{Delivery, Party, Route};
 use crate::fleet::{Fleet, Link, MACHINE_TYPE};
 use crate::server;
 use async_channel::{Receiver, Sender};
@@ -25,13 +25,19 @@
 const REPORTS_VARY: f64 = 0.25;
 
 /// How long a machine boots.
-pub fn boot_time(cluster: &EmulatedCluster, fleet: &mut Fleet) -> Duration {
+pub(crate) fn boot_time(cluster: &EmulatedCluster, fleet: &mut Fleet) -> Duration {
     let part = SHORTEST_BOOT + (LONGEST_BOOT - SHORTEST_BOOT) * fleet.rng.f64();
     Duration::from_secs_f64(cluster.experiment.workers.boot_s * part)
 }
 
 /// Creates a machine that comes up after a while: its name.
-pub fn create(cluster: &Arc<EmulatedCluster>, fleet: &mut Fleet, zone: &str, spot: bool, boot: Duration) -> String {
+pub(crate) fn create(
+    cluster: &Arc<EmulatedCluster>,
+    fleet: &mut Fleet,
+    zone: &str,
+    spot: bool,
+    boot: Duration,
+) -> String {
     let (number, name) = fleet.cloud.create(cluster.now(), MACHINE_TYPE, zone, spot);
     let Some(kind) = fleet.cloud.machine_type(MACHINE_TYPE).cloned() else {
         return name;
@@ -39,7 +45,7 @@
     let addr = cluster.addresses.machine(number);
     let worker = Worker::new(&name, &addr.to_string(), &kind, zone, spot);
     let (poke, poked) = async_channel::bounded(1);
-    let (alive, gone) = async_channel::bounded(1);
+    let (alive, terminated) = async_channel::bounded(1);
     fleet.workers.insert(name.clone(), worker);
     fleet.links.insert(name.clone(), Link { poke, _alive: alive });
     let machine = Machine {
@@ -49,17 +55,17 @@
     cluster
         .executor
         .spawn(async move {
-            let ends = gone.clone();
-            let life = machine.live(number, boot, poked, gone);
-            life.or(closed(ends)).await;
+            let ends = terminated.clone();
+            let run = machine.live(number, boot, poked, terminated);
+            run.or(closed(ends)).await;
         })
         .detach();
     name
 }
 
 /// Waits until the machine is gone.
-async fn closed(gone: Receiver<()>) {
-    while gone.recv().await.is_ok() {}
+async fn closed(terminated: Receiver<()>) {
+    while terminated.recv().await.is_ok() {}
 }
 
 /// One machine.
@@ -77,26 +83,26 @@
 }
 
 impl Machine {
-    async fn live(self, number: u64, boot: Duration, poked: Receiver<()>, gone: Receiver<()>) {
+    async fn live(self, number: u64, boot: Duration, poked: Receiver<()>, terminated: Receiver<()>) {
         Timer::after(boot).await;
         let listener = match server::listen(self.cluster.addresses.machine(number)) {
             Ok(listener) => listener,
             Err(error) => return self.cluster.stop(error),
         };
-        self.comes_up();
+        self.finish_boot();
         let (heartbeats, queue) = async_channel::bounded(1);
         let work = self.clone().work(heartbeats, poked);
         let heartbeat = self.clone().heartbeat(queue);
-        let direct = self.take_direct_commands(listener, gone);
+        let direct = self.take_direct_commands(listener, terminated);
         work.or(heartbeat).or(direct).await;
     }
 
-    fn comes_up(&self) {
+    fn finish_boot(&self) {
         let mut fleet = self.cluster.fleet();
         let node = fleet.rng.usize(0..self.cluster.nodes.len());
         let now = self.cluster.now();
         if let Some(worker) = fleet.workers.get_mut(&self.name) {
-            worker.boots(now, node);
+            worker.finish_boot(now, node);
         }
     }
 
@@ -161,16 +167,16 @@
         let mut connection: Option<(usize, Connection)> = None;
         while let Ok(outgoing) = queue.recv().await {
             let node = outgoing.node;
-            let kept = connection.take().filter(|(to, _)| *to == node).map(|(_, c)| c);
+            let reused = connection.take().filter(|(to, _)| *to == node).map(|(_, c)| c);
             let request = Request {
                 method: "POST".into(),
                 path: "/hello".into(),
                 body: to_cbor(&outgoing.heartbeat),
             };
             self.copy_later(node, &request);
-            let answered = within(ANSWER, self.exchange_report(kept, node, &request)).await;
-            let answer = answered.map(|(kept, response)| {
-                connection = kept.map(|c| (node, c));
+            let answered = within(ANSWER, self.exchange_report(reused, node, &request)).await;
+            let answer = answered.map(|(reused, response)| {
+                connection = reused.map(|c| (node, c));
                 response
             });
             self.answered(outgoing.rid, answer);
@@ -181,7 +187,7 @@
     /// back arrives later, though nobody waits for the answer any more.
     async fn exchange_report(
         &self,
-        kept: Option<Connection>,
+        reused: Option<Connection>,
         node: usize,
         request: &Request,
     ) -> Option<(Option<Connection>, Response)> {
@@ -197,13 +203,13 @@
             return std::future::pending().await;
         }
         faults.passes(&there, &self.name).await;
-        if faults.fate(&there, &self.name) == Fate::Reset {
+        if faults.delivery(&there, &self.name) == Delivery::Reset {
             return None;
         }
-        let answer = exchange(&self.cluster, kept, node, Side::Workers, request).await;
+        let answer = exchange(&self.cluster, reused, node, Side::Workers, request).await;
         faults.passes(&there.back(), &self.name).await;
-        match faults.fate(&there.back(), &self.name) {
-            Fate::Deliver => answer,
+        match faults.delivery(&there.back(), &self.name) {
+            Delivery::Deliver => answer,
             _ => None,
         }
     }
@@ -255,10 +261,10 @@
     }
 
     /// Takes commands sent straight to the machine.
-    async fn take_direct_commands(self, listener: Async<TcpListener>, gone: Receiver<()>) {
+    async fn take_direct_commands(self, listener: Async<TcpListener>, terminated: Receiver<()>) {
         while let Ok((stream, _)) = listener.accept().await {
             let connection = Connection::new(stream);
-            let serve = self.clone().serve_direct(connection).or(closed(gone.clone()));
+            let serve = self.clone().serve_direct(connection).or(closed(terminated.clone()));
             self.cluster.executor.spawn(serve).detach();
         }
     }
@@ -267,18 +273,20 @@
         let there = Route::between(Party::Direct, Party::Workers);
         while let Ok(Some(request)) = connection.read_request().await {
             self.cluster.faults.passes(&there, &self.name).await;
-            let fate = self.cluster.faults.fate(&there, &self.name);
-            match fate {
-                Fate::Reset | Fate::Refuse => return,
-                Fate::Late(after) => {
+            let delivery = self.cluster.faults.delivery(&there, &self.name);
+            match delivery {
+                Delivery::Reset | Delivery::Refuse => return,
+                Delivery::Late(after) => {
                     Timer::after(after).await;
                 }
-                Fate::Deliver | Fate::LoseAnswer => {}
+                Delivery::Deliver | Delivery::LoseAnswer => {}
             }
             self.goes_on().await;
             let Some(response) = self.direct(&request) else { return };
             self.cluster.faults.passes(&there.back(), &self.name).await;
-            if fate != Fate::Deliver || self.cluster.faults.fate(&there.back(), &self.name) != Fate::Deliver {
+            if delivery != Delivery::Deliver
+                || self.cluster.faults.delivery(&there.back(), &self.name) != Delivery::Deliver
+            {
                 return;
             }
             if connection.write_response(&response).await.is_err() {
@@ -361,7 +369,7 @@
 }
 
 /// Waits for something so long at most.
-pub async fn within<T>(limit: Duration, work: impl std::future::Future<Output = Option<T>>) -> Option<T> {
+pub(crate) async fn within<T>(limit: Duration, work: impl std::future::Future<Output = Option<T>>) -> Option<T> {
     let late = async {
         Timer::after(limit).await;
         None
@@ -371,20 +379,20 @@
 
 /// Makes a call to a controller, over this connection if there is one: the answer, and
 /// the connection if it can be used again.
-pub async fn exchange(
+pub(crate) async fn exchange(
     cluster: &EmulatedCluster,
-    kept: Option<Connection>,
+    reused: Option<Connection>,
     node: usize,
     side: Side,
     request: &Request,
 ) -> Option<(Option<Connection>, Response)> {
-    let mut connection = match kept {
+    let mut connection = match reused {
         Some(connection) => connection,
         None => Connection::open(cluster.addresses.public(node)).await.ok()?,
     };
     let answer = connection.call(request).await;
     cluster.nodes[node].count(side, connection.take_traffic());
     let response = answer.ok()?;
-    let kept = (!response.close).then_some(connection);
-    Some((kept, response))
+    let reused = (!response.close).then_some(connection);
+    Some((reused, response))
 }
--- a/crates/emulator/src/plots.rs
+++ b/crates/emulator/src/plots.rs
@@ -62,7 +62,7 @@
 }
 
 /// Draws all plots into a directory.
-pub fn draw(dir: &Path, samples: &[Sample], times: &BTreeMap<&'static str, Times>) -> Result<(), EmulatorError> {
+pub(crate) fn draw(dir: &Path, samples: &[Sample], times: &BTreeMap<&'static str, Times>) -> Result<(), EmulatorError> {
     let plot = |title, y, lines| Plot {
         title,
         x: "seconds",
--- a/crates/emulator/src/preflight.rs
+++ b/crates/emulator/src/preflight.rs
@@ -19,7 +19,7 @@
 const KB_A_MB: u64 = 1024;
 
 /// The memory that all processes together may take, in megabytes.
-pub fn memory_limit_mb() -> Result<u64, EmulatorError> {
+pub(crate) fn memory_limit_mb() -> Result<u64, EmulatorError> {
     let memory = procfs::Meminfo::current().map_err(|e| EmulatorError::Machine(e.to_string()))?;
     Ok(memory.mem_total / (KB_A_MB * KB_A_MB) / MEMORY_PART)
 }
@@ -32,7 +32,7 @@
 }
 
 /// Whether this machine can run the experiment, as far as that can be told before.
-pub fn check(experiment: &Experiment, program: &Path) -> Result<(), EmulatorError> {
+pub(crate) fn check(experiment: &Experiment, program: &Path) -> Result<(), EmulatorError> {
     if !program.is_file() {
         return Err(EmulatorError::NoProgram {
             path: program.to_path_buf(),
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -3,9 +3,9 @@
 use crate::cluster::EmulatedCluster;
 use crate::errors::EmulatorError;
 use crate::experiment::Experiment;
-use crate::injections::LostLeader;
 use crate::plots;
 use crate::samples::Sample;
+use crate::scheduled_failures::LostLeader;
 use crate::users;
 use glenhaven::protocol::users::Priority;
 use glenhaven_fakes::user::{job_of, User};
@@ -24,13 +24,13 @@
 
 /// A controller that ended by itself.
 #[derive(Clone, Debug, Serialize)]
-pub struct Ended {
+pub(crate) struct Ended {
     pub node: usize,
     pub at_s: f64,
 }
 
 /// What was seen while an experiment ran.
-pub struct Observed {
+pub(crate) struct Observed {
     pub samples: Vec<Sample>,
     pub ended: Vec<Ended>,
     /// Answers in the audit at the end; nothing if it took too long.
@@ -40,7 +40,7 @@
 
 /// A distribution of times, in milliseconds.
 #[derive(Clone, Debug, Serialize)]
-pub struct Times {
+pub(crate) struct Times {
     pub count: u64,
     pub p50_ms: f64,
     pub p90_ms: f64,
@@ -52,7 +52,7 @@
 
 /// What controllers in one role took.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Role {
+pub(crate) struct Role {
     pub samples: usize,
     pub cpu_mean: f64,
     pub cpu_max: f64,
@@ -67,7 +67,7 @@
 
 /// How jobs fared.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Jobs {
+pub(crate) struct Jobs {
     pub submitted: usize,
     pub accepted: usize,
     pub refused: usize,
@@ -79,7 +79,7 @@
 
 /// What an experiment has shown.
 #[derive(Clone, Debug, Serialize)]
-pub struct Report {
+pub(crate) struct Report {
     pub name: String,
     pub experiment: Experiment,
     pub seconds: f64,
@@ -110,7 +110,7 @@
 
 impl Report {
     /// Whether every rule held and every controller ran on.
-    pub fn holds(&self) -> bool {
+    pub(crate) fn holds(&self) -> bool {
         self.broken.is_empty()
             && self.problems.is_empty()
             && self.controllers_ended.is_empty()
@@ -120,7 +120,7 @@
     }
 
     /// The report in a few lines.
-    pub fn summary(&self) -> String {
+    pub(crate) fn summary(&self) -> String {
         let mut text = format!(
             "{}: {} in {:.0} s; {} starts, {:.1} a second; {} of {} jobs accepted, {} done\n",
             self.name,
@@ -238,7 +238,7 @@
 }
 
 /// Puts together what was seen.
-pub fn build(cluster: &EmulatedCluster, observed: &Observed) -> Report {
+pub(crate) fn build(cluster: &EmulatedCluster, observed: &Observed) -> Report {
     let silence = users::longest_silence(cluster);
     let fleet = cluster.fleet();
     let store = cluster.store();
@@ -290,7 +290,7 @@
 }
 
 /// Writes a report: `report.json`, `samples.csv` and plots.
-pub fn write(report: &Report, dir: &Path) -> Result<(), EmulatorError> {
+pub(crate) fn write(report: &Report, dir: &Path) -> Result<(), EmulatorError> {
     let write = |name: &str, text: String| {
         let path = dir.join(name);
         std::fs::write(&path, text).map_err(|source| EmulatorError::Unwritable { path, source })
--- a/crates/emulator/src/samples.rs
+++ b/crates/emulator/src/samples.rs
@@ -10,7 +10,7 @@
 
 /// One controller in one second.
 #[derive(Clone, Debug, serde::Serialize)]
-pub struct Sample {
+pub(crate) struct Sample {
     /// Seconds since the beginning.
     pub at_s: f64,
     pub node: usize,
@@ -48,7 +48,7 @@
 
 /// Looks at processes, and keeps what it has seen.
 #[derive(Default)]
-pub struct Sampler {
+pub(crate) struct Sampler {
     seen: BTreeMap<usize, Seen>,
     last: Option<(Instant, Counts)>,
     pub samples: Vec<Sample>,
@@ -80,7 +80,7 @@
 
 impl Sampler {
     /// Looks at all controllers; an error if all processes together take too much memory.
-    pub fn look(&mut self, cluster: &EmulatedCluster, limit_mb: u64) -> Result<Counts, EmulatorError> {
+    pub(crate) fn sample(&mut self, cluster: &EmulatedCluster, limit_mb: u64) -> Result<Counts, EmulatorError> {
         let now = Instant::now();
         let counts = cluster.fleet().counts();
         let starts = match self.last.replace((now, counts)) {
--- a/crates/emulator/src/scale.rs
+++ b/crates/emulator/src/scale.rs
@@ -4,10 +4,10 @@
 use crate::controllers::Controllers;
 use crate::errors::EmulatorError;
 use crate::experiment::{seconds, Experiment};
-use crate::injections::{inject, LostLeaders};
 use crate::load::{submit, Numbers};
 use crate::report::{self, Ended, Observed, Report};
 use crate::samples::Sampler;
+use crate::scheduled_failures::{inject, LostLeaders};
 use crate::{balancer, cloud_service, machines, preflight, server, state_service, users};
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
@@ -38,14 +38,14 @@
 const REPORTS: &str = "target/lab";
 
 /// Listeners of the state service and of the cloud, one for each controller.
-pub struct Services {
+pub(crate) struct Services {
     state: Vec<Async<TcpListener>>,
     cloud: Vec<Async<TcpListener>>,
 }
 
 impl Services {
     /// Listens for all controllers.
-    pub fn listen(experiment: &Experiment) -> Result<Services, EmulatorError> {
+    pub(crate) fn listen(experiment: &Experiment) -> Result<Services, EmulatorError> {
         let addresses = crate::cluster::Addresses::new(experiment.network);
         let nodes = 0..experiment.controllers.count;
         Ok(Services {
@@ -61,7 +61,7 @@
 }
 
 /// Kills the controllers when the experiment is left, in whatever way.
-pub struct EndChildren(pub Arc<EmulatedCluster>);
+pub(crate) struct EndChildren(pub Arc<EmulatedCluster>);
 
 impl Drop for EndChildren {
     fn drop(&mut self) {
@@ -70,7 +70,7 @@
 }
 
 /// Runs an experiment and writes its report.
-pub fn run(file: &Path, program: &Path, dir: Option<PathBuf>) -> Result<Report, EmulatorError> {
+pub(crate) fn run(file: &Path, program: &Path, dir: Option<PathBuf>) -> Result<Report, EmulatorError> {
     let experiment = Experiment::load(file)?;
     preflight::check(&experiment, program)?;
     let services = Services::listen(&experiment)?;
@@ -143,7 +143,10 @@
         cluster.executor.spawn(balancer::probe(cluster.clone(), node)).detach();
     }
     create_machines(&cluster);
-    cluster.executor.spawn(look_at_rules(cluster.clone())).detach();
+    cluster
+        .executor
+        .spawn(check_rules_periodically(cluster.clone()))
+        .detach();
     let numbers = Arc::new(Numbers::default());
     for load in cluster.experiment.load.clone() {
         cluster
@@ -173,7 +176,7 @@
 }
 
 /// Serves the state service and the cloud.
-pub fn serve(cluster: &Arc<EmulatedCluster>, services: Services) {
+pub(crate) fn serve(cluster: &Arc<EmulatedCluster>, services: Services) {
     for (node, listener) in services.state.into_iter().enumerate() {
         let serve = server::serve(cluster.clone(), listener, node, Side::State, state_service::handle);
         cluster.executor.spawn(serve).detach();
@@ -189,7 +192,7 @@
 }
 
 /// Creates the machines that are there from the beginning.
-pub fn create_machines(cluster: &Arc<EmulatedCluster>) {
+pub(crate) fn create_machines(cluster: &Arc<EmulatedCluster>) {
     let workers = &cluster.experiment.workers;
     let mut fleet = cluster.fleet();
     for number in 0..workers.count {
@@ -200,12 +203,12 @@
 }
 
 /// Looks at what holds at every moment, for ever.
-async fn look_at_rules(cluster: Arc<EmulatedCluster>) {
+async fn check_rules_periodically(cluster: Arc<EmulatedCluster>) {
     let pause = RULES + RULES_A_WORKER * cluster.experiment.workers.count as u32;
     loop {
         Timer::after(pause).await;
         let now = cluster.now();
-        cluster.fleet().look(now);
+        cluster.fleet().check_rules(now);
     }
 }
 
@@ -214,11 +217,11 @@
     let limit_mb = preflight::memory_limit_mb()?;
     let (began, ends) = (Instant::now(), Instant::now() + cluster.experiment.duration());
     let (mut sampler, mut ended) = (Sampler::default(), vec![]);
-    let mut looks = 0;
+    let mut samples = 0;
     let mut was_ready = false;
     while Instant::now() < ends {
         Timer::after(LOOK.min(ends.saturating_duration_since(Instant::now()))).await;
-        let counts = sampler.look(cluster, limit_mb)?;
+        let counts = sampler.sample(cluster, limit_mb)?;
         for node in cluster.processes().ended() {
             tracing::error!(node, "a controller ended by itself");
             ended.push(Ended {
@@ -233,8 +236,8 @@
                 logs: cluster.processes().dir().to_path_buf(),
             });
         }
-        looks += 1;
-        if looks % PROGRESS == 0 {
+        samples += 1;
+        if samples % PROGRESS == 0 {
             tracing::info!(
                 at_s = began.elapsed().as_secs(),
                 of_s = cluster.experiment.duration().as_secs(),
--- a/crates/emulator/src/injections.rs
+++ b/crates/emulator/src/scheduled_failures.rs
@@ -1,7 +1,7 @@
 //! What is done to machines and controllers at given moments.
 
 use crate::cluster::EmulatedCluster;
-use crate::experiment::{seconds, Injection, Trouble, Who};
+use crate::experiment::{seconds, Injection, InjectionKind, Who};
 use crate::machines;
 use async_io::Timer;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,11 +9,11 @@
 
 /// When leading controllers were killed, with the highest token that workers had seen.
 #[derive(Default)]
-pub struct LostLeaders(Mutex<Vec<LostLeader>>);
+pub(crate) struct LostLeaders(Mutex<Vec<LostLeader>>);
 
 /// The loss of a leading controller.
 #[derive(Clone, Copy, Debug)]
-pub struct LostLeader {
+pub(crate) struct LostLeader {
     pub at: u64,
     pub fence: u64,
 }
@@ -24,32 +24,32 @@
     }
 
     /// All of them.
-    pub fn all(&self) -> Vec<LostLeader> {
+    pub(crate) fn all(&self) -> Vec<LostLeader> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
 /// Does one thing when its time has come.
-pub async fn inject(cluster: Arc<EmulatedCluster>, injection: Injection, lost: Arc<LostLeaders>) {
+pub(crate) async fn inject(cluster: Arc<EmulatedCluster>, injection: Injection, lost: Arc<LostLeaders>) {
     let now = Duration::from_micros(cluster.now());
     Timer::after(seconds(injection.at_s).saturating_sub(now)).await;
     tracing::info!(what = ?injection.what, "injection");
     match injection.what {
-        Trouble::MachineDeaths { count } => die(&cluster, None, count, false),
-        Trouble::Replacements { count } => die(&cluster, None, count, true),
-        Trouble::Rack { zone, share } => {
+        InjectionKind::MachineDeaths { count } => die(&cluster, None, count, false),
+        InjectionKind::Replacements { count } => die(&cluster, None, count, true),
+        InjectionKind::Rack { zone, share } => {
             let all = cluster.fleet().up(Some(&zone)).len();
             die(&cluster, Some(&zone), (all as f64 * share).round() as usize, false);
         }
-        Trouble::Zone { zone, lasts_s } => zone_out(&cluster, &zone, seconds(lasts_s), &lost).await,
-        Trouble::ControllerKill { who, lasts_s } => {
+        InjectionKind::Zone { zone, lasts_s } => zone_out(&cluster, &zone, seconds(lasts_s), &lost).await,
+        InjectionKind::ControllerKill { who, lasts_s } => {
             if let Some(node) = choose(&cluster, who) {
                 kill(&cluster, node, &lost);
                 Timer::after(seconds(lasts_s)).await;
                 start(&cluster, node);
             }
         }
-        Trouble::ControllerRoll { pause_s } => {
+        InjectionKind::ControllerRoll { pause_s } => {
             for node in 0..cluster.nodes.len() {
                 kill(&cluster, node, &lost);
                 start(&cluster, node);
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::{EmulatedCluster, Side};
 use crate::errors::EmulatorError;
-use crate::faults::{Fate, Party, Route};
+use crate::faults::{Delivery, Party, Route};
 use async_io::{Async, Timer};
 use glenhaven_fakes::http::{Connection, Request, Response};
 use glenhaven_fakes::wire::refusal;
@@ -15,7 +15,7 @@
 const SILENCE: Duration = Duration::from_secs(8);
 
 /// Listens on an address.
-pub fn listen(addr: SocketAddr) -> Result<Async<TcpListener>, EmulatorError> {
+pub(crate) fn listen(addr: SocketAddr) -> Result<Async<TcpListener>, EmulatorError> {
     Async::<TcpListener>::bind(addr).map_err(|source| match source.kind() {
         std::io::ErrorKind::AddrInUse => EmulatorError::PortInUse { addr },
         _ => EmulatorError::Listen { addr, source },
@@ -24,7 +24,7 @@
 
 /// Serves a controller on a listener of its own until the program ends; a handler that
 /// gives no answer closes the connection.
-pub async fn serve<H, F>(
+pub(crate) async fn serve<H, F>(
     cluster: Arc<EmulatedCluster>,
     listener: Async<TcpListener>,
     node: usize,
@@ -57,24 +57,24 @@
     let there = Route::between(Party::Node(node), service);
     while let Ok(Some(request)) = connection.read_request().await {
         cluster.faults.passes(&there, "").await;
-        let fate = cluster.faults.fate(&there, "");
-        let response = match fate {
-            Fate::Reset => return,
-            Fate::Refuse => Some(refusal()),
-            Fate::Late(after) => {
+        let delivery = cluster.faults.delivery(&there, "");
+        let response = match delivery {
+            Delivery::Reset => return,
+            Delivery::Refuse => Some(refusal()),
+            Delivery::Late(after) => {
                 Timer::after(after).await;
                 handler(cluster.clone(), node, request).await;
                 return;
             }
-            Fate::Deliver | Fate::LoseAnswer => handler(cluster.clone(), node, request).await,
+            Delivery::Deliver | Delivery::LoseAnswer => handler(cluster.clone(), node, request).await,
         };
         let Some(response) = response else { return };
-        if fate == Fate::LoseAnswer {
+        if delivery == Delivery::LoseAnswer {
             Timer::after(SILENCE).await;
             return;
         }
         cluster.faults.passes(&there.back(), "").await;
-        if cluster.faults.fate(&there.back(), "") == Fate::Reset {
+        if cluster.faults.delivery(&there.back(), "") == Delivery::Reset {
             return;
         }
         let written = connection.write_response(&response).await;
--- a/crates/emulator/src/soak/child.rs
+++ b/crates/emulator/src/soak/child.rs
@@ -16,7 +16,12 @@
 const INTERRUPTED: i32 = 130;
 
 /// Plays the plan in a directory: its outcome.
-pub fn play(args: &SoakArgs, program: &Path, dir: &Path, interrupted: &AtomicBool) -> Result<Outcome, EmulatorError> {
+pub(super) fn play(
+    args: &SoakArgs,
+    program: &Path,
+    dir: &Path,
+    interrupted: &AtomicBool,
+) -> Result<Outcome, EmulatorError> {
     let itself = std::env::current_exe().map_err(|e| EmulatorError::Machine(e.to_string()))?;
     let mut command = Command::new(&itself);
     command.arg("soak").arg("--plan").arg(dir.join("plan.toml"));
@@ -39,15 +44,15 @@
 /// Waits for a child, and passes an interrupt on.
 fn wait(mut child: Child, interrupted: &AtomicBool) -> Result<ExitStatus, EmulatorError> {
     let failed = |e: std::io::Error| EmulatorError::Machine(e.to_string());
-    let mut told: Option<Instant> = None;
+    let mut interrupt_sent_at: Option<Instant> = None;
     loop {
         if let Some(status) = child.try_wait().map_err(failed)? {
             return Ok(status);
         }
         if interrupted.load(Ordering::Relaxed) {
-            match told {
+            match interrupt_sent_at {
                 None => {
-                    told = Some(Instant::now());
+                    interrupt_sent_at = Some(Instant::now());
                     if let Some(pid) = Pid::from_raw(child.id() as i32) {
                         kill_process(pid, Signal::INT).ok();
                     }
--- a/crates/emulator/src/soak/draw.rs
+++ b/crates/emulator/src/soak/draw.rs
@@ -1,6 +1,6 @@
 //! Draws the plan of a seed. The same seed gives the same plan on every machine.
 
-use super::plan::{Plan, PlannedTrouble, Trouble, Users};
+use super::plan::{Fault, Plan, PlannedFault, Users};
 use crate::experiment::{Controllers, Experiment, Load, Services, Teams, Workers};
 use crate::faults::{LinkFault, Party, Route};
 use fastrand::Rng;
@@ -11,7 +11,7 @@
 /// One seed in so many stays calm for long enough to tell whether anything is left waiting.
 const LONG_CALM_EVERY: u64 = 10;
 const CALM_S: f64 = 20.0;
-pub const LONG_CALM_S: f64 = 110.0;
+pub(super) const LONG_CALM_S: f64 = 110.0;
 const CORES: f64 = 16.0;
 const GPUS: f64 = 4.0;
 /// A service of four replicas with two cores each, and some other work, fit into a limit.
@@ -19,22 +19,22 @@
 /// Troubles begin after this.
 const SETTLED_S: f64 = 6.0;
 /// A trouble follows the one before it after so long, on average.
-const TROUBLE_EVERY_S: f64 = 3.5;
+const FAULT_EVERY_S: f64 = 3.5;
 /// Starts a second that the load asks for on each ten machines.
 const STARTS_ON_TEN: f64 = 2.5;
 
 /// Sizes that are not left to the seed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Fixed {
+pub(super) struct Fixed {
     pub duration_s: f64,
     pub workers: Option<usize>,
 }
 
 /// The plan of a seed.
-pub fn draw(seed: u64, fixed: Fixed, network: u8) -> Plan {
+pub(super) fn draw(seed: u64, fixed: Fixed, network: u8) -> Plan {
     let mut rng = Rng::with_seed(seed);
     let experiment = draw_experiment(seed, fixed, network, &mut rng);
-    let troubles = draw_troubles(&experiment, &mut rng);
+    let faults = draw_faults(&experiment, &mut rng);
     Plan {
         calm_s: if seed % LONG_CALM_EVERY == 5 {
             LONG_CALM_S
@@ -46,7 +46,7 @@
             cancelled_at_end: rng.f64(),
         },
         experiment,
-        troubles,
+        faults,
     }
 }
 
@@ -160,54 +160,54 @@
     }
 }
 
-fn draw_troubles(experiment: &Experiment, rng: &mut Rng) -> Vec<PlannedTrouble> {
-    let mut troubles = vec![];
+fn draw_faults(experiment: &Experiment, rng: &mut Rng) -> Vec<PlannedFault> {
+    let mut faults = vec![];
     let mut at_s = SETTLED_S;
     loop {
-        at_s += range(rng, 0.2, 2.0 * TROUBLE_EVERY_S);
+        at_s += range(rng, 0.2, 2.0 * FAULT_EVERY_S);
         if at_s >= experiment.duration_s {
-            return troubles;
+            return faults;
         }
         let lease_s = experiment.workers.lease_s;
         let long = rng.u8(0..4) == 0;
         let most_s = if long { lease_s * 1.4 } else { lease_s * 0.5 };
-        troubles.push(draw_planned(experiment, at_s, most_s, rng));
+        faults.push(draw_planned(experiment, at_s, most_s, rng));
         // Some meet another one at the same moment.
         if rng.u8(0..3) == 0 {
-            troubles.push(draw_planned(experiment, at_s, lease_s, rng));
+            faults.push(draw_planned(experiment, at_s, lease_s, rng));
         }
     }
 }
 
 /// A trouble that begins at this time and lasts so long at most.
-fn draw_planned(experiment: &Experiment, at_s: f64, most_s: f64, rng: &mut Rng) -> PlannedTrouble {
-    PlannedTrouble {
+fn draw_planned(experiment: &Experiment, at_s: f64, most_s: f64, rng: &mut Rng) -> PlannedFault {
+    PlannedFault {
         at_s: (at_s * 100.0).round() / 100.0,
         for_s: range(rng, 0.05, most_s),
-        trouble: draw_trouble(experiment, rng),
+        fault: draw_plan_fault(experiment, rng),
     }
 }
 
-fn draw_trouble(experiment: &Experiment, rng: &mut Rng) -> Trouble {
+fn draw_plan_fault(experiment: &Experiment, rng: &mut Rng) -> Fault {
     let workers = experiment.workers.count;
     let some = |rng: &mut Rng| rng.usize(1..=(workers / 10).max(2));
     match rng.u8(0..16) {
-        0 | 1 => Trouble::Kill {
+        0 | 1 => Fault::Kill {
             who: draw_node(experiment, rng),
         },
-        2 => Trouble::KillLeaders {
+        2 => Fault::KillLeaders {
             every_s: range(rng, 0.2, 3.5),
             down_s: range(rng, 0.05, 2.0),
         },
-        3 | 4 => Trouble::Pause {
+        3 | 4 => Fault::Pause {
             who: draw_node(experiment, rng),
         },
-        5 => Trouble::Outage,
-        6 => Trouble::Hang { count: some(rng) },
-        7 => Trouble::MachineDeaths {
+        5 => Fault::Outage,
+        6 => Fault::Hang { count: some(rng) },
+        7 => Fault::MachineDeaths {
             count: rng.usize(1..=2),
         },
-        8 => Trouble::Cancel {
+        8 => Fault::Cancel {
             count: rng.usize(3..=20),
         },
         _ => draw_link(experiment, rng),
@@ -222,7 +222,7 @@
     }
 }
 
-fn draw_link(experiment: &Experiment, rng: &mut Rng) -> Trouble {
+fn draw_link(experiment: &Experiment, rng: &mut Rng) -> Fault {
     let node = draw_node(experiment, rng);
     let other = Party::Node(rng.usize(0..experiment.controllers.count));
     let there = match rng.u8(0..9) {
@@ -240,7 +240,7 @@
             fault,
             LinkFault::Cut | LinkFault::Slow { .. } | LinkFault::Resets { .. }
         );
-    Trouble::Link {
+    Fault::Link {
         route: if backwards { there.back() } else { there },
         hosts: range(rng, 0.1, 1.0),
         fault,
--- a/crates/emulator/src/soak/troubles.rs
+++ b/crates/emulator/src/soak/inject.rs
@@ -1,6 +1,6 @@
 //! Lets troubles happen when their time has come.
 
-use super::plan::{PlannedTrouble, Trouble};
+use super::plan::{Fault, PlannedFault};
 use crate::cluster::EmulatedCluster;
 use crate::experiment::seconds;
 use crate::faults::{Party, Route};
@@ -12,21 +12,21 @@
 const LOOK: Duration = Duration::from_millis(20);
 
 /// Lets one trouble happen, and ends it.
-pub async fn happen(cluster: Arc<EmulatedCluster>, planned: PlannedTrouble) {
+pub(super) async fn inject(cluster: Arc<EmulatedCluster>, planned: PlannedFault) {
     let now = Duration::from_micros(cluster.now());
     Timer::after(seconds(planned.at_s).saturating_sub(now)).await;
     cluster.note(|| format!("TROUBLE {planned:?}"));
     let lasts = seconds(planned.for_s);
-    match planned.trouble {
-        Trouble::Kill { who } => {
+    match planned.fault {
+        Fault::Kill { who } => {
             if let Some(node) = resolve(&cluster, who) {
                 kill(&cluster, node, lasts).await;
             }
         }
-        Trouble::KillLeaders { every_s, down_s } => {
+        Fault::KillLeaders { every_s, down_s } => {
             kill_leaders(&cluster, seconds(every_s), seconds(down_s), lasts).await
         }
-        Trouble::Pause { who } => {
+        Fault::Pause { who } => {
             if let Some(node) = resolve(&cluster, who) {
                 cluster.processes().pause(node, true);
                 cluster.note(|| format!("node-{node} stands still"));
@@ -35,27 +35,27 @@
                 cluster.note(|| format!("node-{node} goes on"));
             }
         }
-        Trouble::Link { route, hosts, fault } => {
+        Fault::Link { route, hosts, fault } => {
             if let (Some(from), Some(to)) = (party(&cluster, route.from), party(&cluster, route.to)) {
                 cluster.faults.begin(Route::between(from, to), hosts, fault, lasts);
             }
         }
-        Trouble::Outage => {
+        Fault::Outage => {
             let now = cluster.now();
             cluster.store().outage(true, now);
             Timer::after(lasts).await;
             let now = cluster.now();
             cluster.store().outage(false, now);
         }
-        Trouble::Hang { count } => hang(&cluster, count, lasts),
-        Trouble::MachineDeaths { count } => {
+        Fault::Hang { count } => hang(&cluster, count, lasts),
+        Fault::MachineDeaths { count } => {
             let mut fleet = cluster.fleet();
             let now = cluster.now();
             for name in fleet.up(None).into_iter().take(count) {
                 fleet.machine_dies(now, &name);
             }
         }
-        Trouble::Cancel { count } => cancel(&cluster, count),
+        Fault::Cancel { count } => cancel(&cluster, count),
     }
 }
 
--- a/crates/emulator/src/soak/mod.rs
+++ b/crates/emulator/src/soak/mod.rs
@@ -2,11 +2,11 @@
 
 mod child;
 mod draw;
+mod inject;
 mod outcome;
 mod plan;
 mod run;
-pub mod stranded;
-mod troubles;
+pub(crate) mod stranded;
 mod users;
 
 use crate::errors::EmulatorError;
@@ -26,7 +26,7 @@
 
 /// What is played.
 #[derive(Args)]
-pub struct SoakArgs {
+pub(crate) struct SoakArgs {
     /// Seeds, from the first up to and without the last.
     #[arg(long, value_name = "A..B", value_parser = seeds, default_value = "1..2", conflicts_with = "plan")]
     seeds: Seeds,
@@ -61,7 +61,7 @@
 
 /// A range of seeds.
 #[derive(Clone, Debug)]
-pub struct Seeds(std::ops::Range<u64>);
+pub(crate) struct Seeds(std::ops::Range<u64>);
 
 fn seeds(text: &str) -> Result<Seeds, String> {
     let (from, to) = text.split_once("..").ok_or("not like 1..50")?;
@@ -74,7 +74,7 @@
 }
 
 /// Plays all that was asked for: the outcomes, one for each plan.
-pub fn run(args: &SoakArgs) -> Result<Vec<Outcome>, EmulatorError> {
+pub(crate) fn run(args: &SoakArgs) -> Result<Vec<Outcome>, EmulatorError> {
     if args.dry_run {
         return print_plans(args);
     }
--- a/crates/emulator/src/soak/outcome.rs
+++ b/crates/emulator/src/soak/outcome.rs
@@ -8,11 +8,12 @@
 
 /// What came of one plan.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Outcome {
+pub(crate) struct Outcome {
     pub seed: u64,
     pub workers: usize,
     pub controllers: usize,
-    pub troubles: usize,
+    #[serde(rename = "troubles")]
+    pub faults: usize,
     /// Rules of the protocol, and invariants beyond them, that were broken.
     pub broken: Vec<String>,
     /// What should never have been asked of the state service or the cloud.
@@ -21,14 +22,16 @@
     pub errors: Vec<String>,
     pub ended_by_themselves: Vec<usize>,
     /// Accepted jobs for which some controller did not answer within 75 s after the troubles.
-    pub unknown_after_troubles: Vec<String>,
+    #[serde(rename = "unknown_after_troubles")]
+    pub unknown_after_faults: Vec<String>,
     /// Jobs left waiting beside room for a machine; not looked at unless it was calm for long.
     pub stranded: Option<Vec<String>>,
     pub starts: u64,
     pub jobs: usize,
     pub accepted: usize,
     pub terms: u64,
-    pub lives: usize,
+    #[serde(rename = "lives")]
+    pub process_starts: usize,
     /// The part of the machines' time that was lost to leases.
     pub lease_kills: usize,
     pub starts_after_cancellation: u64,
@@ -38,27 +41,27 @@
 
 impl Outcome {
     /// Whether nothing was broken.
-    pub fn holds(&self) -> bool {
+    pub(crate) fn holds(&self) -> bool {
         self.broken.is_empty()
             && self.problems.is_empty()
             && self.errors.is_empty()
             && self.ended_by_themselves.is_empty()
-            && self.unknown_after_troubles.is_empty()
+            && self.unknown_after_faults.is_empty()
             && self.stranded.iter().flatten().next().is_none()
             && self.starts > 0
     }
 
     /// The outcome in one line.
-    pub fn line(&self) -> String {
+    pub(crate) fn line(&self) -> String {
         format!(
-            "seed {}: {}; {} controllers, {} workers, {} troubles, {} terms, {} lives; {} starts, {} of {} jobs accepted; {} killed by a lease; emulator behind {} ms",
+            "seed {}: {}; {} controllers, {} workers, {} faults, {} terms, {} process starts; {} starts, {} of {} jobs accepted; {} killed by a lease; emulator behind {} ms",
             self.seed,
             if self.holds() { "holds" } else { "FAILED" },
             self.controllers,
             self.workers,
-            self.troubles,
+            self.faults,
             self.terms,
-            self.lives,
+            self.process_starts,
             self.starts,
             self.accepted,
             self.jobs,
@@ -68,7 +71,7 @@
     }
 
     /// What was broken, a line each.
-    pub fn complaints(&self) -> Vec<String> {
+    pub(crate) fn complaints(&self) -> Vec<String> {
         let mut complaints = self.broken.clone();
         complaints.extend(self.problems.iter().map(|p| format!("problem: {p}")));
         complaints.extend(self.errors.iter().map(|e| format!("error line: {e}")));
@@ -78,9 +81,9 @@
                 .map(|n| format!("node-{n} ended by itself")),
         );
         complaints.extend(
-            self.unknown_after_troubles
+            self.unknown_after_faults
                 .iter()
-                .map(|job| format!("not known after the troubles: {job}")),
+                .map(|job| format!("not known after the faults: {job}")),
         );
         complaints.extend(self.stranded.iter().flatten().map(|job| format!("left waiting: {job}")));
         if self.starts == 0 {
@@ -91,7 +94,7 @@
 }
 
 /// Error lines in the controllers' logs.
-pub fn error_lines(dir: &Path) -> Vec<String> {
+pub(super) fn error_lines(dir: &Path) -> Vec<String> {
     let mut found = vec![];
     for entry in std::fs::read_dir(dir).into_iter().flatten().flatten() {
         let path = entry.path();
--- a/crates/emulator/src/soak/plan.rs
+++ b/crates/emulator/src/soak/plan.rs
@@ -9,20 +9,20 @@
 /// A plan, as it is written and read (TOML).
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Plan {
+pub(super) struct Plan {
     /// How long everything goes on without troubles before the last questions.
     pub calm_s: f64,
     /// How users behave beside what the loads say.
     pub users: Users,
     pub experiment: Experiment,
-    #[serde(default)]
-    pub troubles: Vec<PlannedTrouble>,
+    #[serde(rename = "troubles", default)]
+    pub faults: Vec<PlannedFault>,
 }
 
 /// How users behave.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Users {
+pub(super) struct Users {
     /// This share asks all controllers, and repeats the submission, within milliseconds after
     /// an acceptance, an end or a cancellation.
     pub close_questions: f64,
@@ -32,17 +32,17 @@
 
 /// A trouble with its time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct PlannedTrouble {
+pub(super) struct PlannedFault {
     pub at_s: f64,
     pub for_s: f64,
     #[serde(flatten)]
-    pub trouble: Trouble,
+    pub fault: Fault,
 }
 
 /// What goes wrong.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum Trouble {
+pub(super) enum Fault {
     /// A controller is killed; it is started again at the end of the trouble.
     Kill { who: Party },
     /// Leader after leader is killed; each is started again after a while.
@@ -63,24 +63,24 @@
 
 impl Plan {
     /// Reads and checks a plan.
-    pub fn load(path: &Path) -> Result<Plan, EmulatorError> {
+    pub(super) fn load(path: &Path) -> Result<Plan, EmulatorError> {
         let plan: Plan = read_toml(path)?;
         plan.check().map_err(|message| wrong(path, message))?;
         Ok(plan)
     }
 
     /// Whether the numbers make sense together.
-    pub fn check(&self) -> Result<(), String> {
+    pub(super) fn check(&self) -> Result<(), String> {
         self.experiment.check()?;
         if !(self.calm_s.is_finite() && self.calm_s >= 0.0) {
             return Err(format!("calm_s: {} is not a time", self.calm_s));
         }
         let nodes = self.experiment.controllers.count;
         let known = |party: &Party| !matches!(party, Party::Node(n) if *n >= nodes);
-        for planned in &self.troubles {
-            let parties = match &planned.trouble {
-                Trouble::Kill { who } | Trouble::Pause { who } => vec![*who],
-                Trouble::Link { route, .. } => vec![route.from, route.to],
+        for planned in &self.faults {
+            let parties = match &planned.fault {
+                Fault::Kill { who } | Fault::Pause { who } => vec![*who],
+                Fault::Link { route, .. } => vec![route.from, route.to],
                 _ => vec![],
             };
             if let Some(party) = parties.iter().find(|party| !known(party)) {
@@ -95,7 +95,7 @@
     }
 
     /// The plan as it is written.
-    pub fn text(&self) -> Result<String, EmulatorError> {
+    pub(super) fn text(&self) -> Result<String, EmulatorError> {
         toml::to_string(self).map_err(|e| EmulatorError::Machine(e.to_string()))
     }
 }
--- a/crates/emulator/src/soak/run.rs
+++ b/crates/emulator/src/soak/run.rs
@@ -1,9 +1,9 @@
 //! Plays one plan from its beginning to its outcome.
 
 use super::draw;
+use super::inject::inject;
 use super::outcome::{error_lines, Outcome};
 use super::plan::Plan;
-use super::troubles::happen;
 use super::users::{ask, live, Cancels};
 use crate::cluster::EmulatedCluster;
 use crate::controllers::Controllers;
@@ -35,7 +35,7 @@
 const CANCELS_WITHIN_S: f64 = 8.0;
 
 /// Plays a plan; its files go into a directory. `interrupted` ends it.
-pub fn run(
+pub(super) fn run(
     plan: &Plan,
     program: &Path,
     dir: &Path,
@@ -68,7 +68,7 @@
 }
 
 /// Writes a file.
-pub fn write(path: &Path, text: &str) -> Result<(), EmulatorError> {
+pub(super) fn write(path: &Path, text: &str) -> Result<(), EmulatorError> {
     std::fs::write(path, text).map_err(|source| EmulatorError::Unwritable {
         path: path.to_path_buf(),
         source,
@@ -103,21 +103,21 @@
             .spawn(submit(cluster.clone(), load, numbers.clone(), plan.users))
             .detach();
     }
-    let troubles: Vec<_> = plan
-        .troubles
+    let faults: Vec<_> = plan
+        .faults
         .iter()
-        .map(|planned| cluster.executor.spawn(happen(cluster.clone(), planned.clone())))
+        .map(|planned| cluster.executor.spawn(inject(cluster.clone(), planned.clone())))
         .collect();
     let mut ended = watch(&cluster, seconds(plan.experiment.duration_s)).await;
-    cluster.note(|| "the last trouble has begun".into());
-    for trouble in troubles {
-        trouble.await;
+    cluster.note(|| "the last fault has begun".into());
+    for fault in faults {
+        fault.await;
     }
     cluster.faults.end();
     let calm_since = cluster.now();
-    cluster.note(|| "all troubles are over".into());
-    let stranding = cluster.executor.spawn(look_for_stranded(cluster.clone()));
-    let unknown_after_troubles = audit(&cluster).await;
+    cluster.note(|| "all faults are over".into());
+    let stranding = cluster.executor.spawn(check_stranded_periodically(cluster.clone()));
+    let unknown_after_faults = audit(&cluster).await;
     let audited = Duration::from_micros(cluster.now() - calm_since);
     ended.extend(watch(&cluster, seconds(plan.calm_s).saturating_sub(audited)).await);
     drop(stranding);
@@ -128,7 +128,7 @@
         &plan,
         ended,
         stranded,
-        unknown_after_troubles,
+        unknown_after_faults,
         behind.load(Ordering::Relaxed),
     ))
 }
@@ -138,10 +138,10 @@
     plan: &Plan,
     ended_by_themselves: Vec<usize>,
     stranded: Option<Vec<String>>,
-    unknown_after_troubles: Vec<String>,
+    unknown_after_faults: Vec<String>,
     emulator_behind_ms: u64,
 ) -> Outcome {
-    let (terms, lives) = (cluster.store().term(), cluster.processes().lives);
+    let (terms, process_starts) = (cluster.store().term(), cluster.processes().process_starts);
     let mut problems = cluster.store().problems.clone();
     let fleet = cluster.fleet();
     problems.extend(fleet.cloud.problems.iter().cloned());
@@ -149,18 +149,18 @@
         seed: plan.experiment.seed,
         workers: plan.experiment.workers.count,
         controllers: plan.experiment.controllers.count,
-        troubles: plan.troubles.len(),
+        faults: plan.faults.len(),
         broken: fleet.rules.broken.clone(),
         problems,
         errors: vec![],
         ended_by_themselves,
-        unknown_after_troubles,
+        unknown_after_faults,
         stranded,
         starts: fleet.rules.starts,
         jobs: fleet.users.len(),
         accepted: fleet.users.values().filter(|user| user.accepted.is_some()).count(),
         terms,
-        lives,
+        process_starts,
         lease_kills: fleet.rules.lease_kills,
         starts_after_cancellation: fleet.rules.starts_after_cancellation,
         emulator_behind_ms,
@@ -184,20 +184,20 @@
     while Instant::now() < ends {
         Timer::after(LOOK).await;
         let now = cluster.now();
-        cluster.fleet().look(now);
+        cluster.fleet().check_rules(now);
         ended.extend(cluster.processes().ended());
     }
     ended
 }
 
 /// Looks once a second for jobs that are left waiting, for ever.
-async fn look_for_stranded(cluster: Arc<EmulatedCluster>) {
+async fn check_stranded_periodically(cluster: Arc<EmulatedCluster>) {
     loop {
         Timer::after(ONCE_A_SECOND).await;
         let now = cluster.now();
         let mut fleet = cluster.fleet();
         let mut stranded = std::mem::take(&mut fleet.stranded);
-        stranded.look(now, &fleet);
+        stranded.check(now, &fleet);
         fleet.stranded = stranded;
     }
 }
--- a/crates/emulator/src/soak/stranded.rs
+++ b/crates/emulator/src/soak/stranded.rs
@@ -11,14 +11,14 @@
 
 /// Since when jobs have waited like this, and those that did for too long.
 #[derive(Default)]
-pub struct Stranded {
+pub(crate) struct Stranded {
     since: BTreeMap<String, u64>,
     found: BTreeSet<String>,
 }
 
 impl Stranded {
     /// Looks at all jobs; to be called about once a second.
-    pub fn look(&mut self, now: u64, fleet: &Fleet) {
+    pub(crate) fn check(&mut self, now: u64, fleet: &Fleet) {
         let waiting = could_begin(fleet);
         self.since.retain(|job, _| waiting.contains(job));
         for job in waiting {
@@ -30,7 +30,7 @@
     }
 
     /// Jobs that waited for too long.
-    pub fn found(self) -> Vec<String> {
+    pub(crate) fn found(self) -> Vec<String> {
         self.found.into_iter().collect()
     }
 }
@@ -43,15 +43,15 @@
         let over = user.done.is_some() || user.cancelled.is_some() || user.wants_abort;
         user.accepted.is_some() && !over && !live.contains(user.spec.id.as_str())
     };
-    let has_room = |user: &&User| {
+    let has_capacity = |user: &&User| {
         let in_zone = |zone: &String| user.spec.zone.as_ref().is_none_or(|only| only == zone);
         let mut machines = fleet
             .workers
             .values()
             .filter(|worker| worker.up && in_zone(&worker.zone));
-        let fits = machines.any(|worker| worker.has_room(&user.spec, &fleet.users));
-        fits && fleet.rules.has_room(&user.spec, &fleet.workers, &fleet.users)
+        let fits = machines.any(|worker| worker.has_capacity(&user.spec, &fleet.users));
+        fits && fleet.rules.has_capacity(&user.spec, &fleet.workers, &fleet.users)
     };
-    let waiting = fleet.users.values().filter(open).filter(has_room);
+    let waiting = fleet.users.values().filter(open).filter(has_capacity);
     waiting.map(|user| user.spec.id.clone()).collect()
 }
--- a/crates/emulator/src/soak/users.rs
+++ b/crates/emulator/src/soak/users.rs
@@ -4,13 +4,13 @@
 
 use super::plan;
 use crate::cluster::{EmulatedCluster, Side};
-use crate::faults::{Fate, Party, Route};
+use crate::faults::{Delivery, Party, Route};
 use crate::machines::{exchange, within};
 use crate::users::request;
 use async_io::Timer;
 use glenhaven::protocol::from_cbor;
 use glenhaven::protocol::users::{JobState, Phase};
-use glenhaven_fakes::answer_check::{Held, Judged};
+use glenhaven_fakes::answer_check::{CheckedAnswer, StoredJob};
 use glenhaven_fakes::http::Response;
 use glenhaven_fakes::user::{Asked, User};
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 
 /// When a user cancels its job.
 #[derive(Clone, Copy, Debug)]
-pub enum Cancels {
+pub(super) enum Cancels {
     Never,
     /// So long after its submission.
     After(Duration),
@@ -33,7 +33,7 @@
 }
 
 /// Lives the life of a user, until its job is over or the experiment is.
-pub async fn live(cluster: Arc<EmulatedCluster>, user: User, cancels: Cancels, users: plan::Users) {
+pub(super) async fn live(cluster: Arc<EmulatedCluster>, user: User, cancels: Cancels, users: plan::Users) {
     let job = user.spec.id.clone();
     let run = Duration::from_micros(user.run);
     cluster.fleet().users.insert(job.clone(), user);
@@ -112,14 +112,14 @@
 }
 
 /// One question with its answer: the phase that it says.
-pub async fn ask(cluster: &Arc<EmulatedCluster>, job: &str, node: usize, asked: Asked) -> Option<Phase> {
+pub(super) async fn ask(cluster: &Arc<EmulatedCluster>, job: &str, node: usize, asked: Asked) -> Option<Phase> {
     let spec = cluster.fleet().users.get(job)?.spec.clone();
-    let before = Held::of(&cluster.store(), job);
+    let before = StoredJob::of(&cluster.store(), job);
     let request = request(asked, &spec);
     let there = Route::between(Party::Users, Party::Node(node));
     let exchange = async {
         cluster.faults.passes(&there, "").await;
-        if cluster.faults.fate(&there, "") != Fate::Deliver {
+        if cluster.faults.delivery(&there, "") != Delivery::Deliver {
             return None;
         }
         let answer = exchange(cluster, None, node, Side::Users, &request).await;
@@ -136,16 +136,16 @@
     cluster: &EmulatedCluster,
     job: &str,
     asked: Asked,
-    before: Held,
+    before: StoredJob,
     response: &Response,
     node: usize,
 ) -> Option<Phase> {
-    let after = Held::of(&cluster.store(), job);
+    let after = StoredJob::of(&cluster.store(), job);
     let mut fleet = cluster.fleet();
     let fleet = &mut *fleet;
     let now = cluster.now();
     let user = fleet.users.get_mut(job)?;
-    let judged = Judged {
+    let checked = CheckedAnswer {
         user,
         asked,
         before,
@@ -154,14 +154,14 @@
         body: &response.body,
         results: &fleet.results,
     };
-    if let Some(problem) = judged.problem() {
+    if let Some(problem) = checked.problem() {
         fleet.rules.broken.push(format!("{problem}, by node-{node} at {now}"));
     }
     if !matches!(response.status, 200 | 201) {
         return None;
     }
     let phase = from_cbor::<JobState>(&response.body).ok()?.phase;
-    user.told(now, now, phase);
+    user.record_answer(now, now, phase);
     fleet
         .history
         .note(now, || format!("{job}: {asked:?} at node-{node} answered {phase:?}"));
--- a/crates/emulator/src/state_service.rs
+++ b/crates/emulator/src/state_service.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// Rows in one page of a list.
-pub const PAGE: usize = 1000;
+pub(crate) const PAGE: usize = 1000;
 /// Changes that watches can go back to.
 const KEPT_CHANGES: usize = 10_000;
 /// The longest time that a watch waits.
@@ -19,7 +19,7 @@
 const EXPIRY: Duration = Duration::from_millis(50);
 
 /// Answers one request.
-pub async fn handle(cluster: Arc<EmulatedCluster>, _node: usize, request: Request) -> Option<Response> {
+pub(crate) async fn handle(cluster: Arc<EmulatedCluster>, _node: usize, request: Request) -> Option<Response> {
     let Some(request) = wire::state_request(&request) else {
         return Some(wire::malformed());
     };
@@ -78,7 +78,7 @@
 }
 
 /// Ends leases whose time is over, for ever.
-pub async fn expire_leases(cluster: Arc<EmulatedCluster>) {
+pub(crate) async fn expire_leases(cluster: Arc<EmulatedCluster>) {
     loop {
         Timer::after(EXPIRY).await;
         let mut store = cluster.store();
--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -18,7 +18,7 @@
 const RETRY: Duration = Duration::from_secs(1);
 
 /// A request of a user.
-pub fn request(asked: Asked, spec: &JobSpec) -> Request {
+pub(crate) fn request(asked: Asked, spec: &JobSpec) -> Request {
     let (method, path, body) = match asked {
         Asked::Submit => ("POST", "/v2/runs".to_string(), to_cbor(spec)),
         Asked::Poll => ("GET", format!("/v2/runs/{}", spec.id), vec![]),
@@ -32,22 +32,22 @@
 }
 
 /// A connection to a controller.
-type Kept = Option<(usize, Connection)>;
+type ReusedConnection = Option<(usize, Connection)>;
 
 /// Submits a job and asks about it until it is over; after `abort_after` its user
 /// cancels it.
-pub async fn live(cluster: Arc<EmulatedCluster>, user: User, abort_after: Option<Duration>) {
+pub(crate) async fn live(cluster: Arc<EmulatedCluster>, user: User, abort_after: Option<Duration>) {
     let spec = user.spec.clone();
     cluster.fleet().users.insert(spec.id.clone(), user);
     let aborts_at = abort_after.map(|after| cluster.now() + after.as_micros() as u64);
-    let mut kept: Kept = None;
+    let mut reused: ReusedConnection = None;
     loop {
         if aborts_at.is_some_and(|at| cluster.now() >= at) {
             if let Some(user) = cluster.fleet().users.get_mut(&spec.id) {
                 user.wants_abort = true;
             }
         }
-        let node = match &kept {
+        let node = match &reused {
             Some((node, _)) => Some(*node),
             None => balancer::choose(&cluster, &mut cluster.fleet().rng),
         };
@@ -58,7 +58,7 @@
             fleet.users.get_mut(&spec.id).and_then(|user| user.asks(now, rid, node))
         };
         let Some(asked) = asked else { return };
-        let answer = ask(&cluster, &mut kept, node, asked, &spec).await;
+        let answer = ask(&cluster, &mut reused, node, asked, &spec).await;
         let retry = answer.as_ref().is_none_or(|response| response.status == 503);
         if take(&cluster, &spec.id, asked, answer) {
             return;
@@ -78,18 +78,18 @@
 /// Sends one request and waits for its answer.
 async fn ask(
     cluster: &EmulatedCluster,
-    kept: &mut Kept,
+    reused: &mut ReusedConnection,
     node: Option<usize>,
     asked: Asked,
     spec: &JobSpec,
 ) -> Option<Response> {
     let node = node?;
-    let connection = kept.take().map(|(_, connection)| connection);
+    let connection = reused.take().map(|(_, connection)| connection);
     let request = request(asked, spec);
     let limit = Duration::from_micros(asked.limit());
     let exchange = exchange(cluster, connection, node, Side::Users, &request);
     let (connection, response) = within(limit, exchange).await?;
-    *kept = connection.map(|connection| (node, connection));
+    *reused = connection.map(|connection| (node, connection));
     Some(response)
 }
 
@@ -128,7 +128,7 @@
 /// Asks every healthy controller, all at once, about jobs that were accepted, once all is
 /// over: none may be forgotten, and none may have gone back. How many questions were
 /// answered.
-pub async fn audit(cluster: &Arc<EmulatedCluster>, most: usize) -> usize {
+pub(crate) async fn audit(cluster: &Arc<EmulatedCluster>, most: usize) -> usize {
     let accepted: Vec<JobSpec> = {
         let fleet = cluster.fleet();
         let known = fleet.users.values().filter(|u| u.accepted.is_some());
@@ -150,10 +150,10 @@
 
 /// Asks one controller about these jobs: how many questions were answered.
 async fn audit_one(cluster: Arc<EmulatedCluster>, node: usize, asked: Arc<Vec<JobSpec>>) -> usize {
-    let mut kept: Kept = None;
+    let mut reused: ReusedConnection = None;
     let mut answered = 0;
     for spec in asked.iter() {
-        let answer = ask(&cluster, &mut kept, Some(node), Asked::Poll, spec).await;
+        let answer = ask(&cluster, &mut reused, Some(node), Asked::Poll, spec).await;
         if answer.is_some() {
             answered += 1;
             take(&cluster, &spec.id, Asked::Poll, answer);
@@ -163,7 +163,7 @@
 }
 
 /// The longest time in which no question about an accepted job was answered.
-pub fn longest_silence(cluster: &EmulatedCluster) -> u64 {
+pub(crate) fn longest_silence(cluster: &EmulatedCluster) -> u64 {
     let fleet = cluster.fleet();
     let known = fleet.users.values().filter(|u| u.accepted.is_some());
     known.map(|u| u.silent / SEC).max().unwrap_or(0)
--- a/crates/emulator/tests/common/mod.rs
+++ b/crates/emulator/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output};
 
 /// The glenhaven program beside this test's own, built with it in the workspace.
-pub fn controllers() -> PathBuf {
+pub(crate) fn controllers() -> PathBuf {
     let cluster = Path::new(env!("CARGO_BIN_EXE_glenhaven-emulator"));
     let program = cluster.with_file_name("glenhaven");
     if !program.exists() {
@@ -28,7 +28,7 @@
 }
 
 /// An address range that other runs of these tests are not likely to use.
-pub fn network(test: u32) -> u8 {
+pub(crate) fn network(test: u32) -> u8 {
     let number = (std::process::id() * 5 + test) % 100;
     100 + u8::try_from(number).unwrap()
 }
@@ -38,12 +38,12 @@
 }
 
 /// All that a program said.
-pub fn said(output: &Output) -> String {
+pub(crate) fn said(output: &Output) -> String {
     text(&output.stdout) + &text(&output.stderr)
 }
 
 /// Whether a process runs with this file among its arguments.
-pub fn runs_with(dir: &Path) -> bool {
+pub(crate) fn runs_with(dir: &Path) -> bool {
     let marker = dir.to_string_lossy().to_string();
     let processes = std::fs::read_dir("/proc").unwrap().flatten();
     processes
@@ -55,7 +55,7 @@
 }
 
 /// A new directory for one test.
-pub fn new_directory(program: &str, test: &str) -> PathBuf {
+pub(crate) fn new_directory(program: &str, test: &str) -> PathBuf {
     let name = format!("glenhaven-{program}-{test}-{}", std::process::id());
     let path = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&path).unwrap();
--- a/crates/fakes/src/answer_check.rs
+++ b/crates/fakes/src/answer_check.rs
@@ -1,4 +1,4 @@
-//! Answers to users, judged by what the state service held when the question was sent.
+//! Checks answers to users against what the state service held when the question was sent.
 
 use crate::store::Store;
 use crate::user::{Asked, User};
@@ -8,17 +8,17 @@
 
 /// What the state service holds of a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct StoredJob {
     /// A page of acceptances names it.
     pub accepted: bool,
     /// Its final phase, which is kept for ever.
     pub ended: Option<Phase>,
 }
 
-impl Held {
+impl StoredJob {
     /// What is held of a job now.
-    pub fn of(store: &Store, job: &str) -> Held {
-        Held {
+    pub fn of(store: &Store, job: &str) -> StoredJob {
+        StoredJob {
             accepted: store.names_acceptance(job),
             ended: store.final_phase(job),
         }
@@ -30,19 +30,24 @@
 }
 
 /// A question and its answer.
-pub struct Judged<'a> {
+pub struct CheckedAnswer<'a> {
+    /// Who asked.
     pub user: &'a User,
+    /// What was asked.
     pub asked: Asked,
-    /// What was held when the question was sent, and when its answer had come.
-    pub before: Held,
-    pub after: Held,
+    /// What was stored when the question was sent.
+    pub before: StoredJob,
+    /// What was stored when its answer had arrived.
+    pub after: StoredJob,
+    /// HTTP status of the answer.
     pub status: u16,
+    /// Body of the answer (CBOR).
     pub body: &'a [u8],
     /// Tasks that have completed.
     pub results: &'a BTreeSet<String>,
 }
 
-impl Judged<'_> {
+impl CheckedAnswer<'_> {
     /// What is wrong with the answer.
     pub fn problem(&self) -> Option<String> {
         let job = &self.user.spec.id;
--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -17,7 +17,7 @@
     spot: bool,
     at: u64,
     visible: u64,
-    gone: Option<u64>,
+    terminated_at: Option<u64>,
 }
 
 /// What a rental request leads to.
@@ -39,7 +39,7 @@
     pub page: usize,
     lag: u64,
     next: u64,
-    dead_boots: u32,
+    failed_boots: u32,
     /// What should never have been asked of it.
     pub problems: Vec<String>,
     /// Calls so far.
@@ -49,7 +49,7 @@
 impl Cloud {
     /// A cloud with these machine types, whose list lags by `lag`; so many machines
     /// that it rents first never come up.
-    pub fn new(types: Vec<MachineType>, capacity: u32, dead_boots: u32, lag: u64) -> Cloud {
+    pub fn new(types: Vec<MachineType>, capacity: u32, failed_boots: u32, lag: u64) -> Cloud {
         Cloud {
             types,
             claims: BTreeMap::new(),
@@ -58,7 +58,7 @@
             page: SMALL_PAGE,
             lag,
             next: 0,
-            dead_boots,
+            failed_boots,
             problems: vec![],
             calls: 0,
         }
@@ -71,7 +71,7 @@
 
     /// Machines that are paid for.
     pub fn rented(&self) -> usize {
-        self.machines.values().filter(|m| m.gone.is_none()).count()
+        self.machines.values().filter(|m| m.terminated_at.is_none()).count()
     }
 
     /// What can be rented.
@@ -96,16 +96,16 @@
             spot,
             at: now,
             visible: now + self.lag,
-            gone: None,
+            terminated_at: None,
         };
         self.machines.insert(name.clone(), machine);
         (self.next, name)
     }
 
     /// Whether the machine that is created now is one of those that never come up.
-    pub fn never_comes_up(&mut self) -> bool {
-        let dead = self.dead_boots > 0;
-        self.dead_boots = self.dead_boots.saturating_sub(1);
+    pub fn next_boot_fails(&mut self) -> bool {
+        let dead = self.failed_boots > 0;
+        self.failed_boots = self.failed_boots.saturating_sub(1);
         dead
     }
 
@@ -119,7 +119,10 @@
             return Rental::Answered(CloudResponse::Rented(names.clone()));
         }
         let kind = |m: &&Rented| {
-            m.gone.is_none() && m.machine_type == rent.machine_type && m.zone == rent.zone && m.spot == rent.spot
+            m.terminated_at.is_none()
+                && m.machine_type == rent.machine_type
+                && m.zone == rent.zone
+                && m.spot == rent.spot
         };
         let used = self.machines.values().filter(kind).count() as u32;
         let count = rent.count.min(self.capacity.saturating_sub(used));
@@ -144,7 +147,9 @@
         let rows: Vec<ListedMachine> = self
             .machines
             .iter()
-            .filter(|(name, m)| name.as_str() > after && m.visible <= now && m.gone.is_none_or(|g| now < g + self.lag))
+            .filter(|(name, m)| {
+                name.as_str() > after && m.visible <= now && m.terminated_at.is_none_or(|g| now < g + self.lag)
+            })
             .map(|(name, m)| ListedMachine {
                 name: name.clone(),
                 addr: workers.get(name).map_or(NO_ADDRESS.into(), |w| w.addr.clone()),
@@ -166,10 +171,10 @@
         }
     }
 
-    /// The machine is gone.
-    pub fn gone(&mut self, now: u64, name: &str) {
+    /// The machine is terminated_at.
+    pub fn terminate(&mut self, now: u64, name: &str) {
         if let Some(m) = self.machines.get_mut(name) {
-            m.gone.get_or_insert(now);
+            m.terminated_at.get_or_insert(now);
         }
     }
 }
--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -97,7 +97,12 @@
     }
 
     /// Whether a team's limit has room for one more task of this job.
-    pub fn has_room(&self, spec: &JobSpec, workers: &BTreeMap<String, Worker>, users: &BTreeMap<String, User>) -> bool {
+    pub fn has_capacity(
+        &self,
+        spec: &JobSpec,
+        workers: &BTreeMap<String, Worker>,
+        users: &BTreeMap<String, User>,
+    ) -> bool {
         let mut held = team_use(&spec.team, workers, users, |w| w.live().collect());
         held.add(spec);
         self.limits.get(&spec.team).is_none_or(|limit| !held.exceeds(limit))
@@ -114,7 +119,7 @@
     }
 
     /// Once a second: which replicas of services that ran in full are missing.
-    pub fn look_at_services(&mut self, now: u64, workers: &BTreeMap<String, Worker>, users: &BTreeMap<String, User>) {
+    pub fn check_services(&mut self, now: u64, workers: &BTreeMap<String, Worker>, users: &BTreeMap<String, User>) {
         let mut on: BTreeMap<&str, u64> = BTreeMap::new();
         let runs = |w: &&Worker| w.up && now >= w.hangs_until;
         for task in workers.values().filter(runs).flat_map(|w| w.on_machine()) {
@@ -224,7 +229,7 @@
     }
 
     /// What holds at every moment.
-    pub fn look(&mut self, now: u64, workers: &BTreeMap<String, Worker>, users: &BTreeMap<String, User>) {
+    pub fn check(&mut self, now: u64, workers: &BTreeMap<String, Worker>, users: &BTreeMap<String, User>) {
         let mut held: BTreeMap<&str, Use> = BTreeMap::new();
         for w in workers.values().filter(|w| !w.tasks.is_empty()) {
             for task in w.on_machine() {
@@ -252,7 +257,7 @@
     }
 
     /// A user was told a phase.
-    pub fn told(
+    pub fn record_answer(
         &mut self,
         now: u64,
         job: &str,
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -84,7 +84,7 @@
     }
 
     /// Pages of the book ever used: their keys are never removed.
-    pub fn pages_of_the_book(&self) -> usize {
+    pub fn log_pages(&self) -> usize {
         use glenhaven::storage::keys;
         self.keys.keys().filter(|k| k.starts_with(keys::OPEN)).count()
     }
@@ -300,7 +300,7 @@
                 if self.audits {
                     self.check_starts(key, value, &done);
                 }
-                self.check_kept(key, value, txn);
+                self.check_overwrite(key, value, txn);
             }
         }
         for change in &txn.changes {
@@ -334,7 +334,7 @@
 
     /// What is kept for ever stays: a final phase; an acceptance whose job is open; pages of
     /// the book follow each other, and the present leader writes them.
-    fn check_kept(&mut self, key: &str, value: &Value, txn: &Transaction) {
+    fn check_overwrite(&mut self, key: &str, value: &Value, txn: &Transaction) {
         use glenhaven::storage::{keys, records};
         let before = self.keys.get(key).map(|e| &e.value);
         if keys::parse_page(key).is_some() {
--- a/crates/fakes/src/user.rs
+++ b/crates/fakes/src/user.rs
@@ -54,7 +54,7 @@
     /// Its user submits it once more.
     pub resubmit: bool,
     /// Nobody submitted it.
-    pub stranger: bool,
+    pub never_submitted: bool,
     /// When it was first submitted.
     pub first_asked: Option<u64>,
     /// When its user first heard that it is accepted.
@@ -88,7 +88,7 @@
             submitted: false,
             wants_abort: false,
             resubmit: false,
-            stranger: false,
+            never_submitted: false,
             first_asked: None,
             accepted: None,
             refused: None,
@@ -109,11 +109,11 @@
     }
 
     /// Someone who asks about a job that no one submitted.
-    pub fn stranger(job: &str) -> User {
+    pub fn never_submitted(job: &str) -> User {
         let mut spec = plain_spec(job);
         spec.image = "none".into();
         User {
-            stranger: true,
+            never_submitted: true,
             ..User::new(spec, 1.0, false)
         }
     }
@@ -126,7 +126,7 @@
         let asked = if self.resubmit {
             self.resubmit = false;
             Asked::Submit
-        } else if self.accepted.is_none() && !self.stranger {
+        } else if self.accepted.is_none() && !self.never_submitted {
             self.submitted = true;
             self.first_asked.get_or_insert(now);
             Asked::Submit
@@ -153,7 +153,7 @@
     }
 
     /// It was told a phase; the answer left its controller at `left`.
-    pub fn told(&mut self, now: u64, left: u64, phase: Phase) {
+    pub fn record_answer(&mut self, now: u64, left: u64, phase: Phase) {
         self.failed_since = None;
         self.accepted.get_or_insert(now);
         match phase {
@@ -200,7 +200,7 @@
     if status == 503 && it.answer.retry_after_s.is_none() {
         rules.broken.push(format!("{job}: refused without Retry-After"));
     }
-    if user.stranger {
+    if user.never_submitted {
         if status == 200 {
             rules.broken.push(format!("invented: {job} answered 200"));
         }
@@ -210,9 +210,9 @@
     match (status, state) {
         (200 | 201, Some(state)) => {
             rules.went_back(job, state.phase, &users[job]);
-            rules.told(it.now, job, state.phase, results, &users[job], users);
+            rules.record_answer(it.now, job, state.phase, results, &users[job], users);
             if let Some(user) = users.get_mut(job) {
-                user.told(it.now, it.left, state.phase);
+                user.record_answer(it.now, it.left, state.phase);
             }
         }
         (404, _) if known => rules
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -86,7 +86,7 @@
     pub flying: Option<(u64, u64, u64)>,
     next_report: u64,
     last_sent: u64,
-    fence_told: u64,
+    token_answered: u64,
 }
 
 impl Worker {
@@ -119,7 +119,7 @@
             flying: None,
             next_report: 0,
             last_sent: 0,
-            fence_told: 0,
+            token_answered: 0,
         }
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// Whether a task of this job fits beside what is here.
-    pub fn has_room(&self, spec: &JobSpec, users: &BTreeMap<String, User>) -> bool {
+    pub fn has_capacity(&self, spec: &JobSpec, users: &BTreeMap<String, User>) -> bool {
         let (cpus, memory) = self.free(users);
         spec.cpus <= cpus && spec.memory <= memory && spec.gpus <= self.free_gpus(users)
     }
@@ -208,7 +208,7 @@
     }
 
     /// The machine is up, and reports to this controller first.
-    pub fn boots(&mut self, now: u64, node: usize) {
+    pub fn finish_boot(&mut self, now: u64, node: usize) {
         self.up = true;
         self.answered = now;
         self.node = node;
@@ -301,7 +301,7 @@
         let rid = self.sequence + 1;
         self.flying = Some((rid, now, self.incarnation));
         self.last_sent = now;
-        self.fence_told = self.fencing_token;
+        self.token_answered = self.fencing_token;
         Some((rid, self.heartbeat(now)))
     }
 
@@ -339,7 +339,7 @@
         self.answered = self.answered.max(sent);
         self.fencing_token = commands.fencing_token;
         let executed = self.execute(now, &commands.commands, users);
-        if self.fencing_token > self.fence_told {
+        if self.fencing_token > self.token_answered {
             self.changed(now);
         }
         executed
--- a/crates/fakes/tests/checker.rs
+++ b/crates/fakes/tests/checker.rs
@@ -7,7 +7,7 @@
 use glenhaven::protocol::to_cbor;
 use glenhaven::protocol::users::{JobSpec, JobState, Phase, Shape};
 use glenhaven::settings::Team;
-use glenhaven_fakes::answer_check::{Held, Judged};
+use glenhaven_fakes::answer_check::{CheckedAnswer, StoredJob};
 use glenhaven_fakes::rules::Rules;
 use glenhaven_fakes::store::Store;
 use glenhaven_fakes::user::{plain_spec, Asked, User};
@@ -40,7 +40,7 @@
         zones: vec!["a".into(), "b".into()],
     };
     let mut worker = Worker::new(name, "127.0.0.1:9", &kind, zone, false);
-    worker.boots(0, 0);
+    worker.finish_boot(0, 0);
     worker
 }
 
@@ -115,7 +115,7 @@
     world.starts("n-1", 0, 1);
     world.starts("n-3", 1, 2);
     world.runs(5 * SEC);
-    world.rules.look(6 * SEC, &world.workers, &world.users);
+    world.rules.check(6 * SEC, &world.workers, &world.users);
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
     assert_eq!(world.rules.starts, 2);
 }
@@ -188,9 +188,9 @@
     world.starts("n-1", 0, 1);
     world.runs(5 * SEC);
     world.users.get_mut(JOB).expect("the job").cancelled = Some(6 * SEC);
-    world.rules.look(15 * SEC, &world.workers, &world.users);
+    world.rules.check(15 * SEC, &world.workers, &world.users);
     assert!(!world.broken("ran_cancelled"), "it has its time to stop");
-    world.rules.look(17 * SEC, &world.workers, &world.users);
+    world.rules.check(17 * SEC, &world.workers, &world.users);
     assert!(world.broken("ran_cancelled"));
 }
 
@@ -228,7 +228,7 @@
 }
 
 /// An answer to a question, with what was held before it was sent and after it came.
-fn judged(before: Held, after: Held, asked: Asked, status: u16, phase: Phase) -> Option<String> {
+fn checked(before: StoredJob, after: StoredJob, asked: Asked, status: u16, phase: Phase) -> Option<String> {
     let mut user = User::new(job(1), 1.0, false);
     user.wants_abort = phase == Phase::Cancelled;
     let state = JobState {
@@ -238,7 +238,7 @@
         running: None,
     };
     let results: BTreeSet<String> = [format!("{JOB}/0")].into();
-    let judged = Judged {
+    let checked = CheckedAnswer {
         user: &user,
         asked,
         before,
@@ -247,17 +247,17 @@
         body: &to_cbor(&state),
         results: &results,
     };
-    judged.problem()
+    checked.problem()
 }
 
 #[test]
 fn answers_are_judged_by_what_was_held() {
-    let nothing = Held::default();
-    let open = Held {
+    let nothing = StoredJob::default();
+    let open = StoredJob {
         accepted: true,
         ended: None,
     };
-    let ended = |phase| Held {
+    let ended = |phase| StoredJob {
         accepted: true,
         ended: Some(phase),
     };
@@ -266,28 +266,31 @@
         assert!(problem.as_ref().is_some_and(|p| p.starts_with(with)), "{problem:?}");
     };
     // What is right.
-    assert_eq!(judged(nothing, open, Asked::Submit, 201, Phase::Pending), None);
-    assert_eq!(judged(open, cancelled, Asked::Poll, 200, Phase::Running), None);
-    assert_eq!(judged(open, cancelled, Asked::Abort, 200, Phase::Cancelled), None);
-    assert_eq!(judged(done, done, Asked::Poll, 200, Phase::Done), None);
-    assert_eq!(judged(nothing, open, Asked::Poll, 404, Phase::Pending), None);
-    assert_eq!(judged(done, done, Asked::Poll, 503, Phase::Pending), None);
+    assert_eq!(checked(nothing, open, Asked::Submit, 201, Phase::Pending), None);
+    assert_eq!(checked(open, cancelled, Asked::Poll, 200, Phase::Running), None);
+    assert_eq!(checked(open, cancelled, Asked::Abort, 200, Phase::Cancelled), None);
+    assert_eq!(checked(done, done, Asked::Poll, 200, Phase::Done), None);
+    assert_eq!(checked(nothing, open, Asked::Poll, 404, Phase::Pending), None);
+    assert_eq!(checked(done, done, Asked::Poll, 503, Phase::Pending), None);
     // What is not.
     starts(
-        judged(cancelled, cancelled, Asked::Submit, 200, Phase::Pending),
+        checked(cancelled, cancelled, Asked::Submit, 200, Phase::Pending),
         "went_back",
     );
-    starts(judged(done, done, Asked::Poll, 200, Phase::Cancelled), "went_back");
-    starts(judged(open, open, Asked::Abort, 200, Phase::Cancelled), "went_back");
-    starts(judged(open, open, Asked::Poll, 200, Phase::Done), "went_back");
-    starts(judged(nothing, nothing, Asked::Submit, 201, Phase::Pending), "invented");
-    starts(judged(open, open, Asked::Poll, 404, Phase::Pending), "forgotten");
-    starts(judged(done, done, Asked::Submit, 422, Phase::Pending), "forgotten");
+    starts(checked(done, done, Asked::Poll, 200, Phase::Cancelled), "went_back");
+    starts(checked(open, open, Asked::Abort, 200, Phase::Cancelled), "went_back");
+    starts(checked(open, open, Asked::Poll, 200, Phase::Done), "went_back");
+    starts(
+        checked(nothing, nothing, Asked::Submit, 201, Phase::Pending),
+        "invented",
+    );
+    starts(checked(open, open, Asked::Poll, 404, Phase::Pending), "forgotten");
+    starts(checked(done, done, Asked::Submit, 422, Phase::Pending), "forgotten");
 }
 
 #[test]
 fn a_job_called_done_too_early_or_cancelled_by_nobody_is_seen() {
-    let held = |phase| Held {
+    let held = |phase| StoredJob {
         accepted: true,
         ended: Some(phase),
     };
@@ -299,7 +302,7 @@
             done: None,
             running: None,
         };
-        let judged = Judged {
+        let checked = CheckedAnswer {
             user: &user,
             asked: Asked::Poll,
             before: held(phase),
@@ -308,7 +311,7 @@
             body: &to_cbor(&state),
             results: &BTreeSet::new(),
         };
-        judged.problem().unwrap_or_default()
+        checked.problem().unwrap_or_default()
     };
     assert!(problem(job(1), Phase::Done).starts_with("not_done"));
     let service = JobSpec {
@@ -332,7 +335,7 @@
         let conditions = vec![];
         let answer = store.apply(&Transaction { conditions, changes });
         assert!(matches!(answer, StoreResponse::Committed { .. }));
-        Held::of(&store, JOB)
+        StoredJob::of(&store, JOB)
     };
     let page = records::Accepted { jobs: vec![job(1)] };
     let held = put(keys::accepted("node-0", 0), records::to_value(&page));
--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -12,13 +12,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-pub fn encode(value: &Value) -> Vec<u8> {
+pub(crate) fn encode(value: &Value) -> Vec<u8> {
     let mut out = vec![];
     ciborium::into_writer(value, &mut out).unwrap();
     out
 }
 
-pub fn field<'a>(value: &'a Value, name: &str) -> Option<&'a Value> {
+pub(crate) fn field<'a>(value: &'a Value, name: &str) -> Option<&'a Value> {
     value
         .as_map()?
         .iter()
@@ -26,16 +26,16 @@
         .map(|(_, v)| v)
 }
 
-pub fn text(value: &Value, name: &str) -> Option<String> {
+pub(crate) fn text(value: &Value, name: &str) -> Option<String> {
     field(value, name)?.as_text().map(str::to_string)
 }
 
-pub fn number(value: &Value, name: &str) -> Option<u64> {
+pub(crate) fn number(value: &Value, name: &str) -> Option<u64> {
     field(value, name)?.as_integer().and_then(|i| u64::try_from(i).ok())
 }
 
 /// Reads one HTTP message: its first line and its body.
-pub async fn read_message(stream: &mut Async<TcpStream>) -> Option<(String, Vec<u8>)> {
+pub(crate) async fn read_message(stream: &mut Async<TcpStream>) -> Option<(String, Vec<u8>)> {
     let mut data = vec![];
     let mut buf = [0u8; 4096];
     let head = loop {
@@ -66,7 +66,7 @@
 }
 
 #[derive(Default)]
-pub struct Store {
+pub(crate) struct Store {
     pub keys: BTreeMap<String, (Value, u64)>,
     pub revision: u64,
     /// Leases: how long they last, and until when; and the keys attached to them.
@@ -93,7 +93,7 @@
         }
     }
 
-    pub fn answer(&mut self, line: &str, body: &[u8]) -> (u16, Value) {
+    pub(crate) fn answer(&mut self, line: &str, body: &[u8]) -> (u16, Value) {
         self.expire();
         let mut words = line.split_whitespace();
         let (method, path) = (words.next().unwrap_or(""), words.next().unwrap_or(""));
@@ -195,7 +195,10 @@
     }
 }
 
-pub async fn serve(listener: Async<TcpListener>, answer: impl Fn(&str, &[u8]) -> (u16, Value) + Send + Sync + 'static) {
+pub(crate) async fn serve(
+    listener: Async<TcpListener>,
+    answer: impl Fn(&str, &[u8]) -> (u16, Value) + Send + Sync + 'static,
+) {
     let ex = async_executor::LocalExecutor::new();
     let answer = &answer;
     ex.run(async {
@@ -233,7 +236,7 @@
 static CHOSEN: AtomicU32 = AtomicU32::new(0);
 
 /// A port on which nothing listens, and that this process has not chosen before.
-pub fn free_port() -> u16 {
+pub(crate) fn free_port() -> u16 {
     let first = std::process::id().wrapping_mul(97);
     loop {
         let number = first.wrapping_add(CHOSEN.fetch_add(1, Ordering::Relaxed));
@@ -244,7 +247,7 @@
     }
 }
 
-pub struct Process(pub Child);
+pub(crate) struct Process(pub Child);
 
 impl Drop for Process {
     fn drop(&mut self) {
@@ -254,7 +257,7 @@
 }
 
 /// Sends raw bytes and reads one answer: status and body.
-pub async fn raw(port: u16, request: Vec<u8>) -> Option<(u16, String, Vec<u8>)> {
+pub(crate) async fn raw(port: u16, request: Vec<u8>) -> Option<(u16, String, Vec<u8>)> {
     let work = async {
         let mut stream = Async::<TcpStream>::connect(([127, 0, 0, 1], port)).await.ok()?;
         stream.write_all(&request).await.ok()?;
@@ -269,7 +272,7 @@
     work.or(late).await
 }
 
-pub async fn ask(port: u16, method: &str, path: &str, body: Vec<u8>) -> (u16, Value) {
+pub(crate) async fn ask(port: u16, method: &str, path: &str, body: Vec<u8>) -> (u16, Value) {
     let mut request = format!(
         "{method} {path} HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n",
         body.len()
@@ -280,7 +283,7 @@
     (status, ciborium::from_reader(&body[..]).unwrap_or(Value::Null))
 }
 
-pub fn job(id: &str, pieces: u64, cores: f64) -> Value {
+pub(crate) fn job(id: &str, pieces: u64, cores: f64) -> Value {
     cbor!({
         "ref" => id, "jobclass" => "train", "owner" => "blue", "shape" => "array", "rank" => "standard",
         "pieces" => pieces, "cores" => cores, "cards" => 0.0, "mem_gb" => 2.0, "bundle" => "img", "size_gb" => 1.0,
@@ -290,7 +293,7 @@
     .unwrap()
 }
 
-pub fn with(mut value: Value, name: &str, new: Value) -> Value {
+pub(crate) fn with(mut value: Value, name: &str, new: Value) -> Value {
     if let Value::Map(map) = &mut value {
         map.retain(|(k, _)| k.as_text() != Some(name));
         map.push((Value::Text(name.into()), new));
@@ -298,7 +301,7 @@
     value
 }
 
-pub fn without(mut value: Value, name: &str) -> Value {
+pub(crate) fn without(mut value: Value, name: &str) -> Value {
     if let Value::Map(map) = &mut value {
         map.retain(|(k, _)| k.as_text() != Some(name));
     }
@@ -307,7 +310,7 @@
 
 /// Stand-ins on loopback for the state service and a cloud of one machine type without
 /// capacity: what the one holds, and the ports of both.
-pub fn stand_ins(cores: f64, boot_s: f64) -> (Arc<Mutex<Store>>, u16, u16) {
+pub(crate) fn stand_ins(cores: f64, boot_s: f64) -> (Arc<Mutex<Store>>, u16, u16) {
     let listen = || Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let (state, cloud) = (listen(), listen());
     let port = |l: &Async<TcpListener>| l.get_ref().local_addr().unwrap().port();
@@ -340,7 +343,7 @@
 }
 
 /// Settings of one node that serves alone, by its ports and those of its services.
-pub fn settings(public: u16, peer: u16, state: u16, cloud: u16) -> String {
+pub(crate) fn settings(public: u16, peer: u16, state: u16, cloud: u16) -> String {
     format!(
         r#"
 node = "worker-0"
@@ -377,7 +380,7 @@
 }
 
 /// Waits until the node that listens here can take requests.
-pub async fn ready(public: u16) {
+pub(crate) async fn ready(public: u16) {
     let began = Instant::now();
     while !matches!(
         raw(public, b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n".to_vec()).await,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -12,7 +12,7 @@
 
 fn check(world: &World) -> Vec<String> {
     let mut wrong: Vec<String> = world.rules.broken.clone();
-    wrong.extend(sim::shares::below_half(world));
+    wrong.extend(sim::fairness::below_half(world));
     for (job, user) in world.users.iter().filter(|(_, u)| u.accepted.is_some()) {
         if user.silent > FORGOTTEN_S * SEC {
             wrong.push(format!(
@@ -31,7 +31,7 @@
         let good = match expect {
             Expect::Done(job, by) => within(world.users[job].done, *by),
             Expect::Cancelled(job, by) => within(world.users[job].cancelled, *by),
-            Expect::Book(most) => world.store.pages_of_the_book() <= *most,
+            Expect::Book(most) => world.store.log_pages() <= *most,
             Expect::Withdrawn(job) => world.store.says_withdrawn(job),
             Expect::Started(task, by) => within(world.rules.first_start.get(task).copied(), *by),
             Expect::Replicas(job, count) => {
@@ -60,12 +60,12 @@
             Expect::RentedInAll(most) => world.cloud.rented_in_all() <= *most,
             Expect::Changes(most) => world.store.changes <= *most,
             Expect::CloudCalls(most) => world.cloud.calls <= *most,
-            Expect::Met(least) => world.broken.lasting.met >= *least,
+            Expect::Met(least) => world.active_faults.lasting.met >= *least,
         };
         if !good {
             let counted = (world.store.changes, world.cloud.calls, world.cloud.rented_in_all());
             let (failures, missed) = (world.rules.failures, &world.rules.missed);
-            let met = world.broken.lasting.met;
+            let met = world.active_faults.lasting.met;
             if let Expect::AcceptedWithin(seconds) = expect {
                 for (id, u) in &world.users {
                     let waited = u.accepted.zip(u.first_asked).map(|(at, from)| at - from);
@@ -197,11 +197,11 @@
     let user = world.users.get_mut("run-000001").unwrap();
     user.cancelled = Some(0);
     world.rules.broken.clear();
-    world.rules.look(world.now, &world.workers, &world.users);
+    world.rules.check(world.now, &world.workers, &world.users);
     assert!(world.rules.broken.iter().any(|b| b.starts_with("ran_cancelled")));
     world.rules.broken.clear();
     let user = &world.users["run-000001"];
-    world.rules.told(
+    world.rules.record_answer(
         world.now,
         "run-000001",
         glenhaven::protocol::users::Phase::Done,
--- a/tests/sim/agents.rs
+++ b/tests/sim/agents.rs
@@ -6,30 +6,30 @@
 use glenhaven::protocol::agents::{AgentCommand, PushedCommands};
 use glenhaven::transport::server::Outgoing;
 use glenhaven_fakes::worker::Executed;
-pub use glenhaven_fakes::worker::Worker;
+pub(crate) use glenhaven_fakes::worker::Worker;
 
 impl World {
     /// A machine hangs until then.
-    pub fn hang(&mut self, name: &str, until: u64) {
+    pub(crate) fn hang(&mut self, name: &str, until: u64) {
         if let Some(w) = self.workers.get_mut(name) {
             w.hangs_until = w.hangs_until.max(until);
             self.after(until - self.now, ScheduledEvent::Worker(name.into()));
         }
     }
 
-    pub fn boot(&mut self, name: &str) {
+    pub(crate) fn boot(&mut self, name: &str) {
         let now = self.now;
         let nodes = self.nodes.len();
         let node = self.rng.usize(0..nodes);
         if let Some(w) = self.workers.get_mut(name) {
             if !w.dead {
-                w.boots(now, node);
+                w.finish_boot(now, node);
                 self.after(1, ScheduledEvent::Worker(name.into()));
             }
         }
     }
 
-    pub fn notice(&mut self, name: &str, seconds: u64) {
+    pub(crate) fn notice(&mut self, name: &str, seconds: u64) {
         let now = self.now;
         if let Some(w) = self.workers.get_mut(name) {
             if w.up {
@@ -42,7 +42,7 @@
     }
 
     /// Looks at everything a worker does by itself.
-    pub fn worker_wakes(&mut self, name: &str) {
+    pub(crate) fn worker_wakes(&mut self, name: &str) {
         let now = self.now;
         let (lease, nodes) = (self.script.lease(), self.nodes.len());
         let Some(w) = self.workers.get_mut(name) else { return };
@@ -73,7 +73,7 @@
             }
             self.keep_for_next(&heartbeat);
             let hop = self.hop();
-            let share = self.broken.late_reports.values().copied().fold(0.0, f64::max);
+            let share = self.active_faults.late_reports.values().copied().fold(0.0, f64::max);
             if share > 0.0 && self.rng.f64() < share {
                 let late = 2 * SEC + self.rng.u64(0..2 * lease);
                 let to = self.rng.usize(0..nodes);
@@ -82,7 +82,7 @@
                     ScheduledEvent::Heartbeat(name.into(), to, u64::MAX, heartbeat.clone()),
                 );
             }
-            if let Some(late) = self.broken.copies.values().copied().max() {
+            if let Some(late) = self.active_faults.copies.values().copied().max() {
                 // Nobody waits for the answer to a copy.
                 let ev = ScheduledEvent::Heartbeat(name.into(), node, u64::MAX, heartbeat.clone());
                 self.after(hop + late, ev);
@@ -105,7 +105,7 @@
         }
     }
 
-    pub fn report_answered(&mut self, name: &str, rid: u64, answer: Outgoing) {
+    pub(crate) fn report_answered(&mut self, name: &str, rid: u64, answer: Outgoing) {
         let now = self.now;
         let nodes = self.nodes.len();
         let Some(w) = self.workers.get_mut(name) else { return };
@@ -152,7 +152,7 @@
         self.answers.executed(carrier, machine, commands);
     }
 
-    pub fn report_late(&mut self, name: &str, rid: u64) {
+    pub(crate) fn report_late(&mut self, name: &str, rid: u64) {
         let nodes = self.nodes.len();
         let now = self.now;
         let Some(w) = self.workers.get_mut(name) else { return };
@@ -163,7 +163,7 @@
         }
     }
 
-    pub fn direct_request(&mut self, n: usize, life: u64, id: u64, addr: &str, body: &PushedCommands) {
+    pub(crate) fn direct_request(&mut self, n: usize, life: u64, id: u64, addr: &str, body: &PushedCommands) {
         let now = self.now;
         let Some(name) = self
             .workers
@@ -176,7 +176,7 @@
         if !self.passes(&super::links::End::Node(n), &self.zone_end(&name)) {
             return;
         }
-        if self.broken.is_asymmetrically_partitioned(&name) {
+        if self.active_faults.is_asymmetrically_partitioned(&name) {
             return;
         }
         if !self.reaches(n, &name) {
--- a/tests/sim/answers.rs
+++ b/tests/sim/answers.rs
@@ -18,7 +18,7 @@
 use std::collections::BTreeMap;
 
 /// The fields of a submission that may not be absent.
-pub const REQUIRED: [&str; 17] = [
+pub(super) const REQUIRED: [&str; 17] = [
     "ref",
     "jobclass",
     "owner",
@@ -61,11 +61,11 @@
 const NEWS: u64 = 100 * MS;
 
 /// A life of a controller.
-pub type Life = (usize, u64);
+pub(super) type Life = (usize, u64);
 
 /// A command to a worker on its way: the answer to a report, or a direct one.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-pub enum Carrier {
+pub(crate) enum Carrier {
     /// The worker and its report's number.
     Answer(String, u64),
     /// The request's number.
@@ -73,7 +73,7 @@
 }
 
 /// An answer to a user.
-pub struct Answer {
+pub(crate) struct Answer {
     /// When its question was sent, and when the answer left.
     pub asked: u64,
     pub left: u64,
@@ -81,7 +81,7 @@
     pub phase: Option<Phase>,
 }
 
-pub struct Answers {
+pub(crate) struct Answers {
     teams: Vec<Team>,
     types: Vec<MachineType>,
     told: BTreeMap<String, Told>,
@@ -95,7 +95,7 @@
 }
 
 impl Answers {
-    pub fn new(script: &Script) -> Answers {
+    pub(crate) fn new(script: &Script) -> Answers {
         Answers {
             teams: script.base.params.teams.clone(),
             types: script.types.clone(),
@@ -108,12 +108,12 @@
     }
 
     /// A job is known from before the play.
-    pub fn inherited(&mut self, job: &str) {
+    pub(crate) fn inherited(&mut self, job: &str) {
         self.told.entry(job.into()).or_default().accepted = Some(0);
     }
 
     /// The state service has carried out these changes.
-    pub fn written(&mut self, changes: &[Change], now: u64) {
+    pub(crate) fn written(&mut self, changes: &[Change], now: u64) {
         for change in changes {
             let Change::Put { key, value, .. } = change else {
                 continue;
@@ -132,21 +132,21 @@
     }
 
     /// Commands leave a controller.
-    pub fn leaves(&mut self, from: Life, carrier: Carrier, commands: &[AgentCommand], now: u64) {
+    pub(crate) fn leaves(&mut self, from: Life, carrier: Carrier, commands: &[AgentCommand], now: u64) {
         if commands.iter().any(|order| matches!(order, AgentCommand::Start { .. })) {
             self.leaving.insert(carrier, (from, now));
         }
     }
 
     /// A controller says of a job what state it is in.
-    pub fn says(&mut self, from: Life, state: &JobState, now: u64) {
+    pub(crate) fn says(&mut self, from: Life, state: &JobState, now: u64) {
         if state.phase == Phase::Cancelled {
             self.said.entry((from, state.id.clone())).or_insert(now);
         }
     }
 
     /// Commands have arrived at a worker, which executes them.
-    pub fn executed(&mut self, carrier: &Carrier, machine: &str, commands: &[AgentCommand]) {
+    pub(crate) fn executed(&mut self, carrier: &Carrier, machine: &str, commands: &[AgentCommand]) {
         let Some(left) = self.leaving.remove(carrier) else {
             return;
         };
@@ -159,18 +159,18 @@
     }
 
     /// A worker no longer knows an attempt.
-    pub fn forgotten(&mut self, machine: &str, task: &str, attempt: u64) {
+    pub(crate) fn forgotten(&mut self, machine: &str, task: &str, attempt: u64) {
         self.commanded.remove(&(machine.into(), task.into(), attempt));
     }
 
     /// A machine's session has ended, and all its tasks with it.
-    pub fn session_ended(&mut self, machine: &str) {
+    pub(crate) fn session_ended(&mut self, machine: &str) {
         self.commanded.retain(|(on, ..), _| on != machine);
     }
 
     /// What is wrong with a task that begins on a machine: its start left a controller that
     /// had called the job cancelled, or long after any had told its user.
-    pub fn started(&self, machine: &str, task: &str, attempt: u64) -> Option<String> {
+    pub(crate) fn started(&self, machine: &str, task: &str, attempt: u64) -> Option<String> {
         let (from, left) = *self.commanded.get(&(machine.into(), task.into(), attempt))?;
         let job = task.rsplit_once('/')?.0;
         let told = self.told.get(job).and_then(|told| told.ended);
@@ -205,7 +205,7 @@
     }
 
     /// What is wrong with an answer about this job, given all answers before it.
-    pub fn heard(&mut self, job: &str, answer: &Answer) -> Option<String> {
+    pub(crate) fn heard(&mut self, job: &str, answer: &Answer) -> Option<String> {
         let stale = self.is_stale(job, answer);
         let told = self.told.entry(job.into()).or_default();
         let before = |at: u64| at < answer.asked;
@@ -238,7 +238,7 @@
     }
 
     /// Why a submission that was just accepted may not be, if that is so.
-    pub fn accepted(&self, body: &[u8]) -> Option<String> {
+    pub(crate) fn accepted(&self, body: &[u8]) -> Option<String> {
         let Ok(fields) = from_cbor::<BTreeMap<String, ciborium::Value>>(body) else {
             return Some("accepted, though it is no map".into());
         };
@@ -299,7 +299,7 @@
     }
 
     #[test]
-    fn an_older_answer_is_told() {
+    fn an_older_answer_is_reported() {
         let mut a = answers();
         assert!(!heard(&mut a, 1, 2, 404, None), "nobody accepted it");
         assert!(!heard(&mut a, 1, 10, 201, Some(Phase::Pending)));
@@ -316,7 +316,7 @@
     }
 
     #[test]
-    fn an_answer_older_than_its_question_is_told() {
+    fn an_answer_older_than_its_question_is_reported() {
         let mut a = answers();
         let put = |key: String, value| Change::Put {
             key,
@@ -345,7 +345,7 @@
     }
 
     #[test]
-    fn a_start_after_a_confirmed_cancellation_is_told() {
+    fn a_start_after_a_confirmed_cancellation_is_reported() {
         let start = |attempt| AgentCommand::Start {
             task: format!("{JOB}/0"),
             attempt,
@@ -370,7 +370,7 @@
     }
 
     #[test]
-    fn what_can_not_run_or_lacks_a_field_is_told() {
+    fn accepting_an_invalid_job_is_reported() {
         let a = answers();
         let good = JobSpec {
             cpus: 4.0,
--- a/tests/sim/looks.rs
+++ b/tests/sim/close_queries.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// When all nodes are asked, after something has happened to a job.
-const LOOKS: [u64; 4] = [0, 3 * MS, 12 * MS, 60 * MS];
+const QUERY_DELAYS: [u64; 4] = [0, 3 * MS, 12 * MS, 60 * MS];
 /// Most machines that hang while jobs on them are cancelled.
 const MOST_HANG: usize = 8;
 /// A task with less to go is not worth calling off.
@@ -25,7 +25,7 @@
 const ODD_JOBS: u64 = 900_000;
 
 /// A question beside those that a user asks in turn.
-pub struct Look {
+pub(super) struct Query {
     job: String,
     asked: Asked,
     sent: u64,
@@ -35,21 +35,21 @@
 
 /// Users' troubles that go on, by the step that began them.
 #[derive(Default)]
-pub struct Troubles {
+pub(crate) struct Troubles {
     pub close_looks: BTreeSet<usize>,
     pub cancel_at_end: BTreeMap<usize, f64>,
     pub odd_requests: BTreeSet<usize>,
     odd_jobs: u64,
-    looks: BTreeMap<u64, Look>,
+    looks: BTreeMap<u64, Query>,
 }
 
 impl Troubles {
     /// The job that an unanswered look is about.
-    pub fn job_of(&self, look: u64) -> Option<&str> {
-        self.looks.get(&look).map(|look| look.job.as_str())
+    pub(crate) fn job_of(&self, query: u64) -> Option<&str> {
+        self.looks.get(&query).map(|query| query.job.as_str())
     }
 
-    pub fn heal(&mut self, step: usize) {
+    pub(crate) fn heal(&mut self, step: usize) {
         self.close_looks.remove(&step);
         self.cancel_at_end.remove(&step);
         self.odd_requests.remove(&step);
@@ -58,7 +58,7 @@
 
 /// What becomes of a job that its users look at closely.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Moment {
+pub(crate) enum Moment {
     Accepted,
     Ended,
     Cancelled,
@@ -66,13 +66,13 @@
 
 impl World {
     /// Asks one node about a job, whatever else its user asks.
-    pub fn ask(&mut self, job: &str, asked: Asked, n: usize) {
+    pub(crate) fn ask(&mut self, job: &str, asked: Asked, n: usize) {
         let Some(user) = self.users.get_mut(job) else { return };
         user.wants_abort |= asked == Asked::Abort;
         let body = to_cbor(&user.spec);
         self.send(
             n,
-            Look {
+            Query {
                 job: job.into(),
                 asked,
                 sent: self.now,
@@ -82,53 +82,53 @@
         );
     }
 
-    fn send(&mut self, n: usize, look: Look, body: Vec<u8>) {
-        if self.nodes[n].core.is_none() || self.broken.cut_off(n, "users") {
+    fn send(&mut self, n: usize, query: Query, body: Vec<u8>) {
+        if self.nodes[n].controller.is_none() || self.active_faults.cut_off(n, "users") {
             return;
         }
-        let request = match look.asked {
+        let request = match query.asked {
             Asked::Submit => UserRequest::Submit(body),
-            Asked::Poll => UserRequest::Poll(look.job.clone()),
-            Asked::Abort => UserRequest::Abort(look.job.clone()),
+            Asked::Poll => UserRequest::Poll(query.job.clone()),
+            Asked::Abort => UserRequest::Abort(query.job.clone()),
         };
         let (id, number) = (self.id(), self.id());
-        self.troubles.looks.insert(number, look);
-        self.origins.insert(id, Origin::Look(number));
+        self.one_way_faults.looks.insert(number, query);
+        self.origins.insert(id, Origin::Query(number));
         let (hop, life) = (self.hop(), self.nodes[n].life);
         self.after(hop, ScheduledEvent::Event(n, life, Event::User { id, request }));
     }
 
-    pub fn look_answered(&mut self, number: u64, left: u64, answer: &Outgoing) {
-        let Some(look) = self.troubles.looks.remove(&number) else {
+    pub(crate) fn look_answered(&mut self, number: u64, left: u64, answer: &Outgoing) {
+        let Some(query) = self.one_way_faults.looks.remove(&number) else {
             return;
         };
-        if self.now > look.sent + WAIT {
+        if self.now > query.sent + WAIT {
             return;
         }
-        let Some(body) = &look.odd else {
-            self.heard(&look.job, look.asked, look.sent, left, answer);
+        let Some(body) = &query.odd else {
+            self.heard(&query.job, query.asked, query.sent, left, answer);
             return;
         };
         let told = from_cbor::<JobState>(&answer.body).is_ok();
         match answer.status {
-            200 | 201 if look.asked == Asked::Submit => self.rules.broken.extend(self.answers.accepted(body)),
+            200 | 201 if query.asked == Asked::Submit => self.rules.broken.extend(self.answers.accepted(body)),
             200 if told => self
                 .rules
                 .broken
-                .push(format!("invented: {} was refused, and is known", look.job)),
+                .push(format!("invented: {} was refused, and is known", query.job)),
             _ => {}
         }
     }
 
     /// A task has completed; its job may have ended with it.
-    pub fn task_ended(&mut self, task: &str) {
+    pub(crate) fn task_ended(&mut self, task: &str) {
         let job = job_of(task).to_string();
         let Some(user) = self.users.get(&job) else { return };
         let over = user.wants_abort || user.done.is_some();
         if over || !(0..user.spec.tasks).all(|t| self.results.contains(&format!("{job}/{t}"))) {
             return;
         }
-        let share = self.troubles.cancel_at_end.values().copied().fold(0.0, f64::max);
+        let share = self.one_way_faults.cancel_at_end.values().copied().fold(0.0, f64::max);
         if share > 0.0 && self.rng.f64() < share {
             let pause = self.rng.u64(0..6 * MS);
             self.ask_some(&job, Asked::Abort, pause);
@@ -143,11 +143,11 @@
     }
 
     /// Users ask at all nodes, again and again, and repeat the submission.
-    pub fn look_closely(&mut self, job: &str, moment: Moment) {
-        if self.troubles.close_looks.is_empty() {
+    pub(crate) fn look_closely(&mut self, job: &str, moment: Moment) {
+        if self.one_way_faults.close_looks.is_empty() {
             return;
         }
-        for pause in LOOKS {
+        for pause in QUERY_DELAYS {
             for n in 0..self.nodes.len() {
                 let pause = pause + self.rng.u64(0..2 * MS);
                 self.after(pause, ScheduledEvent::Ask(job.into(), Asked::Poll, n));
@@ -162,7 +162,7 @@
     }
 
     /// Jobs that run and have long to go are called off within a fifth of a second.
-    pub fn cancel_now(&mut self, count: usize, hangs: Option<u64>) {
+    pub(crate) fn cancel_now(&mut self, count: usize, hangs: Option<u64>) {
         let mut running: Vec<(String, String)> = vec![];
         for worker in self.workers.values().filter(|w| w.up) {
             for job in worker.long_to_go(self.now + LONG).map(job_of) {
@@ -193,8 +193,8 @@
 
     /// Repeats an unfinished job's submission, cancels one that is done, submits one that
     /// can't be accepted and asks about it.
-    pub fn odd_requests(&mut self, step: usize) {
-        if !self.troubles.odd_requests.contains(&step) {
+    pub(crate) fn odd_requests(&mut self, step: usize) {
+        if !self.one_way_faults.odd_requests.contains(&step) {
             return;
         }
         let mut pick = |wanted: fn(&super::users::User) -> bool| {
@@ -209,23 +209,23 @@
         }
         if let Some(job) = done {
             let n = self.rng.usize(0..self.nodes.len());
-            let look = self.look(&job, Asked::Abort, None);
-            self.send(n, look, vec![]);
+            let query = self.query(&job, Asked::Abort, None);
+            self.send(n, query, vec![]);
         }
-        self.troubles.odd_jobs += 1;
-        let number = self.troubles.odd_jobs;
+        self.one_way_faults.odd_jobs += 1;
+        let number = self.one_way_faults.odd_jobs;
         let job = format!("run-{}", ODD_JOBS + number);
         let body = self.odd_submission(&job, number);
         for asked in [Asked::Submit, Asked::Poll, Asked::Abort] {
             let n = self.rng.usize(0..self.nodes.len());
-            let look = self.look(&job, asked, Some(body.clone()));
-            self.send(n, look, body.clone());
+            let query = self.query(&job, asked, Some(body.clone()));
+            self.send(n, query, body.clone());
         }
         self.after(SEC / 4, ScheduledEvent::OddRequests(step));
     }
 
-    fn look(&self, job: &str, asked: Asked, odd: Option<Vec<u8>>) -> Look {
-        Look {
+    fn query(&self, job: &str, asked: Asked, odd: Option<Vec<u8>>) -> Query {
+        Query {
             job: job.into(),
             asked,
             sent: self.now,
--- a/tests/sim/cloud.rs
+++ b/tests/sim/cloud.rs
@@ -4,14 +4,14 @@
 use super::{ScheduledEvent, World, SEC};
 use glenhaven::coordination::{CloudRequest, CloudResponse, Event};
 use glenhaven::protocol::cloud::ProvisionRequest;
-pub use glenhaven_fakes::cloud::{Cloud, Rental};
+pub(crate) use glenhaven_fakes::cloud::{Cloud, Rental};
 
 impl World {
     fn create(&mut self, machine_type: &str, zone: &str, spot: bool) -> String {
         let (number, name) = self.cloud.create(self.now, machine_type, zone, spot);
         let t = self.cloud.machine_type(machine_type).cloned();
-        let factor = self.broken.boots.values().copied().reduce(f64::max);
-        let dead = self.cloud.never_comes_up() || factor == Some(0.0);
+        let factor = self.active_faults.boots.values().copied().reduce(f64::max);
+        let dead = self.cloud.next_boot_fails() || factor == Some(0.0);
         if let (Some(t), false) = (t, dead) {
             let boot = (t.boot_s * (0.6 + 0.9 * self.rng.f64()) * factor.unwrap_or(1.0) * SEC as f64) as u64;
             let addr = format!("10.1.{}.{}:9000", number / 250, number % 250 + 1);
@@ -23,7 +23,7 @@
     }
 
     /// A machine that nobody asked for, as after a late rental request.
-    pub fn ghost_machine(&mut self) {
+    pub(crate) fn ghost_machine(&mut self) {
         let Some(t) = self.cloud.catalogue().types.into_iter().next() else {
             return;
         };
@@ -31,11 +31,11 @@
         self.create(&t.name, &zone, false);
     }
 
-    pub fn cloud_request(&mut self, n: usize, life: u64, id: u64, request: CloudRequest) {
+    pub(crate) fn cloud_request(&mut self, n: usize, life: u64, id: u64, request: CloudRequest) {
         let now = self.now;
         let hop = self.hop() * 10;
         self.cloud.calls += 1;
-        let answer = if self.broken.cloud_out.is_empty() {
+        let answer = if self.active_faults.cloud_out.is_empty() {
             match request {
                 CloudRequest::Catalogue => CloudResponse::Catalogue(self.cloud.catalogue()),
                 CloudRequest::Provision(rent) => self.rent(rent),
@@ -67,8 +67,8 @@
     }
 
     /// The machine and everything on it is gone.
-    pub fn machine_dies(&mut self, name: &str) {
-        self.cloud.gone(self.now, name);
+    pub(crate) fn machine_dies(&mut self, name: &str) {
+        self.cloud.terminate(self.now, name);
         if let Some(w) = self.workers.get_mut(name) {
             w.dies();
         }
--- a/tests/sim/shares.rs
+++ b/tests/sim/fairness.rs
@@ -20,7 +20,7 @@
 }
 
 /// What is wrong with the shares of a play that is over.
-pub fn below_half(world: &World) -> Vec<String> {
+pub(crate) fn below_half(world: &World) -> Vec<String> {
     let mut shares: BTreeMap<String, (usize, usize)> = BTreeMap::new();
     let mut wrong = vec![];
     let counts = |u: &&User| !u.mistake && !u.wants_abort && u.cancelled.is_none();
--- a/tests/sim/meetings.rs
+++ b/tests/sim/fault_combinations.rs
@@ -8,8 +8,8 @@
 //! saved as a file.
 
 use super::fault_injection::{Fault, ALL};
+use super::one_way_faults;
 use super::script::Script;
-use super::troubles;
 use super::World;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -83,7 +83,7 @@
 }
 
 /// The world of this seed, as a scenario.
-pub fn text(seed: u64) -> String {
+pub(super) fn text(seed: u64) -> String {
     let mut rng = fastrand::Rng::with_seed(seed);
     let first = BEGINS as f64 + rng.f64() * 10.0;
     let mut t = world(seed, first, &mut rng);
@@ -100,7 +100,7 @@
 /// Answers lag while users look closely. It is drawn apart, so that what else a seed draws stays
 /// as it is.
 fn lag(t: &mut String, first: f64, rng: &mut fastrand::Rng) {
-    let kind = troubles::LAGGING[rng.usize(0..troubles::LAGGING.len())];
+    let kind = one_way_faults::LAGGING[rng.usize(0..one_way_faults::LAGGING.len())];
     let node = rng.u32(0..5).to_string();
     for line in kind.replace("{n}", &node).lines() {
         writeln!(t, "at {first:.2} {line}").unwrap();
@@ -208,7 +208,11 @@
     let mut out = false;
     let mut at = first;
     for _ in 0..count {
-        let added = if is_grown(seed) { &troubles::KINDS[..] } else { &[] };
+        let added = if is_grown(seed) {
+            &one_way_faults::KINDS[..]
+        } else {
+            &[]
+        };
         let kinds = [&KINDS[..], added].concat();
         let mut kind = kinds[rng.usize(0..kinds.len())];
         // Two long outages would be one in which nobody is answered for as long as a job
@@ -342,7 +346,7 @@
 }
 
 #[test]
-fn meetings_of_two_and_three_troubles() {
+fn combinations_of_two_and_three_faults() {
     let count = number("MEETINGS", 120);
     let found = search(number("MEETINGS_FROM", 0), count, None, 5);
     let told: Vec<String> = found
@@ -354,7 +358,7 @@
 
 /// The search finds each of these within so many seeds. `PLANTED` names one alone.
 #[test]
-fn planted_faults_are_found() {
+fn injected_faults_are_found() {
     let most = number("MEETINGS_PLANTED", 500);
     let mut missed = vec![];
     let only = std::env::var("PLANTED").unwrap_or_default();
--- a/tests/sim/fault_injection.rs
+++ b/tests/sim/fault_injection.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fault {
+pub(crate) enum Fault {
     /// A report that may not be answered is answered all the same, with the highest fence.
     RenewsUnproven,
     /// The word of one controller is taken for that of all.
@@ -52,7 +52,7 @@
     JoinsSubmissions,
 }
 
-pub const ALL: [Fault; 17] = [
+pub(crate) const ALL: [Fault; 17] = [
     Fault::RenewsUnproven,
     Fault::OneVouchesForAll,
     Fault::StopsNothing,
@@ -76,18 +76,18 @@
 const CACHED: u64 = SEC;
 
 /// Starts last sent straight to each address, and the token under which they left.
-pub type Kept = BTreeMap<String, (u64, Vec<AgentCommand>)>;
+pub(crate) type Kept = BTreeMap<String, (u64, Vec<AgentCommand>)>;
 
 /// The submission of a job that each life of a node has yet to answer, and those that get the
 /// same answer.
-pub type Joined = BTreeMap<(usize, u64, String), (u64, Vec<u64>)>;
+pub(crate) type Joined = BTreeMap<(usize, u64, String), (u64, Vec<u64>)>;
 
 /// What each node last said of a job, and when.
-pub type Cache = BTreeMap<(usize, String), (u64, Outgoing)>;
+pub(crate) type Cache = BTreeMap<(usize, String), (u64, Outgoing)>;
 
 impl World {
     /// A copy of an earlier session's report, made to look like a later one's.
-    pub fn plant_copy(&mut self, heartbeat: &mut Heartbeat) {
+    pub(crate) fn plant_copy(&mut self, heartbeat: &mut Heartbeat) {
         if self.planted != Some(Fault::TakesEarlierSessions) {
             return;
         }
@@ -129,7 +129,7 @@
     }
 
     /// Keeps submissions from a node that has one of the same job to answer.
-    pub fn plant_joins(&mut self, n: usize, batch: Vec<Event>) -> Vec<Event> {
+    pub(crate) fn plant_joins(&mut self, n: usize, batch: Vec<Event>) -> Vec<Event> {
         if self.planted != Some(Fault::JoinsSubmissions) {
             return batch;
         }
@@ -174,7 +174,7 @@
 
     /// Answers a question beside those that users ask in turn.
     fn plant_look(&mut self, n: usize, number: u64, fault: Fault, answer: &mut Outgoing) {
-        let Some(job) = self.troubles.job_of(number).map(str::to_string) else {
+        let Some(job) = self.one_way_faults.job_of(number).map(str::to_string) else {
             return;
         };
         if fault == Fault::AcceptsAnything && matches!(answer.status, 400 | 422) {
@@ -198,7 +198,7 @@
     }
 
     /// What a controller with the planted fault would do instead.
-    pub fn plant(&mut self, n: usize, effects: Vec<Effect>) -> Vec<Effect> {
+    pub(crate) fn plant(&mut self, n: usize, effects: Vec<Effect>) -> Vec<Effect> {
         let Some(fault) = self.planted else { return effects };
         let mut out = vec![];
         for mut effect in effects {
@@ -234,7 +234,7 @@
                     Some(Origin::User(..)) if fault == Fault::ForgetsInDoubt && answer.status == 503 => {
                         answer.status = 404;
                     }
-                    Some(Origin::Look(number)) => self.plant_look(n, *number, fault, answer),
+                    Some(Origin::Query(number)) => self.plant_look(n, *number, fault, answer),
                     _ => {}
                 },
                 Effect::Store {
--- a/tests/sim/renewals.rs
+++ b/tests/sim/lease_renewal.rs
@@ -1,7 +1,7 @@
 //! Whether an answer may renew a worker's lease: what the other controllers say while the state
 //! service answers nobody, and starts of cancelled jobs that may still be on their way.
 
-use super::lives::{at, cluster, life, place};
+use super::process_restarts::{at, cluster, life, place};
 use super::script::Script;
 use glenhaven::coordination::election::Election;
 use glenhaven::coordination::lease_renewal::CancellationAttestations;
@@ -17,13 +17,13 @@
         phase: TaskPhase::Running,
         cause: None,
     };
-    super::lives::heartbeat(sequence, tasks.iter().map(running).collect())
+    super::process_restarts::heartbeat(sequence, tasks.iter().map(running).collect())
 }
 
 /// A leader's word for a question counts from all others, for this very question, and as long
 /// as none knows a later term.
 #[test]
-fn only_the_word_of_all_others_for_this_question_counts() {
+fn only_attestations_of_all_others_for_this_round_count() {
     let settings = Script::parse("nodes a b a").unwrap().settings().remove(0);
     let election = Election::new(&settings, at(0));
     let others = || ["node-1", "node-2"].into_iter().map(str::to_string);
@@ -52,15 +52,15 @@
 /// What this life of a process was told is all it can say: asked from before it began, it is
 /// silent, since an earlier life may have confirmed more.
 #[test]
-fn a_process_that_has_begun_says_nothing_of_its_earlier_lives() {
-    let mut core = life(3);
+fn a_restarted_process_attests_nothing_for_its_earlier_incarnations() {
+    let mut controller = life(3);
     let mut answers = |seen: u64, ms: u64| {
         let question = PeerMessage::AttestationRequest {
             node: "node-1".into(),
             round: 1,
             seen,
         };
-        let effects = core.handle(at(ms), vec![Event::Peer(question)]);
+        let effects = controller.handle(at(ms), vec![Event::Peer(question)]);
         let word = |e: &Effect| {
             matches!(
                 e,
@@ -117,7 +117,7 @@
 
 /// A token that nobody gave out proves nothing.
 #[test]
-fn a_report_with_a_token_never_given_out_frees_nothing() {
+fn a_heartbeat_with_an_unissued_token_frees_nothing() {
     let cluster = cluster();
     let mut leader = flying();
     let forged = Heartbeat {
@@ -142,9 +142,9 @@
 /// A start that was held up on its way to the node that is to hand it on, until its job was
 /// cancelled, goes no further.
 #[test]
-fn a_start_held_up_until_its_job_was_cancelled_is_not_handed_on() {
+fn a_start_delayed_until_its_job_was_cancelled_is_not_forwarded() {
     let handed_on = |job: &str| {
-        let mut core = life(3);
+        let mut controller = life(3);
         let word = PeerMessage::Attestation {
             node: "node-1".into(),
             round: 1,
@@ -165,7 +165,7 @@
                 commands: vec![start],
             },
         };
-        let effects = core.handle(at(100), vec![Event::Peer(word), Event::Peer(relay)]);
+        let effects = controller.handle(at(100), vec![Event::Peer(word), Event::Peer(relay)]);
         let sent = effects.iter().any(|e| matches!(e, Effect::PushedCommands { .. }));
         let told = |e: &Effect| {
             let message = match e {
--- a/tests/sim/links.rs
+++ b/tests/sim/links.rs
@@ -8,7 +8,7 @@
 
 /// One end of a link.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
+pub(crate) enum End {
     Node(usize),
     /// The node that leads when the cut begins, and all others.
     Leader,
@@ -25,7 +25,7 @@
 }
 
 impl End {
-    pub fn parse(word: &str) -> Result<End, String> {
+    pub(crate) fn parse(word: &str) -> Result<End, String> {
         Ok(match word {
             "leader" => End::Leader,
             "one" => End::One,
@@ -48,14 +48,14 @@
     fn is_end(&self, described: &End, end: &End) -> bool {
         match (described, end) {
             (End::Nodes, End::Node(_)) => true,
-            (End::NodesIn(zone), End::Node(n)) => self.broken.zone_of[*n] == *zone,
+            (End::NodesIn(zone), End::Node(n)) => self.active_faults.zone_of[*n] == *zone,
             (End::Workers(None), End::Workers(_)) => true,
             (a, b) => a == b,
         }
     }
 
     /// Fixes who leads when a cut begins; `None` while nobody does.
-    pub fn fixed(&self, end: &End) -> Option<Vec<End>> {
+    pub(crate) fn fixed(&self, end: &End) -> Option<Vec<End>> {
         match end {
             End::Leader => self.leader().map(|n| vec![End::Node(n)]),
             End::Others => {
@@ -77,25 +77,25 @@
     }
 
     /// Whether packets get from one host to another.
-    pub fn passes(&self, from: &End, to: &End) -> bool {
+    pub(crate) fn passes(&self, from: &End, to: &End) -> bool {
         let cuts = |(a, b): &(End, End)| self.is_end(a, from) && self.is_end(b, to);
-        !self.broken.links.values().flatten().any(cuts)
+        !self.active_faults.links.values().flatten().any(cuts)
     }
 
-    pub fn zone_end(&self, machine: &str) -> End {
+    pub(crate) fn zone_end(&self, machine: &str) -> End {
         End::Workers(self.workers.get(machine).map(|w| w.zone.clone()))
     }
 
     /// What a controller's link to another one is told to be, once that has changed.
-    pub fn tell_link(&mut self, n: usize, other: usize, arrives: bool) {
-        let there = self.nodes[other].core.is_some();
+    pub(crate) fn tell_link(&mut self, n: usize, other: usize, arrives: bool) {
+        let there = self.nodes[other].controller.is_some();
         let acked = arrives && there && self.passes(&End::Node(other), &End::Node(n));
         if self.links_told.insert((n, other), acked) == Some(acked) {
             return;
         }
         let (link, pause) = match (acked, there) {
             (true, _) => (Link::Up, 4 * MS),
-            (false, true) if !self.broken.refuse.is_empty() => (Link::Refused, 4 * MS),
+            (false, true) if !self.active_faults.refuse.is_empty() => (Link::Refused, 4 * MS),
             (false, true) => (Link::Silent, 1500 * MS),
             (false, false) => (Link::Refused, 4 * MS),
         };
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -2,24 +2,24 @@
 //! workers and users, written from the protocol, around real controllers'
 //! coordination code. Every rule is checked as things happen.
 
-pub mod agents;
+pub(crate) mod agents;
 mod answers;
-pub mod cloud;
-pub mod fault_injection;
-pub mod links;
-mod lives;
-mod looks;
+mod close_queries;
+pub(crate) mod cloud;
+pub(crate) mod fairness;
+mod fault_combinations;
+pub(crate) mod fault_injection;
+mod lease_renewal;
+pub(crate) mod links;
 mod matrix;
-mod meetings;
+pub(crate) mod one_way_faults;
 mod outbox;
-mod renewals;
-pub mod script;
-pub mod shares;
-mod starving;
+mod process_restarts;
+pub(crate) mod script;
 mod state_service;
 mod steps;
-pub mod troubles;
-pub mod users;
+mod stranded_jobs;
+pub(crate) mod users;
 
 use glenhaven::coordination::{Controller, Effect, Event};
 use glenhaven::protocol::agents::{Heartbeat, HeartbeatResponse, Redirect};
@@ -28,11 +28,11 @@
 use glenhaven::settings::Settings;
 use glenhaven::time::Micros;
 use glenhaven::transport::server::Outgoing;
-pub use glenhaven_fakes::{rules, store, MS, SEC};
+pub(crate) use glenhaven_fakes::{rules, store, MS, SEC};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Something that will happen.
-pub enum ScheduledEvent {
+pub(crate) enum ScheduledEvent {
     Tick(usize, u64),
     Event(usize, u64, Event),
     Store(usize, u64, u64, glenhaven::protocol::store::StoreRequest),
@@ -50,26 +50,26 @@
     UserLate(String, u64),
     /// A question to one node beside those that a user asks in turn, and its answer.
     Ask(String, users::Asked, usize),
-    LookAnswer(u64, u64, Outgoing),
+    QueryAnswer(u64, u64, Outgoing),
     OddRequests(usize),
     Step(usize),
     Heal(usize),
     Throttle(usize),
     Start(usize),
     /// Services are looked at.
-    Look,
+    Query,
 }
 
 /// Who waits for an answer of a controller.
 #[derive(Clone)]
-pub enum Origin {
+pub(crate) enum Origin {
     Worker(String, u64),
     User(String, u64),
-    Look(u64),
+    Query(u64),
 }
 
-pub struct Node {
-    pub core: Option<Controller>,
+pub(crate) struct Node {
+    pub controller: Option<Controller>,
     pub life: u64,
     pub settings: Settings,
     /// What has come while it stands still.
@@ -78,7 +78,7 @@
 
 /// What is broken just now, by the step that broke it.
 #[derive(Default)]
-pub struct Broken {
+pub(crate) struct ActiveFaults {
     pub state_out: BTreeSet<usize>,
     pub state_deaf: BTreeMap<usize, usize>,
     pub cloud_out: BTreeSet<usize>,
@@ -119,17 +119,17 @@
     pub trap: Option<(usize, u64)>,
     /// The next controller that writes such a key ends before it hears of it, for so long.
     pub ends_on: Vec<(String, u64)>,
-    pub lasting: troubles::Lasting,
+    pub lasting: one_way_faults::Lasting,
 }
 
-impl Broken {
+impl ActiveFaults {
     /// Whether this machine gets no answers and no commands.
-    pub fn is_asymmetrically_partitioned(&self, machine: &str) -> bool {
+    pub(crate) fn is_asymmetrically_partitioned(&self, machine: &str) -> bool {
         self.deaf.values().any(|d| d.contains(machine))
     }
 
     /// Whether this controller is cut off from these.
-    pub fn cut_off(&self, n: usize, from: &str) -> bool {
+    pub(crate) fn cut_off(&self, n: usize, from: &str) -> bool {
         let inside = !["peers", "workers"].contains(&from);
         let off = |zone: &String| *zone == self.zone_of[n];
         (inside && self.zone_off.values().any(off))
@@ -139,12 +139,12 @@
                 .any(|(node, what)| *node == n && (what == "all" || what == from))
     }
 
-    pub fn is_frozen(&self, n: usize) -> bool {
+    pub(crate) fn is_frozen(&self, n: usize) -> bool {
         self.frozen.values().any(|f| *f == n)
     }
 }
 
-pub struct World {
+pub(crate) struct World {
     pub now: u64,
     seq: u64,
     pub queue: BTreeMap<(u64, u64), ScheduledEvent>,
@@ -157,10 +157,10 @@
     pub users: BTreeMap<String, users::User>,
     pub rules: rules::Rules,
     pub answers: answers::Answers,
-    pub starving: starving::Starving,
-    pub troubles: looks::Troubles,
+    pub starving: stranded_jobs::Starving,
+    pub one_way_faults: close_queries::Troubles,
     pub script: script::Script,
-    pub broken: Broken,
+    pub active_faults: ActiveFaults,
     pub origins: BTreeMap<u64, Origin>,
     pub held: Vec<(usize, ScheduledEvent)>,
     next_id: u64,
@@ -175,13 +175,13 @@
 }
 
 impl World {
-    pub fn new(script: script::Script) -> World {
+    pub(crate) fn new(script: script::Script) -> World {
         let settings = script.settings();
         let zone_of = settings.iter().map(|s| s.zone.clone()).collect();
         let nodes = settings
             .into_iter()
             .map(|settings| Node {
-                core: None,
+                controller: None,
                 life: 0,
                 settings,
                 inbox: vec![],
@@ -209,11 +209,11 @@
             users: BTreeMap::new(),
             rules: rules::Rules::new(&script.base.params.teams, script.base.params.workers.cancel_s),
             answers: answers::Answers::new(&script),
-            starving: starving::Starving::default(),
-            troubles: looks::Troubles::default(),
-            broken: Broken {
+            starving: stranded_jobs::Starving::default(),
+            one_way_faults: close_queries::Troubles::default(),
+            active_faults: ActiveFaults {
                 zone_of,
-                ..Broken::default()
+                ..ActiveFaults::default()
             },
             origins: BTreeMap::new(),
             held: vec![],
@@ -228,37 +228,37 @@
         }
     }
 
-    pub fn id(&mut self) -> u64 {
+    pub(crate) fn id(&mut self) -> u64 {
         self.next_id += 1;
         self.next_id
     }
 
-    pub fn after(&mut self, delay: u64, ev: ScheduledEvent) {
+    pub(crate) fn after(&mut self, delay: u64, ev: ScheduledEvent) {
         self.seq += 1;
         self.queue.insert((self.now + delay, self.seq), ev);
     }
 
     /// A network delay.
-    pub fn hop(&mut self) -> u64 {
+    pub(crate) fn hop(&mut self) -> u64 {
         500 + self.rng.u64(0..2500)
     }
 
-    pub fn start_node(&mut self, n: usize) {
+    pub(crate) fn start_node(&mut self, n: usize) {
         let seed = self.rng.u64(..);
         let node = &mut self.nodes[n];
-        if node.core.is_some() {
+        if node.controller.is_some() {
             return;
         }
         node.life += 1;
-        node.core = Some(Controller::new(node.settings.clone(), seed, Micros(self.now)));
+        node.controller = Some(Controller::new(node.settings.clone(), seed, Micros(self.now)));
         let life = node.life;
         self.after(1, ScheduledEvent::Tick(n, life));
     }
 
     /// A process ends: its connections are reset at once, unlike those of a host that
     /// nothing can reach.
-    pub fn crash_node(&mut self, n: usize) {
-        self.nodes[n].core = None;
+    pub(crate) fn crash_node(&mut self, n: usize) {
+        self.nodes[n].controller = None;
         self.nodes[n].inbox.clear();
         let heartbeats = self.workers.iter().filter(|(_, w)| w.node == n);
         let heartbeats = heartbeats.filter_map(|(name, w)| Some(ScheduledEvent::ReportLate(name.clone(), w.flying?.0)));
@@ -272,12 +272,12 @@
         }
     }
 
-    pub fn leader(&self) -> Option<usize> {
-        (0..self.nodes.len()).find(|n| self.nodes[*n].core.as_ref().is_some_and(Controller::is_leader))
+    pub(crate) fn leader(&self) -> Option<usize> {
+        (0..self.nodes.len()).find(|n| self.nodes[*n].controller.as_ref().is_some_and(Controller::is_leader))
     }
 
     /// Plays the script to its end.
-    pub fn play(&mut self) {
+    pub(crate) fn play(&mut self) {
         for n in 0..self.nodes.len() {
             self.after(n as u64 * 10 * MS, ScheduledEvent::Start(n));
         }
@@ -285,7 +285,7 @@
             let at = self.script.steps[i].at;
             self.after(at, ScheduledEvent::Step(i));
         }
-        self.after(SEC, ScheduledEvent::Look);
+        self.after(SEC, ScheduledEvent::Query);
         let end = self.script.until;
         while let Some((&(at, seq), _)) = self.queue.first_key_value() {
             if at > end {
@@ -306,7 +306,7 @@
             );
             self.event(ev);
             if !within_controllers {
-                self.rules.look(self.now, &self.workers, &self.users);
+                self.rules.check(self.now, &self.workers, &self.users);
             }
         }
         self.now = end;
@@ -316,7 +316,7 @@
         match ev {
             ScheduledEvent::Start(n) => self.start_node(n),
             ScheduledEvent::Tick(n, life) => {
-                if self.nodes[n].life == life && self.nodes[n].core.is_some() {
+                if self.nodes[n].life == life && self.nodes[n].controller.is_some() {
                     self.run(n, vec![]);
                     self.after(20 * MS, ScheduledEvent::Tick(n, life));
                 }
@@ -337,7 +337,7 @@
                 }
                 let life = self.nodes[n].life;
                 let arrives = self.passes(&self.zone_end(&name), &links::End::Node(n));
-                if self.nodes[n].core.is_none() && self.reaches(n, &name) && arrives {
+                if self.nodes[n].controller.is_none() && self.reaches(n, &name) && arrives {
                     // Refused.
                     let hop = self.hop();
                     self.after(hop, ScheduledEvent::ReportLate(name, rid));
@@ -358,16 +358,16 @@
             ScheduledEvent::UserAnswer(job, rid, left, answer) => self.user_answered(&job, rid, left, answer),
             ScheduledEvent::UserLate(job, rid) => self.user_late(&job, rid),
             ScheduledEvent::Ask(job, asked, n) => self.ask(&job, asked, n),
-            ScheduledEvent::LookAnswer(number, left, answer) => self.look_answered(number, left, &answer),
+            ScheduledEvent::QueryAnswer(number, left, answer) => self.look_answered(number, left, &answer),
             ScheduledEvent::OddRequests(step) => self.odd_requests(step),
             ScheduledEvent::Step(i) => self.step(i),
             ScheduledEvent::Heal(i) => self.heal(i),
             ScheduledEvent::Throttle(i) => self.throttle(i),
-            ScheduledEvent::Look => {
-                self.rules.look_at_services(self.now, &self.workers, &self.users);
+            ScheduledEvent::Query => {
+                self.rules.check_services(self.now, &self.workers, &self.users);
                 self.look_for_starving();
                 self.check_invariants();
-                self.after(SEC, ScheduledEvent::Look);
+                self.after(SEC, ScheduledEvent::Query);
             }
         }
     }
@@ -375,7 +375,10 @@
     /// What the controllers themselves saw broken.
     fn check_invariants(&mut self) {
         for node in &self.nodes {
-            let broken = node.core.as_ref().map_or(0, |core| core.broken_invariants());
+            let broken = node
+                .controller
+                .as_ref()
+                .map_or(0, |controller| controller.broken_invariants());
             if broken > 0 {
                 let text = format!("invariant: {} broken at {} by {}", broken, node.settings.node, self.now);
                 self.rules.broken.push(text);
@@ -384,40 +387,40 @@
     }
 
     /// Whether a node and a machine can reach each other.
-    pub fn reaches(&self, n: usize, machine: &str) -> bool {
+    pub(crate) fn reaches(&self, n: usize, machine: &str) -> bool {
         let Some(w) = self.workers.get(machine) else {
             return false;
         };
-        !self.broken.cut.values().any(|c| c.contains(machine))
-            && !self.broken.cut_off(n, "workers")
+        !self.active_faults.cut.values().any(|c| c.contains(machine))
+            && !self.active_faults.cut_off(n, "workers")
             && self.zones_reach(&self.nodes[n].settings.zone, &w.zone)
     }
 
     fn zones_reach(&self, a: &str, b: &str) -> bool {
         let parted = |(x, y): &(String, String)| (x == a && y == b) || (x == b && y == a);
         let off = |zone: &String| a != b && (zone == a || zone == b);
-        !self.broken.zones.values().any(parted) && !self.broken.zone_off.values().any(off)
+        !self.active_faults.zones.values().any(parted) && !self.active_faults.zone_off.values().any(off)
     }
 
     fn run(&mut self, n: usize, batch: Vec<Event>) {
-        if self.broken.is_frozen(n) {
+        if self.active_faults.is_frozen(n) {
             self.nodes[n].inbox.extend(batch);
             return;
         }
         let batch = self.plant_joins(n, batch);
         let now = Micros(self.now);
         let life = self.nodes[n].life;
-        let Some(core) = self.nodes[n].core.as_mut() else {
+        let Some(controller) = self.nodes[n].controller.as_mut() else {
             return;
         };
-        let effects = core.handle(now, batch);
+        let effects = controller.handle(now, batch);
         let effects = self.plant(n, effects);
         self.notice_leader(n);
         let asks =
             |e: &Effect| matches!(e, Effect::Store { request, .. } if matches!(request, StoreRequest::Grant { .. }));
         if effects.iter().any(asks) {
-            if let Some((i, lasts)) = self.broken.trap.take() {
-                self.broken.frozen.insert(i, n);
+            if let Some((i, lasts)) = self.active_faults.trap.take() {
+                self.active_faults.frozen.insert(i, n);
                 self.after(lasts, ScheduledEvent::Heal(i));
             }
         }
@@ -428,14 +431,17 @@
                 Effect::Reply { id, answer } => match self.origins.remove(&id) {
                     Some(Origin::Worker(name, rid)) => {
                         let arrives = self.passes(&links::End::Node(n), &self.zone_end(&name));
-                        if self.reaches(n, &name) && arrives && !self.broken.is_asymmetrically_partitioned(&name) {
-                            let late = self.broken.slow_answers.values().copied().max().unwrap_or(0);
+                        if self.reaches(n, &name) && arrives && !self.active_faults.is_asymmetrically_partitioned(&name)
+                        {
+                            let late = self.active_faults.slow_answers.values().copied().max().unwrap_or(0);
                             let late = if late > 0 { self.rng.u64(0..=late) } else { 0 };
                             self.after(hop + late, ScheduledEvent::ReportAnswer(name, rid, answer));
                         }
                     }
-                    Some(Origin::User(..) | Origin::Look(_)) if self.broken.cut_off(n, "users") => {}
-                    Some(Origin::Look(number)) => self.after(hop, ScheduledEvent::LookAnswer(number, self.now, answer)),
+                    Some(Origin::User(..) | Origin::Query(_)) if self.active_faults.cut_off(n, "users") => {}
+                    Some(Origin::Query(number)) => {
+                        self.after(hop, ScheduledEvent::QueryAnswer(number, self.now, answer))
+                    }
                     Some(Origin::User(job, rid)) => {
                         self.after(hop, ScheduledEvent::UserAnswer(job, rid, self.now, answer))
                     }
@@ -444,7 +450,8 @@
                 Effect::Store { id, request, timeout } => {
                     let answer = glenhaven::protocol::store::StoreResponse::Unknown;
                     self.after(timeout.0, ScheduledEvent::Event(n, life, Event::Store { id, answer }));
-                    if self.broken.cut_off(n, "state") || !self.passes(&links::End::Node(n), &links::End::State) {
+                    if self.active_faults.cut_off(n, "state") || !self.passes(&links::End::Node(n), &links::End::State)
+                    {
                         // Its sender has given it up by the time that it is delivered.
                         if self.script.held_packets && matches!(request, StoreRequest::Transaction(_)) {
                             self.held.push((n, ScheduledEvent::Store(n, u64::MAX, id, request)));
@@ -456,7 +463,8 @@
                 Effect::Cloud { id, request, timeout } => {
                     let answer = glenhaven::coordination::CloudResponse::Unknown;
                     self.after(timeout.0, ScheduledEvent::Event(n, life, Event::Cloud { id, answer }));
-                    if self.broken.cut_off(n, "cloud") || !self.passes(&links::End::Node(n), &links::End::Cloud) {
+                    if self.active_faults.cut_off(n, "cloud") || !self.passes(&links::End::Node(n), &links::End::Cloud)
+                    {
                         let late = !matches!(request, glenhaven::coordination::CloudRequest::Release(_));
                         if self.script.held_packets && late {
                             self.held.push((n, ScheduledEvent::Cloud(n, u64::MAX, id, request)));
@@ -483,14 +491,14 @@
                         continue;
                     };
                     let (a, b) = (&self.nodes[n].settings.zone, &self.nodes[other].settings.zone);
-                    let cut = self.broken.cut_off(n, "peers") || self.broken.cut_off(other, "peers");
+                    let cut = self.active_faults.cut_off(n, "peers") || self.active_faults.cut_off(other, "peers");
                     let open = self.passes(&links::End::Node(n), &links::End::Node(other));
-                    let arrives = !cut && self.zones_reach(a, b) && open && self.broken.refuse.is_empty();
+                    let arrives = !cut && self.zones_reach(a, b) && open && self.active_faults.refuse.is_empty();
                     self.tell_link(n, other, arrives);
                     if arrives {
                         let life = self.nodes[other].life;
                         self.after(hop, ScheduledEvent::Event(other, life, Event::Peer(message)));
-                    } else if self.script.held_packets && self.broken.refuse.is_empty() {
+                    } else if self.script.held_packets && self.active_faults.refuse.is_empty() {
                         let life = self.nodes[other].life;
                         let ev = ScheduledEvent::Event(other, life, Event::Peer(message));
                         self.held.push((n, ev));
@@ -527,12 +535,12 @@
     }
 
     /// The number of the last term.
-    pub fn last_term(&self) -> u64 {
+    pub(crate) fn last_term(&self) -> u64 {
         self.store.term()
     }
 
     /// Reads the orders or the new node from an answer to a report.
-    pub fn read_answer(answer: &Outgoing) -> Result<HeartbeatResponse, Option<String>> {
+    pub(crate) fn read_answer(answer: &Outgoing) -> Result<HeartbeatResponse, Option<String>> {
         match answer.status {
             200 => from_cbor(&answer.body).map_err(|_| None),
             421 => Err(from_cbor::<Redirect>(&answer.body).ok().and_then(|e| e.report_to)),
--- a/tests/sim/troubles.rs
+++ b/tests/sim/one_way_faults.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Kinds of these for the search, written as in `meetings.rs`.
-pub const KINDS: [&str; 10] = [
+pub(crate) const KINDS: [&str; 10] = [
     "late-writes {h} at-once for {d}",
     "late-writes {h} at-once key=open/ for {d}\ncrash leader for {q} later=3",
     "late-reports {h} for-next for {d}\ncrash leader for {q} later=5",
@@ -23,14 +23,14 @@
 
 /// Answers that lag by tens of milliseconds, beside users who look closely: further troubles of
 /// some seeds.
-pub const LAGGING: [&str; 2] = [
+pub(crate) const LAGGING: [&str; 2] = [
     "close-looks for 60\nstate-slow 0.08 for 60",
     "close-looks for 60\nthrottle {n} share=0.16 for 60",
 ];
 
 /// Which machines a trouble is about.
 #[derive(Clone, Debug)]
-pub enum Which {
+pub(crate) enum Which {
     /// So many of those with most tasks.
     Busiest(usize),
     /// So large a share, those with most tasks.
@@ -42,7 +42,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Trouble {
+pub(crate) enum OneWayFault {
     /// So large a share of the transactions that write a key that begins like this is carried
     /// out at once, and only the answer is lost.
     WriteAnswersLost(f64, String),
@@ -78,37 +78,37 @@
     }
 }
 
-impl Trouble {
+impl OneWayFault {
     /// The trouble that this line of a scenario names.
-    pub fn parse(words: &Words) -> Result<Trouble, String> {
+    pub(crate) fn parse(words: &Words) -> Result<OneWayFault, String> {
         let share = || words.word(3)?.parse::<f64>().map_err(|_| "share".to_string());
         Ok(match words.word(2)? {
             "late-writes" => {
                 let prefix = words.named.get("key").unwrap_or(&"");
-                Trouble::WriteAnswersLost(share()?, prefix.to_string())
+                OneWayFault::WriteAnswersLost(share()?, prefix.to_string())
             }
-            "late-reports" => Trouble::ReportsForNext(share()?),
-            "mute" => Trouble::Mute(Which::parse(words)?),
-            "late-commands" => Trouble::LateCommands(share()?),
+            "late-reports" => OneWayFault::ReportsForNext(share()?),
+            "mute" => OneWayFault::Mute(Which::parse(words)?),
+            "late-commands" => OneWayFault::LateCommands(share()?),
             "hold-direct-answers" => {
                 let by: f64 = words.num("by", 10.0)?;
-                Trouble::HeldDirectAnswers(Which::parse(words)?, (by * SEC as f64) as u64)
+                OneWayFault::HeldDirectAnswers(Which::parse(words)?, (by * SEC as f64) as u64)
             }
-            "kill" => Trouble::Kill(Which::parse(words)?),
-            "state-slow" => Trouble::SlowState((share()? * SEC as f64) as u64),
+            "kill" => OneWayFault::Kill(Which::parse(words)?),
+            "state-slow" => OneWayFault::SlowState((share()? * SEC as f64) as u64),
             "throttle" => {
                 let node = words.word(3)?.parse().map_err(|_| "node".to_string())?;
-                Trouble::Throttle(node, words.num("share", 0.16)?)
+                OneWayFault::Throttle(node, words.num("share", 0.16)?)
             }
             other => return Err(format!("unknown act {other}")),
         })
     }
 
     /// How much longer than the trouble itself lasts what it holds back may arrive.
-    pub fn lingers(&self) -> u64 {
+    pub(crate) fn lingers(&self) -> u64 {
         match self {
-            Trouble::LateCommands(_) => 16 * SEC,
-            Trouble::HeldDirectAnswers(_, by) | Trouble::SlowState(by) => *by,
+            OneWayFault::LateCommands(_) => 16 * SEC,
+            OneWayFault::HeldDirectAnswers(_, by) | OneWayFault::SlowState(by) => *by,
             _ => 0,
         }
     }
@@ -116,7 +116,7 @@
 
 /// Those of these troubles that last just now, by the step that began them.
 #[derive(Default)]
-pub struct Lasting {
+pub(crate) struct Lasting {
     lost_answers: BTreeMap<usize, (f64, String)>,
     kept_reports: BTreeMap<usize, f64>,
     mute: BTreeMap<usize, BTreeSet<String>>,
@@ -135,7 +135,7 @@
 
 impl Lasting {
     /// This step's trouble is over; what is kept for the next leader stays.
-    pub fn heal(&mut self, step: usize) {
+    pub(crate) fn heal(&mut self, step: usize) {
         self.lost_answers.remove(&step);
         self.kept_reports.remove(&step);
         self.mute.remove(&step);
@@ -163,73 +163,83 @@
     }
 
     /// The trouble of this step begins.
-    pub fn begin_trouble(&mut self, step: usize, trouble: &Trouble) {
+    pub(crate) fn begin_trouble(&mut self, step: usize, trouble: &OneWayFault) {
         match trouble {
-            Trouble::WriteAnswersLost(share, prefix) => {
-                self.broken.lasting.lost_answers.insert(step, (*share, prefix.clone()));
+            OneWayFault::WriteAnswersLost(share, prefix) => {
+                self.active_faults
+                    .lasting
+                    .lost_answers
+                    .insert(step, (*share, prefix.clone()));
             }
-            Trouble::ReportsForNext(share) => {
-                self.broken.lasting.kept_reports.insert(step, *share);
+            OneWayFault::ReportsForNext(share) => {
+                self.active_faults.lasting.kept_reports.insert(step, *share);
             }
-            Trouble::Mute(which) => {
+            OneWayFault::Mute(which) => {
                 let machines = self.machines(which);
-                self.broken.lasting.mute.insert(step, machines);
+                self.active_faults.lasting.mute.insert(step, machines);
             }
-            Trouble::LateCommands(share) => {
-                self.broken.lasting.late_commands.insert(step, *share);
+            OneWayFault::LateCommands(share) => {
+                self.active_faults.lasting.late_commands.insert(step, *share);
             }
-            Trouble::HeldDirectAnswers(which, by) => {
+            OneWayFault::HeldDirectAnswers(which, by) => {
                 let machines = self.machines(which);
-                self.broken.lasting.held_answers.insert(step, (machines, *by));
+                self.active_faults.lasting.held_answers.insert(step, (machines, *by));
             }
-            Trouble::Kill(which) => {
+            OneWayFault::Kill(which) => {
                 for name in self.machines(which) {
                     self.machine_dies(&name);
                 }
             }
-            Trouble::SlowState(by) => {
-                self.broken.lasting.slow_state.insert(step, *by);
+            OneWayFault::SlowState(by) => {
+                self.active_faults.lasting.slow_state.insert(step, *by);
             }
-            Trouble::Throttle(n, share) => {
-                self.broken.lasting.throttled.insert(step, (*n, *share));
+            OneWayFault::Throttle(n, share) => {
+                self.active_faults.lasting.throttled.insert(step, (*n, *share));
                 self.throttle(step);
             }
         }
     }
 
     /// A throttled controller has used up its share of the period, or the next one begins.
-    pub fn throttle(&mut self, step: usize) {
-        let Some(&(n, share)) = self.broken.lasting.throttled.get(&step) else {
+    pub(crate) fn throttle(&mut self, step: usize) {
+        let Some(&(n, share)) = self.active_faults.lasting.throttled.get(&step) else {
             return;
         };
         let runs = (PERIOD as f64 * share) as u64;
-        if self.broken.frozen.contains_key(&step) {
+        if self.active_faults.frozen.contains_key(&step) {
             self.thaw(step);
             return self.after(runs, ScheduledEvent::Throttle(step));
         }
-        self.broken.frozen.insert(step, n);
+        self.active_faults.frozen.insert(step, n);
         self.after(PERIOD - runs, ScheduledEvent::Throttle(step));
     }
 
     /// Whether so large a share, drawn anew each time, includes this message.
     fn drawn(&mut self, share: f64) -> bool {
         let drawn = share > 0.0 && self.rng.f64() < share;
-        self.broken.lasting.met += usize::from(drawn);
+        self.active_faults.lasting.met += usize::from(drawn);
         drawn
     }
 
     /// Whether this transaction is carried out and its sender hears nothing.
-    pub fn loses_answer(&mut self, txn: &Transaction) -> bool {
+    pub(crate) fn loses_answer(&mut self, txn: &Transaction) -> bool {
         let writes = |prefix: &str| txn.changes.iter().any(|c| c.key().starts_with(prefix));
-        let shares = self.broken.lasting.lost_answers.values();
+        let shares = self.active_faults.lasting.lost_answers.values();
         let share = shares.filter(|(_, prefix)| writes(prefix)).map(|(share, _)| *share);
         let share = share.fold(0.0, f64::max);
         self.drawn(share)
     }
 
     /// How much later than usual the state service answers this.
-    pub fn state_delay(&mut self, request: &StoreRequest) -> u64 {
-        let slow = self.broken.lasting.slow_state.values().copied().max().unwrap_or(0);
+    pub(crate) fn state_delay(&mut self, request: &StoreRequest) -> u64 {
+        let slow = self
+            .active_faults
+            .lasting
+            .slow_state
+            .values()
+            .copied()
+            .max()
+            .unwrap_or(0);
         if slow == 0 || matches!(request, StoreRequest::Watch { .. }) {
             return 0;
         }
@@ -238,35 +248,38 @@
 
     /// Whether this machine reaches no controller; its attempt to connect fails then, at once
     /// or when its time is over.
-    pub fn report_fails_to_leave(&mut self, name: &str, rid: u64) -> bool {
-        if !self.broken.lasting.mute.values().any(|m| m.contains(name)) {
+    pub(crate) fn report_fails_to_leave(&mut self, name: &str, rid: u64) -> bool {
+        if !self.active_faults.lasting.mute.values().any(|m| m.contains(name)) {
             return false;
         }
-        self.broken.lasting.met += 1;
+        self.active_faults.lasting.met += 1;
         let pause = if self.rng.bool() { MS } else { 4 * SEC };
         self.after(pause, ScheduledEvent::ReportLate(name.into(), rid));
         true
     }
 
     /// Keeps a copy of a share of the reports for the next leader.
-    pub fn keep_for_next(&mut self, heartbeat: &Heartbeat) {
-        let shares = self.broken.lasting.kept_reports.values();
+    pub(crate) fn keep_for_next(&mut self, heartbeat: &Heartbeat) {
+        let shares = self.active_faults.lasting.kept_reports.values();
         let share = shares.copied().fold(0.0, f64::max);
         if self.drawn(share) {
-            self.broken.lasting.kept.push(heartbeat.clone());
+            self.active_faults.lasting.kept.push(heartbeat.clone());
         }
     }
 
     /// Has what was kept reach every controller just as this one begins to lead.
-    pub fn notice_leader(&mut self, n: usize) {
+    pub(crate) fn notice_leader(&mut self, n: usize) {
         let node = &self.nodes[n];
-        let leads = node.core.as_ref().is_some_and(|core| core.is_leader());
+        let leads = node
+            .controller
+            .as_ref()
+            .is_some_and(|controller| controller.is_leader());
         let life = Some((n, node.life));
-        if !leads || self.broken.lasting.led == life {
+        if !leads || self.active_faults.lasting.led == life {
             return;
         }
-        self.broken.lasting.led = life;
-        for heartbeat in std::mem::take(&mut self.broken.lasting.kept) {
+        self.active_faults.lasting.led = life;
+        for heartbeat in std::mem::take(&mut self.active_faults.lasting.kept) {
             for to in 0..self.nodes.len() {
                 let pause = self.rng.u64(0..SEC);
                 let name = heartbeat.machine.clone();
@@ -277,9 +290,9 @@
 
     /// Sends a command on its way to a machine, or has it held up there: nobody hears then
     /// what became of it.
-    pub fn send_direct(&mut self, n: usize, life: u64, id: u64, hop: u64, addr: String, body: PushedCommands) {
-        let held = self.broken.hold_direct.values().copied().max().unwrap_or(0);
-        let shares = self.broken.lasting.late_commands.values();
+    pub(crate) fn send_direct(&mut self, n: usize, life: u64, id: u64, hop: u64, addr: String, body: PushedCommands) {
+        let held = self.active_faults.hold_direct.values().copied().max().unwrap_or(0);
+        let shares = self.active_faults.lasting.late_commands.values();
         let share = shares.copied().fold(0.0, f64::max);
         if self.drawn(share) {
             let late = 2 * SEC + self.rng.u64(0..14 * SEC);
@@ -289,14 +302,14 @@
     }
 
     /// How much later than usual this machine's answer to a direct command is there.
-    pub fn answer_held(&mut self, name: &str) -> u64 {
-        let held = self.broken.lasting.held_answers.values();
+    pub(crate) fn answer_held(&mut self, name: &str) -> u64 {
+        let held = self.active_faults.lasting.held_answers.values();
         let by = held.filter(|(names, _)| names.contains(name)).map(|(_, by)| *by);
         let by = by.max().unwrap_or(0);
         if by == 0 {
             return 0;
         }
-        self.broken.lasting.met += 1;
+        self.active_faults.lasting.met += 1;
         self.rng.u64(0..=by)
     }
 }
--- a/tests/sim/outbox.rs
+++ b/tests/sim/outbox.rs
@@ -1,7 +1,7 @@
 //! Commands are built from the records when they leave: what was decided before is a reason, not
 //! a command.
 
-use super::lives::{at, cluster, heartbeat, place};
+use super::process_restarts::{at, cluster, heartbeat, place};
 use glenhaven::coordination::agents::{parse_task, Due, Leave};
 use glenhaven::coordination::api::JobApi;
 use glenhaven::coordination::state::void_proof::VoidProof;
@@ -68,7 +68,7 @@
 
 /// A queued start whose record was freed, and one of a stopped or cancelled job, don't exist.
 #[test]
-fn a_start_whose_reason_is_gone_does_not_leave() {
+fn a_start_whose_reason_has_lapsed_is_not_sent() {
     let api = JobApi::new("node-0");
     let mut freed = recorded();
     freed.free(&"run-000001".into(), 0, VoidProof::NeverSent, at(100));
@@ -92,7 +92,7 @@
 
 /// Nothing starts on a machine that is given up, nor in a session that is over.
 #[test]
-fn a_start_for_a_machine_that_goes_or_began_anew_does_not_leave() {
+fn a_start_for_a_releasing_or_restarted_machine_is_not_sent() {
     let api = JobApi::new("node-0");
     let mut doomed = recorded();
     doomed.machines.get_mut("n-000001").expect("it reported").state = MachineState::Releasing;
@@ -110,7 +110,7 @@
 
 /// An attempt that ended and a later one of the same task are told apart, however they are listed.
 #[test]
-fn attempts_at_one_task_are_told_apart() {
+fn attempts_at_one_task_are_distinguished() {
     let listed = |attempt: u64, phase: TaskPhase| TaskStatus {
         task: "run-000001/0".into(),
         attempt,
--- a/tests/sim/lives.rs
+++ b/tests/sim/process_restarts.rs
@@ -12,15 +12,15 @@
 use glenhaven::storage::records::{to_value, Term};
 use glenhaven::time::Micros;
 
-pub fn at(ms: u64) -> Micros {
+pub(super) fn at(ms: u64) -> Micros {
     Micros::from_millis(86_400_000 + ms)
 }
 
 /// A life of a node that knows node-1 to lead and reaches it.
-pub fn life(seed: u64) -> Controller {
+pub(super) fn life(seed: u64) -> Controller {
     let settings = Script::parse("nodes a a").unwrap().settings().remove(0);
-    let mut core = Controller::new(settings, seed, at(0));
-    let effects = core.handle(at(0), vec![]);
+    let mut controller = Controller::new(settings, seed, at(0));
+    let effects = controller.handle(at(0), vec![]);
     let read = effects.iter().find_map(|e| match e {
         Effect::Store {
             id,
@@ -60,12 +60,12 @@
         at: 5,
         links: vec![],
     });
-    core.handle(at(10), vec![Event::Store { id, answer }, alive, link]);
-    core
+    controller.handle(at(10), vec![Event::Store { id, answer }, alive, link]);
+    controller
 }
 
 /// Has a worker report; the number under which the report is passed on to the leader.
-fn passes_on(core: &mut Controller, machine: &str) -> u64 {
+fn passes_on(controller: &mut Controller, machine: &str) -> u64 {
     let heartbeat = Heartbeat {
         machine: machine.into(),
         addr: "10.1.0.1:9000".into(),
@@ -78,7 +78,7 @@
         notice_s: None,
         tasks: vec![],
     };
-    let effects = core.handle(at(20), vec![Event::Heartbeat { id: 1, heartbeat }]);
+    let effects = controller.handle(at(20), vec![Event::Heartbeat { id: 1, heartbeat }]);
     let passed = effects.iter().find_map(|e| match e {
         Effect::Peer {
             message: PeerMessage::Heartbeat { id, .. },
@@ -89,33 +89,33 @@
     passed.expect("the report is passed on")
 }
 
-fn answers(core: &mut Controller, id: u64) -> usize {
+fn answers(controller: &mut Controller, id: u64) -> usize {
     let commands = HeartbeatResponse {
         fencing_token: 3,
         commands: vec![],
     };
     let told = Event::Peer(PeerMessage::HeartbeatResponse { id, commands });
-    let effects = core.handle(at(30), vec![told]);
+    let effects = controller.handle(at(30), vec![told]);
     effects.iter().filter(|e| matches!(e, Effect::Reply { .. })).count()
 }
 
 #[test]
-fn an_answer_to_an_earlier_life_is_not_given_to_another_worker() {
+fn a_response_to_an_earlier_incarnation_is_not_given_to_another_agent() {
     for seed in 0..20 {
         let earlier = passes_on(&mut life(seed), "n-000001");
-        let mut core = life(seed + 1000);
-        let own = passes_on(&mut core, "n-000002");
+        let mut controller = life(seed + 1000);
+        let own = passes_on(&mut controller, "n-000002");
         assert_eq!(
-            answers(&mut core, earlier),
+            answers(&mut controller, earlier),
             0,
             "orders for one worker are given to another"
         );
-        assert_eq!(answers(&mut core, own), 1, "its own answer is handed on");
+        assert_eq!(answers(&mut controller, own), 1, "its own answer is handed on");
     }
 }
 
 /// What every part of a controller looks at.
-pub fn cluster() -> ClusterConfig {
+pub(super) fn cluster() -> ClusterConfig {
     let settings = Script::parse("nodes a a").unwrap().settings().remove(0);
     ClusterConfig {
         limits: settings.params.state.limits(),
@@ -126,7 +126,7 @@
 }
 
 /// What n-000001 reports in its first session.
-pub fn heartbeat(sequence: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
+pub(super) fn heartbeat(sequence: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
     Heartbeat {
         machine: "n-000001".into(),
         addr: "10.1.0.1:9000".into(),
@@ -142,7 +142,7 @@
 }
 
 /// Has a leader that knows n-000001 in its first session take `run-000001/0` for started there.
-pub fn place(leader: &mut LeaderState, since: Micros) {
+pub(super) fn place(leader: &mut LeaderState, since: Micros) {
     let mut job = Job::new("run-000001", super::script::plain_spec("run-000001"), 5, 0, since);
     job.waiting.clear();
     job.states[0] = TaskState::Placed;
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -1,16 +1,16 @@
 //! Scenario files: what the world is like, what happens, what is expected.
 
-use super::troubles::Trouble;
+use super::one_way_faults::OneWayFault;
 use super::SEC;
 use glenhaven::protocol::cloud::MachineType;
 use glenhaven::protocol::users::{JobSpec, Priority, Shape};
 use glenhaven::settings::{NextState, Peer, Settings, Team};
 use glenhaven_fakes::cloud::Cloud;
-pub use glenhaven_fakes::user::plain_spec;
+pub(crate) use glenhaven_fakes::user::plain_spec;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
-pub enum Act {
+pub(crate) enum Act {
     Submit(Box<JobSpec>),
     /// A job that an earlier version of the service accepted, by a key of its own.
     Inherit(Box<JobSpec>),
@@ -81,11 +81,11 @@
     OddRequests,
     /// Users ask all nodes at once, again and again, when a job is accepted, ends or is cancelled.
     CloseLooks,
-    Trouble(Trouble),
+    OneWayFault(OneWayFault),
 }
 
 #[derive(Clone, Debug)]
-pub struct Step {
+pub(crate) struct Step {
     pub at: u64,
     pub lasts: Option<u64>,
     pub act: Act,
@@ -95,7 +95,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Expect {
+pub(crate) enum Expect {
     Done(String, u64),
     Cancelled(String, u64),
     /// Pages of the book ever used.
@@ -128,7 +128,7 @@
     Met(usize),
 }
 
-pub struct Script {
+pub(crate) struct Script {
     pub seed: u64,
     pub until: u64,
     pub base: Settings,
@@ -179,37 +179,37 @@
 }
 
 /// A line's words, and what it names as `name=value`.
-pub struct Words<'a> {
+pub(crate) struct Words<'a> {
     plain: Vec<&'a str>,
     pub named: BTreeMap<&'a str, &'a str>,
 }
 
 impl<'a> Words<'a> {
-    pub fn num<T: std::str::FromStr>(&self, name: &str, default: T) -> Result<T, String> {
+    pub(crate) fn num<T: std::str::FromStr>(&self, name: &str, default: T) -> Result<T, String> {
         match self.named.get(name) {
             None => Ok(default),
             Some(v) => v.parse().map_err(|_| format!("{name}: \"{v}\"")),
         }
     }
-    pub fn word(&self, i: usize) -> Result<&'a str, String> {
+    pub(crate) fn word(&self, i: usize) -> Result<&'a str, String> {
         self.plain
             .get(i)
             .copied()
             .ok_or_else(|| "a word is missing".to_string())
     }
-    pub fn has(&self, word: &str) -> bool {
+    pub(crate) fn has(&self, word: &str) -> bool {
         self.plain.contains(&word)
     }
 }
 
 impl Script {
     /// A worker's lease.
-    pub fn lease(&self) -> u64 {
+    pub(crate) fn lease(&self) -> u64 {
         (self.base.params.workers.lease_s * SEC as f64) as u64
     }
 
     /// When the last trouble is over.
-    pub fn calm_from(&self) -> u64 {
+    pub(crate) fn calm_from(&self) -> u64 {
         let quiet = |a: &Act| {
             use Act::*;
             matches!(
@@ -224,7 +224,7 @@
             Act::LateWrites(..) | Act::LoseTxn(_) => s.at + s.lasts.unwrap_or(0) + 12 * SEC,
             Act::HoldDirect(late) => s.at + s.lasts.unwrap_or(0) + late,
             Act::CancelNow(_, hangs) => s.at + hangs.unwrap_or(0) + SEC,
-            Act::Trouble(trouble) => s.at + s.lasts.unwrap_or(0) + trouble.lingers(),
+            Act::OneWayFault(trouble) => s.at + s.lasts.unwrap_or(0) + trouble.lingers(),
             Act::Crash(_) | Act::CrashOn(_) => s.at + s.lasts.unwrap_or(3 * SEC),
             _ => s.at + s.lasts.unwrap_or(0),
         };
@@ -236,7 +236,7 @@
             .unwrap_or(0)
     }
 
-    pub fn parse(text: &str) -> Result<Script, String> {
+    pub(crate) fn parse(text: &str) -> Result<Script, String> {
         let mut s = Script {
             seed: 1,
             until: 120 * SEC,
@@ -399,7 +399,7 @@
                     "odd-requests" => Act::OddRequests,
                     "close-looks" => Act::CloseLooks,
                     "storm" => Act::Storm(w.word(3)?.parse().map_err(|_| "factor")?),
-                    _ => Act::Trouble(Trouble::parse(&w)?),
+                    _ => Act::OneWayFault(OneWayFault::parse(&w)?),
                 };
                 // `every=s times=n`: again and again. `copies=n`: jobs with the following
                 // numbers as well. `step=n`: of jobs that are cancelled, each n-th.
@@ -518,13 +518,13 @@
     }
 
     /// The cloud at the beginning.
-    pub fn cloud(&self) -> Cloud {
+    pub(crate) fn cloud(&self) -> Cloud {
         let lag = (self.base.params.cloud.list_lag_s * SEC as f64) as u64;
         Cloud::new(self.types.clone(), self.capacity, self.dead_boots, lag)
     }
 
     /// The settings of every node.
-    pub fn settings(&self) -> Vec<Settings> {
+    pub(crate) fn settings(&self) -> Vec<Settings> {
         let peer = |n: usize| Peer {
             node: format!("node-{n}"),
             zone: self.zones[n].clone(),
