--- a/tests/sim/state_service.rs
+++ b/tests/sim/state_service.rs
@@ -6,7 +6,7 @@
 use glenhaven::protocol::store::{StoreRequest, StoreResponse};
 
 /// A watch that waits for news.
-pub struct Watch {
+pub(super) struct Watch {
     node: usize,
     life: u64,
     id: u64,
@@ -21,16 +21,20 @@
             return false;
         };
         let writes = |prefix: &String| txn.changes.iter().any(|c| c.key().starts_with(prefix.as_str()));
-        let shares = self.broken.late_writes.values().filter(|(_, prefix)| writes(prefix));
+        let shares = self
+            .active_faults
+            .late_writes
+            .values()
+            .filter(|(_, prefix)| writes(prefix));
         let share = shares.map(|(share, _)| *share).fold(0.0, f64::max);
         share > 0.0 && self.rng.f64() < share
     }
 
     fn deaf(&self, n: usize) -> bool {
-        self.broken.state_deaf.values().any(|d| *d == n)
+        self.active_faults.state_deaf.values().any(|d| *d == n)
     }
 
-    pub fn store_request(&mut self, n: usize, life: u64, id: u64, request: StoreRequest) {
+    pub(crate) fn store_request(&mut self, n: usize, life: u64, id: u64, request: StoreRequest) {
         let now = self.now;
         self.store.expire(now);
         let hop = self.hop();
@@ -71,7 +75,7 @@
                 self.after(late, ScheduledEvent::Store(n, u64::MAX, id, request));
                 return;
             } else if let (StoreRequest::Transaction(txn), Some(late)) =
-                (&request, self.broken.lose_txn.values().copied().next())
+                (&request, self.active_faults.lose_txn.values().copied().next())
             {
                 // Unanswered; executed now, or later when the sender has
                 // long given up.
@@ -94,9 +98,9 @@
         if let (StoreRequest::Transaction(txn), StoreResponse::Committed { .. }) = (&request, &answer) {
             self.answers.written(&txn.changes, now);
             let writes = |key: &String| txn.changes.iter().any(|c| c.key().starts_with(key.as_str()));
-            let found = self.broken.ends_on.iter().position(|(key, _)| writes(key));
+            let found = self.active_faults.ends_on.iter().position(|(key, _)| writes(key));
             if let Some(at) = found {
-                let (_, lasts) = self.broken.ends_on.remove(at);
+                let (_, lasts) = self.active_faults.ends_on.remove(at);
                 self.crash_node(n);
                 self.after(lasts, ScheduledEvent::Start(n));
             }
@@ -108,7 +112,7 @@
     }
 
     /// Answers the watches that have news; an outage holds them.
-    pub fn tell_watches(&mut self) {
+    pub(crate) fn tell_watches(&mut self) {
         if self.store.out {
             return;
         }
@@ -124,7 +128,7 @@
         }
     }
 
-    pub fn watch_ends(&mut self, watch: u64) {
+    pub(crate) fn watch_ends(&mut self, watch: u64) {
         let Some(w) = self.watches.get(&watch) else {
             return;
         };
--- a/tests/sim/steps.rs
+++ b/tests/sim/steps.rs
@@ -7,10 +7,10 @@
 
 impl World {
     /// A step of the scenario begins.
-    pub fn step(&mut self, i: usize) {
+    pub(crate) fn step(&mut self, i: usize) {
         let step = self.script.steps[i].clone();
         if let Act::FreezeOnGrant = step.act {
-            self.broken.trap = step.lasts.map(|lasts| (i, lasts));
+            self.active_faults.trap = step.lasts.map(|lasts| (i, lasts));
             return;
         }
         if let Some(lasts) = step.lasts {
@@ -45,7 +45,7 @@
                 self.event(ScheduledEvent::User(job));
             }
             Act::AskUnknown(job) => {
-                self.users.insert(job.clone(), users::User::stranger(&job));
+                self.users.insert(job.clone(), users::User::never_submitted(&job));
                 self.event(ScheduledEvent::User(job));
             }
             Act::Crash(who) => {
@@ -59,39 +59,39 @@
                     self.after(step.lasts.unwrap_or(3 * SEC), ScheduledEvent::Start(n));
                 }
             }
-            Act::CrashOn(key) => self.broken.ends_on.push((key, step.lasts.unwrap_or(3 * SEC))),
+            Act::CrashOn(key) => self.active_faults.ends_on.push((key, step.lasts.unwrap_or(3 * SEC))),
             Act::StateOut => {
-                self.broken.state_out.insert(i);
+                self.active_faults.state_out.insert(i);
                 self.store.outage(true, self.now);
             }
             Act::StateDeaf(n) => {
                 let n = if n == usize::MAX { self.leader().unwrap_or(0) } else { n };
-                self.broken.state_deaf.insert(i, n);
+                self.active_faults.state_deaf.insert(i, n);
             }
             Act::CloudOut => {
-                self.broken.cloud_out.insert(i);
+                self.active_faults.cloud_out.insert(i);
             }
             Act::LoseTxn(late) => {
-                self.broken.lose_txn.insert(i, late);
+                self.active_faults.lose_txn.insert(i, late);
             }
             Act::LateWrites(share, prefix) => {
-                self.broken.late_writes.insert(i, (share, prefix));
+                self.active_faults.late_writes.insert(i, (share, prefix));
             }
             Act::LateReports(share) => {
-                self.broken.late_reports.insert(i, share);
+                self.active_faults.late_reports.insert(i, share);
             }
             Act::HoldDirect(late) => {
-                self.broken.hold_direct.insert(i, late);
+                self.active_faults.hold_direct.insert(i, late);
             }
             Act::Cut(count) => {
                 let busy = self.busiest(count);
-                self.broken.cut.insert(i, busy);
+                self.active_faults.cut.insert(i, busy);
             }
             Act::ZoneCut(a, b) => {
-                self.broken.zones.insert(i, (a, b));
+                self.active_faults.zones.insert(i, (a, b));
             }
             Act::ZoneOff(zone) => {
-                self.broken.zone_off.insert(i, zone);
+                self.active_faults.zone_off.insert(i, zone);
             }
             Act::Hang(count) => {
                 let until = self.now + step.lasts.unwrap_or(SEC);
@@ -134,35 +134,35 @@
             Act::FreezeOnGrant => {}
             Act::Freeze(who) => {
                 if let Some(n) = self.which(&who) {
-                    self.broken.frozen.insert(i, n);
+                    self.active_faults.frozen.insert(i, n);
                 }
             }
             Act::NodeCut(who, from) => {
                 if let Some(n) = self.which(&who) {
-                    self.broken.node_cut.insert(i, (n, from));
+                    self.active_faults.node_cut.insert(i, (n, from));
                 }
             }
             Act::PeersRefuse => {
-                self.broken.refuse.insert(i);
+                self.active_faults.refuse.insert(i);
             }
             Act::LinkCut(from, to) => {
                 if let (Some(from), Some(to)) = (self.fixed(&from), self.fixed(&to)) {
                     let pairs = from.iter().flat_map(|a| to.iter().map(move |b| (a.clone(), b.clone())));
-                    self.broken.links.insert(i, pairs.collect());
+                    self.active_faults.links.insert(i, pairs.collect());
                 }
             }
             Act::Deaf(count) => {
                 let busy = self.busiest(count);
-                self.broken.deaf.insert(i, busy);
+                self.active_faults.deaf.insert(i, busy);
             }
             Act::SlowAnswers(late) => {
-                self.broken.slow_answers.insert(i, late);
+                self.active_faults.slow_answers.insert(i, late);
             }
             Act::Copies(late) => {
-                self.broken.copies.insert(i, late);
+                self.active_faults.copies.insert(i, late);
             }
             Act::BootTimes(factor) => {
-                self.broken.boots.insert(i, factor);
+                self.active_faults.boots.insert(i, factor);
             }
             Act::OldRelease(node) => {
                 self.store.old_release(&node);
@@ -175,18 +175,18 @@
             Act::StateLimits => self.store.lower(),
             Act::CancelNow(count, hangs) => self.cancel_now(count, hangs),
             Act::CancelAtEnd(share) => {
-                self.troubles.cancel_at_end.insert(i, share);
+                self.one_way_faults.cancel_at_end.insert(i, share);
             }
             Act::CloseLooks => {
-                self.troubles.close_looks.insert(i);
+                self.one_way_faults.close_looks.insert(i);
             }
             Act::OddRequests => {
-                self.troubles.odd_requests.insert(i);
+                self.one_way_faults.odd_requests.insert(i);
                 self.odd_requests(i);
             }
-            Act::Trouble(trouble) => self.begin_trouble(i, &trouble),
+            Act::OneWayFault(trouble) => self.begin_trouble(i, &trouble),
             Act::Storm(factor) => {
-                self.broken.storm.insert(i, factor);
+                self.active_faults.storm.insert(i, factor);
                 let all: Vec<String> = self.users.keys().cloned().collect();
                 for job in all {
                     self.event(ScheduledEvent::User(job));
@@ -204,8 +204,8 @@
     }
 
     /// The controller that this step froze goes on.
-    pub fn thaw(&mut self, step: usize) {
-        let Some(n) = self.broken.frozen.remove(&step) else {
+    pub(crate) fn thaw(&mut self, step: usize) {
+        let Some(n) = self.active_faults.frozen.remove(&step) else {
             return;
         };
         // Everything that came meanwhile is there at once, each message on a
@@ -213,7 +213,7 @@
         let mut inbox = std::mem::take(&mut self.nodes[n].inbox);
         self.rng.shuffle(&mut inbox);
         self.nodes[n].inbox = inbox;
-        while !self.broken.is_frozen(n) && !self.nodes[n].inbox.is_empty() {
+        while !self.active_faults.is_frozen(n) && !self.nodes[n].inbox.is_empty() {
             let most = self.nodes[n].inbox.len().min(256);
             let batch: Vec<Event> = self.nodes[n].inbox.drain(..most).collect();
             self.run(n, batch);
@@ -221,10 +221,10 @@
     }
 
     /// What a step did is over.
-    pub fn heal(&mut self, i: usize) {
+    pub(crate) fn heal(&mut self, i: usize) {
         self.thaw(i);
-        self.troubles.heal(i);
-        let b = &mut self.broken;
+        self.one_way_faults.heal(i);
+        let b = &mut self.active_faults;
         b.state_out.remove(&i);
         b.state_deaf.remove(&i);
         b.cloud_out.remove(&i);
@@ -244,7 +244,7 @@
         b.boots.remove(&i);
         b.storm.remove(&i);
         b.lasting.heal(i);
-        if self.broken.state_out.is_empty() {
+        if self.active_faults.state_out.is_empty() {
             self.store.outage(false, self.now);
         }
         // What was held back arrives now, in order.
@@ -254,7 +254,7 @@
     }
 
     /// The machines with most tasks.
-    pub fn busiest(&self, count: usize) -> BTreeSet<String> {
+    pub(crate) fn busiest(&self, count: usize) -> BTreeSet<String> {
         let mut by: Vec<(std::cmp::Reverse<usize>, String)> = self
             .workers
             .values()
--- a/tests/sim/starving.rs
+++ b/tests/sim/stranded_jobs.rs
@@ -12,7 +12,7 @@
 const MOST: u64 = 90 * SEC;
 
 #[derive(Default)]
-pub struct Starving {
+pub(crate) struct Starving {
     /// Since when a job has waited with room for it, all the time.
     since: BTreeMap<String, u64>,
     told: BTreeSet<String>,
@@ -104,9 +104,9 @@
 
 impl World {
     /// Once a second.
-    pub fn look_for_starving(&mut self) {
+    pub(crate) fn look_for_starving(&mut self) {
         let mut starving = std::mem::take(&mut self.starving);
-        starving.look(self);
+        starving.query(self);
         for job in starving.since.iter().filter(|(_, since)| self.now > **since + MOST) {
             if starving.told.insert(job.0.clone()) {
                 self.rules
@@ -119,7 +119,7 @@
 }
 
 impl Starving {
-    fn look(&mut self, world: &World) {
+    fn query(&mut self, world: &World) {
         if world.now < world.script.calm_from() {
             return;
         }
@@ -143,7 +143,7 @@
 
     /// A job that nobody places although a machine has room for it.
     #[test]
-    fn a_job_left_waiting_is_told() {
+    fn a_stranded_job_is_reported() {
         let text =
             "until 250\nteam blue max=4\nat 1 submit run-000001 service cores=2\nat 30 submit run-000002 service";
         let play = |change: fn(&mut JobSpec), inherits: bool| {
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -1,19 +1,19 @@
 //! Users and the load balancer among simulated hosts.
 
 use super::answers::Answer;
-use super::looks::Moment;
+use super::close_queries::Moment;
 use super::{Origin, ScheduledEvent, World, SEC};
 use glenhaven::coordination::{Event, UserRequest};
 use glenhaven::protocol::users::{JobState, Phase};
 use glenhaven::protocol::{from_cbor, to_cbor};
 use glenhaven::transport::server::Outgoing;
-pub use glenhaven_fakes::user::{Asked, User};
+pub(crate) use glenhaven_fakes::user::{Asked, User};
 
 impl World {
     /// Sends a user's next request, unless one is under way.
-    pub fn user_acts(&mut self, job: &str) {
+    pub(crate) fn user_acts(&mut self, job: &str) {
         let live: Vec<usize> = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].core.is_some() && !self.broken.cut_off(*n, "users"))
+            .filter(|n| self.nodes[*n].controller.is_some() && !self.active_faults.cut_off(*n, "users"))
             .collect();
         let rid = self.id();
         let pick = if live.is_empty() {
@@ -47,7 +47,7 @@
         }
     }
 
-    pub fn user_late(&mut self, job: &str, rid: u64) {
+    pub(crate) fn user_late(&mut self, job: &str, rid: u64) {
         let now = self.now;
         let calm = self.script.calm_from();
         let Some(user) = self.users.get_mut(job) else { return };
@@ -58,7 +58,7 @@
         }
     }
 
-    pub fn user_answered(&mut self, job: &str, rid: u64, left: u64, answer: Outgoing) {
+    pub(crate) fn user_answered(&mut self, job: &str, rid: u64, left: u64, answer: Outgoing) {
         let now = self.now;
         let calm = self.script.calm_from();
         let Some(user) = self.users.get_mut(job) else { return };
@@ -66,7 +66,7 @@
             return;
         };
         user.asked = None;
-        if user.stranger {
+        if user.never_submitted {
             if answer.status == 503 && answer.retry_after_s.is_none() {
                 self.rules.broken.push(format!("{job}: refused without Retry-After"));
             }
@@ -96,7 +96,7 @@
     }
 
     /// Takes in any answer about a job: whether it says the job's state.
-    pub fn heard(&mut self, job: &str, asked: Asked, sent: u64, left: u64, answer: &Outgoing) -> bool {
+    pub(crate) fn heard(&mut self, job: &str, asked: Asked, sent: u64, left: u64, answer: &Outgoing) -> bool {
         let now = self.now;
         let status = answer.status;
         let state: Option<JobState> = from_cbor(&answer.body).ok();
@@ -117,13 +117,14 @@
         if asked == Asked::Submit {
             self.rules.broken.extend(self.answers.accepted(&to_cbor(&user.spec)));
         }
-        self.rules.told(now, job, state.phase, &self.results, user, &self.users);
+        self.rules
+            .record_answer(now, job, state.phase, &self.results, user, &self.users);
         let Some(user) = self.users.get_mut(job) else {
             return true;
         };
         let accepted = user.accepted.is_none();
         let cancelled = state.phase == Phase::Cancelled && user.cancelled.is_none();
-        user.told(now, left, state.phase);
+        user.record_answer(now, left, state.phase);
         if cancelled {
             self.look_closely(job, Moment::Cancelled);
         } else if accepted {
@@ -137,7 +138,7 @@
         let user = &self.users[job];
         let pause = match asked {
             _ if status == 503 => SEC,
-            Asked::Poll => asked.pause() / self.broken.storm.values().copied().max().unwrap_or(1),
+            Asked::Poll => asked.pause() / self.active_faults.storm.values().copied().max().unwrap_or(1),
             _ => asked.pause(),
         };
         if user.refused.is_none() {
