--- a/src/coordination/agents/heartbeat_status.rs
+++ b/src/coordination/agents/heartbeat_status.rs
@@ -58,7 +58,7 @@
     /// Whether a report says something new of a machine that may still be there. One from a
     /// machine that nobody expected makes it known.
     fn is_news(&mut self, name: &MachineId, heartbeat: &Heartbeat, now: Micros) -> bool {
-        if self.released.contains(name) {
+        if self.released_machines.contains(name) {
             return false;
         }
         if heartbeat.fencing_token > self.term {
@@ -94,7 +94,7 @@
         if at == now {
             machine.listens(via, now);
         }
-        machine.heartbeats += 1;
+        machine.heartbeats_received += 1;
         machine.incarnation = heartbeat.incarnation;
         machine.sequence = heartbeat.sequence;
         machine.last_heartbeat = if new_session || machine.state == MachineState::Booting {
@@ -102,10 +102,10 @@
         } else {
             machine.last_heartbeat.max(at)
         };
-        if machine.via.as_deref() != via {
-            machine.via = via.map(Rc::from);
+        if machine.heartbeat_proxy.as_deref() != via {
+            machine.heartbeat_proxy = via.map(Rc::from);
         }
-        machine.addr.clone_from(&heartbeat.addr);
+        machine.address.clone_from(&heartbeat.addr);
         machine.describe(&heartbeat.machine_type, &heartbeat.zone, heartbeat.spot);
         machine.fencing_token = machine.fencing_token.max(heartbeat.fencing_token);
         machine.outbox.refuses_below(machine.fencing_token);
@@ -117,14 +117,14 @@
                     .boot_times
                     .came_up(kind, at.since(rented), t.boot_s, now);
             }
-            self.dirty = true;
-            let boot_s = now.since(machine.since).secs();
+            self.needs_scheduling = true;
+            let boot_s = now.since(machine.known_since).secs();
             tracing::debug!(machine = %name, boot_s, "machine up");
         }
         if new_session {
             machine.outbox.session_ended();
             self.drop_images(name);
-            self.dirty = true;
+            self.needs_scheduling = true;
         }
     }
 
@@ -136,7 +136,7 @@
         };
         tracing::debug!(machine = %name, notice, "the cloud takes a machine back");
         machine.interruption_at = Some(now + Micros::from_secs(notice));
-        self.dirty = true;
+        self.needs_scheduling = true;
     }
 
     /// Compares the records of a machine's tasks with what it lists.
@@ -194,7 +194,7 @@
         };
         if machine.orphaned_attempts != orphaned_attempts {
             machine.orphaned_attempts = orphaned_attempts;
-            self.dirty = true;
+            self.needs_scheduling = true;
         }
     }
 
@@ -206,7 +206,7 @@
             let Some(m) = self.machines.get(heartbeat.machine.as_str()) else {
                 continue;
             };
-            let (via, at) = (m.via.clone(), m.last_heartbeat);
+            let (via, at) = (m.heartbeat_proxy.clone(), m.last_heartbeat);
             self.take_heartbeat(cluster, heartbeat, via.as_deref(), at, now);
         }
     }
@@ -256,9 +256,9 @@
                 };
                 self.free(id, task, proof, now);
             }
-            None if placement.stop.is_some() || !live => {
-                if placement.sent && now.since(placement.stop_at) > UNSEEN_STOP {
-                    self.new_term = Some("a start that is no longer wanted may still be on its way");
+            None if placement.stop_grace_s.is_some() || !live => {
+                if placement.sent && now.since(placement.stop_requested_at) > UNSEEN_STOP {
+                    self.new_term_reason = Some("a start that is no longer wanted may still be on its way");
                 }
             }
             None if placement.may_be_sent() => {
@@ -279,10 +279,10 @@
         };
         let first = !matches!(placement.phase, PlacementPhase::Exited(_));
         placement.phase = PlacementPhase::Exited(cause);
-        let helper = placement.helper;
-        let cancelled = job.cancelled.is_some();
+        let helper = placement.on_helper_machine;
+        let cancelled = job.cancelled_at.is_some();
         if first {
-            job.vacates(helper);
+            job.release_task(helper);
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.take(&job.spec, -1.0);
             }
@@ -314,7 +314,7 @@
         };
         if phase == TaskPhase::Running && placement.running_since.is_none() {
             placement.running_since = Some(now);
-            let waited = now.since(job.arrived);
+            let waited = now.since(job.arrived_at);
             if !placement.restored && !job.arrival_unknown {
                 let spec = &job.spec;
                 self.slo.started(&spec.class, &spec.team, spec.cpus, waited, now);
@@ -329,27 +329,27 @@
                 machine = %name,
                 try_ = placement.attempt,
                 waited_s = waited.secs(),
-                placed_s = now.since(placement.since).secs(),
+                placed_s = now.since(placement.placed_at).secs(),
                 "task runs"
             );
         }
         if !matches!(placement.phase, PlacementPhase::Exited(_)) {
             placement.phase = PlacementPhase::Seen(phase);
         }
-        if placement.stop.is_some() {
+        if placement.stop_grace_s.is_some() {
             due.stops.insert(record.clone());
         }
         if phase == TaskPhase::Running {
             let machine_type = cluster.catalogue.get(&heartbeat.machine_type);
             let cache_gb = machine_type.map_or(f64::INFINITY, |t| t.cache_gb);
-            self.use_image(name, &image, image_gb, cache_gb);
+            self.record_image_use(name, &image, image_gb, cache_gb);
         }
     }
 
     /// A task exited; what it means for its job and its machine.
     fn exited(&mut self, cluster: &ClusterConfig, name: &MachineId, id: &JobId, task: u32, cause: Cause, now: Micros) {
         let tasks_per_range = self.tasks_per_range;
-        self.dirty = true;
+        self.needs_scheduling = true;
         let Some(job) = self.jobs.get_mut(id) else { return };
         match cause {
             Cause::Done if job.is_live() => {
@@ -357,40 +357,41 @@
                 if let Some(since) = seen.and_then(|p| p.running_since) {
                     let ran_s = now.since(since).secs();
                     tracing::debug!(job = %id, task, machine = %name, ran_s, "task done");
-                    job.runs.0 += ran_s;
-                    job.runs.1 += 1;
+                    job.completed_runs.0 += ran_s;
+                    job.completed_runs.1 += 1;
                     self.slo.ran(&job.spec.class, job.spec.estimate_s, ran_s, now);
                 }
                 if job.states[task as usize] == TaskState::Placed {
                     job.states[task as usize] = TaskState::Finished;
-                    job.finished += 1;
-                    job.failures = 0;
-                    job.failed_on.clear();
+                    job.finished_tasks += 1;
+                    job.consecutive_failures = 0;
+                    job.failed_machines.clear();
                     job.task_ranges
                         .entry(task / tasks_per_range)
                         .or_default()
-                        .done
+                        .completed
                         .insert(task);
-                    if !job.is_service() && job.finished == job.spec.tasks {
+                    if !job.is_service() && job.finished_tasks == job.spec.tasks {
                         self.log_writer.complete.insert(id.clone());
                         self.record_objectives_met(id, now);
                     }
                     self.touch(id, task / tasks_per_range, now);
                 }
                 if let Some(m) = self.machines.get_mut(name) {
-                    m.faults.pop_first();
+                    m.task_failures.pop_first();
                 }
             }
             Cause::Error => {
                 tracing::debug!(job = %id, task, machine = %name, "task failed");
-                job.failed_on.insert(name.clone());
-                job.failures += 1;
+                job.failed_machines.insert(name.clone());
+                job.consecutive_failures += 1;
                 if job.is_suspect(now) {
                     // Tries follow each other ever more slowly.
-                    let tries = job.failed_on.len().max(2) - 2 + job.failures as usize / job.spec.tasks.max(1) as usize;
+                    let tries = job.failed_machines.len().max(2) - 2
+                        + job.consecutive_failures as usize / job.spec.tasks.max(1) as usize;
                     let pause = Micros::from_secs((2u64 << tries.min(5)) as f64);
-                    job.not_before = now + pause;
-                    let machines = job.failed_on.clone();
+                    job.backoff_until = now + pause;
+                    let machines = job.failed_machines.clone();
                     for machine in machines {
                         self.exonerate(&machine, id);
                     }
@@ -408,8 +409,8 @@
             }
             Cause::Unknown => {
                 // The job's description is not uploaded yet.
-                job.failures += 1;
-                job.not_before = now + Micros::from_secs(f64::from(job.failures.min(10)));
+                job.consecutive_failures += 1;
+                job.backoff_until = now + Micros::from_secs(f64::from(job.consecutive_failures.min(10)));
             }
             _ => {}
         }
@@ -421,13 +422,13 @@
     fn blame(&mut self, name: &MachineId, id: &JobId, now: Micros) {
         let jobs = &self.jobs;
         let Some(m) = self.machines.get_mut(name) else { return };
-        *m.faults.entry(id.clone()).or_default() += 1;
-        m.faults.retain(|job, _| jobs.contains_key(job));
-        let does_well = |job: &JobId| jobs.get(job).is_some_and(|j| j.finished > 0);
-        let told = m.faults.iter().any(|(job, n)| *n >= 2 && does_well(job));
-        if told || m.faults.len() >= 3 {
+        *m.task_failures.entry(id.clone()).or_default() += 1;
+        m.task_failures.retain(|job, _| jobs.contains_key(job));
+        let does_well = |job: &JobId| jobs.get(job).is_some_and(|j| j.finished_tasks > 0);
+        let told = m.task_failures.iter().any(|(job, n)| *n >= 2 && does_well(job));
+        if told || m.task_failures.len() >= 3 {
             if m.quarantined_since.is_none() {
-                tracing::info!(machine = %name, jobs = m.faults.len(), "machine doubted: tasks fail on it");
+                tracing::info!(machine = %name, jobs = m.task_failures.len(), "machine doubted: tasks fail on it");
             }
             m.quarantined_since.get_or_insert(now);
             m.quarantined_until = now + timing::QUARANTINED;
@@ -437,10 +438,10 @@
     /// The job fails wherever it is tried: its failures say nothing of a machine.
     fn exonerate(&mut self, name: &MachineId, id: &JobId) {
         let Some(m) = self.machines.get_mut(name) else { return };
-        if m.faults.remove(id).is_some() && m.faults.len() < 3 && m.quarantined_since.take().is_some() {
+        if m.task_failures.remove(id).is_some() && m.task_failures.len() < 3 && m.quarantined_since.take().is_some() {
             tracing::info!(machine = %name, job = %id, "machine no longer doubted: the job fails everywhere");
             m.quarantined_until = Micros::ZERO;
-            self.dirty = true;
+            self.needs_scheduling = true;
         }
     }
 }
--- a/src/coordination/agents/outbox.rs
+++ b/src/coordination/agents/outbox.rs
@@ -141,7 +141,7 @@
 impl Machine {
     /// Whether it is to be kept: nothing starts on a machine that is about to be released.
     fn stays(&self) -> bool {
-        self.state != MachineState::Releasing && self.release_sent.is_none()
+        self.state != MachineState::Releasing && self.release_requested_at.is_none()
     }
 }
 
@@ -247,7 +247,7 @@
         if !here || !placement.may_be_sent() {
             return None;
         }
-        if !wanted || placement.stop.is_some() {
+        if !wanted || placement.stop_grace_s.is_some() {
             if !placement.sent {
                 // Nothing was ever sent for this record, and only this leadership could have:
                 // it is void without a word from the machine.
@@ -298,7 +298,7 @@
         Some(AgentCommand::Stop {
             task: format!("{}/{}", task.job, task.task),
             attempt: placement.attempt,
-            grace_s: placement.stop?,
+            grace_s: placement.stop_grace_s?,
         })
     }
 
--- a/src/coordination/agents/push.rs
+++ b/src/coordination/agents/push.rs
@@ -57,7 +57,7 @@
             self.agents.outboxes.remove(name);
             return;
         };
-        if machine.outbox.in_flight.is_some() || machine.addr.is_empty() {
+        if machine.outbox.in_flight.is_some() || machine.address.is_empty() {
             return;
         }
         let mut due = std::mem::take(&mut machine.outbox.due);
@@ -78,7 +78,7 @@
         if commands.is_empty() && !asks_for_report {
             return;
         }
-        let relay = machine.via.clone().filter(|node| reached(node));
+        let relay = machine.heartbeat_proxy.clone().filter(|node| reached(node));
         let (id, sent) = send(context, election, machine, commands, relay.as_deref());
         machine.outbox.in_flight = Some(id);
         self.agents.pushes_in_flight.insert(id, sent);
@@ -108,7 +108,7 @@
     pub(super) fn take_direct_reports(&mut self, cluster: &ClusterConfig, now: Micros) {
         for heartbeat in std::mem::take(&mut self.agents.push_heartbeats) {
             let name: MachineId = heartbeat.machine.as_str().into();
-            let via = self.machines.get(&name).and_then(|m| m.via.clone());
+            let via = self.machines.get(&name).and_then(|m| m.heartbeat_proxy.clone());
             self.take_report(cluster, &heartbeat, via.as_deref(), now, now);
             self.queue_forgets(&name, &heartbeat);
         }
@@ -142,7 +142,7 @@
 ) -> (u64, SentPush) {
     let id = context.id();
     let fencing_token = election.term();
-    let addr = machine.addr.clone();
+    let addr = machine.address.clone();
     let body = PushedCommands {
         fencing_token,
         incarnation: machine.incarnation,
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -57,7 +57,7 @@
         job.blocked = true;
         job.submitted_at = self.came(submitted_ms, now);
         tracing::debug!(job = %job.id, class = job.spec.class, needs = ?job.spec.needs, "job waits for others");
-        self.last_version = self.last_version.max(version);
+        self.last_acceptance_revision = self.last_acceptance_revision.max(version);
         self.blocked_jobs.fresh.insert(job.id.clone());
         self.jobs.insert(job.id.clone(), job);
     }
@@ -66,7 +66,7 @@
     pub fn came(&self, day_ms: u64, now: Micros) -> Micros {
         match day_ms {
             0 => now,
-            ms => Micros::from_millis(ms.saturating_sub(self.day_ms)).min(now),
+            ms => Micros::from_millis(ms.saturating_sub(self.clock_origin_ms)).min(now),
         }
     }
 
@@ -107,22 +107,22 @@
 
     /// All that the job needs is recorded as done: it arrives, in the paper's sense.
     fn release(&mut self, id: &JobId, now: Micros) {
-        let order = self.last_version;
+        let order = self.last_acceptance_revision;
         let Some(job) = self.jobs.get_mut(id).filter(|j| j.blocked) else {
             return;
         };
         job.blocked = false;
-        if job.base == 0 || job.arrival_unknown {
-            job.arrived = now;
+        if job.base_page == 0 || job.arrival_unknown {
+            job.arrived_at = now;
             job.arrival_unknown = false;
-            job.order = order.max(job.order);
+            job.queue_order = order.max(job.queue_order);
         }
         tracing::debug!(job = %id, after_s = now.since(job.submitted_at).secs(), "all that the job needs is done");
-        let entry = Undescribed::new(job.version, id.clone());
-        if job.base == 0 {
+        let entry = Undescribed::new(job.acceptance_revision, id.clone());
+        if job.base_page == 0 {
             self.log_writer.undescribed.insert(entry);
         }
-        self.dirty = true;
+        self.needs_scheduling = true;
     }
 
     /// Where every job that is held back stands is looked at once more.
@@ -167,15 +167,15 @@
             let priority = job.spec.priority.max(lent.priority);
             if priority != job.priority {
                 job.set_priority(priority);
-                self.dirty = true;
+                self.needs_scheduling = true;
             }
-            job.inherited_due = lent.due;
+            job.inherited_deadline = lent.due;
             borrowers.insert(job.id.clone());
         }
         for id in self.blocked_jobs.borrowers.difference(&borrowers) {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.set_priority(job.spec.priority);
-                job.inherited_due = None;
+                job.inherited_deadline = None;
             }
         }
         self.blocked_jobs.borrowers = borrowers;
@@ -195,7 +195,7 @@
             if !self.api.is_ready() {
                 return;
             }
-            leader.day_ms = self.context.day_ms;
+            leader.clock_origin_ms = self.context.day_ms;
             leader.adopt(&self.api, now);
         }
         let changed = !news.is_empty() || !leader.blocked_jobs.fresh.is_empty();
--- a/src/coordination/election/campaign.rs
+++ b/src/coordination/election/campaign.rs
@@ -269,7 +269,7 @@
                 } else {
                     let incarnation = self.context.id();
                     let mut leader = LeaderState::new(incarnation, self.election.term(), now);
-                    leader.day_ms = self.context.day_ms;
+                    leader.clock_origin_ms = self.context.day_ms;
                     self.leader = Some(leader);
                     self.prove_to_leader();
                     self.set_rates();
--- a/src/coordination/election/watches.rs
+++ b/src/coordination/election/watches.rs
@@ -104,7 +104,7 @@
                 }
                 self.api.on_news(&mut self.context, &self.cluster, &events.events);
                 if let Some(leader) = self.leader.as_mut() {
-                    leader.on_job_news(events.events, now);
+                    leader.on_job_events(events.events, now);
                 }
                 self.election.jobs_after = self.election.jobs_after.max(events.revision);
                 self.election.jobs_at = self.election.jobs_at.max(sent);
--- a/src/coordination/failure_detection/asymmetric_partition.rs
+++ b/src/coordination/failure_detection/asymmetric_partition.rs
@@ -27,14 +27,14 @@
 impl Machine {
     /// Its reports arrive, and it most likely gets no answers.
     pub fn is_asymmetrically_partitioned(&self) -> bool {
-        self.moves >= DEAF
+        self.controller_changes >= DEAF
     }
 
     /// A report came by way of this controller; `None`: here.
     pub fn listens(&mut self, via: Option<&str>, now: Micros) {
-        if self.incarnation > 0 && self.via.as_deref() != via {
-            self.moves += 1;
-            if self.moves == DEAF {
+        if self.incarnation > 0 && self.heartbeat_proxy.as_deref() != via {
+            self.controller_changes += 1;
+            if self.controller_changes == DEAF {
                 tracing::info!(machine = %self.name, tasks = self.tasks.len(), "machine doubted: it seems to get no answers");
             }
         } else {
@@ -47,7 +47,7 @@
         if self.is_asymmetrically_partitioned() && sent > Micros::ZERO {
             tracing::info!(machine = %self.name, "machine hears again");
         }
-        self.moves = 0;
+        self.controller_changes = 0;
     }
 }
 
@@ -56,13 +56,13 @@
     pub fn probe_asymmetric_partitions(&mut self, context: &mut Context, now: Micros) {
         let fencing_token = self.term;
         let due = |m: &&mut Machine| {
-            m.moves >= ASKED
+            m.controller_changes >= ASKED
                 && m.state == MachineState::Up
                 && m.outbox.in_flight.is_none()
-                && now.since(m.asked_at) > AGAIN
+                && now.since(m.probed_at) > AGAIN
         };
         for m in self.machines.values_mut().filter(due).take(AT_ONCE) {
-            m.asked_at = now;
+            m.probed_at = now;
             let id = context.id();
             m.outbox.in_flight = Some(id);
             let sent = SentPush {
@@ -75,7 +75,7 @@
             self.agents.pushes_in_flight.insert(id, sent);
             context.out.push(Effect::PushedCommands {
                 id,
-                addr: m.addr.clone(),
+                addr: m.address.clone(),
                 body: PushedCommands {
                     fencing_token,
                     incarnation: m.incarnation,
--- a/src/coordination/failure_detection/stragglers.rs
+++ b/src/coordination/failure_detection/stragglers.rs
@@ -22,15 +22,15 @@
 impl LeaderState {
     /// The time a task of the job runs, if enough of them have completed.
     fn usual_s(job: &crate::coordination::state::Job) -> Option<f64> {
-        let (sum, n) = job.runs;
-        (n >= LEAST_RUNS && n >= job.held).then(|| sum / f64::from(n))
+        let (sum, n) = job.completed_runs;
+        (n >= LEAST_RUNS && n >= job.held_tasks).then(|| sum / f64::from(n))
     }
 
     /// Looks for tasks that are overdue, and moves work off their machines.
     pub fn detect_stragglers(&mut self, cluster: &ClusterConfig, now: Micros) {
         let quiet = Self::work_silence(cluster);
         let runs = |p: &Placement| {
-            let on = p.phase == PlacementPhase::Seen(TaskPhase::Running) && p.stop.is_none();
+            let on = p.phase == PlacementPhase::Seen(TaskPhase::Running) && p.stop_grace_s.is_none();
             p.running_since.filter(|_| on).map(|since| now.since(since).secs())
         };
         let mut slow: BTreeSet<MachineId> = BTreeSet::new();
--- a/src/coordination/failure_detection/suspected.rs
+++ b/src/coordination/failure_detection/suspected.rs
@@ -40,7 +40,7 @@
         }
         silent.sort_by_key(|(since, m)| (std::cmp::Reverse(*since), m.name.clone()));
         let mut chosen = BTreeSet::new();
-        for (_, m) in silent.into_iter().filter(|(_, m)| m.services > 0) {
+        for (_, m) in silent.into_iter().filter(|(_, m)| m.service_tasks > 0) {
             let cores = self.service_cores(m);
             if cores > room {
                 break;
--- a/src/coordination/failure_detection/zone_partition.rs
+++ b/src/coordination/failure_detection/zone_partition.rs
@@ -43,7 +43,10 @@
     /// From when on the silence of a machine counts: the leader hears it from
     /// then on, and its workers have found another controller if they lost theirs.
     pub fn listens_to(&self, m: &Machine, now: Micros) -> Micros {
-        let node = m.via.as_deref().and_then(|name| self.failures.controllers.get(name));
+        let node = m
+            .heartbeat_proxy
+            .as_deref()
+            .and_then(|name| self.failures.controllers.get(name));
         let found = node
             .and_then(|n| n.lost)
             .map_or(Micros::ZERO, |at| now.min(at + REHOME));
@@ -54,7 +57,7 @@
             .get(&m.zone)
             .copied()
             .unwrap_or(Micros::ZERO);
-        self.listens_since.max(found).max(back)
+        self.listening_since.max(found).max(back)
     }
 
     /// Looks at what is heard of every zone.
@@ -63,7 +66,7 @@
         for m in self.machines.values().filter(|m| !m.zone.is_empty()) {
             let sign = signs.entry(&m.zone).or_default();
             sign.heard = sign.heard.max(m.last_heartbeat);
-            sign.kept = sign.kept.max(m.proxied_at);
+            sign.kept = sign.kept.max(m.last_proxied_at);
             let heartbeats = m.incarnation > 0 || !m.tasks.is_empty();
             sign.machines += usize::from(heartbeats && m.state != MachineState::Releasing);
         }
@@ -88,9 +91,9 @@
         for change in self
             .failures
             .zones
-            .look(&signs, &times(cluster), self.listens_since, now)
+            .look(&signs, &times(cluster), self.listening_since, now)
         {
-            self.dirty = true;
+            self.needs_scheduling = true;
             match change {
                 Change::Cut { zone, since } => {
                     let silent_s = now.since(since).secs();
@@ -120,7 +123,7 @@
                 if m.takes_work(now, silent) {
                     room += cores - m.used[0];
                 }
-            } else if m.services == 0
+            } else if m.service_tasks == 0
                 && m.state == MachineState::Up
                 && self.moves_out(cluster, &m.zone, now) == Move::All
             {
@@ -144,7 +147,7 @@
         let services: f64 = self
             .machines
             .values()
-            .filter(|m| m.services > 0 && self.failures.zones.is_cut(&m.zone))
+            .filter(|m| m.service_tasks > 0 && self.failures.zones.is_cut(&m.zone))
             .map(|m| m.used[0])
             .sum();
         in_step(far, room - waiting - services).into_iter().collect()
--- a/src/coordination/invariants.rs
+++ b/src/coordination/invariants.rs
@@ -78,7 +78,7 @@
             held.0 += cpus;
             held.1 += gpus;
         };
-        for job in self.jobs.values().filter(|job| job.held > 0) {
+        for job in self.jobs.values().filter(|job| job.held_tasks > 0) {
             let confirmed = job.placements.values().filter(|placement| {
                 let machine = self.machines.get(&placement.machine);
                 let is_current = machine.is_some_and(|machine| machine.fencing_token >= self.first_term);
@@ -111,10 +111,10 @@
 
 /// What is counted of a job as it changes is what its records say.
 fn is_counted_right(job: &Job) -> bool {
-    let records = job.holding().count();
-    let right = records == job.held as usize;
+    let records = job.active_placements().count();
+    let right = records == job.held_tasks as usize;
     if !right {
-        tracing::error!(job = %job.id, held = job.held, records, "a job's count differs from its records");
+        tracing::error!(job = %job.id, held = job.held_tasks, records, "a job's count differs from its records");
     }
     right
 }
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -145,16 +145,20 @@
     /// that only another controller hears: with a higher term, answers of whoever answers
     /// the machine raise its fence.
     pub fn check_unsettled(&mut self, now: Micros) {
-        self.unsettled.clear();
+        self.unsettled_machines.clear();
         let mut flies = false;
-        for job in self.jobs.values().filter(|j| j.cancelled.is_some()) {
-            for p in job.placements.values().filter(|p| now.since(p.stop_at) > SETTLES) {
+        for job in self.jobs.values().filter(|j| j.cancelled_at.is_some()) {
+            for p in job
+                .placements
+                .values()
+                .filter(|p| now.since(p.stop_requested_at) > SETTLES)
+            {
                 flies |= p.sent && p.phase == PlacementPhase::Sent && p.fencing_token >= self.term;
-                self.unsettled.insert(p.machine.clone());
+                self.unsettled_machines.insert(p.machine.clone());
             }
         }
         if flies {
-            self.new_term = Some("a start of a cancelled job may still be on its way");
+            self.new_term_reason = Some("a start of a cancelled job may still be on its way");
         }
     }
 
@@ -163,7 +167,7 @@
     /// lease would outlast the time in which the task must be gone.
     pub fn must_lapse(&self, cluster: &ClusterConfig, heartbeat: &Heartbeat, now: Micros) -> bool {
         let name: MachineId = heartbeat.machine.as_str().into();
-        if !self.unsettled.contains(&name) {
+        if !self.unsettled_machines.contains(&name) {
             return false;
         }
         let Some(machine) = self.machines.get(&name) else {
@@ -174,7 +178,7 @@
         let too_long =
             |cancel_unconfirmed_until: Micros| now.since(cancel_unconfirmed_until) >= cluster.knowledge_limit();
         machine.tasks.iter().any(|(id, task)| {
-            let Some(job) = self.jobs.get(id).filter(|j| j.cancelled.is_some()) else {
+            let Some(job) = self.jobs.get(id).filter(|j| j.cancelled_at.is_some()) else {
                 return false;
             };
             let Some(p) = job.placements.get(task) else {
--- a/src/coordination/log/answers.rs
+++ b/src/coordination/log/answers.rs
@@ -71,7 +71,7 @@
         };
         for name in &care.kept {
             if let Some(machine) = leader.machines.get_mut(name.as_str()) {
-                machine.proxied_at = now;
+                machine.last_proxied_at = now;
             }
         }
         match glenhaven_compression::unpack::<Heartbeat>(&care.told) {
--- a/src/coordination/log/compaction.rs
+++ b/src/coordination/log/compaction.rs
@@ -90,11 +90,11 @@
                 let job = id.clone();
                 facts.push(OldFact { page, job, part });
             };
-            if is_old(job.base) {
-                add(job.base, None);
+            if is_old(job.base_page) {
+                add(job.base_page, None);
             }
-            for (n, chunk) in job.task_ranges.iter().filter(|(_, c)| is_old(c.base)) {
-                add(chunk.base, Some(*n));
+            for (n, chunk) in job.task_ranges.iter().filter(|(_, c)| is_old(c.base_page)) {
+                add(chunk.base_page, Some(*n));
             }
         }
         facts.sort();
@@ -119,12 +119,12 @@
         let claims: BTreeSet<&str> = pending.claims.iter().map(|c| c.claim.as_str()).collect();
         let mut oldest = draft.first_seq;
         for (id, job) in self.jobs.iter().filter(|(id, _)| !draft.ends(id)) {
-            if job.base > 0 && !described.contains(id) {
-                oldest = oldest.min(job.base);
+            if job.base_page > 0 && !described.contains(id) {
+                oldest = oldest.min(job.base_page);
             }
             for (n, chunk) in &job.task_ranges {
-                if chunk.base > 0 && !parts.contains(&(id, *n)) {
-                    oldest = oldest.min(chunk.base);
+                if chunk.base_page > 0 && !parts.contains(&(id, *n)) {
+                    oldest = oldest.min(chunk.base_page);
                 }
             }
         }
--- a/src/coordination/log/mod.rs
+++ b/src/coordination/log/mod.rs
@@ -167,8 +167,8 @@
     pub fn touch(&mut self, id: &JobId, part: u32, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let chunk = job.task_ranges.entry(part).or_default();
-        if chunk.dirty.is_none() {
-            chunk.dirty = Some(now);
+        if chunk.dirty_since.is_none() {
+            chunk.dirty_since = Some(now);
             self.log_writer.changed.push_back(ChangedTaskRange {
                 since: now,
                 job: id.clone(),
--- a/src/coordination/log/outcome.rs
+++ b/src/coordination/log/outcome.rs
@@ -56,7 +56,7 @@
         for description in pending.descriptions {
             let job = self.jobs.get(&description.job);
             if let (true, Some(job)) = (description.was_due, job) {
-                let entry = Undescribed::new(job.version, description.job);
+                let entry = Undescribed::new(job.acceptance_revision, description.job);
                 self.log_writer.undescribed.insert(entry);
             }
         }
@@ -70,8 +70,8 @@
             let Some(job) = self.jobs.get_mut(id) else { continue };
             job.closing = false;
             self.log_writer.complete.insert(id.clone());
-            if job.base == 0 {
-                let entry = Undescribed::new(job.version, id.clone());
+            if job.base_page == 0 {
+                let entry = Undescribed::new(job.acceptance_revision, id.clone());
                 self.log_writer.undescribed.insert(entry);
             }
         }
@@ -82,7 +82,7 @@
         }
         for id in &pending.ended {
             if let Some(job) = self.jobs.get(id) {
-                let entry = Undescribed::new(job.version, id.clone());
+                let entry = Undescribed::new(job.acceptance_revision, id.clone());
                 self.log_writer.undescribed.insert(entry);
             }
             self.log_writer.ended.insert(id.clone());
@@ -102,11 +102,11 @@
         let Some(chunk) = job.task_ranges.get_mut(&part.part) else {
             return;
         };
-        chunk.done.extend(part.done);
-        chunk.void.extend(part.void);
+        chunk.completed.extend(part.done);
+        chunk.voided.extend(part.void);
         if starts {
-            let priority = *chunk.queued.get_or_insert(job.priority);
-            let entry = QueuedStarts::new(priority, job.version, part.job.clone(), part.part);
+            let priority = *chunk.queued_priority.get_or_insert(job.priority);
+            let entry = QueuedStarts::new(priority, job.acceptance_revision, part.job.clone(), part.part);
             self.log_writer.starting.insert(entry);
         }
         self.touch(&part.job, part.part, now);
@@ -122,7 +122,7 @@
         self.log_writer.pages_written(&pending, revision);
         for description in pending.descriptions {
             if let Some(job) = self.jobs.get_mut(&description.job) {
-                job.base = description.page;
+                job.base_page = description.page;
             }
         }
         for part in pending.parts {
@@ -162,7 +162,7 @@
             return;
         };
         if let (Some(page), Some(chunk)) = (part.page, job.task_ranges.get_mut(&part.part)) {
-            chunk.base = page;
+            chunk.base_page = page;
         }
         for task in part.done {
             if job.states[task as usize] != TaskState::Finished {
@@ -175,7 +175,7 @@
             };
             if let Some(machine) = self.machines.get_mut(&placed.machine) {
                 machine.tasks.remove(&(part.job.clone(), task));
-                machine.to_forget = true;
+                machine.has_forgettable_exits = true;
             }
         }
     }
@@ -192,10 +192,10 @@
             return;
         }
         placement.phase = PlacementPhase::Sent;
-        placement.since = now;
+        placement.placed_at = now;
         let machine = self.machines.get(&placement.machine);
-        let stays = machine.is_some_and(|m| m.incarnation == placement.incarnation && m.release_sent.is_none());
-        if !live || placement.stop.is_some() || !stays {
+        let stays = machine.is_some_and(|m| m.incarnation == placement.incarnation && m.release_requested_at.is_none());
+        if !live || placement.stop_grace_s.is_some() || !stays {
             // Nothing was ever sent for this record, and only this leader could have: it is
             // void without a word from the machine.
             self.free(&id, task, VoidProof::NeverSent, now);
@@ -207,13 +207,13 @@
     /// An array is recorded as done; its machines may forget its tasks.
     fn close_completed(&mut self, id: &JobId, now: Micros) {
         if let Some(job) = self.jobs.remove(id) {
-            tracing::debug!(job = %id, took_s = now.since(job.arrived).secs(), "job done");
+            tracing::debug!(job = %id, took_s = now.since(job.arrived_at).secs(), "job done");
             for (task, placement) in &job.placements {
                 let Some(machine) = self.machines.get_mut(&placement.machine) else {
                     continue;
                 };
                 machine.tasks.remove(&(id.clone(), *task));
-                machine.to_forget = true;
+                machine.has_forgettable_exits = true;
                 if !matches!(placement.phase, PlacementPhase::Exited(_)) {
                     machine.take(&job.spec, -1.0);
                 }
--- a/src/coordination/log/restore.rs
+++ b/src/coordination/log/restore.rs
@@ -61,7 +61,7 @@
         }
         self.provisioning.adopt_claims(replay.claims, now);
         self.log_writer.loaded = true;
-        self.dirty = true;
+        self.needs_scheduling = true;
         for (id, news) in contents.news {
             self.take_news(&id, news, now);
         }
@@ -78,7 +78,7 @@
             pages = self.log_writer.pages.len(),
             jobs = self.jobs.len(),
             placements = self.jobs.values().map(|j| j.placements.len()).sum::<usize>(),
-            took_ms = now.since(self.began).0 / 1000,
+            took_ms = now.since(self.started_at).0 / 1000,
             "book read"
         );
     }
@@ -86,13 +86,13 @@
     /// Puts an open job back, with its parts.
     fn restore_job(&mut self, id: &str, replayed: ReplayedJob, parts: BTreeMap<u32, ReplayedTaskRange>, now: Micros) {
         let (version, cancelled) = (replayed.version, replayed.cancelled);
-        self.last_version = self.last_version.max(version);
+        self.last_acceptance_revision = self.last_acceptance_revision.max(version);
         let mut job = self.restored_job(id, replayed, now);
         for (n, part) in parts {
             self.restore_part(&mut job, n, part, now);
         }
         let key = job.id.clone();
-        let complete = !job.is_service() && job.finished == job.spec.tasks;
+        let complete = !job.is_service() && job.finished_tasks == job.spec.tasks;
         self.jobs.insert(key.clone(), job);
         if cancelled {
             self.cancel(id, now);
@@ -116,12 +116,12 @@
         };
         let mut job = Job::new(id, spec, replayed.version, replayed.key_version, now);
         job.blocked = blocked;
-        job.base = replayed.page;
+        job.base_page = replayed.page;
         job.restored = true;
         job.arrival_unknown = replayed.arrived_ms == 0;
         if !job.arrival_unknown {
-            job.arrived = self.log_writer.on_own_clock(replayed.arrived_ms).min(now);
-            job.submitted_at = job.arrived;
+            job.arrived_at = self.log_writer.on_own_clock(replayed.arrived_ms).min(now);
+            job.submitted_at = job.arrived_at;
         }
         job
     }
@@ -136,7 +136,7 @@
         }
         let chunk = TaskRange {
             last_attempt: part.last_attempt,
-            base: part.page,
+            base_page: part.page,
             ..TaskRange::default()
         };
         job.task_ranges.insert(n, chunk);
@@ -159,10 +159,10 @@
             fencing_token: fencing_token.max(self.term.saturating_sub(1)),
             phase: PlacementPhase::Sent,
             sent: true,
-            stop: None,
-            stop_at: now,
-            helper: false,
-            since: now,
+            stop_grace_s: None,
+            stop_requested_at: now,
+            on_helper_machine: false,
+            placed_at: now,
             running_since: None,
             restored: true,
         };
@@ -170,12 +170,12 @@
             .decisions
             .note(job.decision(task, &placement, Decided::Inherited, now));
         job.placements.insert(task, placement);
-        job.held += u32::from(!is_injected(InjectedFault::ForgetsChargeAtTakeover));
+        job.held_tasks += u32::from(!is_injected(InjectedFault::ForgetsChargeAtTakeover));
         let machine = self
             .machines
             .entry(name.clone())
             .or_insert_with(|| Machine::unknown(name, now));
-        machine.named = true;
+        machine.confirmed = true;
         machine.take(&job.spec, 1.0);
         machine.tasks.insert((job.id.clone(), task));
     }
@@ -219,7 +219,7 @@
         }
         job.states[task as usize] = TaskState::Recorded;
         job.waiting.remove(&task);
-        job.finished += 1;
+        job.finished_tasks += 1;
     }
 }
 
--- a/src/coordination/log/write.rs
+++ b/src/coordination/log/write.rs
@@ -146,7 +146,7 @@
             }
             job.closing = true;
             self.log_writer.complete.remove(&id);
-            let entry = Undescribed::new(job.version, id.clone());
+            let entry = Undescribed::new(job.acceptance_revision, id.clone());
             self.log_writer.undescribed.remove(&entry);
             draft.pending.completed.push(id);
         }
@@ -175,7 +175,7 @@
         let jobs: Vec<JobId> = undescribed.map(|u| u.job.clone()).collect();
         for id in jobs {
             let Some(job) = self.jobs.get(&id) else { continue };
-            if job.cancelled.is_some() && job.placements.is_empty() {
+            if job.cancelled_at.is_some() && job.placements.is_empty() {
                 continue; // Over in a moment; that is said next.
             }
             if !self.write_description(draft, &id) {
@@ -187,7 +187,7 @@
     /// Cancelled jobs with nothing left on machines.
     fn write_ended(&mut self, draft: &mut Draft) {
         let ended: Vec<JobId> = self.log_writer.ended.iter().cloned().collect();
-        let is_over = |job: &&Job| job.cancelled.is_some() && job.placements.is_empty();
+        let is_over = |job: &&Job| job.cancelled_at.is_some() && job.placements.is_empty();
         for id in ended {
             let Some(job) = self.jobs.get(&id).filter(is_over) else {
                 self.log_writer.ended.remove(&id);
@@ -196,7 +196,7 @@
             if draft.add(Entry::Over(id.to_string())).is_none() {
                 break;
             }
-            let entry = Undescribed::new(job.version, id.clone());
+            let entry = Undescribed::new(job.acceptance_revision, id.clone());
             self.log_writer.undescribed.remove(&entry);
             self.log_writer.ended.remove(&id);
             draft.pending.ended.push(id);
@@ -215,7 +215,7 @@
             if now.since(since) <= OUTCOME_DELAY {
                 break;
             }
-            let differs = |job: &Job| job.task_ranges.get(&n).is_some_and(|c| c.dirty == Some(since));
+            let differs = |job: &Job| job.task_ranges.get(&n).is_some_and(|c| c.dirty_since == Some(since));
             let is_due = self.jobs.get(&id).is_some_and(differs);
             if is_due && !self.write_part(draft, &id, n) {
                 break;
@@ -242,7 +242,7 @@
         }
         let Some(job) = self.jobs.get(id) else { return true };
         // Without a description, what is placed would mean nothing to the next leader.
-        if job.base == 0 && !draft.describes(id) {
+        if job.base_page == 0 && !draft.describes(id) {
             return true;
         }
         let full = must_be_full(job, n, draft.compact_before);
@@ -281,17 +281,17 @@
     fn take_changes(&mut self, id: &JobId, n: u32, page: Option<u64>) -> Option<WrittenTaskRange> {
         let job = self.jobs.get_mut(id)?;
         let chunk = job.task_ranges.get_mut(&n)?;
-        if let Some(priority) = chunk.queued.take() {
-            let entry = QueuedStarts::new(priority, job.version, id.clone(), n);
+        if let Some(priority) = chunk.queued_priority.take() {
+            let entry = QueuedStarts::new(priority, job.acceptance_revision, id.clone(), n);
             self.log_writer.starting.remove(&entry);
         }
-        chunk.dirty = None;
+        chunk.dirty_since = None;
         Some(WrittenTaskRange {
             job: id.clone(),
             part: n,
             page,
-            done: std::mem::take(&mut chunk.done),
-            void: std::mem::take(&mut chunk.void),
+            done: std::mem::take(&mut chunk.completed),
+            void: std::mem::take(&mut chunk.voided),
         })
     }
 
@@ -299,8 +299,8 @@
     /// room left.
     pub(super) fn write_description(&mut self, draft: &mut Draft, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else { return true };
-        let entry = Undescribed::new(job.version, id.clone());
-        let due = self.log_writer.undescribed.contains(&entry) || job.base < draft.compact_before;
+        let entry = Undescribed::new(job.acceptance_revision, id.clone());
+        let due = self.log_writer.undescribed.contains(&entry) || job.base_page < draft.compact_before;
         if !due || job.closing || draft.describes(id) {
             return true;
         }
@@ -323,14 +323,14 @@
 
     /// The entry that describes a job; `None` if it doesn't fit into a page.
     fn description(&self, job: &Job, page_bytes: usize) -> Option<Entry> {
-        let submitted_ms = self.day_ms + job.submitted_at.0 / 1000;
+        let submitted_ms = self.clock_origin_ms + job.submitted_at.0 / 1000;
         // It was accepted into a value of this size; one of an older version may be larger.
         let bytes = page_bytes.saturating_sub(JOB_ENTRY_BYTES);
         let spec = Box::new(records::kept(&job.spec, submitted_ms, bytes)?);
-        let cancelled = job.cancelled.is_some();
+        let cancelled = job.cancelled_at.is_some();
         Some(match job.key_version {
-            0 => Entry::Accepted(job.version, cancelled, spec),
-            _ => Entry::Open(job.version, cancelled, spec),
+            0 => Entry::Accepted(job.acceptance_revision, cancelled, spec),
+            _ => Entry::Open(job.acceptance_revision, cancelled, spec),
         })
     }
 
@@ -366,7 +366,7 @@
     fn seen_after(&self, election: &Election) -> u64 {
         let change_of = |entry: &Undescribed| {
             let job = self.jobs.get(&entry.job)?;
-            let by_cancellation = job.cancelled.is_some() && job.cancel_version > 0;
+            let by_cancellation = job.cancelled_at.is_some() && job.cancel_version > 0;
             Some(if by_cancellation {
                 job.cancel_version
             } else {
@@ -384,7 +384,7 @@
         let arrival = |entry: &Entry| {
             let job = self.jobs.get(entry.describes()?.id.as_str());
             let job = job.filter(|j| !j.arrival_unknown);
-            Some(job.map_or(0, |j| self.log_writer.log_ms(j.arrived)))
+            Some(job.map_or(0, |j| self.log_writer.log_ms(j.arrived_at)))
         };
         entries.iter().filter_map(arrival).collect()
     }
@@ -438,7 +438,7 @@
 
 /// Whether all of a part has to be said: no page says it, or one that is to go.
 fn must_be_full(job: &Job, n: u32, compact_before: u64) -> bool {
-    let page = job.task_ranges.get(&n).map_or(0, |c| c.base);
+    let page = job.task_ranges.get(&n).map_or(0, |c| c.base_page);
     page == 0 || page < compact_before
 }
 
@@ -460,7 +460,7 @@
     let (done, void) = if full {
         (ranges((from..to).filter(is_finished)), vec![])
     } else {
-        (ranges_of(&chunk.done), ranges_of(&chunk.void))
+        (ranges_of(&chunk.completed), ranges_of(&chunk.voided))
     };
     TaskRangeRecord {
         job: job.id.to_string(),
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -194,7 +194,7 @@
         let now = self.context.now;
         self.election.on_process_pause(now);
         if let Some(leader) = self.leader.as_mut() {
-            leader.listens_since = now;
+            leader.listening_since = now;
         }
     }
 
--- a/src/coordination/objectives.rs
+++ b/src/coordination/objectives.rs
@@ -104,7 +104,7 @@
                 let age = if job.arrival_unknown {
                     Micros::ZERO
                 } else {
-                    now.since(job.arrived)
+                    now.since(job.arrived_at)
                 };
                 self.slo.arrived(&s.class, &s.team, cores, s.estimate_s, age, now);
             }
@@ -117,7 +117,7 @@
             let of_team = held.get(&job.spec.team).map_or(0.0, |h| h.0);
             let limited = !job.waiting.is_empty() && of_team + job.spec.cpus > limit;
             let blameless = job.arrival_unknown || job.is_suspect(now) || limited;
-            let age = now.since(job.arrived).secs();
+            let age = now.since(job.arrived_at).secs();
             let started = job.all_started();
             for aim in job.objectives.iter_mut().flatten().filter(|a| !a.judged) {
                 if (aim.starts && started) || age > aim.due_s {
@@ -142,7 +142,7 @@
         let Some(job) = self.jobs.get_mut(id).filter(|j| !j.arrival_unknown) else {
             return;
         };
-        let age = now.since(job.arrived).secs();
+        let age = now.since(job.arrived_at).secs();
         for aim in job.objectives.iter_mut().flatten().filter(|a| !a.judged) {
             aim.judged = true;
             self.slo.judged(&job.spec.class, aim.number, age <= aim.due_s, now);
--- a/src/coordination/provisioning/calls.rs
+++ b/src/coordination/provisioning/calls.rs
@@ -107,7 +107,7 @@
                     if answer == CloudResponse::Released {
                         leader.machine_released(&name, now);
                     } else if let Some(m) = leader.machines.get_mut(&name) {
-                        m.release_sent = None;
+                        m.release_requested_at = None;
                         leader.provisioning.to_release.insert(name);
                     }
                 }
--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -34,7 +34,7 @@
     /// How long a task of the job is expected to run: as those before it did, or as
     /// its owner says, corrected by how wrong the class's owners were lately.
     fn expected_s(&self, job: &Job) -> f64 {
-        let (sum, n) = job.runs;
+        let (sum, n) = job.completed_runs;
         if n >= 3 {
             sum / f64::from(n)
         } else {
@@ -81,7 +81,7 @@
             }
         }
         for job in self.jobs.values().filter(|j| j.may_run()) {
-            let tasks = f64::from(job.held) + job.waiting.len() as f64;
+            let tasks = f64::from(job.held_tasks) + job.waiting.len() as f64;
             demand += tasks * effective_cores(&job.spec, cluster);
         }
         let spent = spent.max(demand * cheap) * cluster.settings.operator.in_time_worth;
@@ -115,7 +115,13 @@
             .filter(|j| j.spec.spot && j.may_run() && !j.waiting.is_empty())
             .filter(|j| !j.is_suspect(now) && !is_best_effort(cluster, j, now))
             .collect();
-        waiting.sort_by_key(|j| (std::cmp::Reverse(j.priority), !within.contains(&j.id), j.version));
+        waiting.sort_by_key(|j| {
+            (
+                std::cmp::Reverse(j.priority),
+                !within.contains(&j.id),
+                j.acceptance_revision,
+            )
+        });
         let mut queue: Vec<Work> = vec![];
         // Whose aims the times of each work are.
         let mut whose: Vec<Vec<(JobId, Vec<usize>)>> = vec![];
@@ -123,7 +129,10 @@
         let mut last: BTreeMap<&str, &Job> = BTreeMap::new();
         for job in waiting {
             let class = job.spec.class.as_str();
-            if last.get(class).is_none_or(|l| l.version < job.version) {
+            if last
+                .get(class)
+                .is_none_or(|l| l.acceptance_revision < job.acceptance_revision)
+            {
                 last.insert(class, job);
             }
             let team = left.entry(&job.spec.team).or_insert_with(|| {
@@ -136,7 +145,7 @@
                 continue;
             }
             let run_s = self.expected_s(job) + fetch_s(job);
-            let age = now.since(job.arrived).secs();
+            let age = now.since(job.arrived_at).secs();
             let mut dues: Vec<Due> = vec![];
             let mut numbers = vec![];
             let mut most: f64 = 0.0;
@@ -215,7 +224,7 @@
                 continue;
             };
             if m.state == MachineState::Booting {
-                let age = now.since(m.since);
+                let age = now.since(m.known_since);
                 let counted = self.provisioning.boot_times.pace(m).counted(age, t.boot_s);
                 let ready_s = (t.boot_s * BOOTS - age.secs()).max(1.0);
                 supply.coming.push((ready_s, t.cpus * counted));
@@ -227,7 +236,7 @@
                     };
                     let Some(p) = job.placements.get(task) else { continue };
                     let run_s = self.expected_s(job) + fetch_s(job);
-                    let ran_s = now.since(p.since).secs();
+                    let ran_s = now.since(p.placed_at).secs();
                     supply.coming.push(((run_s - ran_s).max(2.0), job.spec.cpus));
                 }
             }
--- a/src/coordination/provisioning/demand.rs
+++ b/src/coordination/provisioning/demand.rs
@@ -39,7 +39,7 @@
         let mut by_team: BTreeMap<&str, (f64, f64, f64, f64)> = BTreeMap::new();
         for job in self.jobs.values() {
             let cores = effective_cores(&job.spec, cluster);
-            let held = f64::from(job.held);
+            let held = f64::from(job.held_tasks);
             let waits = if job.may_run() {
                 worth_renting(cluster, job, now)
             } else {
@@ -75,7 +75,7 @@
         // tasks. Before the list has told what they are, it would rent all that
         // is there a second time.
         let patience = Micros::from_secs(cluster.settings.params.workers.report_s * 1.5 + 2.0);
-        let heard = now.since(self.began) > patience;
+        let heard = now.since(self.started_at) > patience;
         if !self.provisioning.listed && !heard {
             return;
         }
@@ -102,13 +102,14 @@
                 continue;
             };
             // Kept by another node only: it runs on, but takes no new work.
-            let away = m.proxied_at > m.last_heartbeat && now.since(m.last_heartbeat) > Self::work_silence(cluster);
+            let away =
+                m.last_proxied_at > m.last_heartbeat && now.since(m.last_heartbeat) > Self::work_silence(cluster);
             // Machines that are up show as booting until they report here.
             let counted = if m.state == MachineState::Booting && heard {
                 self.provisioning
                     .boot_times
                     .pace(m)
-                    .counted(now.since(m.since), t.boot_s)
+                    .counted(now.since(m.known_since), t.boot_s)
             } else {
                 1.0
             };
@@ -173,7 +174,7 @@
         let mut hurries: BTreeMap<&str, bool> = BTreeMap::new();
         for job in self.jobs.values().filter(|j| j.spec.spot) {
             let cores = effective_cores(&job.spec, cluster);
-            let holds = f64::from(job.held) * cores;
+            let holds = f64::from(job.held_tasks) * cores;
             let wants = holds
                 + if job.may_run() {
                     worth_renting(cluster, job, now) * cores
@@ -255,7 +256,7 @@
                     .provisioning
                     .boot_times
                     .pace(m)
-                    .counted(now.since(m.since), t.boot_s)
+                    .counted(now.since(m.known_since), t.boot_s)
                     > 0.0
                 {
                     coming.push((m.machine_type.clone(), m.zone.clone(), m.spot, t.cpus));
@@ -283,7 +284,7 @@
             // only what it cannot see.
             let patience = if bound { 2.0 } else { 6.0 };
             let stuck = job
-                .stuck_since
+                .unplaceable_since
                 .is_some_and(|at| now.since(at) > Micros::from_secs(patience));
             let stuck = stuck && (bound || enough);
             if !job.may_run() || job.waiting.is_empty() || !stuck || !now_waiting(job, now) {
@@ -293,7 +294,7 @@
             let cores = (job.waiting.len() as f64 * effective_cores(&job.spec, cluster)).min(left);
             let spot_only = is_best_effort(cluster, job, now);
             wanted.push(Stuck {
-                version: job.version,
+                version: job.acceptance_revision,
                 spec: job.spec.clone(),
                 open,
                 cores,
--- a/src/coordination/provisioning/listed.rs
+++ b/src/coordination/provisioning/listed.rs
@@ -12,22 +12,22 @@
     /// A machine in the list: unknown ones are adopted, failed ones returned.
     pub(super) fn listed(&mut self, listed: ListedMachine, now: Micros) {
         let name: MachineId = listed.name.as_str().into();
-        if self.released.contains(&name) {
+        if self.released_machines.contains(&name) {
             return;
         }
         let age = Micros::from_secs(listed.age_s);
         let m = self.machines.entry(name.clone()).or_insert_with(|| {
             tracing::debug!(machine = listed.name, phase = listed.phase, "adopted from the list");
             let mut m = Machine::unknown(name, now);
-            m.since = now.since(age);
+            m.known_since = now.since(age);
             m
         });
         if m.machine_type.is_empty() {
             m.describe(&listed.machine_type, &listed.zone, listed.spot);
         }
         m.rented_at.get_or_insert(now.since(age));
-        if m.addr.is_empty() {
-            m.addr = listed.addr;
+        if m.address.is_empty() {
+            m.address = listed.addr;
         }
         if listed.phase == "failed" && m.state != MachineState::Releasing {
             tracing::info!(machine = listed.name, "machine failed");
@@ -53,7 +53,7 @@
         // by them end. If they were dead instead, the cloud's list would tell.
         let inside = cluster.knowledge_limit();
         let kept_inside = |m: &Machine| {
-            m.services > 0
+            m.service_tasks > 0
                 && self.failures.zones.is_cut(&m.zone)
                 && cluster.settings.peers.iter().any(|p| p.zone == m.zone)
         };
@@ -79,8 +79,8 @@
             .values()
             .filter(|m| m.state == MachineState::Up && !cut_off(m))
         {
-            let quiet = now.since(m.last_heartbeat.max(m.proxied_at).max(listens(m))) > silent;
-            let group = heard_by.entry(m.via.clone()).or_default();
+            let quiet = now.since(m.last_heartbeat.max(m.last_proxied_at).max(listens(m))) > silent;
+            let group = heard_by.entry(m.heartbeat_proxy.clone()).or_default();
             group.0 += 1;
             group.1 += usize::from(quiet);
         }
@@ -95,14 +95,16 @@
         let held_too_long: BTreeSet<MachineId> = self
             .jobs
             .values()
-            .filter(|j| j.cancelled.is_some())
+            .filter(|j| j.cancelled_at.is_some())
             .flat_map(|j| j.placements.values())
-            .filter(|p| now.since(p.stop_at) > Micros::from_secs(w.cancel_s * 0.5))
+            .filter(|p| now.since(p.stop_requested_at) > Micros::from_secs(w.cancel_s * 0.5))
             .map(|p| p.machine.clone())
             .collect();
         let released = self.released_in_step(cluster, now);
         let alone = |m: &Machine| {
-            let judged = !cut_off(m) && !doubted.contains(&m.via) && now.since(m.proxied_at) > timing::KEPT_TOLD;
+            let judged = !cut_off(m)
+                && !doubted.contains(&m.heartbeat_proxy)
+                && now.since(m.last_proxied_at) > timing::KEPT_TOLD;
             judged.then(|| now.since(m.last_heartbeat.max(listens(m))))
         };
         let hung = self.given_up_early(cluster, alone);
@@ -112,11 +114,11 @@
             .values_mut()
             .filter(|m| m.state != MachineState::Releasing)
         {
-            let listens = listening.get(&m.name).copied().unwrap_or(self.listens_since);
+            let listens = listening.get(&m.name).copied().unwrap_or(self.listening_since);
             // What another node keeps runs on, but nothing that ends there can be
             // recorded: a short cut is sat out, a long one is not.
             let sat_out = now.since(m.last_heartbeat.max(listens)) < timing::kept(w);
-            let proxied_at = if sat_out { m.proxied_at } else { Micros::ZERO };
+            let proxied_at = if sat_out { m.last_proxied_at } else { Micros::ZERO };
             // In a zone that is cut off, leases run on from the last report.
             let known = zones.is_cut(&m.zone) && m.last_heartbeat > Micros::ZERO;
             let listens = if known { Micros::ZERO } else { listens };
@@ -125,14 +127,16 @@
             let why = match m.state {
                 MachineState::Booting if m.tasks.is_empty() => {
                     // To a new leader all machines are booting until they report.
-                    let heard = now.since(self.listens_since) > silent;
-                    let late = boots.pace(m).is_dead(now.since(m.since), boot);
+                    let heard = now.since(self.listening_since) > silent;
+                    let late = boots.pace(m).is_dead(now.since(m.known_since), boot);
                     (late && heard).then_some("never came up")
                 }
                 _ if released.contains(&m.name) => Some("there is room for its work outside its zone"),
                 _ if hung.contains(&m.name) => Some("silent, and there is room for its services"),
                 _ if unheard > patience(m)
-                    && (zones.is_cut(&m.zone) || !doubted.contains(&m.via) || unheard > patience(m) + lease) =>
+                    && (zones.is_cut(&m.zone)
+                        || !doubted.contains(&m.heartbeat_proxy)
+                        || unheard > patience(m) + lease) =>
                 {
                     Some("silent")
                 }
@@ -144,14 +148,14 @@
                 _ => None,
             };
             // A node that keeps a machine stops cancelled tasks there itself.
-            let kept = now.since(m.proxied_at) < timing::KEPT_TOLD;
+            let kept = now.since(m.last_proxied_at) < timing::KEPT_TOLD;
             let why = why.or_else(|| (!kept && held_too_long.contains(&m.name)).then_some("keeps a cancelled task"));
             if let Some(why) = why {
-                let (tasks, services) = (m.tasks.len(), m.services);
+                let (tasks, services) = (m.tasks.len(), m.service_tasks);
                 tracing::info!(machine = %m.name, zone = &*m.zone, why, tasks, services, "machine given up");
                 m.state = MachineState::Releasing;
                 self.provisioning.to_release.insert(m.name.clone());
-                self.dirty = true;
+                self.needs_scheduling = true;
             }
         }
     }
--- a/src/coordination/provisioning/mod.rs
+++ b/src/coordination/provisioning/mod.rs
@@ -116,7 +116,7 @@
                     "rented"
                 );
                 for name in &names {
-                    if self.released.contains(name) {
+                    if self.released_machines.contains(name) {
                         continue;
                     }
                     let m = self
@@ -159,7 +159,7 @@
         }
         // What is lost frees its tasks only when it is returned: that first.
         let machines = &self.machines;
-        let waits = |m: &Machine| m.state == MachineState::Releasing && m.release_sent.is_none();
+        let waits = |m: &Machine| m.state == MachineState::Releasing && m.release_requested_at.is_none();
         self.provisioning
             .to_release
             .retain(|name| machines.get(name).is_some_and(waits));
@@ -179,7 +179,7 @@
                 self.provisioning.releasing += 1;
                 for name in doomed {
                     if let Some(m) = self.machines.get_mut(&name) {
-                        m.release_sent = Some(now);
+                        m.release_requested_at = Some(now);
                     }
                 }
             }
@@ -200,11 +200,14 @@
                 claim.state = ClaimState::Asked;
             }
         }
-        let (machines, gone) = (&self.machines, &self.released);
+        let (machines, gone) = (&self.machines, &self.released_machines);
         for claim in &mut self.provisioning.claims {
             if let ClaimState::Answered(names) = &claim.state {
                 let seen = |n: &MachineId| {
-                    gone.contains(n) || machines.get(n).is_none_or(|m| m.incarnation > 0 || !m.addr.is_empty())
+                    gone.contains(n)
+                        || machines
+                            .get(n)
+                            .is_none_or(|m| m.incarnation > 0 || !m.address.is_empty())
                 };
                 if names.iter().all(seen) {
                     claim.state = ClaimState::Over;
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -43,7 +43,7 @@
                 .jobs
                 .values()
                 .filter(|j| {
-                    j.cancelled.is_none() && !j.blocked && (j.spec.spot == spot || (!spot && !j.waiting.is_empty()))
+                    j.cancelled_at.is_none() && !j.blocked && (j.spec.spot == spot || (!spot && !j.waiting.is_empty()))
                 })
                 .map(|j| &j.spec)
                 .collect(),
--- a/src/coordination/replica_status.rs
+++ b/src/coordination/replica_status.rs
@@ -45,7 +45,12 @@
                 *match (machine, p) {
                     (None, _) => &mut all.leaving,
                     (Some(m), _) if m.state == MachineState::Releasing => &mut all.leaving,
-                    (_, Placement { stop: Some(_), .. }) => &mut all.stopping,
+                    (
+                        _,
+                        Placement {
+                            stop_grace_s: Some(_), ..
+                        },
+                    ) => &mut all.stopping,
                     (Some(m), Placement { phase, .. }) => match phase {
                         PlacementPhase::Seen(TaskPhase::Fetching) => &mut all.fetching,
                         PlacementPhase::Seen(_) if unheard(m) => &mut all.unheard,
--- a/src/coordination/reservation.rs
+++ b/src/coordination/reservation.rs
@@ -46,7 +46,7 @@
         let stuck = |j: &&Job| {
             j.may_run()
                 && !j.waiting.is_empty()
-                && j.stuck_since.is_some_and(|at| now.since(at) > AFTER)
+                && j.unplaceable_since.is_some_and(|at| now.since(at) > AFTER)
                 && !j.is_suspect(now)
         };
         let mut large: Vec<&Job> = self
@@ -62,7 +62,7 @@
         if large.is_empty() && self.reservations.held.is_empty() {
             return;
         }
-        large.sort_by_key(|j| (std::cmp::Reverse(j.priority), j.order));
+        large.sort_by_key(|j| (std::cmp::Reverse(j.priority), j.queue_order));
         let waits: Vec<Waits<JobId>> = large
             .iter()
             .map(|j| Waits {
@@ -72,12 +72,12 @@
             .collect();
         let quiet = Self::work_silence(cluster);
         // A machine with services doesn't empty.
-        let empties = |m: &&Machine| m.takes_work(now, quiet) && m.services == 0;
+        let empties = |m: &&Machine| m.takes_work(now, quiet) && m.service_tasks == 0;
         let machines: Vec<(MachineId, Micros)> = self
             .machines
             .values()
             .filter(empties)
-            .map(|m| (m.name.clone(), m.until))
+            .map(|m| (m.name.clone(), m.expected_idle_at))
             .collect();
         let (all, jobs) = (&self.machines, &self.jobs);
         let suits = |name: &MachineId, job: &JobId| {
@@ -88,7 +88,7 @@
                 .catalogue
                 .get(&m.machine_type)
                 .is_some_and(|t| could_hold(job, t));
-            holds && allowed(&job.spec, &m.machine_type, &m.zone, m.spot) && !job.failed_on.contains(name)
+            holds && allowed(&job.spec, &m.machine_type, &m.zone, m.spot) && !job.failed_machines.contains(name)
         };
         let most = ((machines.len() as f64 * MOST) as usize).max(1);
         let before = self.reservations.held.len();
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -1,7 +1,7 @@
 //! Room on machines during a scheduling pass, and the machine that suits a task best.
 
 use super::super::reservation::Reservations;
-use super::super::state::{Job, Kind, LeaderState, Machine, MachineId};
+use super::super::state::{Job, LeaderState, Machine, MachineId, MachineKind};
 use super::super::ClusterConfig;
 use super::rules::{allowed, lasts};
 use super::{Pass, EPS};
@@ -42,9 +42,9 @@
 impl LeaderState {
     /// The kind of a machine of this type, zone and sort of rental.
     pub(super) fn kind(&mut self, t: &MachineType, zone: &str, spot: bool) -> usize {
-        let same = |k: &Kind| k.machine_type == t.name && k.zone == zone && k.spot == spot;
+        let same = |k: &MachineKind| k.machine_type == t.name && k.zone == zone && k.spot == spot;
         self.scheduler.kinds.iter().position(same).unwrap_or_else(|| {
-            self.scheduler.kinds.push(Kind {
+            self.scheduler.kinds.push(MachineKind {
                 machine_type: t.name.clone(),
                 zone: zone.into(),
                 spot,
@@ -63,7 +63,7 @@
         let unknown: Vec<(MachineId, String, String, bool)> = self
             .machines
             .values()
-            .filter(|m| m.kind.is_none() && !m.machine_type.is_empty())
+            .filter(|m| m.kind_index.is_none() && !m.machine_type.is_empty())
             .map(|m| (m.name.clone(), m.machine_type.clone(), m.zone.clone(), m.spot))
             .collect();
         for (name, machine_type, zone, spot) in unknown {
@@ -72,21 +72,21 @@
             };
             let kind = self.kind(t, &zone, spot);
             if let Some(m) = self.machines.get_mut(&name) {
-                m.kind = Some(kind);
+                m.kind_index = Some(kind);
             }
         }
         let mut rooms = Vec::with_capacity(self.machines.len());
         for m in self.machines.values_mut() {
-            m.room = None;
+            m.candidate_index = None;
             if !m.takes_work(now, silent) || self.failures.zones.is_cut(&m.zone) {
                 continue;
             }
-            let Some(kind) = m.kind else { continue };
+            let Some(kind) = m.kind_index else { continue };
             let k = &self.scheduler.kinds[kind];
-            m.room = Some(rooms.len());
+            m.candidate_index = Some(rooms.len());
             if m.tasks.is_empty() {
-                m.until = Micros::ZERO;
-                m.fetching.clear();
+                m.expected_idle_at = Micros::ZERO;
+                m.fetching_images.clear();
             }
             rooms.push(CandidateMachine {
                 name: m.name.clone(),
@@ -94,9 +94,9 @@
                 cpus: k.cpus - m.used[0],
                 gpus: k.gpus - m.used[1],
                 memory: k.memory - m.used[2],
-                until: m.until,
-                serves: m.services > 0,
-                fetching: m.fetching.len(),
+                until: m.expected_idle_at,
+                serves: m.service_tasks > 0,
+                fetching: m.fetching_images.len(),
             });
         }
         rooms
@@ -109,7 +109,7 @@
 /// machine's rate.
 pub(super) fn fetch_steps(
     spec: &JobSpec,
-    kind: &Kind,
+    kind: &MachineKind,
     room: &CandidateMachine,
     image_locations: Option<&BTreeSet<MachineId>>,
     machines: &BTreeMap<MachineId, Machine>,
@@ -119,7 +119,7 @@
     }
     if room.fetching > 0 {
         let machine = machines.get(&room.name);
-        if machine.is_some_and(|m| m.fetching.contains(spec.image.as_str())) {
+        if machine.is_some_and(|m| m.fetching_images.contains(spec.image.as_str())) {
             return 1;
         }
     }
@@ -131,7 +131,7 @@
     /// The kinds a job may use, in groups: off spot machines only if need be;
     /// within a group the largest first, then always in the same order, so that
     /// the last machines of the order fall idle when there is less to do.
-    pub(super) fn kinds_for(spec: &JobSpec, kinds: &[Kind]) -> [Vec<usize>; 2] {
+    pub(super) fn kinds_for(spec: &JobSpec, kinds: &[MachineKind]) -> [Vec<usize>; 2] {
         let mut groups = [vec![], vec![]];
         for (i, k) in kinds.iter().enumerate() {
             if allowed(spec, &k.machine_type, &k.zone, k.spot) {
@@ -154,7 +154,7 @@
         leftovers: bool,
         zones: &BTreeMap<String, u32>,
         groups: &[Vec<usize>; 2],
-        kinds: &[Kind],
+        kinds: &[MachineKind],
         image_locations: Option<&BTreeSet<MachineId>>,
         machines: &BTreeMap<MachineId, Machine>,
         reservations: &Reservations,
@@ -164,7 +164,7 @@
         let most = spec.tasks.div_ceil(2);
         let production = spec.priority >= Priority::Production;
         let preserves_reserve = self.ordinary_free - spec.cpus >= self.reserve - EPS;
-        let kind_open = |k: &Kind| {
+        let kind_open = |k: &MachineKind| {
             (production || k.spot || preserves_reserve)
                 && !(spec.one_zone && zones.keys().any(|z| *z != k.zone))
                 && !(spec.spread && zones.get(&k.zone).copied().unwrap_or(0) >= most)
@@ -173,19 +173,23 @@
             let open: Vec<usize> = group.iter().copied().filter(|k| kind_open(&kinds[*k])).collect();
             if job.is_service() {
                 let cached = image_locations.into_iter().flatten().filter_map(|name| {
-                    let at = machines.get(name)?.room?;
+                    let at = machines.get(name)?.candidate_index?;
                     let room = &self.rooms[at];
                     let place = open.iter().position(|k| *k == room.kind)?;
                     // Services keep together: their machines are the last that
                     // can be returned.
-                    (room.fits(spec) && (suspect || !job.failed_on.contains(name))).then_some((place, !room.serves, at))
+                    (room.fits(spec) && (suspect || !job.failed_machines.contains(name))).then_some((
+                        place,
+                        !room.serves,
+                        at,
+                    ))
                 });
                 if let Some((_, _, at)) = cached.min() {
                     return Some((at, true));
                 }
             }
             let size = (spec.cpus.to_bits(), spec.gpus.to_bits(), spec.memory.to_bits());
-            let none_left = |k: &Kind| {
+            let none_left = |k: &MachineKind| {
                 let shortest = self.no_leftovers.get(&size);
                 leftovers && !k.spot && shortest.is_some_and(|least| spec.estimate_s >= *least)
             };
@@ -213,7 +217,7 @@
                         }
                     } else if !production && reservations.is_reserved_against(&room.name, &job.id) {
                         // Left to empty for another job.
-                    } else if suspect || !job.failed_on.contains(&room.name) {
+                    } else if suspect || !job.failed_machines.contains(&room.name) {
                         // Beside services, room is kept for the next ones: they
                         // would spread over all machines otherwise.
                         let beside = room.serves && !production && !kinds[kind].spot;
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -9,7 +9,7 @@
 
 use super::decision_log::Decided;
 use super::log::queues::QueuedStarts;
-use super::state::{Job, Kind, LeaderState, Placement, PlacementPhase, TaskState};
+use super::state::{Job, LeaderState, MachineKind, Placement, PlacementPhase, TaskState};
 use super::{timing, ClusterConfig, Context, JobId};
 use crate::protocol::users::{JobSpec, Priority};
 use crate::time::Micros;
@@ -45,7 +45,7 @@
     /// Helper slots: cores, and GPUs.
     pub(super) helpers: [u32; 2],
     /// Kinds of machines that were seen; machines name theirs by index.
-    kinds: Vec<Kind>,
+    kinds: Vec<MachineKind>,
     next_pass: Micros,
     last_pass: Micros,
     /// When work may be preempted again.
@@ -77,7 +77,7 @@
     /// Recomputes the estimate of demand and the split, at its period and when
     /// the number of slots changes.
     fn resize_pools(&mut self, cluster: &ClusterConfig, rooms: &[CandidateMachine], now: Micros) {
-        let mut holding: BTreeMap<Rc<ClassKey>, f64> = BTreeMap::new();
+        let mut active_placements: BTreeMap<Rc<ClassKey>, f64> = BTreeMap::new();
         for job in self.jobs.values() {
             // What waits is demand as well: with machines that come and go the
             // slots held say only what was served.
@@ -86,12 +86,12 @@
             } else {
                 0
             };
-            let slots = (job.held as usize + waits) as f64 * f64::from(job.class.need);
-            *holding.entry(job.class.clone()).or_default() += slots;
+            let slots = (job.held_tasks as usize + waits) as f64 * f64::from(job.class.need);
+            *active_placements.entry(job.class.clone()).or_default() += slots;
         }
         let half_life = cluster.settings.operator.estimate_s;
-        self.scheduler.estimate.observe(&holding, half_life, now);
-        let mut demands = self.scheduler.estimate.demands(&holding, half_life);
+        self.scheduler.estimate.observe(&active_placements, half_life, now);
+        let mut demands = self.scheduler.estimate.demands(&active_placements, half_life);
         // A backlog of low priority, however large, is split only what the
         // others leave: it would hold most of the slots against them otherwise.
         let higher: BTreeSet<Rc<ClassKey>> = self
@@ -100,7 +100,7 @@
             .filter(|j| j.priority > Priority::Low)
             .map(|j| j.class.clone())
             .collect();
-        let is_low = |c: &Rc<ClassKey>| holding.contains_key(c) && !higher.contains(c);
+        let is_low = |c: &Rc<ClassKey>| active_placements.contains_key(c) && !higher.contains(c);
         let slots: f64 = rooms.iter().map(|r| self.scheduler.kinds[r.kind].cpus).sum();
         let (mut low, mut rest) = (0.0, 0.0);
         for (class, demand) in &demands {
@@ -138,9 +138,9 @@
         for job in self
             .jobs
             .values()
-            .filter(|j| j.is_service() && j.cancelled.is_none() && !j.blocked)
+            .filter(|j| j.is_service() && j.cancelled_at.is_none() && !j.blocked)
         {
-            held += (job.held as usize + job.waiting.len()) as f64 * job.spec.cpus;
+            held += (job.held_tasks as usize + job.waiting.len()) as f64 * job.spec.cpus;
             largest = largest.max(job.spec.cpus);
         }
         (held * 0.15).max(2.0 * largest)
@@ -163,7 +163,7 @@
     /// One scheduling pass.
     pub fn schedule(&mut self, context: &mut Context, cluster: &ClusterConfig) {
         let now = context.now;
-        let due = if self.dirty {
+        let due = if self.needs_scheduling {
             self.scheduler.last_pass + PASS
         } else {
             self.scheduler.next_pass
@@ -171,7 +171,7 @@
         if now < due || cluster.catalogue.is_empty() {
             return;
         }
-        self.dirty = false;
+        self.needs_scheduling = false;
         self.scheduler.last_pass = now;
         self.scheduler.next_pass = now + Micros::from_millis(500);
         self.reserve_machines(cluster, now);
@@ -208,16 +208,16 @@
             pass.by_kind[room.kind].push(i);
         }
         pass.rooms.append(&mut rooms);
-        for job in self.jobs.values().filter(|j| j.held > 0) {
+        for job in self.jobs.values().filter(|j| j.held_tasks > 0) {
             let class = &job.class;
-            pass.helper_used[usize::from(class.gpu)] += job.on_helpers * class.need;
-            *pass.pool_used.entry(class.clone()).or_default() += (job.held - job.on_helpers) * class.need;
+            pass.helper_used[usize::from(class.gpu)] += job.held_helper_tasks * class.need;
+            *pass.pool_used.entry(class.clone()).or_default() += (job.held_tasks - job.held_helper_tasks) * class.need;
         }
         let within = self.within_guarantee(cluster);
         let mut order: Vec<(Rank, JobId)> = self
             .jobs
             .values()
-            .filter(|j| j.may_run() && !j.waiting.is_empty() && now >= j.not_before)
+            .filter(|j| j.may_run() && !j.waiting.is_empty() && now >= j.backoff_until)
             .map(|j| {
                 let first = within.contains(&j.id);
                 let rank = (
@@ -225,7 +225,7 @@
                     std::cmp::Reverse(j.priority),
                     !first,
                     lateness(cluster, j, self.fetch_s(cluster, &j.spec), now),
-                    j.order,
+                    j.queue_order,
                 );
                 (rank, j.id.clone())
             })
@@ -238,7 +238,7 @@
         // stopped.
         for (_, id) in &order {
             let Some(job) = self.jobs.get(id) else { continue };
-            let guaranteed = within.contains(id) && now.since(job.arrived) >= GUARANTEE_PATIENCE;
+            let guaranteed = within.contains(id) && now.since(job.arrived_at) >= GUARANTEE_PATIENCE;
             if job.priority >= Priority::High || guaranteed {
                 self.start_job(&mut pass, cluster, id, Via::Pool);
                 self.start_job(&mut pass, cluster, id, Via::Borrow(u32::MAX));
@@ -269,7 +269,7 @@
             .collect();
         for (_, id) in &order {
             let Some(job) = self.jobs.get(id) else { continue };
-            if now.since(job.arrived) >= patience {
+            if now.since(job.arrived_at) >= patience {
                 let gpu = job.spec.gpus > 0.0;
                 let idle: u32 = self
                     .scheduler
@@ -296,7 +296,7 @@
         let any_low = self
             .jobs
             .values()
-            .any(|j| j.held > 0 && j.priority == Priority::Low && !j.is_service());
+            .any(|j| j.held_tasks > 0 && j.priority == Priority::Low && !j.is_service());
         for (_, id) in order.iter().filter(|_| again) {
             if pass.looks > LOOKS {
                 break;
@@ -305,7 +305,7 @@
                 if j.is_suspect(now) {
                     return false;
                 }
-                let waited = now.since(j.arrived) >= GUARANTEE_PATIENCE;
+                let waited = now.since(j.arrived_at) >= GUARANTEE_PATIENCE;
                 // Others take room back from work of low priority.
                 let higher = waited && any_low && j.priority > Priority::Low;
                 !j.waiting.is_empty()
@@ -318,7 +318,7 @@
             }
         }
         if pass.starts >= STARTS {
-            self.dirty = true;
+            self.needs_scheduling = true;
         }
     }
 
@@ -337,13 +337,13 @@
         let mut jobs: Vec<&Job> = self
             .jobs
             .values()
-            .filter(|j| j.cancelled.is_none() && !j.blocked)
+            .filter(|j| j.cancelled_at.is_none() && !j.blocked)
             .collect();
-        jobs.sort_by_key(|j| j.version);
+        jobs.sort_by_key(|j| j.acceptance_revision);
         let mut sums: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
         let mut within = BTreeSet::new();
         for job in jobs {
-            let left = f64::from(job.spec.tasks - job.finished);
+            let left = f64::from(job.spec.tasks - job.finished_tasks);
             let sum = sums.entry(&job.spec.team).or_default();
             sum.0 += left * job.spec.cpus;
             sum.1 += left * job.spec.gpus;
@@ -361,7 +361,7 @@
         let Some(job) = self.jobs.get(id) else { return false };
         let hurries = job.priority == Priority::Production
             && job.is_service()
-            && pass.now.since(job.arrived) < IMAGE_PATIENCE
+            && pass.now.since(job.arrived_at) < IMAGE_PATIENCE
             && self.better_to_stop(&pass.rooms, job);
         let Some(job) = self.jobs.get_mut(id) else { return false };
         let mut kinds: Option<[Vec<usize>; 2]> = None;
@@ -380,7 +380,7 @@
         let suspect = job.is_suspect(pass.now);
         let leftovers = is_best_effort(cluster, job, pass.now);
         while let Some(task) = job.waiting.first().copied() {
-            if pass.starts >= STARTS || (suspect && job.held > 0) {
+            if pass.starts >= STARTS || (suspect && job.held_tasks > 0) {
                 return false;
             }
             let room = match via {
@@ -410,13 +410,13 @@
                 &self.machines,
                 &self.reservations,
             ) else {
-                job.stuck_since.get_or_insert(pass.now);
+                job.unplaceable_since.get_or_insert(pass.now);
                 return false;
             };
             if hurries && !there {
                 return false;
             }
-            job.stuck_since = None;
+            job.unplaceable_since = None;
             let image: Rc<str> =
                 image_locations.map_or_else(|| job.spec.image.as_str().into(), |(name, _)| name.clone());
             let room = &mut pass.rooms[best];
@@ -454,10 +454,10 @@
             let part = task / self.tasks_per_range;
             let chunk = job.task_ranges.entry(part).or_default();
             chunk.last_attempt += 1;
-            let queued = *chunk.queued.get_or_insert(job.priority);
+            let queued = *chunk.queued_priority.get_or_insert(job.priority);
             self.log_writer
                 .starting
-                .insert(QueuedStarts::new(queued, job.version, id.clone(), part));
+                .insert(QueuedStarts::new(queued, job.acceptance_revision, id.clone(), part));
             job.waiting.remove(&task);
             job.states[task as usize] = TaskState::Placed;
             let placement = Placement {
@@ -467,10 +467,10 @@
                 fencing_token: self.term,
                 phase: PlacementPhase::Committing,
                 sent: false,
-                stop: None,
-                stop_at: pass.now,
-                helper: !matches!(via, Via::Pool),
-                since: pass.now,
+                stop_grace_s: None,
+                stop_requested_at: pass.now,
+                on_helper_machine: !matches!(via, Via::Pool),
+                placed_at: pass.now,
                 running_since: None,
                 restored: false,
             };
@@ -493,15 +493,15 @@
                 .decisions
                 .note(job.decision(task, &placement, decided, pass.now));
             job.placements.insert(task, placement);
-            job.held += 1;
+            job.held_tasks += 1;
             if !matches!(via, Via::Pool) {
-                job.on_helpers += 1;
+                job.held_helper_tasks += 1;
             }
             machine.take(&job.spec, 1.0);
-            machine.until = machine.until.max(room.until);
+            machine.expected_idle_at = machine.expected_idle_at.max(room.until);
             machine.tasks.insert((id.clone(), task));
             machine.idle_since = None;
-            if !there && machine.fetching.insert(image) {
+            if !there && machine.fetching_images.insert(image) {
                 pass.rooms[best].fetching += 1;
             }
         }
--- a/src/coordination/scheduling/pools.rs
+++ b/src/coordination/scheduling/pools.rs
@@ -84,24 +84,28 @@
 impl Estimate {
     /// Adds what each class holds (and asks for) since the last call, and lets
     /// older demand decay with the given half life.
-    pub fn observe(&mut self, holding: &BTreeMap<Rc<ClassKey>, f64>, half_life_s: f64, now: Micros) {
+    pub fn observe(&mut self, active_placements: &BTreeMap<Rc<ClassKey>, f64>, half_life_s: f64, now: Micros) {
         let span = self.at.map_or(0.0, |at| now.since(at).secs());
         self.at = Some(now);
         let keep = 0.5f64.powf(span / half_life_s);
         for sum in self.sums.values_mut() {
             *sum *= keep;
         }
-        for (class, slots) in holding {
+        for (class, slots) in active_placements {
             *self.sums.entry(class.clone()).or_default() += slots * span;
         }
         self.sums
-            .retain(|class, sum| *sum > 1e-3 || holding.contains_key(class));
+            .retain(|class, sum| *sum > 1e-3 || active_placements.contains_key(class));
     }
 
     /// The demand of each class: its decayed average, or what it holds and asks
     /// for now if that is more, so that a burst widens its pool at once. A class
     /// without history starts even.
-    pub fn demands(&self, holding: &BTreeMap<Rc<ClassKey>, f64>, half_life_s: f64) -> Vec<(Rc<ClassKey>, Demand)> {
+    pub fn demands(
+        &self,
+        active_placements: &BTreeMap<Rc<ClassKey>, f64>,
+        half_life_s: f64,
+    ) -> Vec<(Rc<ClassKey>, Demand)> {
         let average = |sum: f64| sum * std::f64::consts::LN_2 / half_life_s;
         let some: Vec<f64> = self.sums.values().copied().filter(|s| *s > 0.0).collect();
         let even = if some.is_empty() {
@@ -112,7 +116,7 @@
         self.sums
             .iter()
             .map(|(class, sum)| {
-                let now = holding.get(class).copied().unwrap_or(0.0);
+                let now = active_placements.get(class).copied().unwrap_or(0.0);
                 let load = average(*sum).max(now);
                 let load = if load > 0.0 { load } else { even };
                 (class.clone(), Demand { need: class.need, load })
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -44,7 +44,7 @@
             let first: BTreeSet<usize> = match self.image_locations.get(spec.image.as_str()) {
                 Some(at) if job.is_service() => at
                     .iter()
-                    .filter_map(|name| self.machines.get(name).and_then(|m| m.room))
+                    .filter_map(|name| self.machines.get(name).and_then(|m| m.candidate_index))
                     .collect(),
                 _ => BTreeSet::new(),
             };
@@ -54,18 +54,18 @@
                     break;
                 }
                 pass.looks += 1;
-                if !self.allows(&spec, &pass.rooms[i]) || job.failed_on.contains(&pass.rooms[i].name) {
+                if !self.allows(&spec, &pass.rooms[i]) || job.failed_machines.contains(&pass.rooms[i].name) {
                     continue;
                 }
                 let room = &mut pass.rooms[i];
                 let mut lower = self.victims(&room.name, |j, p| {
                     // What is stopped must still be done in its time.
                     let spare = priority == Priority::Production
-                        || pass.now.since(p.since) < YOUNG
+                        || pass.now.since(p.placed_at) < YOUNG
                         || is_best_effort(cluster, j, pass.now);
                     (j.priority < priority && spare)
                         || (guaranteed
-                            && pass.now.since(p.since) < YOUNG
+                            && pass.now.since(p.placed_at) < YOUNG
                             && j.priority <= priority
                             && j.spec.team != spec.team
                             && !within.contains(&j.id)
@@ -118,11 +118,11 @@
         for (id, task) in &m.tasks {
             let Some(job) = self.jobs.get(id) else { continue };
             let Some(p) = job.placements.get(task) else { continue };
-            if p.stop.is_some() || (!matches!(p.phase, PlacementPhase::Exited(_)) && may(job, p)) {
+            if p.stop_grace_s.is_some() || (!matches!(p.phase, PlacementPhase::Exited(_)) && may(job, p)) {
                 list.push(Victim {
-                    fresh: p.stop.is_none(),
+                    fresh: p.stop_grace_s.is_none(),
                     priority: job.priority,
-                    since: p.since,
+                    since: p.placed_at,
                     team: job.spec.team.clone(),
                     job: id.clone(),
                     task: *task,
@@ -177,7 +177,7 @@
             return false;
         };
         at.iter().filter_map(|name| self.machines.get(name)).any(|m| {
-            let Some(room) = m.room.map(|i| &rooms[i]).filter(|r| self.allows(spec, r)) else {
+            let Some(room) = m.candidate_index.map(|i| &rooms[i]).filter(|r| self.allows(spec, r)) else {
                 return false;
             };
             let (mut cpus, mut gpus, mut memory) = (room.cpus, room.gpus, room.memory);
@@ -185,7 +185,7 @@
                 let Some(other) = self.jobs.get(id) else { continue };
                 let Some(p) = other.placements.get(task) else { continue };
                 let lower = other.priority < job.priority && !matches!(p.phase, PlacementPhase::Exited(_));
-                if p.stop.is_some() || lower {
+                if p.stop_grace_s.is_some() || lower {
                     cpus += other.spec.cpus;
                     gpus += other.spec.gpus;
                     memory += other.spec.memory;
--- a/src/coordination/scheduling/rules.rs
+++ b/src/coordination/scheduling/rules.rs
@@ -52,7 +52,7 @@
         .filter(|o| o.kind == "finished" && o.class == job.spec.class)
         .filter_map(|o| o.within_s)
         .max_by(f64::total_cmp);
-    let by_objective = by_objective.map(|within| job.arrived + Micros::from_secs(within));
+    let by_objective = by_objective.map(|within| job.arrived_at + Micros::from_secs(within));
     let due = match (job.due(), by_objective) {
         (Some(a), Some(b)) => a.min(b),
         (a, b) => a.or(b)?,
@@ -66,7 +66,7 @@
 pub fn is_best_effort(cluster: &ClusterConfig, job: &Job, now: Micros) -> bool {
     let late = match latest_start(cluster, job) {
         Some(at) => now + LEFTOVER_MARGIN >= at,
-        None => now.since(job.arrived) > LEFTOVER_PATIENCE,
+        None => now.since(job.arrived_at) > LEFTOVER_PATIENCE,
     };
     job.priority == Priority::Low && job.spec.spot && !late
 }
@@ -87,7 +87,7 @@
     if dues.is_empty() {
         dues.extend(job.deadline_s(1.0));
     }
-    let latest = |due: f64| job.arrived + Micros::from_secs((due - job.spec.estimate_s - fetch_s).max(0.0));
+    let latest = |due: f64| job.arrived_at + Micros::from_secs((due - job.spec.estimate_s - fetch_s).max(0.0));
     let missed = dues.iter().filter(|due| now > latest(**due)).count();
     // A time by which tasks start: what waits for longer has missed it.
     let objectives = cluster.settings.params.objectives.iter();
@@ -96,7 +96,7 @@
         .filter_map(|o| o.within_s);
     let missed = missed
         + waits
-            .filter(|within| now > job.arrived + Micros::from_secs((within - fetch_s).max(0.0)))
+            .filter(|within| now > job.arrived_at + Micros::from_secs((within - fetch_s).max(0.0)))
             .count();
     let last = dues.iter().copied().fold(0.0, f64::max);
     if now > latest(last) + YIELD {
@@ -109,8 +109,8 @@
 /// What each team holds: CPUs and GPUs of every record not yet void.
 pub fn team_use(jobs: &BTreeMap<JobId, Job>) -> BTreeMap<String, (f64, f64)> {
     let mut held: BTreeMap<String, (f64, f64)> = BTreeMap::new();
-    for job in jobs.values().filter(|j| j.held > 0) {
-        let n = f64::from(job.held);
+    for job in jobs.values().filter(|j| j.held_tasks > 0) {
+        let n = f64::from(job.held_tasks);
         if !held.contains_key(&job.spec.team) {
             held.insert(job.spec.team.clone(), (0.0, 0.0));
         }
@@ -126,7 +126,7 @@
 /// which case a job with a rule about zones has to wait.
 pub(super) fn zones_of(job: &Job, machines: &BTreeMap<MachineId, Machine>) -> Option<BTreeMap<String, u32>> {
     let mut zones = BTreeMap::new();
-    for p in job.holding() {
+    for p in job.active_placements() {
         let zone = machines
             .get(&p.machine)
             .map(|m| m.zone.clone())
--- a/src/coordination/state/job.rs
+++ b/src/coordination/state/job.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 /// A replica that has run for this long does well.
-const RUNS_WELL: Micros = Micros::from_millis(20_000);
+const STABLE_RUN_TIME: Micros = Micros::from_millis(20_000);
 
 /// How far a task has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,11 +51,11 @@
     /// have.
     pub sent: bool,
     /// Asked to stop, with this grace in seconds.
-    pub stop: Option<f64>,
-    pub stop_at: Micros,
+    pub stop_grace_s: Option<f64>,
+    pub stop_requested_at: Micros,
     /// Started on the helpers rather than in its class's pool.
-    pub helper: bool,
-    pub since: Micros,
+    pub on_helper_machine: bool,
+    pub placed_at: Micros,
     pub running_since: Option<Micros>,
     /// Found in the book: when it really began to run is not known, and what is
     /// left of its time must not be taken for all of it.
@@ -78,14 +78,14 @@
 pub struct TaskRange {
     pub last_attempt: u64,
     /// The page of the book that says all of it; 0: none does.
-    pub base: u64,
+    pub base_page: u64,
     /// Since when it differs from what the book says.
-    pub dirty: Option<Micros>,
+    pub dirty_since: Option<Micros>,
     /// Where starts of it stand in the queue of those to be recorded.
-    pub queued: Option<Priority>,
+    pub queued_priority: Option<Priority>,
     /// Tasks that have completed, and whose placements are void, since then.
-    pub done: BTreeSet<u32>,
-    pub void: BTreeSet<u32>,
+    pub completed: BTreeSet<u32>,
+    pub voided: BTreeSet<u32>,
 }
 
 /// An open job.
@@ -93,16 +93,16 @@
     pub id: JobId,
     pub spec: JobSpec,
     /// The revision at which it was accepted: its place in the order of acceptance.
-    pub version: u64,
+    pub acceptance_revision: u64,
     /// The version that its own key has while it is open; 0: there is none.
     pub key_version: u64,
-    pub cancelled: Option<Micros>,
+    pub cancelled_at: Option<Micros>,
     /// Up to then nobody had confirmed its cancellation, as far as is known.
     pub cancel_unconfirmed_until: Micros,
     /// Version of the job's key that says so, if known.
     pub cancel_version: u64,
     /// The page of the book that describes it; 0: none does.
-    pub base: u64,
+    pub base_page: u64,
     /// Its end is being committed.
     pub closing: bool,
     pub states: Vec<TaskState>,
@@ -111,31 +111,31 @@
     /// Tasks that take room on machines, and those of them on the helpers: an
     /// exit frees room at once, though the record stays until the outcome is
     /// durable.
-    pub held: u32,
-    pub on_helpers: u32,
+    pub held_tasks: u32,
+    pub held_helper_tasks: u32,
     /// The class of the job: its need in slots, and what it is.
     pub class: Rc<ClassKey>,
     pub task_ranges: BTreeMap<u32, TaskRange>,
-    pub finished: u32,
+    pub finished_tasks: u32,
     /// When it came, in the paper's sense: when all it needs was done.
-    pub arrived: Micros,
+    pub arrived_at: Micros,
     /// When it was submitted.
     pub submitted_at: Micros,
     /// Its place among those of its rank: the revision at which it came.
-    pub order: u64,
+    pub queue_order: u64,
     /// It waits for jobs that it needs: it holds nothing and asks for nothing.
     pub blocked: bool,
     /// Its own, or what a job that needs it has.
     pub priority: Priority,
     /// When it has to be done for a job that needs it.
-    pub inherited_due: Option<Micros>,
+    pub inherited_deadline: Option<Micros>,
     /// Failures in a row, and until when they keep the job from starting.
-    pub failures: u32,
-    pub not_before: Micros,
+    pub consecutive_failures: u32,
+    pub backoff_until: Micros,
     /// Run times of completed tasks: their sum in seconds, and their number.
-    pub runs: (f64, u32),
+    pub completed_runs: (f64, u32),
     /// Machines it failed on since a task of it last completed.
-    pub failed_on: BTreeSet<MachineId>,
+    pub failed_machines: BTreeSet<MachineId>,
     pub last_published: (u32, u32),
     /// What is expected of it; `None`: it has not been looked at.
     pub objectives: Option<Vec<JobObjective>>,
@@ -143,7 +143,7 @@
     pub restored: bool,
     pub arrival_unknown: bool,
     /// Since when no machine that is up has had room for it.
-    pub stuck_since: Option<Micros>,
+    pub unplaceable_since: Option<Micros>,
 }
 
 impl Job {
@@ -164,40 +164,40 @@
         let tasks = spec.tasks;
         Job {
             id: id.into(),
-            version,
+            acceptance_revision: version,
             key_version,
-            cancelled: None,
+            cancelled_at: None,
             cancel_unconfirmed_until: Micros::ZERO,
             cancel_version: 0,
-            base: 0,
+            base_page: 0,
             closing: false,
             states: vec![TaskState::Waiting; tasks as usize],
             waiting: (0..tasks).collect(),
             placements: BTreeMap::new(),
-            held: 0,
-            on_helpers: 0,
+            held_tasks: 0,
+            held_helper_tasks: 0,
             class: Rc::new(ClassKey {
                 gpu: spec.gpus > 0.0,
                 class: spec.class.clone(),
                 need: need(&spec),
             }),
             task_ranges: BTreeMap::new(),
-            finished: 0,
-            arrived: now,
+            finished_tasks: 0,
+            arrived_at: now,
             submitted_at: now,
-            order: version,
+            queue_order: version,
             blocked: false,
             priority: spec.priority,
-            inherited_due: None,
-            failures: 0,
-            not_before: Micros::ZERO,
-            runs: (0.0, 0),
-            failed_on: BTreeSet::new(),
+            inherited_deadline: None,
+            consecutive_failures: 0,
+            backoff_until: Micros::ZERO,
+            completed_runs: (0.0, 0),
+            failed_machines: BTreeSet::new(),
             last_published: (0, 0),
             objectives: None,
             restored: false,
             arrival_unknown: false,
-            stuck_since: None,
+            unplaceable_since: None,
             spec,
         }
     }
@@ -207,7 +207,7 @@
     }
 
     pub fn is_live(&self) -> bool {
-        self.cancelled.is_none() && !self.closing
+        self.cancelled_at.is_none() && !self.closing
     }
 
     /// It is treated as having this priority. With a lent one it counts as a class of its
@@ -232,13 +232,13 @@
     /// that time counts from its submission.
     pub fn deadline_s(&self, times: f64) -> Option<f64> {
         let at = self.submitted_at + Micros::from_secs(self.spec.deadline_s? * times);
-        Some(at.since(self.arrived).secs())
+        Some(at.since(self.arrived_at).secs())
     }
 
     /// When it has to be done by its own time or that of a job that needs it.
     pub fn due(&self) -> Option<Micros> {
         let own = self.spec.deadline_s.map(|d| self.submitted_at + Micros::from_secs(d));
-        match (own, self.inherited_due) {
+        match (own, self.inherited_deadline) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         }
@@ -249,23 +249,26 @@
     /// on, one task now and then, because only its user may give it up.
     pub fn is_suspect(&self, now: Micros) -> bool {
         let runs = |p: &Placement| {
-            matches!(p.phase, PlacementPhase::Seen(_)) && p.running_since.is_some_and(|at| now.since(at) > RUNS_WELL)
+            matches!(p.phase, PlacementPhase::Seen(_))
+                && p.running_since.is_some_and(|at| now.since(at) > STABLE_RUN_TIME)
         };
-        self.failed_on.len() >= 2 && self.finished == 0 && !(self.is_service() && self.placements.values().any(runs))
+        self.failed_machines.len() >= 2
+            && self.finished_tasks == 0
+            && !(self.is_service() && self.placements.values().any(runs))
     }
 
     /// Placements that take room on machines.
-    pub fn holding(&self) -> impl Iterator<Item = &Placement> {
+    pub fn active_placements(&self) -> impl Iterator<Item = &Placement> {
         self.placements
             .values()
             .filter(|p| !matches!(p.phase, PlacementPhase::Exited(_)))
     }
 
     /// One task fewer takes room.
-    pub fn vacates(&mut self, helper: bool) {
-        self.held = self.held.saturating_sub(1);
+    pub fn release_task(&mut self, helper: bool) {
+        self.held_tasks = self.held_tasks.saturating_sub(1);
         if helper {
-            self.on_helpers = self.on_helpers.saturating_sub(1);
+            self.held_helper_tasks = self.held_helper_tasks.saturating_sub(1);
         }
     }
 
@@ -289,7 +292,7 @@
         self.task_ranges
             .entry(task / tasks_per_range)
             .or_default()
-            .void
+            .voided
             .insert(task);
         Some(placement)
     }
--- a/src/coordination/state/machine.rs
+++ b/src/coordination/state/machine.rs
@@ -23,13 +23,13 @@
 /// A rented machine.
 pub struct Machine {
     pub name: MachineId,
-    pub addr: String,
+    pub address: String,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     pub state: MachineState,
     /// When it was rented, as far as known.
-    pub since: Micros,
+    pub known_since: Micros,
     /// When it was rented, if this leader or the list says so.
     pub rented_at: Option<Micros>,
     pub incarnation: u64,
@@ -37,18 +37,18 @@
     pub fencing_token: u64,
     pub last_heartbeat: Micros,
     /// The controller that passed its last report on; `None`: it came here.
-    pub via: Option<Rc<str>>,
+    pub heartbeat_proxy: Option<Rc<str>>,
     /// Reports in a row that came to another controller than the one before, though that
     /// one answered: a worker that gets no answer tries the next.
-    pub moves: u32,
+    pub controller_changes: u32,
     /// It was asked whether it hears: when.
-    pub asked_at: Micros,
+    pub probed_at: Micros,
     /// How many reports of it were taken in.
-    pub heartbeats: u32,
+    pub heartbeats_received: u32,
     /// The book or the list named it.
-    pub named: bool,
+    pub confirmed: bool,
     /// When another node last said that it keeps the machine.
-    pub proxied_at: Micros,
+    pub last_proxied_at: Micros,
     /// When the cloud takes it away.
     pub interruption_at: Option<Micros>,
     /// Tasks with records here.
@@ -56,30 +56,30 @@
     /// Attempts that it lists and no record explains, and that have not ended.
     pub orphaned_attempts: Vec<Attempt>,
     /// Its kind, in the leader's list of kinds.
-    pub kind: Option<usize>,
+    pub kind_index: Option<usize>,
     /// CPUs, GPUs and memory that tasks take here.
     pub used: [f64; 3],
     /// Tasks of services among them.
-    pub services: i32,
+    pub service_tasks: i32,
     /// Its place in the present scheduling pass, if it takes new work.
-    pub room: Option<usize>,
+    pub candidate_index: Option<usize>,
     /// Images fetched here, the last used at the back.
-    pub images: VecDeque<(Rc<str>, f64)>,
+    pub cached_images: VecDeque<(Rc<str>, f64)>,
     /// Images that tasks placed here have yet to fetch.
-    pub fetching: BTreeSet<Rc<str>>,
+    pub fetching_images: BTreeSet<Rc<str>>,
     pub idle_since: Option<Micros>,
     /// An outcome was recorded: the exited task may be forgotten.
-    pub to_forget: bool,
+    pub has_forgettable_exits: bool,
     /// What it is to be sent, and which starts may be on their way to it.
     pub outbox: Outbox,
     /// Jobs whose tasks failed here lately, and how many of them; doubted
     /// machines get nothing new.
-    pub faults: BTreeMap<JobId, u32>,
+    pub task_failures: BTreeMap<JobId, u32>,
     pub quarantined_since: Option<Micros>,
     pub quarantined_until: Micros,
-    pub release_sent: Option<Micros>,
+    pub release_requested_at: Option<Micros>,
     /// When the last of its tasks is expected to end.
-    pub until: Micros,
+    pub expected_idle_at: Micros,
     /// Until when it is taken to be slow.
     pub slow_until: Micros,
 }
@@ -89,40 +89,40 @@
     pub fn unknown(name: Rc<str>, now: Micros) -> Machine {
         Machine {
             name,
-            addr: String::new(),
+            address: String::new(),
             machine_type: String::new(),
             zone: String::new(),
             spot: false,
             state: MachineState::Booting,
-            since: now,
+            known_since: now,
             rented_at: None,
             incarnation: 0,
             sequence: 0,
             fencing_token: 0,
             last_heartbeat: now,
-            via: None,
-            moves: 0,
-            asked_at: Micros::ZERO,
-            heartbeats: 0,
-            named: false,
-            proxied_at: Micros::ZERO,
+            heartbeat_proxy: None,
+            controller_changes: 0,
+            probed_at: Micros::ZERO,
+            heartbeats_received: 0,
+            confirmed: false,
+            last_proxied_at: Micros::ZERO,
             interruption_at: None,
             tasks: BTreeSet::new(),
             orphaned_attempts: vec![],
-            images: VecDeque::new(),
-            fetching: BTreeSet::new(),
-            kind: None,
+            cached_images: VecDeque::new(),
+            fetching_images: BTreeSet::new(),
+            kind_index: None,
             used: [0.0; 3],
-            services: 0,
-            room: None,
+            service_tasks: 0,
+            candidate_index: None,
             idle_since: None,
-            to_forget: false,
+            has_forgettable_exits: false,
             outbox: Outbox::default(),
-            faults: BTreeMap::new(),
+            task_failures: BTreeMap::new(),
             quarantined_since: None,
             quarantined_until: Micros::ZERO,
-            release_sent: None,
-            until: Micros::ZERO,
+            release_requested_at: None,
+            expected_idle_at: Micros::ZERO,
             slow_until: Micros::ZERO,
         }
     }
@@ -133,7 +133,7 @@
             self.machine_type = machine_type.into();
             self.zone = zone.into();
             self.spot = spot;
-            self.kind = None;
+            self.kind_index = None;
         }
     }
 
@@ -143,7 +143,7 @@
         self.used[1] += sign * spec.gpus;
         self.used[2] += sign * spec.memory;
         if spec.shape == Shape::Service {
-            self.services += if sign > 0.0 { 1 } else { -1 };
+            self.service_tasks += if sign > 0.0 { 1 } else { -1 };
         }
     }
 
@@ -153,18 +153,18 @@
             && self.interruption_at.is_none()
             && !self.is_asymmetrically_partitioned()
             // A copy of a report of a machine that is long gone is not followed by another.
-            && (self.heartbeats > 1 || self.named || self.rented_at.is_some())
+            && (self.heartbeats_received > 1 || self.confirmed || self.rented_at.is_some())
             && self.orphaned_attempts.is_empty()
             && now >= self.quarantined_until
             && now >= self.slow_until
             && now.since(self.last_heartbeat) < silent
-            && self.release_sent.is_none()
+            && self.release_requested_at.is_none()
     }
 }
 
 /// A kind of machine: what decides which work may run on it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kind {
+pub struct MachineKind {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -21,27 +21,27 @@
 use crate::storage::records::{from_value, restored, Accepted, JobValue};
 use crate::time::Micros;
 pub use job::{need, Job, Placement, PlacementPhase, TaskRange, TaskState};
-pub use machine::{Kind, Machine, MachineId, MachineState};
+pub use machine::{Machine, MachineId, MachineKind, MachineState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use void_proof::VoidProof;
 
 /// The account of classes and teams forgets half in this time.
-const ACCOUNT: Micros = Micros::from_millis(120_000);
+const SLO_HALF_LIFE: Micros = Micros::from_millis(120_000);
 
 /// The leader's state; built from the state service and from reports, dropped
 /// when another leads.
 pub struct LeaderState {
     pub incarnation: u64,
     pub term: u64,
-    pub began: Micros,
+    pub started_at: Micros,
     /// Since when this leader hears others without a break: silence counts from
     /// here at the earliest.
-    pub listens_since: Micros,
+    pub listening_since: Micros,
     pub jobs: BTreeMap<JobId, Job>,
     pub machines: BTreeMap<MachineId, Machine>,
     /// Machines proven gone; their late reports and listings mean nothing.
-    pub released: BTreeSet<MachineId>,
+    pub released_machines: BTreeSet<MachineId>,
     /// Which machines have an image.
     pub image_locations: BTreeMap<Rc<str>, BTreeSet<MachineId>>,
     pub log_writer: LogWriter,
@@ -55,19 +55,19 @@
     pub failures: FailureDetector,
     /// What was found broken, and the decisions that preceded it.
     pub invariants: InvariantMonitor,
-    pub dirty: bool,
+    pub needs_scheduling: bool,
     pub tasks_per_range: u32,
     /// Reports and job events that came before everything was read.
     pub early_heartbeats: Vec<(EarlyHeartbeat, crate::protocol::agents::Heartbeat, Micros)>,
     pub early_events: Vec<(String, u64, u64, JobValue)>,
-    pub new_term: Option<&'static str>,
+    pub new_term_reason: Option<&'static str>,
     /// The term that this leadership began with: a report with this token or a higher one says
     /// what was on its machine after all earlier leaderships.
     pub first_term: u64,
     /// Every cancellation that was confirmed before this is in the book.
     pub cancellation_watermark: Micros,
     /// Machines on which a cancelled job's task may be, or come to be, for some time.
-    pub unsettled: BTreeSet<MachineId>,
+    pub unsettled_machines: BTreeSet<MachineId>,
     /// What each class and team asked for and got.
     pub slo: glenhaven_objectives::SloAccounting,
     /// Jobs that name others, as far as the leader has to look at them.
@@ -77,9 +77,9 @@
     /// What this leader misses of what was accepted.
     pub audit: super::audit::Audit,
     /// The last revision at which a job is known to have come.
-    pub last_version: u64,
+    pub last_acceptance_revision: u64,
     /// The time of day at the start of this process's clock, in milliseconds.
-    pub day_ms: u64,
+    pub clock_origin_ms: u64,
 }
 
 /// Whom to answer once an early report can be.
@@ -95,11 +95,11 @@
         LeaderState {
             incarnation,
             term,
-            began: now,
-            listens_since: now,
+            started_at: now,
+            listening_since: now,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            released: BTreeSet::new(),
+            released_machines: BTreeSet::new(),
             image_locations: BTreeMap::new(),
             log_writer: LogWriter::default(),
             scheduler: Scheduler::new(now),
@@ -107,20 +107,20 @@
             provisioning: Provisioning::new(now),
             failures: FailureDetector::new(now),
             invariants: InvariantMonitor::new(now),
-            dirty: true,
+            needs_scheduling: true,
             tasks_per_range: 64,
             early_heartbeats: vec![],
             early_events: vec![],
-            new_term: None,
+            new_term_reason: None,
             first_term: term,
             cancellation_watermark: Micros::ZERO,
-            unsettled: BTreeSet::new(),
-            slo: glenhaven_objectives::SloAccounting::new(ACCOUNT),
+            unsettled_machines: BTreeSet::new(),
+            slo: glenhaven_objectives::SloAccounting::new(SLO_HALF_LIFE),
             blocked_jobs: super::dependencies::BlockedJobs::default(),
             reservations: super::reservation::Reservations::default(),
             audit: super::audit::Audit::default(),
-            last_version: 0,
-            day_ms: 0,
+            last_acceptance_revision: 0,
+            clock_origin_ms: 0,
         }
     }
 
@@ -141,20 +141,20 @@
 
     pub fn term_raised(&mut self, term: u64) {
         self.term = term;
-        self.new_term = None;
+        self.new_term_reason = None;
         self.log_writer.term_raised();
     }
 
     /// Display counts of a job.
     pub fn progress(&self, job: &str) -> Option<(u32, u32)> {
-        self.jobs.get(job).map(|j| (j.finished, j.running()))
+        self.jobs.get(job).map(|j| (j.finished_tasks, j.running()))
     }
 
     /// Display counts that changed since the last call.
     pub fn changed_progress(&mut self) -> Vec<Progress> {
         let mut out = vec![];
         for job in self.jobs.values_mut() {
-            let now = (job.finished, job.running());
+            let now = (job.finished_tasks, job.running());
             if now != job.last_published && out.len() < 500 {
                 job.last_published = now;
                 out.push(Progress {
@@ -168,7 +168,7 @@
     }
 
     /// News of jobs from the state service, in the order in which they were made.
-    pub fn on_job_news(&mut self, events: Vec<WatchEvent>, now: Micros) {
+    pub fn on_job_events(&mut self, events: Vec<WatchEvent>, now: Micros) {
         for event in events {
             let WatchEvent::Put { key, value, version } = event else {
                 continue;
@@ -212,14 +212,14 @@
                     found => return self.hold_back(found.unwrap_or((spec, 0)), version, now),
                 };
                 tracing::debug!(job = id, class = spec.class, tasks = spec.tasks, "job arrived");
-                self.last_version = self.last_version.max(version);
+                self.last_acceptance_revision = self.last_acceptance_revision.max(version);
                 let mut job = Job::new(id, spec, version, key_version, now);
                 job.submitted_at = self.came(submitted_ms, now);
                 self.log_writer
                     .undescribed
                     .insert(Undescribed::new(version, job.id.clone()));
                 self.jobs.insert(job.id.clone(), job);
-                self.dirty = true;
+                self.needs_scheduling = true;
             }
             _ => {}
         }
@@ -229,14 +229,14 @@
     /// machines is stopped.
     pub fn cancel(&mut self, id: &str, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        if job.cancelled.is_some() {
+        if job.cancelled_at.is_some() {
             return;
         }
         tracing::debug!(job = id, on_machines = job.placements.len(), "job cancelled");
-        job.cancelled = Some(now);
+        job.cancelled_at = Some(now);
         job.cancel_unconfirmed_until = self.cancellation_watermark;
         job.waiting.clear();
-        let entry = Undescribed::new(job.version, job.id.clone());
+        let entry = Undescribed::new(job.acceptance_revision, job.id.clone());
         self.log_writer.undescribed.insert(entry);
         if job.placements.is_empty() {
             self.log_writer.ended.insert(job.id.clone());
@@ -246,7 +246,7 @@
             self.stop(id, task, 0.0, now);
         }
         self.drop_unrecorded(id, now);
-        self.dirty = true;
+        self.needs_scheduling = true;
     }
 
     /// Starts of a job that is over and whose records are not on their way were
@@ -272,11 +272,11 @@
         let Some(placement) = self.jobs.get_mut(id).and_then(|j| j.placements.get_mut(&task)) else {
             return;
         };
-        let first = placement.stop.is_none();
+        let first = placement.stop_grace_s.is_none();
         if first {
-            placement.stop_at = now;
+            placement.stop_requested_at = now;
         }
-        placement.stop = Some(grace_s);
+        placement.stop_grace_s = Some(grace_s);
         let stopped = placement.clone();
         let (stage, sent) = (placement.phase, placement.sent);
         if let Some(job) = self.jobs.get(id).filter(|_| first) {
@@ -317,12 +317,12 @@
             if !live {
                 job.waiting.remove(&task);
             }
-            if job.cancelled.is_some() && job.placements.is_empty() {
+            if job.cancelled_at.is_some() && job.placements.is_empty() {
                 self.log_writer.ended.insert(id.clone());
             }
             let holds = !matches!(placement.phase, PlacementPhase::Exited(_));
             if holds {
-                job.vacates(placement.helper);
+                job.release_task(placement.on_helper_machine);
             }
             if let Some(machine) = self.machines.get_mut(&placement.machine) {
                 machine.tasks.remove(&(id.clone(), task));
@@ -331,15 +331,15 @@
                 }
             }
             self.touch(id, task / self.tasks_per_range, now);
-            self.dirty = true;
+            self.needs_scheduling = true;
         }
     }
 
     /// The machine and everything on it is gone, by the cloud's word.
     pub fn machine_released(&mut self, name: &MachineId, now: Micros) {
-        self.released.insert(name.clone());
-        while self.released.len() > 20_000 {
-            self.released.pop_first();
+        self.released_machines.insert(name.clone());
+        while self.released_machines.len() > 20_000 {
+            self.released_machines.pop_first();
         }
         self.drop_images(name);
         self.agents.outboxes.remove(name);
@@ -348,19 +348,19 @@
                 self.free(&job, task, VoidProof::MachineReleased, now);
             }
         }
-        self.dirty = true;
+        self.needs_scheduling = true;
     }
 
     /// Notes that an image is used on a machine, and forgets the ones that no
     /// longer fit its cache.
-    pub fn use_image(&mut self, name: &MachineId, image: &str, gb: f64, cache_gb: f64) {
+    pub fn record_image_use(&mut self, name: &MachineId, image: &str, gb: f64, cache_gb: f64) {
         let Some(m) = self.machines.get_mut(name) else { return };
-        m.fetching.remove(image);
-        if m.images.back().is_some_and(|(last, _)| **last == *image) {
+        m.fetching_images.remove(image);
+        if m.cached_images.back().is_some_and(|(last, _)| **last == *image) {
             return;
         }
-        let image: Rc<str> = match m.images.iter().position(|(i, _)| **i == *image) {
-            Some(at) => m.images.remove(at).map_or_else(|| image.into(), |i| i.0),
+        let image: Rc<str> = match m.cached_images.iter().position(|(i, _)| **i == *image) {
+            Some(at) => m.cached_images.remove(at).map_or_else(|| image.into(), |i| i.0),
             None => {
                 let image: Rc<str> = self
                     .image_locations
@@ -373,9 +373,11 @@
                 image
             }
         };
-        m.images.push_back((image, gb));
-        while m.images.len() > 1 && m.images.iter().map(|i| i.1).sum::<f64>() > cache_gb {
-            let Some((old, _)) = m.images.pop_front() else { break };
+        m.cached_images.push_back((image, gb));
+        while m.cached_images.len() > 1 && m.cached_images.iter().map(|i| i.1).sum::<f64>() > cache_gb {
+            let Some((old, _)) = m.cached_images.pop_front() else {
+                break;
+            };
             if let Some(at) = self.image_locations.get_mut(&old) {
                 at.remove(name);
             }
@@ -385,8 +387,8 @@
     /// A machine's images are gone.
     pub fn drop_images(&mut self, name: &MachineId) {
         let Some(m) = self.machines.get_mut(name) else { return };
-        m.fetching.clear();
-        for (image, _) in std::mem::take(&mut m.images) {
+        m.fetching_images.clear();
+        for (image, _) in std::mem::take(&mut m.cached_images) {
             if let Some(at) = self.image_locations.get_mut(&image) {
                 at.remove(name);
                 if at.is_empty() {
@@ -398,6 +400,6 @@
 
     /// Whether, and why, the term must be raised.
     pub fn wants_new_term(&self, _now: Micros) -> Option<&'static str> {
-        self.new_term
+        self.new_term_reason
     }
 }
--- a/src/coordination/summary.rs
+++ b/src/coordination/summary.rs
@@ -32,7 +32,7 @@
             PlacementPhase::Seen(_) => {}
         }
         let holds = !matches!(placement.phase, PlacementPhase::Exited(_));
-        if holds && placement.stop.is_some() {
+        if holds && placement.stop_grace_s.is_some() {
             self.stopping += cpus;
         }
     }
@@ -44,13 +44,13 @@
         let mut shares: BTreeMap<&str, TeamShare> = BTreeMap::new();
         for job in self.jobs.values() {
             let share = shares.entry(&job.spec.team).or_default();
-            share.held += f64::from(job.held) * job.spec.cpus;
+            share.held += f64::from(job.held_tasks) * job.spec.cpus;
             for placement in job.placements.values() {
                 share.count(placement, job.spec.cpus);
             }
             if job.may_run() && !job.waiting.is_empty() {
                 share.wanted += job.waiting.len() as f64 * job.spec.cpus;
-                share.oldest = share.oldest.max(now.since(job.arrived));
+                share.oldest = share.oldest.max(now.since(job.arrived_at));
             }
         }
         shares
--- a/tests/sim/lives.rs
+++ b/tests/sim/lives.rs
@@ -146,7 +146,7 @@
     let mut job = Job::new("run-000001", super::script::plain_spec("run-000001"), 5, 0, since);
     job.waiting.clear();
     job.states[0] = TaskState::Placed;
-    job.held = 1;
+    job.held_tasks = 1;
     let placement = Placement {
         attempt: 1,
         machine: "n-000001".into(),
@@ -154,10 +154,10 @@
         fencing_token: 1,
         phase: PlacementPhase::Sent,
         sent: true,
-        stop: None,
-        stop_at: since,
-        helper: false,
-        since,
+        stop_grace_s: None,
+        stop_requested_at: since,
+        on_helper_machine: false,
+        placed_at: since,
         running_since: None,
         restored: false,
     };
--- a/tests/sim/outbox.rs
+++ b/tests/sim/outbox.rs
@@ -56,7 +56,7 @@
     leader.take_heartbeat(&cluster(), &fenced(2, 2), None, at(100), at(100));
     assert!(is_placed(&leader), "nothing was sent that could have been refused");
     // Counted as free, its cores would let the team start more than its limit allows.
-    assert_eq!(leader.jobs["run-000001"].held, 1);
+    assert_eq!(leader.jobs["run-000001"].held_tasks, 1);
     assert_eq!(leaves(&mut leader, 2, &JobApi::new("node-0")).len(), 1);
     // The next report was sent before that start arrived, and proves nothing of it.
     leader.take_heartbeat(&cluster(), &fenced(3, 2), None, at(600), at(600));
@@ -164,7 +164,7 @@
         let mut leader = recorded();
         leader.free(&id, 0, proof, at(100));
         assert!(is_placed(&leader), "{proof:?} freed a record that it does not cover");
-        assert_eq!(leader.jobs["run-000001"].held, 1);
+        assert_eq!(leader.jobs["run-000001"].held_tasks, 1);
     }
     let mut sent = recorded();
     assert_eq!(leaves(&mut sent, 1, &JobApi::new("node-0")).len(), 1);
--- a/tests/sim/renewals.rs
+++ b/tests/sim/renewals.rs
@@ -90,12 +90,12 @@
     let mut leader = flying();
     leader.cancel("run-000001", at(1000));
     leader.check_unsettled(at(3000));
-    assert!(leader.new_term.is_none(), "its next report may tell");
+    assert!(leader.new_term_reason.is_none(), "its next report may tell");
     leader.check_unsettled(at(5000));
-    assert!(leader.new_term.is_some());
+    assert!(leader.new_term_reason.is_some());
     leader.term_raised(2);
     leader.check_unsettled(at(9000));
-    assert!(leader.new_term.is_none(), "once is enough");
+    assert!(leader.new_term_reason.is_none(), "once is enough");
 }
 
 #[test]
