--- a/src/coordination/agents/heartbeat_status.rs
+++ b/src/coordination/agents/heartbeat_status.rs
@@ -3,7 +3,9 @@
 use super::outbox::{Attempt, Due, TaskRef};
 use super::parse_task;
 use crate::coordination::state::void_proof::VoidProof;
-use crate::coordination::state::{LeaderState, Machine, MachineId, MachineState, PlacementPhase, TaskState};
+use crate::coordination::state::{
+    LeaderState, Machine, MachineId, MachineState, NewTermReason, PlacementPhase, TaskState,
+};
 use crate::coordination::{timing, ClusterConfig, JobId};
 use crate::protocol::agents::{Cause, Heartbeat, TaskPhase, TaskStatus};
 use crate::time::Micros;
@@ -258,7 +260,7 @@
             }
             None if placement.stop_grace_s.is_some() || !live => {
                 if placement.sent && now.since(placement.stop_requested_at) > UNSEEN_STOP {
-                    self.new_term_reason = Some("a start that is no longer wanted may still be on its way");
+                    self.new_term_reason = Some(NewTermReason::UnwantedStart);
                 }
             }
             None if placement.may_be_sent() => {
@@ -284,7 +286,7 @@
         if first {
             job.release_task(helper);
             if let Some(machine) = self.machines.get_mut(name) {
-                machine.take(&job.spec, -1.0);
+                machine.discharge(&job.spec);
             }
             self.exited(cluster, name, id, task, cause, now);
         }
@@ -357,8 +359,7 @@
                 if let Some(since) = seen.and_then(|p| p.running_since) {
                     let ran_s = now.since(since).secs();
                     tracing::debug!(job = %id, task, machine = %name, ran_s, "task done");
-                    job.completed_runs.0 += ran_s;
-                    job.completed_runs.1 += 1;
+                    job.completed_runs.record(ran_s);
                     self.slo.ran(&job.spec.class, job.spec.estimate_s, ran_s, now);
                 }
                 if job.states[task as usize] == TaskState::Placed {
--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -6,7 +6,7 @@
 use super::push::DIRECT_TIMEOUT;
 use crate::coordination::election::Role;
 use crate::coordination::lease_renewal::{self};
-use crate::coordination::state::EarlyHeartbeat;
+use crate::coordination::state::{EarlyHeartbeat, HeartbeatOrigin};
 use crate::coordination::{timing, Controller, Effect, PushResult};
 use crate::protocol::agents::{AgentCommand, Heartbeat, HeartbeatResponse, PushedCommands, Redirect, TaskPhase};
 use crate::protocol::peer::{Link, PeerMessage};
@@ -147,9 +147,11 @@
                 // Answered as soon as the book is read, or the lease confirmed,
                 // which takes moments.
                 if leader.early_heartbeats.len() < EARLY {
-                    leader
-                        .early_heartbeats
-                        .push((EarlyHeartbeat::Worker(id), heartbeat, now));
+                    leader.early_heartbeats.push(EarlyHeartbeat {
+                        origin: HeartbeatOrigin::Agent(id),
+                        heartbeat,
+                        received_at: now,
+                    });
                 } else {
                     self.context.reply(id, 503, vec![], Some(1));
                 }
@@ -226,9 +228,11 @@
         match self.leader.as_mut() {
             Some(leader) if !leader.is_loaded() || self.election.in_doubt() => {
                 if leader.early_heartbeats.len() < EARLY {
-                    leader
-                        .early_heartbeats
-                        .push((EarlyHeartbeat::Peer(node, id), heartbeat, now));
+                    leader.early_heartbeats.push(EarlyHeartbeat {
+                        origin: HeartbeatOrigin::Controller(node, id),
+                        heartbeat,
+                        received_at: now,
+                    });
                 }
             }
             Some(_) => self.answer_forward(node, id, heartbeat),
@@ -242,11 +246,12 @@
         let Some(leader) = self.leader.as_mut().filter(|l| l.is_loaded()) else {
             return;
         };
-        for (from, heartbeat, at) in std::mem::take(&mut leader.early_heartbeats) {
-            match from {
-                EarlyHeartbeat::Worker(id) => self.answer_report(id, heartbeat),
-                EarlyHeartbeat::Peer(node, id) => self.answer_forward(node, id, heartbeat),
-                EarlyHeartbeat::FromMemory(node) => self.take_recalled(&node, &heartbeat, at),
+        for early in std::mem::take(&mut leader.early_heartbeats) {
+            let (heartbeat, at) = (early.heartbeat, early.received_at);
+            match early.origin {
+                HeartbeatOrigin::Agent(id) => self.answer_report(id, heartbeat),
+                HeartbeatOrigin::Controller(node, id) => self.answer_forward(node, id, heartbeat),
+                HeartbeatOrigin::Memory(node) => self.take_recalled(&node, &heartbeat, at),
             }
         }
     }
@@ -323,8 +328,11 @@
             });
         }
         for (at, heartbeat) in self.heartbeat_proxy.served.values() {
-            let from = EarlyHeartbeat::FromMemory(node.clone());
-            leader.early_heartbeats.push((from, heartbeat.clone(), *at));
+            leader.early_heartbeats.push(EarlyHeartbeat {
+                origin: HeartbeatOrigin::Memory(node.clone()),
+                heartbeat: heartbeat.clone(),
+                received_at: *at,
+            });
         }
     }
 
@@ -360,8 +368,11 @@
             match self.leader.as_mut() {
                 Some(leader) if !leader.is_loaded() => {
                     if leader.early_heartbeats.len() < EARLY {
-                        let from = EarlyHeartbeat::FromMemory(node.to_string());
-                        leader.early_heartbeats.push((from, heartbeat, at));
+                        leader.early_heartbeats.push(EarlyHeartbeat {
+                            origin: HeartbeatOrigin::Memory(node.to_string()),
+                            heartbeat,
+                            received_at: at,
+                        });
                     }
                 }
                 Some(_) => self.take_recalled(node, &heartbeat, at),
--- a/src/coordination/failure_detection/stragglers.rs
+++ b/src/coordination/failure_detection/stragglers.rs
@@ -22,8 +22,8 @@
 impl LeaderState {
     /// The time a task of the job runs, if enough of them have completed.
     fn usual_s(job: &crate::coordination::state::Job) -> Option<f64> {
-        let (sum, n) = job.completed_runs;
-        (n >= LEAST_RUNS && n >= job.held_tasks).then(|| sum / f64::from(n))
+        let runs = job.completed_runs;
+        (runs.count >= LEAST_RUNS && runs.count >= job.held_tasks).then(|| runs.mean_s())
     }
 
     /// Looks for tasks that are overdue, and moves work off their machines.
--- a/src/coordination/failure_detection/suspected.rs
+++ b/src/coordination/failure_detection/suspected.rs
@@ -65,6 +65,6 @@
         };
         let jobs = m.tasks.iter().filter_map(|(id, _)| self.jobs.get(id));
         let lower = jobs.filter(|j| j.spec.priority < Priority::Production);
-        (t.cpus - m.used[0]).max(0.0) + lower.map(|j| j.spec.cpus).sum::<f64>()
+        (t.cpus - m.used.cpus).max(0.0) + lower.map(|j| j.spec.cpus).sum::<f64>()
     }
 }
--- a/src/coordination/failure_detection/zone_partition.rs
+++ b/src/coordination/failure_detection/zone_partition.rs
@@ -120,8 +120,8 @@
         for m in self.machines.values() {
             let cores = cluster.catalogue.get(&m.machine_type).map_or(0.0, |t| t.cpus);
             if !self.failures.zones.is_cut(&m.zone) {
-                if m.takes_work(now, silent) {
-                    room += cores - m.used[0];
+                if m.accepts_work(now, silent) {
+                    room += cores - m.used.cpus;
                 }
             } else if m.service_tasks == 0
                 && m.state == MachineState::Up
@@ -129,7 +129,7 @@
             {
                 far.push(Far {
                     machine: m.name.clone(),
-                    cores: m.used[0],
+                    cores: m.used.cpus,
                     heard: m.last_heartbeat,
                 });
             }
@@ -148,7 +148,7 @@
             .machines
             .values()
             .filter(|m| m.service_tasks > 0 && self.failures.zones.is_cut(&m.zone))
-            .map(|m| m.used[0])
+            .map(|m| m.used.cpus)
             .sum();
         in_step(far, room - waiting - services).into_iter().collect()
     }
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -20,7 +20,7 @@
 
 use super::api::JobApi;
 use super::election::{Election, Role};
-use super::state::{LeaderState, MachineId, PlacementPhase};
+use super::state::{LeaderState, MachineId, NewTermReason, PlacementPhase};
 use super::{ClusterConfig, Controller, Effect};
 use crate::protocol::agents::{AgentCommand, Heartbeat, HeartbeatResponse, TaskPhase};
 use crate::protocol::peer::PeerMessage;
@@ -158,7 +158,7 @@
             }
         }
         if flies {
-            self.new_term_reason = Some("a start of a cancelled job may still be on its way");
+            self.new_term_reason = Some(NewTermReason::StartOfCancelledJob);
         }
     }
 
--- a/src/coordination/log/outcome.rs
+++ b/src/coordination/log/outcome.rs
@@ -212,11 +212,8 @@
                 let Some(machine) = self.machines.get_mut(&placement.machine) else {
                     continue;
                 };
-                machine.tasks.remove(&(id.clone(), *task));
                 machine.has_forgettable_exits = true;
-                if !matches!(placement.phase, PlacementPhase::Exited(_)) {
-                    machine.take(&job.spec, -1.0);
-                }
+                machine.remove_task(id, *task, &job.spec, placement);
             }
         }
         self.log_writer.remember_closed(id.clone());
--- a/src/coordination/log/restore.rs
+++ b/src/coordination/log/restore.rs
@@ -65,8 +65,8 @@
         for (id, news) in contents.news {
             self.take_news(&id, news, now);
         }
-        for (id, version, key_version, value) in std::mem::take(&mut self.early_events) {
-            self.on_job_event(&id, version, key_version, value, now);
+        for event in std::mem::take(&mut self.early_events) {
+            self.on_job_event(&event.id, event.version, event.key_version, event.value, now);
         }
         self.log_restored(now);
     }
@@ -176,8 +176,7 @@
             .entry(name.clone())
             .or_insert_with(|| Machine::unknown(name, now));
         machine.confirmed = true;
-        machine.take(&job.spec, 1.0);
-        machine.tasks.insert((job.id.clone(), task));
+        machine.add_task(&job.id, task, &job.spec);
     }
 
     /// What happened to a job since the log was last written.
@@ -201,8 +200,7 @@
                 let Some(machine) = self.machines.get_mut(&placement.machine) else {
                     continue;
                 };
-                machine.tasks.remove(&(job.id.clone(), *task));
-                machine.take(&job.spec, -1.0);
+                machine.remove_task(&job.id, *task, &job.spec, placement);
             }
         }
         self.log_writer.complete.remove(id);
--- a/src/coordination/log/write.rs
+++ b/src/coordination/log/write.rs
@@ -366,12 +366,8 @@
     fn seen_after(&self, election: &Election) -> u64 {
         let change_of = |entry: &Undescribed| {
             let job = self.jobs.get(&entry.job)?;
-            let by_cancellation = job.cancelled_at.is_some() && job.cancel_version > 0;
-            Some(if by_cancellation {
-                job.cancel_version
-            } else {
-                entry.version
-            })
+            let cancellation = job.cancel_version.filter(|_| job.cancelled_at.is_some());
+            Some(cancellation.unwrap_or(entry.version))
         };
         let first = self.log_writer.undescribed.iter().filter_map(change_of).min();
         let known = election.jobs_seen();
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -259,7 +259,10 @@
                 self.context.reply(id, if ready { 200 } else { 503 }, vec![], None);
             }
             other => {
-                let counts = |job: &str| self.leader.as_ref().and_then(|l| l.progress(job));
+                let counts = |job: &str| {
+                    let counts = self.leader.as_ref().and_then(|l| l.progress(job));
+                    counts.map(|counts| (counts.finished, counts.running))
+                };
                 self.api.on_user(&mut self.context, &self.cluster, id, other, counts);
             }
         }
--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -34,9 +34,8 @@
     /// How long a task of the job is expected to run: as those before it did, or as
     /// its owner says, corrected by how wrong the class's owners were lately.
     fn expected_s(&self, job: &Job) -> f64 {
-        let (sum, n) = job.completed_runs;
-        if n >= 3 {
-            sum / f64::from(n)
+        if job.completed_runs.count >= 3 {
+            job.completed_runs.mean_s()
         } else {
             job.spec.estimate_s * self.slo.bias(&job.spec.class)
         }
@@ -228,8 +227,8 @@
                 let counted = self.provisioning.boot_times.pace(m).counted(age, t.boot_s);
                 let ready_s = (t.boot_s * BOOTS - age.secs()).max(1.0);
                 supply.coming.push((ready_s, t.cpus * counted));
-            } else if m.takes_work(now, quiet) {
-                supply.free += t.cpus - m.used[0];
+            } else if m.accepts_work(now, quiet) {
+                supply.free += t.cpus - m.used.cpus;
                 for (id, task) in &m.tasks {
                     let Some(job) = self.jobs.get(id).filter(|j| !j.is_service()) else {
                         continue;
--- a/src/coordination/reservation.rs
+++ b/src/coordination/reservation.rs
@@ -72,7 +72,7 @@
             .collect();
         let quiet = Self::work_silence(cluster);
         // A machine with services doesn't empty.
-        let empties = |m: &&Machine| m.takes_work(now, quiet) && m.service_tasks == 0;
+        let empties = |m: &&Machine| m.accepts_work(now, quiet) && m.service_tasks == 0;
         let machines: Vec<(MachineId, Micros)> = self
             .machines
             .values()
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -78,7 +78,7 @@
         let mut rooms = Vec::with_capacity(self.machines.len());
         for m in self.machines.values_mut() {
             m.candidate_index = None;
-            if !m.takes_work(now, silent) || self.failures.zones.is_cut(&m.zone) {
+            if !m.accepts_work(now, silent) || self.failures.zones.is_cut(&m.zone) {
                 continue;
             }
             let Some(kind) = m.kind_index else { continue };
@@ -91,9 +91,9 @@
             rooms.push(CandidateMachine {
                 name: m.name.clone(),
                 kind,
-                cpus: k.cpus - m.used[0],
-                gpus: k.gpus - m.used[1],
-                memory: k.memory - m.used[2],
+                cpus: k.cpus - m.used.cpus,
+                gpus: k.gpus - m.used.gpus,
+                memory: k.memory - m.used.memory_gb,
                 until: m.expected_idle_at,
                 serves: m.service_tasks > 0,
                 fetching: m.fetching_images.len(),
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -493,13 +493,9 @@
                 .decisions
                 .note(job.decision(task, &placement, decided, pass.now));
             job.placements.insert(task, placement);
-            job.held_tasks += 1;
-            if !matches!(via, Via::Pool) {
-                job.held_helper_tasks += 1;
-            }
-            machine.take(&job.spec, 1.0);
+            job.hold_task(!matches!(via, Via::Pool));
             machine.expected_idle_at = machine.expected_idle_at.max(room.until);
-            machine.tasks.insert((id.clone(), task));
+            machine.add_task(id, task, &job.spec);
             machine.idle_since = None;
             if !there && machine.fetching_images.insert(image) {
                 pass.rooms[best].fetching += 1;
--- a/src/coordination/scheduling/rules.rs
+++ b/src/coordination/scheduling/rules.rs
@@ -53,7 +53,7 @@
         .filter_map(|o| o.within_s)
         .max_by(f64::total_cmp);
     let by_objective = by_objective.map(|within| job.arrived_at + Micros::from_secs(within));
-    let due = match (job.due(), by_objective) {
+    let due = match (job.effective_deadline(), by_objective) {
         (Some(a), Some(b)) => a.min(b),
         (a, b) => a.or(b)?,
     };
--- /dev/null
+++ b/src/coordination/state/job_events.rs
@@ -0,0 +1,94 @@
+//! Changes of jobs that the state service reports: submissions and cancellations.
+//!
+//! Called by the watch on the jobs' keys, by the log reader, by the acceptance audit and by the
+//! cancellation attestations. A job that is already known is not taken up twice, so that each of
+//! these may repeat what another has said.
+
+use super::{Job, LeaderState};
+use crate::coordination::log::queues::Undescribed;
+use crate::protocol::store::WatchEvent;
+use crate::protocol::users::{JobSpec, Phase};
+use crate::storage::keys;
+use crate::storage::records::{from_value, restored, Accepted, JobValue};
+use crate::time::Micros;
+
+/// A change of a job that came before the log was read.
+pub struct EarlyJobEvent {
+    /// The job's id.
+    pub id: String,
+    /// The revision of the change.
+    pub version: u64,
+    /// The version of the job's own key; 0: it was accepted in a page.
+    pub key_version: u64,
+    /// What the state service says of the job.
+    pub value: JobValue,
+}
+
+impl LeaderState {
+    /// Changes of jobs from the state service, in the order in which they were made.
+    pub fn on_job_events(&mut self, events: Vec<WatchEvent>, now: Micros) {
+        for event in events {
+            let WatchEvent::Put { key, value, version } = event else {
+                continue;
+            };
+            if keys::parse_accepted(&key).is_some() {
+                for spec in from_value::<Accepted>(&value).unwrap_or_default().jobs {
+                    let id = spec.id.clone();
+                    let phase = Phase::Pending;
+                    let spec = Some(spec);
+                    self.on_job_event(&id, version, 0, JobValue { phase, spec }, now);
+                }
+            } else if let Some(id) = key.strip_prefix(keys::JOBS) {
+                if let Some(job) = from_value::<JobValue>(&value) {
+                    self.on_job_event(id, version, version, job, now);
+                }
+            }
+        }
+    }
+
+    /// A change of one job, at revision `version`. `key_version`: the version of the job's own
+    /// key; 0: it was accepted in a page.
+    pub fn on_job_event(&mut self, id: &str, version: u64, key_version: u64, value: JobValue, now: Micros) {
+        if !self.is_loaded() {
+            let id = id.to_string();
+            self.early_events.push(EarlyJobEvent {
+                id,
+                version,
+                key_version,
+                value,
+            });
+            return;
+        }
+        match (value.phase, value.spec) {
+            (Phase::Cancelled, _) => {
+                self.cancel(id, now);
+                if let Some(job) = self.jobs.get_mut(id) {
+                    // Version 0 says that it is not known.
+                    job.cancel_version = Some(version).filter(|version| *version > 0);
+                }
+            }
+            (Phase::Pending | Phase::Running, Some(spec)) => self.on_job_arrival(id, version, key_version, spec, now),
+            _ => {}
+        }
+    }
+
+    /// An open job, unless it is known already. One that depends on others is held back.
+    fn on_job_arrival(&mut self, id: &str, version: u64, key_version: u64, spec: JobSpec, now: Micros) {
+        if self.jobs.contains_key(id) || self.log_writer.is_closed(id) {
+            return;
+        }
+        let (spec, submitted_ms) = match restored(spec.clone()) {
+            Some((spec, submitted_ms)) if spec.needs.is_empty() => (spec, submitted_ms),
+            found => return self.hold_back(found.unwrap_or((spec, 0)), version, now),
+        };
+        tracing::debug!(job = id, class = spec.class, tasks = spec.tasks, "job arrived");
+        self.last_acceptance_revision = self.last_acceptance_revision.max(version);
+        let mut job = Job::new(id, spec, version, key_version, now);
+        job.submitted_at = self.came(submitted_ms, now);
+        self.log_writer
+            .undescribed
+            .insert(Undescribed::new(version, job.id.clone()));
+        self.jobs.insert(job.id.clone(), job);
+        self.needs_scheduling = true;
+    }
+}
--- a/src/coordination/state/machine.rs
+++ b/src/coordination/state/machine.rs
@@ -1,5 +1,14 @@
-//! A rented machine as the leader holds it, and what it is before anything is known of it.
+//! A rented machine as the leader knows it.
+//!
+//! Owns the facts about one machine: what it is, what its agent last reported, which tasks are
+//! charged to it, and which images it has cached. Heartbeat processing, the scheduler and
+//! provisioning change these facts; none of them is decided here.
+//!
+//! Invariant: `used` and `service_tasks` are the sums over the placements on this machine that
+//! have not exited, including restored ones. They change only in [`Machine::charge`] and
+//! [`Machine::discharge`].
 
+use super::resources::Resources;
 use crate::coordination::agents::{Attempt, Outbox};
 use crate::coordination::JobId;
 use crate::protocol::users::{JobSpec, Shape};
@@ -10,82 +19,105 @@
 /// A machine's name.
 pub type MachineId = Rc<str>;
 
-/// How far a machine has come.
+/// The stage of a machine's rental.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
-    /// Rented; it has never reported.
+    /// Rented; its agent has never sent a heartbeat.
     Booting,
+    /// Its agent has sent a heartbeat.
     Up,
-    /// To be returned; nothing may start there.
+    /// It is to be returned to the cloud; nothing may start there.
     Releasing,
 }
 
+/// An image in a machine's cache.
+#[derive(Clone, Debug)]
+pub struct CachedImage {
+    /// The image's name.
+    pub name: Rc<str>,
+    /// Its size in GB.
+    pub size_gb: f64,
+}
+
 /// A rented machine.
 pub struct Machine {
+    /// The name that the cloud gave it.
     pub name: MachineId,
+    /// Where its agent listens; empty until it is known.
     pub address: String,
+    /// The name of its type in the cloud's catalogue; empty until it is known.
     pub machine_type: String,
+    /// Its zone; empty until it is known.
     pub zone: String,
+    /// Whether it is a spot machine, which the cloud may take away.
     pub spot: bool,
+    /// The stage of its rental.
     pub state: MachineState,
-    /// When it was rented, as far as known.
+    /// When this leader first knew of it, or when it was rented if that is known.
     pub known_since: Micros,
-    /// When it was rented, if this leader or the list says so.
+    /// When it was rented, if this leader rented it or the cloud's list says so.
     pub rented_at: Option<Micros>,
+    /// The incarnation of its agent; 0 until the first heartbeat.
     pub incarnation: u64,
+    /// The sequence number of its last heartbeat.
     pub sequence: u64,
+    /// The fencing token that its agent last reported: it refuses commands with a lower one.
     pub fencing_token: u64,
+    /// When its last heartbeat was received.
     pub last_heartbeat: Micros,
-    /// The controller that passed its last report on; `None`: it came here.
+    /// The controller that forwarded its last heartbeat; `None`: it came here directly.
     pub heartbeat_proxy: Option<Rc<str>>,
-    /// Reports in a row that came to another controller than the one before, though that
-    /// one answered: a worker that gets no answer tries the next.
+    /// Consecutive heartbeats that came to another controller than the one before, although that
+    /// one answered: an agent that receives no answer tries the next controller.
     pub controller_changes: u32,
-    /// It was asked whether it hears: when.
+    /// When it was last asked whether it receives commands (`asymmetric_partition`).
     pub probed_at: Micros,
-    /// How many reports of it were taken in.
+    /// Heartbeats that this leader has processed.
     pub heartbeats_received: u32,
-    /// The book or the list named it.
+    /// The write-ahead log or the cloud's list names it.
     pub confirmed: bool,
-    /// When another node last said that it keeps the machine.
+    /// When another controller last said that it answers this machine's heartbeats by itself.
     pub last_proxied_at: Micros,
-    /// When the cloud takes it away.
+    /// When the cloud takes it away, if it has announced that.
     pub interruption_at: Option<Micros>,
-    /// Tasks with records here.
+    /// The tasks that have records here, as job and task number.
     pub tasks: BTreeSet<(JobId, u32)>,
-    /// Attempts that it lists and no record explains, and that have not ended.
+    /// Attempts that its agent lists, that have not ended and that no record explains.
     pub orphaned_attempts: Vec<Attempt>,
-    /// Its kind, in the leader's list of kinds.
+    /// The index of its kind in the scheduler's list of kinds.
     pub kind_index: Option<usize>,
-    /// CPUs, GPUs and memory that tasks take here.
-    pub used: [f64; 3],
-    /// Tasks of services among them.
+    /// What the tasks charged to it use.
+    pub used: Resources,
+    /// How many of these tasks belong to services.
     pub service_tasks: i32,
-    /// Its place in the present scheduling pass, if it takes new work.
+    /// Its index among the candidates of the current scheduling pass, if it accepts new work.
     pub candidate_index: Option<usize>,
-    /// Images fetched here, the last used at the back.
-    pub cached_images: VecDeque<(Rc<str>, f64)>,
+    /// Images in its cache, the most recently used at the back.
+    pub cached_images: VecDeque<CachedImage>,
     /// Images that tasks placed here have yet to fetch.
     pub fetching_images: BTreeSet<Rc<str>>,
+    /// Since when it has had no task.
     pub idle_since: Option<Micros>,
-    /// An outcome was recorded: the exited task may be forgotten.
+    /// The outcome of an exited task was recorded: its agent may forget that task.
     pub has_forgettable_exits: bool,
-    /// What it is to be sent, and which starts may be on their way to it.
+    /// What is to be sent to it, and which starts may be on their way to it.
     pub outbox: Outbox,
-    /// Jobs whose tasks failed here lately, and how many of them; doubted
-    /// machines get nothing new.
+    /// Jobs whose tasks failed here lately, and how many of them.
     pub task_failures: BTreeMap<JobId, u32>,
+    /// Since when it has been in quarantine because tasks fail on it.
     pub quarantined_since: Option<Micros>,
+    /// Until when it is in quarantine and gets nothing new.
     pub quarantined_until: Micros,
+    /// When its release was requested of the cloud.
     pub release_requested_at: Option<Micros>,
     /// When the last of its tasks is expected to end.
     pub expected_idle_at: Micros,
-    /// Until when it is taken to be slow.
+    /// Until when it is treated as slow and gets nothing new.
     pub slow_until: Micros,
 }
 
 impl Machine {
-    /// A machine known by name only, until it reports or is listed.
+    /// A machine of which only the name is known, until it sends a heartbeat or is listed.
     pub fn unknown(name: Rc<str>, now: Micros) -> Machine {
         Machine {
             name,
@@ -112,7 +144,7 @@
             cached_images: VecDeque::new(),
             fetching_images: BTreeSet::new(),
             kind_index: None,
-            used: [0.0; 3],
+            used: Resources::default(),
             service_tasks: 0,
             candidate_index: None,
             idle_since: None,
@@ -127,7 +159,8 @@
         }
     }
 
-    /// What it is as far as known: a type, a zone, and whether it is spot.
+    /// Sets its type, zone and billing as the latest source says; its kind is looked up anew if
+    /// they differ.
     pub fn describe(&mut self, machine_type: &str, zone: &str, spot: bool) {
         if self.machine_type != machine_type || self.zone != zone || self.spot != spot {
             self.machine_type = machine_type.into();
@@ -137,22 +170,25 @@
         }
     }
 
-    /// A task begins to take room, or no longer does.
-    pub fn take(&mut self, spec: &JobSpec, sign: f64) {
-        self.used[0] += sign * spec.cpus;
-        self.used[1] += sign * spec.gpus;
-        self.used[2] += sign * spec.memory;
-        if spec.shape == Shape::Service {
-            self.service_tasks += if sign > 0.0 { 1 } else { -1 };
-        }
+    /// A task of this job begins to use resources here.
+    pub fn charge(&mut self, spec: &JobSpec) {
+        self.used += Resources::of_task(spec);
+        self.service_tasks += i32::from(spec.shape == Shape::Service);
+    }
+
+    /// A task of this job no longer uses resources here.
+    pub fn discharge(&mut self, spec: &JobSpec) {
+        self.used -= Resources::of_task(spec);
+        self.service_tasks -= i32::from(spec.shape == Shape::Service);
     }
 
-    /// Whether something new may start here.
-    pub fn takes_work(&self, now: Micros, silent: Micros) -> bool {
+    /// Whether something new may start here. `silent`: the age of the last heartbeat from which on
+    /// it may not.
+    pub fn accepts_work(&self, now: Micros, silent: Micros) -> bool {
         self.state == MachineState::Up
             && self.interruption_at.is_none()
             && !self.is_asymmetrically_partitioned()
-            // A copy of a report of a machine that is long gone is not followed by another.
+            // A duplicate of a heartbeat of a machine that is long gone is not followed by another.
             && (self.heartbeats_received > 1 || self.confirmed || self.rented_at.is_some())
             && self.orphaned_attempts.is_empty()
             && now >= self.quarantined_until
@@ -162,15 +198,21 @@
     }
 }
 
-/// A kind of machine: what decides which work may run on it.
+/// A kind of machine: the properties that decide which work may run on it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineKind {
+    /// The name of the type in the cloud's catalogue.
     pub machine_type: String,
+    /// The zone.
     pub zone: String,
+    /// Whether the machines are spot machines.
     pub spot: bool,
+    /// CPU cores of one machine.
     pub cpus: f64,
+    /// GPUs of one machine.
     pub gpus: f64,
+    /// Memory of one machine, in GB.
     pub memory: f64,
-    /// How fast it fetches images.
+    /// How fast one machine fetches images.
     pub fetch_gb_per_s: f64,
 }
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -1,49 +1,70 @@
-//! The leader's state: open jobs and machines, and what happens to them.
-
+//! What the leader knows: open jobs, the machines they run on, and the owners of its duties.
+//!
+//! [`LeaderState`] is built from the state service and from agents' heartbeats when this
+//! controller becomes the leader, and dropped when it steps down. Each duty (scheduling, agents,
+//! provisioning, failure detection, the write-ahead log) owns one field of it and lives in the
+//! module of that name; this module owns the jobs and machines themselves.
+//!
+//! It performs no I/O. Nothing may be sent for a placement before its record is in the log, and no
+//! placement is removed without a [`VoidProof`](void_proof::VoidProof).
+
+mod images;
 mod job;
+mod job_events;
 mod machine;
+mod placements;
+mod resources;
 pub mod void_proof;
 
 use super::agents::AgentChannels;
-use super::decision_log::Decided;
+use super::audit::Audit;
+use super::dependencies::BlockedJobs;
 use super::failure_detection::FailureDetector;
-use super::fault_injection::{is_injected, InjectedFault};
 use super::invariants::InvariantMonitor;
-use super::log::queues::Undescribed;
 use super::log::LogWriter;
 use super::provisioning::Provisioning;
+use super::reservation::Reservations;
 use super::scheduling::Scheduler;
 use super::{Context, JobId};
+use crate::protocol::agents::Heartbeat;
 use crate::protocol::peer::Progress;
-use crate::protocol::store::WatchEvent;
-use crate::protocol::users::Phase;
-use crate::storage::keys;
-use crate::storage::records::{from_value, restored, Accepted, JobValue};
 use crate::time::Micros;
-pub use job::{need, Job, Placement, PlacementPhase, TaskRange, TaskState};
-pub use machine::{Machine, MachineId, MachineKind, MachineState};
+use glenhaven_objectives::SloAccounting;
+pub use images::ImageIndex;
+pub use job::{slots_per_task, CompletedRuns, Job, Placement, PlacementPhase, ProgressCounts, TaskRange, TaskState};
+pub use job_events::EarlyJobEvent;
+pub use machine::{CachedImage, Machine, MachineId, MachineKind, MachineState};
+pub use resources::Resources;
 use std::collections::{BTreeMap, BTreeSet};
-use std::rc::Rc;
-use void_proof::VoidProof;
 
-/// The account of classes and teams forgets half in this time.
+/// The half-life of the accounting of classes and teams.
 const SLO_HALF_LIFE: Micros = Micros::from_millis(120_000);
+/// Tasks of a job that are recorded as one range.
+const TASKS_PER_RANGE: u32 = 64;
+/// Jobs whose counts are sent to the other controllers at once.
+const PROGRESS_BATCH: usize = 500;
 
-/// The leader's state; built from the state service and from reports, dropped
-/// when another leads.
+/// The leader's state.
 pub struct LeaderState {
+    /// A number that tells this leadership from other ones of the same process: answers of the
+    /// state service to an earlier one are dropped.
     pub incarnation: u64,
+    /// The term that it leads in, which is the fencing token of its commands.
     pub term: u64,
+    /// When this leadership began.
     pub started_at: Micros,
-    /// Since when this leader hears others without a break: silence counts from
-    /// here at the earliest.
+    /// Since when this leader has received messages without a break: silence of others counts
+    /// from here at the earliest.
     pub listening_since: Micros,
+    /// Open jobs.
     pub jobs: BTreeMap<JobId, Job>,
+    /// Rented machines.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Machines proven gone; their late reports and listings mean nothing.
+    /// Machines proven gone; their late heartbeats and listings mean nothing.
     pub released_machines: BTreeSet<MachineId>,
     /// Which machines have an image.
-    pub image_locations: BTreeMap<Rc<str>, BTreeSet<MachineId>>,
+    pub image_locations: ImageIndex,
+    /// The write-ahead log: what is recorded and what is still to be.
     pub log_writer: LogWriter,
     /// Pools, queue passes and their timers.
     pub scheduler: Scheduler,
@@ -51,46 +72,83 @@
     pub agents: AgentChannels,
     /// Machines rented and asked for.
     pub provisioning: Provisioning,
-    /// Which controllers and zones are heard.
+    /// Which controllers and zones are reachable.
     pub failures: FailureDetector,
-    /// What was found broken, and the decisions that preceded it.
+    /// Broken invariants, and the decisions that preceded them.
     pub invariants: InvariantMonitor,
+    /// Something has changed that the scheduler should look at.
     pub needs_scheduling: bool,
+    /// Tasks of a job that are recorded as one range.
     pub tasks_per_range: u32,
-    /// Reports and job events that came before everything was read.
-    pub early_heartbeats: Vec<(EarlyHeartbeat, crate::protocol::agents::Heartbeat, Micros)>,
-    pub early_events: Vec<(String, u64, u64, JobValue)>,
-    pub new_term_reason: Option<&'static str>,
-    /// The term that this leadership began with: a report with this token or a higher one says
+    /// Heartbeats that came before the log was read.
+    pub early_heartbeats: Vec<EarlyHeartbeat>,
+    /// Changes of jobs that came before the log was read.
+    pub early_events: Vec<EarlyJobEvent>,
+    /// Why the term must be raised, if it must.
+    pub new_term_reason: Option<NewTermReason>,
+    /// The term that this leadership began with: a heartbeat with this token or a higher one says
     /// what was on its machine after all earlier leaderships.
     pub first_term: u64,
-    /// Every cancellation that was confirmed before this is in the book.
+    /// Every cancellation that was confirmed before this is in the write-ahead log.
     pub cancellation_watermark: Micros,
-    /// Machines on which a cancelled job's task may be, or come to be, for some time.
+    /// Machines on which a cancelled job's task may be, or may come to be, for some time.
     pub unsettled_machines: BTreeSet<MachineId>,
     /// What each class and team asked for and got.
-    pub slo: glenhaven_objectives::SloAccounting,
-    /// Jobs that name others, as far as the leader has to look at them.
-    pub blocked_jobs: super::dependencies::BlockedJobs,
-    /// Machines that are left to empty for large tasks.
-    pub reservations: super::reservation::Reservations,
-    /// What this leader misses of what was accepted.
-    pub audit: super::audit::Audit,
-    /// The last revision at which a job is known to have come.
+    pub slo: SloAccounting,
+    /// Jobs that depend on others, as far as the leader has to look at them.
+    pub blocked_jobs: BlockedJobs,
+    /// Machines that are drained for large tasks.
+    pub reservations: Reservations,
+    /// Accepted jobs that this leader does not know.
+    pub audit: Audit,
+    /// The last revision at which a job is known to have been accepted.
     pub last_acceptance_revision: u64,
-    /// The time of day at the start of this process's clock, in milliseconds.
+    /// The time of day at the start of this process's clock, in milliseconds since 1970.
     pub clock_origin_ms: u64,
 }
 
-/// Whom to answer once an early report can be.
-pub enum EarlyHeartbeat {
-    Worker(u64),
-    Peer(String, u64),
-    /// Nobody: another node told it from memory.
-    FromMemory(String),
+/// A heartbeat that came before it could be answered.
+pub struct EarlyHeartbeat {
+    /// Where it came from.
+    pub origin: HeartbeatOrigin,
+    /// What the agent reported.
+    pub heartbeat: Heartbeat,
+    /// When a controller received it.
+    pub received_at: Micros,
+}
+
+/// Where a heartbeat came from, and so who waits for its answer.
+pub enum HeartbeatOrigin {
+    /// The agent itself; the number of its request.
+    Agent(u64),
+    /// The named controller forwarded it; the controller's number for it.
+    Controller(String, u64),
+    /// The named controller remembered it; nobody waits.
+    Memory(String),
+}
+
+/// Why a leader must raise its term: only a higher fencing token proves that a start sent under
+/// the old one can no longer be executed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NewTermReason {
+    /// A task was asked to stop, and its machine neither lists it nor refuses its start.
+    UnwantedStart,
+    /// A job was cancelled while a start of it may be on its way.
+    StartOfCancelledJob,
+}
+
+impl NewTermReason {
+    /// The reason as it is logged.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            NewTermReason::UnwantedStart => "a start that is no longer wanted may still be on its way",
+            NewTermReason::StartOfCancelledJob => "a start of a cancelled job may still be on its way",
+        }
+    }
 }
 
 impl LeaderState {
+    /// A leader that has read nothing yet.
     pub fn new(incarnation: u64, term: u64, now: Micros) -> LeaderState {
         LeaderState {
             incarnation,
@@ -100,7 +158,7 @@
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             released_machines: BTreeSet::new(),
-            image_locations: BTreeMap::new(),
+            image_locations: ImageIndex::default(),
             log_writer: LogWriter::default(),
             scheduler: Scheduler::new(now),
             agents: AgentChannels::new(now),
@@ -108,298 +166,63 @@
             failures: FailureDetector::new(now),
             invariants: InvariantMonitor::new(now),
             needs_scheduling: true,
-            tasks_per_range: 64,
+            tasks_per_range: TASKS_PER_RANGE,
             early_heartbeats: vec![],
             early_events: vec![],
             new_term_reason: None,
             first_term: term,
             cancellation_watermark: Micros::ZERO,
             unsettled_machines: BTreeSet::new(),
-            slo: glenhaven_objectives::SloAccounting::new(SLO_HALF_LIFE),
-            blocked_jobs: super::dependencies::BlockedJobs::default(),
-            reservations: super::reservation::Reservations::default(),
-            audit: super::audit::Audit::default(),
+            slo: SloAccounting::new(SLO_HALF_LIFE),
+            blocked_jobs: BlockedJobs::default(),
+            reservations: Reservations::default(),
+            audit: Audit::default(),
             last_acceptance_revision: 0,
             clock_origin_ms: 0,
         }
     }
 
-    /// Answers everyone who still waits, when another node leads.
-    /// Machines that work, or are believed to.
+    /// How many machines are up, or believed to be.
     pub fn working_machines(&self) -> u32 {
         let up = |m: &&Machine| m.state == MachineState::Up;
         self.machines.values().filter(up).count() as u32
     }
 
+    /// Answers every agent that still waits, when another controller leads.
     pub fn abandon(self, context: &mut Context) {
-        for (from, _, _) in self.early_heartbeats {
-            if let EarlyHeartbeat::Worker(id) = from {
+        for early in self.early_heartbeats {
+            if let HeartbeatOrigin::Agent(id) = early.origin {
                 context.reply(id, 503, vec![], Some(1));
             }
         }
     }
 
+    /// This leadership goes on under a higher term.
     pub fn term_raised(&mut self, term: u64) {
         self.term = term;
         self.new_term_reason = None;
         self.log_writer.term_raised();
     }
 
-    /// Display counts of a job.
-    pub fn progress(&self, job: &str) -> Option<(u32, u32)> {
-        self.jobs.get(job).map(|j| (j.finished_tasks, j.running()))
+    /// The counts of a job that are shown to users; `None` if it is not open here.
+    pub fn progress(&self, job: &str) -> Option<ProgressCounts> {
+        self.jobs.get(job).map(Job::progress)
     }
 
-    /// Display counts that changed since the last call.
+    /// The counts that changed since the last call; those of some jobs only, if there are many.
     pub fn changed_progress(&mut self) -> Vec<Progress> {
-        let mut out = vec![];
+        let mut changed = vec![];
         for job in self.jobs.values_mut() {
-            let now = (job.finished_tasks, job.running());
-            if now != job.last_published && out.len() < 500 {
-                job.last_published = now;
-                out.push(Progress {
+            let counts = job.progress();
+            if counts != job.published_progress && changed.len() < PROGRESS_BATCH {
+                job.published_progress = counts;
+                changed.push(Progress {
                     id: job.id.to_string(),
-                    done: now.0,
-                    running: now.1,
+                    done: counts.finished,
+                    running: counts.running,
                 });
             }
         }
-        out
-    }
-
-    /// News of jobs from the state service, in the order in which they were made.
-    pub fn on_job_events(&mut self, events: Vec<WatchEvent>, now: Micros) {
-        for event in events {
-            let WatchEvent::Put { key, value, version } = event else {
-                continue;
-            };
-            if keys::parse_accepted(&key).is_some() {
-                for spec in from_value::<Accepted>(&value).unwrap_or_default().jobs {
-                    let id = spec.id.clone();
-                    let phase = Phase::Pending;
-                    let spec = Some(spec);
-                    self.on_job_event(&id, version, 0, JobValue { phase, spec }, now);
-                }
-            } else if let Some(id) = key.strip_prefix(keys::JOBS) {
-                if let Some(job) = from_value::<JobValue>(&value) {
-                    self.on_job_event(id, version, version, job, now);
-                }
-            }
-        }
-    }
-
-    /// News of a job from the state service.
-    ///
-    /// `key_version`: the version of the job's own key; 0: it was accepted in a page.
-    pub fn on_job_event(&mut self, id: &str, version: u64, key_version: u64, value: JobValue, now: Micros) {
-        if !self.is_loaded() {
-            self.early_events.push((id.to_string(), version, key_version, value));
-            return;
-        }
-        match (value.phase, value.spec) {
-            (Phase::Cancelled, _) => {
-                self.cancel(id, now);
-                if let Some(job) = self.jobs.get_mut(id) {
-                    job.cancel_version = version;
-                }
-            }
-            (Phase::Pending | Phase::Running, Some(spec)) => {
-                if self.jobs.contains_key(id) || self.log_writer.is_closed(id) {
-                    return;
-                }
-                let (spec, submitted_ms) = match restored(spec.clone()) {
-                    Some((spec, submitted_ms)) if spec.needs.is_empty() => (spec, submitted_ms),
-                    found => return self.hold_back(found.unwrap_or((spec, 0)), version, now),
-                };
-                tracing::debug!(job = id, class = spec.class, tasks = spec.tasks, "job arrived");
-                self.last_acceptance_revision = self.last_acceptance_revision.max(version);
-                let mut job = Job::new(id, spec, version, key_version, now);
-                job.submitted_at = self.came(submitted_ms, now);
-                self.log_writer
-                    .undescribed
-                    .insert(Undescribed::new(version, job.id.clone()));
-                self.jobs.insert(job.id.clone(), job);
-                self.needs_scheduling = true;
-            }
-            _ => {}
-        }
-    }
-
-    /// The job's user cancelled it: nothing starts any more, and what is on
-    /// machines is stopped.
-    pub fn cancel(&mut self, id: &str, now: Micros) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        if job.cancelled_at.is_some() {
-            return;
-        }
-        tracing::debug!(job = id, on_machines = job.placements.len(), "job cancelled");
-        job.cancelled_at = Some(now);
-        job.cancel_unconfirmed_until = self.cancellation_watermark;
-        job.waiting.clear();
-        let entry = Undescribed::new(job.acceptance_revision, job.id.clone());
-        self.log_writer.undescribed.insert(entry);
-        if job.placements.is_empty() {
-            self.log_writer.ended.insert(job.id.clone());
-        }
-        let tasks: Vec<u32> = job.placements.keys().copied().collect();
-        for task in tasks {
-            self.stop(id, task, 0.0, now);
-        }
-        self.drop_unrecorded(id, now);
-        self.needs_scheduling = true;
-    }
-
-    /// Starts of a job that is over and whose records are not on their way were
-    /// never written and never sent: they are void. Kept, they would make every
-    /// transaction fail on the job's key, and with them everybody else's.
-    pub fn drop_unrecorded(&mut self, id: &str, now: Micros) {
-        let Some(job) = self.jobs.get(id).filter(|j| !j.is_live()) else {
-            return;
-        };
-        let key = job.id.clone();
-        let unrecorded = |(task, p): (&u32, &Placement)| {
-            let flies = self.log_writer.carries(&key, *task);
-            (p.phase == PlacementPhase::Committing && !flies).then_some(*task)
-        };
-        let tasks: Vec<u32> = job.placements.iter().filter_map(unrecorded).collect();
-        for task in tasks {
-            self.free(&key, task, VoidProof::NotRecorded, now);
-        }
-    }
-
-    /// Asks a task to stop, at once and again with every report's answer.
-    pub fn stop(&mut self, id: &str, task: u32, grace_s: f64, now: Micros) {
-        let Some(placement) = self.jobs.get_mut(id).and_then(|j| j.placements.get_mut(&task)) else {
-            return;
-        };
-        let first = placement.stop_grace_s.is_none();
-        if first {
-            placement.stop_requested_at = now;
-        }
-        placement.stop_grace_s = Some(grace_s);
-        let stopped = placement.clone();
-        let (stage, sent) = (placement.phase, placement.sent);
-        if let Some(job) = self.jobs.get(id).filter(|_| first) {
-            self.invariants
-                .decisions
-                .note(job.decision(task, &stopped, Decided::Stop, now));
-        }
-        if is_injected(InjectedFault::FreesWithoutProof) {
-            return self.free(&id.into(), task, VoidProof::MachineReleased, now);
-        }
-        match (stage, sent) {
-            // Its start is being recorded, and will not be sent.
-            (PlacementPhase::Committing, _) => {}
-            // Nothing was ever sent for this record, and only this leadership could have: it is
-            // void without a word from the machine.
-            (PlacementPhase::Sent, false) => self.free(&id.into(), task, VoidProof::NeverSent, now),
-            _ => self.queue_stop(&id.into(), task),
-        }
-    }
-
-    /// A task's record is void by this proof; its machine and its job forget it. A record that the
-    /// proof does not cover stays.
-    pub fn free(&mut self, id: &JobId, task: u32, proof: VoidProof, now: Micros) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        let Some(placement) = job.placements.get(&task) else {
-            return;
-        };
-        if !proof.covers(placement) {
-            tracing::error!(job = %id, task, ?proof, ?placement, "a record is to be freed without proof");
-            self.invariants.broken += 1;
-            return;
-        }
-        self.invariants
-            .decisions
-            .note(job.decision(task, placement, Decided::Freed(proof), now));
-        let live = job.is_live();
-        if let Some(placement) = job.free(task, self.tasks_per_range) {
-            if !live {
-                job.waiting.remove(&task);
-            }
-            if job.cancelled_at.is_some() && job.placements.is_empty() {
-                self.log_writer.ended.insert(id.clone());
-            }
-            let holds = !matches!(placement.phase, PlacementPhase::Exited(_));
-            if holds {
-                job.release_task(placement.on_helper_machine);
-            }
-            if let Some(machine) = self.machines.get_mut(&placement.machine) {
-                machine.tasks.remove(&(id.clone(), task));
-                if holds {
-                    machine.take(&job.spec, -1.0);
-                }
-            }
-            self.touch(id, task / self.tasks_per_range, now);
-            self.needs_scheduling = true;
-        }
-    }
-
-    /// The machine and everything on it is gone, by the cloud's word.
-    pub fn machine_released(&mut self, name: &MachineId, now: Micros) {
-        self.released_machines.insert(name.clone());
-        while self.released_machines.len() > 20_000 {
-            self.released_machines.pop_first();
-        }
-        self.drop_images(name);
-        self.agents.outboxes.remove(name);
-        if let Some(machine) = self.machines.remove(name) {
-            for (job, task) in machine.tasks {
-                self.free(&job, task, VoidProof::MachineReleased, now);
-            }
-        }
-        self.needs_scheduling = true;
-    }
-
-    /// Notes that an image is used on a machine, and forgets the ones that no
-    /// longer fit its cache.
-    pub fn record_image_use(&mut self, name: &MachineId, image: &str, gb: f64, cache_gb: f64) {
-        let Some(m) = self.machines.get_mut(name) else { return };
-        m.fetching_images.remove(image);
-        if m.cached_images.back().is_some_and(|(last, _)| **last == *image) {
-            return;
-        }
-        let image: Rc<str> = match m.cached_images.iter().position(|(i, _)| **i == *image) {
-            Some(at) => m.cached_images.remove(at).map_or_else(|| image.into(), |i| i.0),
-            None => {
-                let image: Rc<str> = self
-                    .image_locations
-                    .get_key_value(image)
-                    .map_or_else(|| image.into(), |(k, _)| k.clone());
-                self.image_locations
-                    .entry(image.clone())
-                    .or_default()
-                    .insert(name.clone());
-                image
-            }
-        };
-        m.cached_images.push_back((image, gb));
-        while m.cached_images.len() > 1 && m.cached_images.iter().map(|i| i.1).sum::<f64>() > cache_gb {
-            let Some((old, _)) = m.cached_images.pop_front() else {
-                break;
-            };
-            if let Some(at) = self.image_locations.get_mut(&old) {
-                at.remove(name);
-            }
-        }
-    }
-
-    /// A machine's images are gone.
-    pub fn drop_images(&mut self, name: &MachineId) {
-        let Some(m) = self.machines.get_mut(name) else { return };
-        m.fetching_images.clear();
-        for (image, _) in std::mem::take(&mut m.cached_images) {
-            if let Some(at) = self.image_locations.get_mut(&image) {
-                at.remove(name);
-                if at.is_empty() {
-                    self.image_locations.remove(&image);
-                }
-            }
-        }
-    }
-
-    /// Whether, and why, the term must be raised.
-    pub fn wants_new_term(&self, _now: Micros) -> Option<&'static str> {
-        self.new_term_reason
+        changed
     }
 }
--- /dev/null
+++ b/src/coordination/state/placements.rs
@@ -0,0 +1,163 @@
+//! Operations on placements that keep a job, its machines and the log writer consistent.
+//!
+//! Called by the scheduler, by heartbeat processing and when jobs are cancelled. They carry out
+//! what was decided elsewhere and decide nothing but whether a proof covers a record.
+//!
+//! Invariants: a placement is in its job's `placements` if and only if its task is in the `tasks`
+//! of its machine, as long as the leader knows that machine; it is charged to the machine and
+//! counted in its job's `held_tasks` until its exit is reported. A placement is removed only with
+//! a [`VoidProof`] that covers it, or together with its job.
+
+use super::void_proof::VoidProof;
+use super::{LeaderState, Machine, MachineId, Placement, PlacementPhase};
+use crate::coordination::decision_log::Decided;
+use crate::coordination::fault_injection::{is_injected, InjectedFault};
+use crate::coordination::log::queues::Undescribed;
+use crate::coordination::JobId;
+use crate::protocol::users::JobSpec;
+use crate::time::Micros;
+
+/// Released machines that are remembered.
+const REMEMBERED_RELEASES: usize = 20_000;
+
+impl Machine {
+    /// A task of a job with this specification has a record here.
+    pub fn add_task(&mut self, job: &JobId, task: u32, spec: &JobSpec) {
+        self.charge(spec);
+        self.tasks.insert((job.clone(), task));
+    }
+
+    /// The record of a task is removed from here.
+    pub fn remove_task(&mut self, job: &JobId, task: u32, spec: &JobSpec, placement: &Placement) {
+        self.tasks.remove(&(job.clone(), task));
+        if placement.uses_resources() {
+            self.discharge(spec);
+        }
+    }
+}
+
+impl LeaderState {
+    /// The job's user cancelled it: nothing starts any more, and what is on machines is stopped.
+    pub fn cancel(&mut self, id: &str, now: Micros) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        if job.cancelled_at.is_some() {
+            return;
+        }
+        tracing::debug!(job = id, on_machines = job.placements.len(), "job cancelled");
+        job.cancelled_at = Some(now);
+        job.cancel_unconfirmed_until = self.cancellation_watermark;
+        job.waiting.clear();
+        let entry = Undescribed::new(job.acceptance_revision, job.id.clone());
+        self.log_writer.undescribed.insert(entry);
+        if job.placements.is_empty() {
+            self.log_writer.ended.insert(job.id.clone());
+        }
+        let tasks: Vec<u32> = job.placements.keys().copied().collect();
+        for task in tasks {
+            self.stop(id, task, 0.0, now);
+        }
+        self.drop_unrecorded(id, now);
+        self.needs_scheduling = true;
+    }
+
+    /// Frees starts of a job that is over whose records are not on their way to the log.
+    ///
+    /// They were never written and never sent, so they are void. Kept, they would make every
+    /// transaction fail on the job's key, and with them everybody else's.
+    pub fn drop_unrecorded(&mut self, id: &str, now: Micros) {
+        let Some(job) = self.jobs.get(id).filter(|j| !j.is_live()) else {
+            return;
+        };
+        let id = job.id.clone();
+        let unrecorded = |(task, p): (&u32, &Placement)| {
+            let in_flight = self.log_writer.carries(&id, *task);
+            (p.phase == PlacementPhase::Committing && !in_flight).then_some(*task)
+        };
+        let tasks: Vec<u32> = job.placements.iter().filter_map(unrecorded).collect();
+        for task in tasks {
+            self.free(&id, task, VoidProof::NotRecorded, now);
+        }
+    }
+
+    /// Asks a task to stop, at once and again with the answer to every heartbeat.
+    pub fn stop(&mut self, id: &str, task: u32, grace_s: f64, now: Micros) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(placement) = job.placements.get_mut(&task) else {
+            return;
+        };
+        let is_first = placement.stop_grace_s.is_none();
+        if is_first {
+            placement.stop_requested_at = now;
+        }
+        placement.stop_grace_s = Some(grace_s);
+        let (phase, sent) = (placement.phase, placement.sent);
+        let id = job.id.clone();
+        if is_first {
+            if let Some(placement) = job.placements.get(&task) {
+                let decision = job.decision(task, placement, Decided::Stop, now);
+                self.invariants.decisions.note(decision);
+            }
+        }
+        if is_injected(InjectedFault::FreesWithoutProof) {
+            return self.free(&id, task, VoidProof::MachineReleased, now);
+        }
+        match (phase, sent) {
+            // Its start is being recorded, and will not be sent.
+            (PlacementPhase::Committing, _) => {}
+            // Nothing was ever sent for this record, and only this leadership could have: it is
+            // void without a word from the machine.
+            (PlacementPhase::Sent, false) => self.free(&id, task, VoidProof::NeverSent, now),
+            _ => self.queue_stop(&id, task),
+        }
+    }
+
+    /// Removes a task's record, which this proof shows to be void. A record that the proof does
+    /// not cover stays, and counts as a broken invariant.
+    pub fn free(&mut self, id: &JobId, task: u32, proof: VoidProof, now: Micros) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(placement) = job.placements.get(&task) else {
+            return;
+        };
+        if !proof.covers(placement) {
+            tracing::error!(job = %id, task, ?proof, ?placement, "a record is to be freed without proof");
+            self.invariants.broken += 1;
+            return;
+        }
+        let decision = job.decision(task, placement, Decided::Freed(proof), now);
+        self.invariants.decisions.note(decision);
+        let is_live = job.is_live();
+        let Some(placement) = job.remove_placement(task, self.tasks_per_range) else {
+            return;
+        };
+        if !is_live {
+            job.waiting.remove(&task);
+        }
+        if job.cancelled_at.is_some() && job.placements.is_empty() {
+            self.log_writer.ended.insert(id.clone());
+        }
+        if placement.uses_resources() {
+            job.release_task(placement.on_helper_machine);
+        }
+        if let Some(machine) = self.machines.get_mut(&placement.machine) {
+            machine.remove_task(id, task, &job.spec, &placement);
+        }
+        self.touch(id, task / self.tasks_per_range, now);
+        self.needs_scheduling = true;
+    }
+
+    /// The cloud has answered that the machine, and with it everything on it, is gone.
+    pub fn machine_released(&mut self, name: &MachineId, now: Micros) {
+        self.released_machines.insert(name.clone());
+        while self.released_machines.len() > REMEMBERED_RELEASES {
+            self.released_machines.pop_first();
+        }
+        self.drop_images(name);
+        self.agents.outboxes.remove(name);
+        if let Some(machine) = self.machines.remove(name) {
+            for (job, task) in machine.tasks {
+                self.free(&job, task, VoidProof::MachineReleased, now);
+            }
+        }
+        self.needs_scheduling = true;
+    }
+}
--- a/src/coordination/state/void_proof.rs
+++ b/src/coordination/state/void_proof.rs
@@ -1,7 +1,8 @@
-//! Why the record of a start is void.
+//! Proofs that the record of a start is void.
 //!
-//! A record is charged to its team and its machine for as long as the attempt may be, or come to
-//! be, on the machine. It is freed only with one of these proofs, and only if the proof covers it.
+//! A record is charged to its team and its machine for as long as the attempt may be, or may come
+//! to be, on the machine. [`LeaderState::free`](super::LeaderState::free) removes it only with one
+//! of these proofs, and only if the proof covers that record. Time alone is never a proof.
 
 use crate::coordination::state::{Placement, PlacementPhase};
 use crate::protocol::agents::Cause;
@@ -13,18 +14,24 @@
     NotRecorded,
     /// This leadership recorded it, and has sent nothing for it.
     NeverSent,
-    /// The machine has begun a later session, and killed what ran in the one of the record.
-    LaterSession { reported: u64 },
+    /// The machine's agent has begun a later incarnation, and killed what ran in the recorded one.
+    LaterSession {
+        /// The incarnation that the agent reported.
+        reported: u64,
+    },
     /// The machine refuses every token under which a start may have left, and does not list it.
-    RefusedByToken { reported: u64 },
-    /// The machine has reported that it exited.
+    RefusedByToken {
+        /// The fencing token that the agent reported.
+        reported: u64,
+    },
+    /// The machine has reported that it exited, for this cause.
     Exited(Cause),
     /// The cloud has answered that the machine is gone.
     MachineReleased,
 }
 
 impl VoidProof {
-    /// Whether this proves that the record is void, by what the record itself says.
+    /// Whether this proves that the record is void, judged by what the record itself says.
     pub fn covers(self, placement: &Placement) -> bool {
         match self {
             VoidProof::NotRecorded => placement.phase == PlacementPhase::Committing && !placement.sent,
--- a/src/coordination/tick.rs
+++ b/src/coordination/tick.rs
@@ -128,8 +128,8 @@
             leader.run_provisioning(&mut self.context, &self.cluster, &mut self.cloud);
         }
         leader.pump_commit(&mut self.context, &self.cluster, &self.election);
-        if let Some(why) = leader.wants_new_term(self.context.now) {
-            self.election.raise(&mut self.context, why);
+        if let Some(reason) = leader.new_term_reason {
+            self.election.raise(&mut self.context, reason.as_str());
         }
         let now = self.context.now;
         let carry = &self.forwarder;
--- a/tests/sim/lives.rs
+++ b/tests/sim/lives.rs
@@ -163,8 +163,7 @@
     };
     job.placements.insert(0, placement);
     let machine = leader.machines.get_mut("n-000001").expect("it reported");
-    machine.tasks.insert((job.id.clone(), 0));
-    machine.take(&job.spec, 1.0);
+    machine.add_task(&job.id, 0, &job.spec);
     leader.jobs.insert(job.id.clone(), job);
 }
 
