--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -45,11 +45,11 @@
             .peers
             .iter()
             .filter(|(name, p)| {
-                p.fresh && self.reaches_node(name) && !self.heartbeat_proxy.unreached.contains_key(*name)
+                p.store_is_current && self.reaches_node(name) && !self.heartbeat_proxy.unreached.contains_key(*name)
             })
             // One that keeps ending has few workers every time that it is back.
-            .filter(|(_, p)| now.since(p.since) > timing::SETTLED)
-            .map(|(name, p)| (name.clone(), p.serves))
+            .filter(|(_, p)| now.since(p.known_since) > timing::SETTLED)
+            .map(|(name, p)| (name.clone(), p.agents_served))
             .min_by_key(|(_, serves)| *serves)?;
         (own > least + least / 3 + UNEVEN).then_some(node)
     }
@@ -177,7 +177,7 @@
             // worker may get through where this node does not. Where nothing
             // comes back, it would most likely wait in vain while its lease
             // runs out.
-            let refused = self.links.get(&leader) == Some(&Link::Refused);
+            let refused = self.peer_links.get(&leader) == Some(&Link::Refused);
             // A leader that had the state service by way of others only, and is not
             // heard by now, most likely leads no more.
             let lost = self.forwarder.link_table.last_told(&leader, &Host::State) == LinkState::Down;
@@ -201,7 +201,7 @@
             at: now,
         };
         self.heartbeat_proxy.forwarded.insert(number, passed);
-        self.context.out.push(Effect::Peer { to: leader, message });
+        self.context.effects.push(Effect::Peer { to: leader, message });
     }
 
     /// Answers a report alone, and remembers the machine as kept here.
@@ -278,7 +278,7 @@
         }
         let commands = self.leaders_answer(&heartbeat, Some(&node));
         let message = PeerMessage::HeartbeatResponse { id, commands };
-        self.context.out.push(Effect::Peer { to: node, message });
+        self.context.effects.push(Effect::Peer { to: node, message });
     }
 
     /// What the leader answers to a report, here or by way of another node.
@@ -314,15 +314,15 @@
         let Some(leader) = self
             .leader
             .as_mut()
-            .filter(|l| l.incarnation != self.heartbeats_requested)
+            .filter(|l| l.incarnation != self.last_heartbeats_requested_for)
         else {
             return;
         };
-        self.heartbeats_requested = leader.incarnation;
+        self.last_heartbeats_requested_for = leader.incarnation;
         let node = self.cluster.settings.node.clone();
         for peer in &self.cluster.settings.peers {
             let message = PeerMessage::LastHeartbeatsRequest { node: node.clone() };
-            self.context.out.push(Effect::Peer {
+            self.context.effects.push(Effect::Peer {
                 to: peer.node.clone(),
                 message,
             });
@@ -353,7 +353,7 @@
                 node: self.cluster.settings.node.clone(),
                 heartbeats: some.to_vec(),
             };
-            self.context.out.push(Effect::Peer {
+            self.context.effects.push(Effect::Peer {
                 to: to.clone(),
                 message,
             });
@@ -399,12 +399,12 @@
         if body.fencing_token < self.election.term() || body.commands.iter().any(cancelled) {
             let answer = PushResult::NotSent;
             let message = PeerMessage::RelayedPushResult { id, answer };
-            self.context.out.push(Effect::Peer { to: node, message });
+            self.context.effects.push(Effect::Peer { to: node, message });
             return;
         }
         let own = self.context.id();
         self.relayed_pushes.insert(own, (node, id));
-        self.context.out.push(Effect::PushedCommands {
+        self.context.effects.push(Effect::PushedCommands {
             id: own,
             addr,
             body,
--- a/src/coordination/agents/push.rs
+++ b/src/coordination/agents/push.rs
@@ -148,7 +148,7 @@
         incarnation: machine.incarnation,
         commands: commands.clone(),
     };
-    context.out.push(match relay {
+    context.effects.push(match relay {
         Some(node) => Effect::Peer {
             to: node.to_string(),
             message: PeerMessage::RelayPush {
--- a/src/coordination/api/acceptance.rs
+++ b/src/coordination/api/acceptance.rs
@@ -120,7 +120,9 @@
             sent += 1.0;
             self.send_page(context, batch);
         }
-        context.store.held_back(self.group_commit.pages_waiting(room) as f64);
+        context
+            .store
+            .set_held_back_changes(self.group_commit.pages_waiting(room) as f64);
     }
 
     fn send_page(&self, context: &mut Context, batch: Batch<Box<JobSpec>>) {
--- a/src/coordination/context.rs
+++ b/src/coordination/context.rs
@@ -10,11 +10,11 @@
 pub struct Context {
     pub now: Micros,
     pub store: StoreQueue<Continuation>,
-    pub out: Vec<Effect>,
+    pub effects: Vec<Effect>,
     pub rng: fastrand::Rng,
     pub(super) next_id: u64,
     /// The time of day at the start of this process's clock, in milliseconds.
-    pub(super) day_ms: u64,
+    pub(super) clock_origin_ms: u64,
 }
 
 impl Context {
@@ -27,12 +27,12 @@
     /// The time of day at a time of this process's clock, in milliseconds since 1970. It
     /// decides order and rentals only, never safety.
     pub fn time_of_day(&self, at: Micros) -> u64 {
-        self.day_ms + at.0 / 1000
+        self.clock_origin_ms + at.0 / 1000
     }
 
     /// The other way round.
     pub fn own_time(&self, day_ms: u64) -> Micros {
-        Micros::from_millis(day_ms.saturating_sub(self.day_ms))
+        Micros::from_millis(day_ms.saturating_sub(self.clock_origin_ms))
     }
 
     /// A span of up to twice `around`, so that nodes do not retry in step.
@@ -41,7 +41,7 @@
     }
 
     pub fn reply(&mut self, id: u64, status: u16, body: Vec<u8>, retry_after_s: Option<u32>) {
-        self.out.push(Effect::Reply {
+        self.effects.push(Effect::Reply {
             id,
             answer: Outgoing {
                 status,
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -195,7 +195,7 @@
             if !self.api.is_ready() {
                 return;
             }
-            leader.clock_origin_ms = self.context.day_ms;
+            leader.clock_origin_ms = self.context.clock_origin_ms;
             leader.adopt(&self.api, now);
         }
         let changed = !news.is_empty() || !leader.blocked_jobs.fresh.is_empty();
--- a/src/coordination/election/announce.rs
+++ b/src/coordination/election/announce.rs
@@ -43,7 +43,7 @@
         }
         let said = self.election.releases.get(&self.election.node);
         if self.election.said.release == 0 {
-            let began_ms = self.context.time_of_day(self.began).max(1);
+            let began_ms = self.context.time_of_day(self.started_at).max(1);
             let release = CURRENT_RELEASE;
             self.election.said = Release { release, began_ms };
             let before = said.map_or(0, |s| s.began_ms);
@@ -92,7 +92,7 @@
     fn lagging(&self) -> Option<String> {
         let heard = |p: &&crate::settings::Peer| {
             let view = self.peers.get(&p.node);
-            view.is_some_and(|v| self.context.now.since(v.at) < LISTENS)
+            view.is_some_and(|v| self.context.now.since(v.last_contact) < LISTENS)
         };
         let peers = self.cluster.settings.peers.iter().filter(heard);
         let mut behind = peers.filter(|p| {
--- a/src/coordination/election/campaign.rs
+++ b/src/coordination/election/campaign.rs
@@ -86,7 +86,7 @@
                 term,
                 to: to.clone(),
             };
-            self.context.out.push(Effect::Peer {
+            self.context.effects.push(Effect::Peer {
                 to: peer.node.clone(),
                 message,
             });
@@ -153,7 +153,7 @@
             self.election.elect_at = None;
             return;
         }
-        if self.cluster.catalogue.is_empty() && now.since(self.began) < Micros::from_secs(3.0) {
+        if self.cluster.catalogue.is_empty() && now.since(self.started_at) < Micros::from_secs(3.0) {
             return;
         }
         match self.election.elect_at {
@@ -269,7 +269,7 @@
                 } else {
                     let incarnation = self.context.id();
                     let mut leader = LeaderState::new(incarnation, self.election.term(), now);
-                    leader.clock_origin_ms = self.context.day_ms;
+                    leader.clock_origin_ms = self.context.clock_origin_ms;
                     self.leader = Some(leader);
                     self.prove_to_leader();
                     self.set_rates();
--- a/src/coordination/election/watches.rs
+++ b/src/coordination/election/watches.rs
@@ -56,7 +56,7 @@
                     prefix: keys::TERM.into(),
                     after: String::new(),
                 };
-                self.later(
+                self.push_election_request_at(
                     at,
                     request,
                     ElectionContinuation::Read { sent: at },
@@ -137,7 +137,7 @@
             after: self.election.terms_after,
             wait_ms: WATCH_MS,
         };
-        self.later(
+        self.push_election_request_at(
             at,
             request,
             ElectionContinuation::Terms { sent: at },
@@ -152,7 +152,7 @@
             after: self.election.jobs_after,
             wait_ms: WATCH_MS,
         };
-        self.later(
+        self.push_election_request_at(
             at,
             request,
             ElectionContinuation::Jobs { sent: at },
--- a/src/coordination/failure_detection/asymmetric_partition.rs
+++ b/src/coordination/failure_detection/asymmetric_partition.rs
@@ -73,7 +73,7 @@
                 at: now,
             };
             self.agents.pushes_in_flight.insert(id, sent);
-            context.out.push(Effect::PushedCommands {
+            context.effects.push(Effect::PushedCommands {
                 id,
                 addr: m.address.clone(),
                 body: PushedCommands {
--- a/src/coordination/forwarding.rs
+++ b/src/coordination/forwarding.rs
@@ -153,7 +153,7 @@
 impl Controller {
     /// Sends what was decided by the ways that work.
     pub(super) fn route_effects(&mut self) -> Vec<Effect> {
-        let decided = std::mem::take(&mut self.context.out);
+        let decided = std::mem::take(&mut self.context.effects);
         let mut out = Vec::with_capacity(decided.len());
         for effect in decided {
             let effect = match effect {
@@ -256,7 +256,7 @@
                 }
                 let what = ForwardedBody::State(body);
                 let message = PeerMessage::ForwardedResponse { life, id, what };
-                self.context.out.push(Effect::Peer { to, message });
+                self.context.effects.push(Effect::Peer { to, message });
                 None
             }
         }
@@ -275,7 +275,7 @@
             Whose::Other(to, life, id) => {
                 let what = ForwardedBody::Cloud(to_cbor(&answer));
                 let message = PeerMessage::ForwardedResponse { life, id, what };
-                self.context.out.push(Effect::Peer { to, message });
+                self.context.effects.push(Effect::Peer { to, message });
                 None
             }
         }
@@ -341,7 +341,7 @@
             PeerMessage::RelayMessage { to, body } => {
                 if self.forwarder.link_table.own(&Host::Node(to.clone()), now) == LinkState::Up {
                     let message = PeerMessage::RelayedMessage(body);
-                    self.context.out.push(Effect::Peer { to, message });
+                    self.context.effects.push(Effect::Peer { to, message });
                 }
             }
             PeerMessage::RelayedMessage(body) => match bitcode::decode::<PeerMessage>(&body) {
@@ -365,7 +365,7 @@
         let refused = match what {
             ForwardedBody::State(body) => match from_cbor::<StoreRequest>(&body) {
                 Ok(request) if !not => {
-                    let own = self.context.store.foreign();
+                    let own = self.context.store.reserve_request_id();
                     let waits = matches!(request, StoreRequest::Watch { .. });
                     self.made(Service::State, own, waits, whose);
                     let effect = Effect::Store {
@@ -373,7 +373,7 @@
                         request,
                         timeout,
                     };
-                    return self.context.out.push(effect);
+                    return self.context.effects.push(effect);
                 }
                 _ => ForwardedBody::State(to_cbor(&StoreResponse::Refused)),
             },
@@ -386,7 +386,7 @@
                         request,
                         timeout,
                     };
-                    return self.context.out.push(effect);
+                    return self.context.effects.push(effect);
                 }
                 _ => ForwardedBody::Cloud(to_cbor(&CloudResponse::Refused)),
             },
@@ -396,7 +396,7 @@
             id,
             what: refused,
         };
-        self.context.out.push(Effect::Peer { to, message });
+        self.context.effects.push(Effect::Peer { to, message });
     }
 
     /// How this node's links are, for the others.
@@ -477,16 +477,16 @@
     fn probe(&mut self, service: Service, timeout: Micros) {
         match service {
             Service::State => {
-                let id = self.context.store.foreign();
+                let id = self.context.store.reserve_request_id();
                 self.made(service, id, false, Whose::Probe);
                 let request = StoreRequest::Get { key: keys::TERM.into() };
-                self.context.out.push(Effect::Store { id, request, timeout });
+                self.context.effects.push(Effect::Store { id, request, timeout });
             }
             Service::Cloud => {
                 let id = self.context.id();
                 self.made(service, id, false, Whose::Probe);
                 let request = CloudRequest::Catalogue;
-                self.context.out.push(Effect::Cloud { id, request, timeout });
+                self.context.effects.push(Effect::Cloud { id, request, timeout });
             }
         }
     }
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -223,7 +223,7 @@
                 round,
                 seen: self.election.jobs_seen(),
             };
-            self.context.out.push(Effect::Peer {
+            self.context.effects.push(Effect::Peer {
                 to: peer.node.clone(),
                 message,
             });
@@ -246,7 +246,7 @@
             term: self.election.term(),
             cancelled,
         };
-        self.context.out.push(Effect::Peer { to: node, message });
+        self.context.effects.push(Effect::Peer { to: node, message });
     }
 
     /// What another controller knows to be cancelled: made by the state service, as it read.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -47,29 +47,29 @@
 
 /// A controller that has done nothing for this long, though it looks at its
 /// clocks every few milliseconds, stood still. What it had queued is old.
-const STANDSTILL: Micros = Micros::from_millis(900);
+const PROCESS_PAUSE: Micros = Micros::from_millis(900);
 
 /// A controller that was not heard for this long is not counted on.
-const HEARD: Micros = Micros::from_millis(1600);
+const CONTACT_TIMEOUT: Micros = Micros::from_millis(1600);
 
 /// A job's id.
 pub type JobId = Rc<str>;
 
 /// What a peer last said of itself.
 #[derive(Clone, Copy, Debug)]
-struct PeerView {
-    at: Micros,
-    fresh: bool,
+struct PeerStatus {
+    last_contact: Micros,
+    store_is_current: bool,
     term: u64,
     leads: bool,
     /// Changes a second that it wants to make.
-    wants: f64,
+    wanted_changes_per_s: f64,
     /// Workers that report to it.
-    serves: u32,
+    agents_served: u32,
     /// Its clock as it told it last, and when this life of it was heard first: a clock
     /// that goes back is that of a new life.
-    clock: u64,
-    since: Micros,
+    sender_clock: u64,
+    known_since: Micros,
 }
 
 /// The single owner of a controller's state.
@@ -78,31 +78,31 @@
     context: Context,
     election: Election,
     api: JobApi,
-    cloud: CloudCallTracker,
+    cloud_calls: CloudCallTracker,
     heartbeat_proxy: HeartbeatProxy,
     /// What the others said that they confirmed, while the state service did not answer.
     attestations: CancellationAttestations,
     leader: Option<state::LeaderState>,
-    peers: BTreeMap<String, PeerView>,
-    links: BTreeMap<String, Link>,
+    peers: BTreeMap<String, PeerStatus>,
+    peer_links: BTreeMap<String, Link>,
     /// What is known of all links, and what goes by way of other controllers.
     forwarder: Forwarder,
     /// Commands sent to workers for the leader: whom to tell, and its number.
     relayed_pushes: BTreeMap<u64, (String, u64)>,
     /// The leadership of this node that has asked for workers' last reports.
-    heartbeats_requested: u64,
-    next_alive: Micros,
-    started: bool,
-    next_log: Micros,
+    last_heartbeats_requested_for: u64,
+    next_alive_at: Micros,
+    election_started: bool,
+    next_log_at: Micros,
     /// When the last batch was worked through, and when this process began.
-    last_batch: Micros,
+    last_batch_at: Micros,
     /// The longest time between two batches since the last log.
     longest_pause: Micros,
     /// Invariants that were seen broken in this life of the process.
     broken_invariants: u64,
-    began: Micros,
+    started_at: Micros,
     /// When changes were refused lately because there were too many.
-    limited: VecDeque<Micros>,
+    limited_at: VecDeque<Micros>,
 }
 
 impl Controller {
@@ -127,30 +127,30 @@
             context: Context {
                 now,
                 store,
-                out: vec![],
+                effects: vec![],
                 rng,
                 next_id: life >> 1,
-                day_ms: 0,
+                clock_origin_ms: 0,
             },
             election,
             api: JobApi::new(&node),
-            cloud: CloudCallTracker::new(now),
+            cloud_calls: CloudCallTracker::new(now),
             heartbeat_proxy,
             attestations: CancellationAttestations::new(now),
             leader: None,
             peers: BTreeMap::new(),
-            links: BTreeMap::new(),
+            peer_links: BTreeMap::new(),
             forwarder: Forwarder::new(&node, life),
             relayed_pushes: BTreeMap::new(),
-            heartbeats_requested: 0,
-            next_alive: now,
-            started: false,
-            next_log: now,
-            last_batch: now,
+            last_heartbeats_requested_for: 0,
+            next_alive_at: now,
+            election_started: false,
+            next_log_at: now,
+            last_batch_at: now,
             longest_pause: Micros::ZERO,
             broken_invariants: 0,
-            began: now,
-            limited: VecDeque::new(),
+            started_at: now,
+            limited_at: VecDeque::new(),
         };
         core.set_rates();
         core
@@ -158,20 +158,20 @@
 
     /// Says what time of day it is, in milliseconds since 1970.
     pub fn set_time_of_day(&mut self, now: Micros, day_ms: u64) {
-        self.context.day_ms = day_ms.saturating_sub(now.0 / 1000);
+        self.context.clock_origin_ms = day_ms.saturating_sub(now.0 / 1000);
     }
 
     /// Works through a batch of commands and says what is to be done.
     pub fn handle(&mut self, now: Micros, batch: Vec<Event>) -> Vec<Effect> {
         self.context.now = self.context.now.max(now);
-        if !self.started {
-            self.started = true;
+        if !self.election_started {
+            self.election_started = true;
             self.election.start(&mut self.context);
         }
-        let still = self.context.now.since(self.last_batch);
-        self.last_batch = self.context.now;
+        let still = self.context.now.since(self.last_batch_at);
+        self.last_batch_at = self.context.now;
         self.longest_pause = self.longest_pause.max(still);
-        if still > STANDSTILL {
+        if still > PROCESS_PAUSE {
             self.on_process_pause(still);
         }
         for event in batch {
@@ -182,7 +182,7 @@
             self.on_store_answer(continuation, StoreResponse::Refused);
         }
         for (id, request, timeout) in self.context.store.pump(self.context.now) {
-            self.context.out.push(Effect::Store { id, request, timeout });
+            self.context.effects.push(Effect::Store { id, request, timeout });
         }
         self.route_effects()
     }
@@ -223,12 +223,12 @@
                 self.forwarder
                     .link_table
                     .sends(&node, link == Link::Up, link == Link::Refused);
-                self.links.insert(node, link);
+                self.peer_links.insert(node, link);
             }
             Event::PushedCommands { id, answer } => {
                 if let Some((to, id)) = self.relayed_pushes.remove(&id) {
                     let message = PeerMessage::RelayedPushResult { id, answer };
-                    self.context.out.push(Effect::Peer { to, message });
+                    self.context.effects.push(Effect::Peer { to, message });
                 } else if let Some(leader) = self.leader.as_mut() {
                     leader.on_direct(id, answer);
                 }
@@ -277,8 +277,8 @@
             return false;
         }
         let stale = now.since(self.election.fresh()) > Micros::from_secs(4.0);
-        let heard = |p: &&PeerView| now.since(p.at) < Micros::from_secs(2.0);
-        let peer_fresh = self.peers.values().filter(heard).any(|p| p.fresh);
+        let heard = |p: &&PeerStatus| now.since(p.last_contact) < Micros::from_secs(2.0);
+        let peer_fresh = self.peers.values().filter(heard).any(|p| p.store_is_current);
         // One that hears nobody at all can't know whether the others are alike: it has lost
         // more than the service, and they are asked instead.
         let alone = self.cluster.nodes() > 1 && !self.peers.values().any(|p| heard(&p));
@@ -300,17 +300,17 @@
             } => {
                 if self.is_peer(&node) {
                     self.forwarder.hears(&node, at, &links, now);
-                    let same_life = self.peers.get(&node).filter(|p| p.clock <= at);
-                    let since = same_life.map_or(now, |p| p.since);
-                    let view = PeerView {
-                        clock: at,
-                        since,
-                        at: now,
-                        fresh,
+                    let same_life = self.peers.get(&node).filter(|p| p.sender_clock <= at);
+                    let since = same_life.map_or(now, |p| p.known_since);
+                    let view = PeerStatus {
+                        sender_clock: at,
+                        known_since: since,
+                        last_contact: now,
+                        store_is_current: fresh,
                         term,
                         leads,
-                        wants: f64::from(wants) / 1000.0,
-                        serves,
+                        wanted_changes_per_s: f64::from(wants) / 1000.0,
+                        agents_served: serves,
                     };
                     self.peers.insert(node, view);
                 }
@@ -374,7 +374,9 @@
         let now = self.context.now;
         self.peers
             .iter()
-            .filter(|(_, p)| p.leads && p.term > self.election.term() && now.since(p.at) < Micros::from_secs(3.0))
+            .filter(|(_, p)| {
+                p.leads && p.term > self.election.term() && now.since(p.last_contact) < Micros::from_secs(3.0)
+            })
             .max_by_key(|(_, p)| p.term)
             .map(|(name, _)| name.clone())
     }
@@ -384,7 +386,7 @@
         let mut names: BTreeSet<String> = self
             .peers
             .iter()
-            .filter(|(_, p)| self.context.now.since(p.at) < Micros::from_secs(3.0))
+            .filter(|(_, p)| self.context.now.since(p.last_contact) < Micros::from_secs(3.0))
             .map(|(name, _)| name.clone())
             .collect();
         names.insert(self.cluster.settings.node.clone());
@@ -392,7 +394,7 @@
     }
 
     /// Queues a request of the given urgency for the leadership part.
-    fn later(
+    fn push_election_request_at(
         &mut self,
         at: Micros,
         request: StoreRequest,
--- a/src/coordination/provisioning/calls.rs
+++ b/src/coordination/provisioning/calls.rs
@@ -49,7 +49,7 @@
         bucket.take(1.0, context.now);
         let id = context.id();
         self.pending.insert(id, continuation);
-        context.out.push(Effect::Cloud {
+        context.effects.push(Effect::Cloud {
             id,
             request,
             timeout: TIMEOUT,
@@ -62,35 +62,35 @@
     /// The catalogue, on every node: it decides what can be accepted.
     pub(in crate::coordination) fn run_cloud_calls(&mut self) {
         let now = self.context.now;
-        if now >= self.cloud.next_catalogue && !self.cloud.asking {
-            let asked = self.cloud.call(
+        if now >= self.cloud_calls.next_catalogue && !self.cloud_calls.asking {
+            let asked = self.cloud_calls.call(
                 &mut self.context,
                 &self.cluster,
                 CloudContinuation::Catalogue,
                 CloudRequest::Catalogue,
                 0.0,
             );
-            self.cloud.asking = asked;
+            self.cloud_calls.asking = asked;
         }
     }
 
     pub(in crate::coordination) fn on_cloud(&mut self, id: u64, answer: CloudResponse) {
         let now = self.context.now;
-        let Some(continuation) = self.cloud.pending.remove(&id) else {
+        let Some(continuation) = self.cloud_calls.pending.remove(&id) else {
             return;
         };
         let incarnation = self.leader.as_ref().map(|l| l.incarnation);
         match continuation {
             CloudContinuation::Catalogue => {
-                self.cloud.asking = false;
+                self.cloud_calls.asking = false;
                 match answer {
                     CloudResponse::Catalogue(catalogue) if !catalogue.types.is_empty() => {
                         self.cluster.catalogue = catalogue.types.into_iter().map(|t| (t.name.clone(), t)).collect();
-                        self.cloud.next_catalogue = now + Micros::from_secs(30.0);
+                        self.cloud_calls.next_catalogue = now + Micros::from_secs(30.0);
                     }
                     _ => {
                         let pause = if self.cluster.catalogue.is_empty() { 400 } else { 3000 };
-                        self.cloud.next_catalogue = now + self.context.jitter(Micros::from_millis(pause));
+                        self.cloud_calls.next_catalogue = now + self.context.jitter(Micros::from_millis(pause));
                     }
                 }
             }
--- a/src/coordination/rate_shares.rs
+++ b/src/coordination/rate_shares.rs
@@ -1,7 +1,7 @@
 //! This controller's share of what the state service takes.
 
 use super::election::Role;
-use super::{Controller, PeerView};
+use super::{Controller, PeerStatus};
 use crate::protocol::store::StoreResponse;
 use crate::time::Micros;
 
@@ -40,15 +40,15 @@
     /// each node said it wants; returns what this one wants. Users come to the
     /// nodes unevenly, and the leader does not always need its part. A node that
     /// is not heard counts as wanting an even part.
-    pub(super) fn share_changes(&mut self) -> f64 {
+    pub(super) fn update_change_share(&mut self) -> f64 {
         let now = self.context.now;
         let own = self.context.store.wants(now);
         let all = self.cluster.limits.changes_used();
         let others = (self.cluster.nodes() - 1).max(1) as f64;
         let even = all * 0.5 / others;
-        let heard = |p: &&PeerView| now.since(p.at) < Micros::from_secs(2.5);
+        let heard = |p: &&PeerStatus| now.since(p.last_contact) < Micros::from_secs(2.5);
         let peers = &self.cluster.settings.peers;
-        let views: Vec<&PeerView> = peers
+        let views: Vec<&PeerStatus> = peers
             .iter()
             .filter_map(|p| self.peers.get(&p.node))
             .filter(heard)
@@ -63,9 +63,15 @@
             let leader = views
                 .iter()
                 .find(|p| p.leads)
-                .map_or(all * 0.5, |p| for_leader(p.wants));
+                .map_or(all * 0.5, |p| for_leader(p.wanted_changes_per_s));
             let rest = all - leader;
-            let demand: f64 = views.iter().filter(|p| !p.leads).map(|p| p.wants).sum::<f64>() + own + unheard * even;
+            let demand: f64 = views
+                .iter()
+                .filter(|p| !p.leads)
+                .map(|p| p.wanted_changes_per_s)
+                .sum::<f64>()
+                + own
+                + unheard * even;
             // A part is even, so that a sudden need is met while it is told.
             let by_demand = if demand > 0.01 { own / demand } else { 1.0 / others };
             rest * (0.4 / others + 0.6 * by_demand)
@@ -81,11 +87,15 @@
             return answer;
         }
         let now = self.context.now;
-        self.limited.push_back(now);
-        while self.limited.front().is_some_and(|at| now.since(*at) > LIMITED_WITHIN) {
-            self.limited.pop_front();
+        self.limited_at.push_back(now);
+        while self
+            .limited_at
+            .front()
+            .is_some_and(|at| now.since(*at) > LIMITED_WITHIN)
+        {
+            self.limited_at.pop_front();
         }
-        if self.limited.len() >= LIMITED && self.cluster.limits.lower() {
+        if self.limited_at.len() >= LIMITED && self.cluster.limits.lower() {
             tracing::warn!(
                 changes_per_s = self.cluster.limits.changes_per_s(),
                 "changes are refused: the lower limits of the state service hold"
--- a/src/coordination/store_queue.rs
+++ b/src/coordination/store_queue.rs
@@ -117,7 +117,7 @@
 
     /// How many changes wait elsewhere until [`write_allowed`](StoreQueue::write_allowed)
     /// says that they may go out.
-    pub fn held_back(&mut self, changes: f64) {
+    pub fn set_held_back_changes(&mut self, changes: f64) {
         self.held = changes;
     }
 
@@ -217,7 +217,7 @@
     }
 
     /// A number for a request that does not go through this queue.
-    pub fn foreign(&mut self) -> u64 {
+    pub fn reserve_request_id(&mut self) -> u64 {
         self.next += 1;
         self.next
     }
--- a/src/coordination/tick.rs
+++ b/src/coordination/tick.rs
@@ -2,7 +2,7 @@
 //! is alive, lets the leader act, and logs.
 
 use super::election::Role;
-use super::{Controller, Effect, HEARD};
+use super::{Controller, Effect, CONTACT_TIMEOUT};
 use crate::protocol::peer::PeerMessage;
 use crate::time::Micros;
 
@@ -26,20 +26,20 @@
         );
         self.run_cloud_calls();
         self.run_leader();
-        if now >= self.next_alive {
-            self.next_alive = now + Micros::from_millis(500);
+        if now >= self.next_alive_at {
+            self.next_alive_at = now + Micros::from_millis(500);
             let message = PeerMessage::Alive {
                 node: self.cluster.settings.node.clone(),
                 term: self.election.term(),
                 fresh: now.since(self.election.fresh()) < Micros::from_secs(2.5),
                 leads: self.election.role() == Role::Leader,
-                wants: (self.share_changes() * 1000.0).min(4e9) as u32,
+                wants: (self.update_change_share() * 1000.0).min(4e9) as u32,
                 serves: self.heartbeat_proxy.serves(now, self.election.role() == Role::Leader),
                 at: now.0,
                 links: self.observed_links(),
             };
             for peer in &self.cluster.settings.peers {
-                self.context.out.push(Effect::Peer {
+                self.context.effects.push(Effect::Peer {
                     to: peer.node.clone(),
                     message: message.clone(),
                 });
@@ -48,7 +48,7 @@
                 let changed = leader.changed_progress();
                 if !changed.is_empty() {
                     for peer in &self.cluster.settings.peers {
-                        self.context.out.push(Effect::Peer {
+                        self.context.effects.push(Effect::Peer {
                             to: peer.node.clone(),
                             message: PeerMessage::Progress(changed.clone()),
                         });
@@ -56,8 +56,8 @@
                 }
             }
         }
-        if now >= self.next_log {
-            self.next_log = now + Micros::from_secs(10.0);
+        if now >= self.next_log_at {
+            self.next_log_at = now + Micros::from_secs(10.0);
             self.log_state_service();
             if let Some(waited) = self.api.take_waits() {
                 let (open, pages) = self.api.pages();
@@ -116,7 +116,7 @@
         }
         let sure = self.election.is_sure(self.context.now);
         for (name, peer) in &self.peers {
-            leader.record_controller_contact(name, peer.at, HEARD, self.context.now);
+            leader.record_controller_contact(name, peer.last_contact, CONTACT_TIMEOUT, self.context.now);
         }
         leader.run_machine_checks(&mut self.context, &self.cluster, sure);
         leader.check_invariants(&self.cluster, self.context.now);
@@ -125,7 +125,7 @@
         // A leader that may have been deposed returns no machines: the next one
         // may be using them.
         if sure {
-            leader.run_provisioning(&mut self.context, &self.cluster, &mut self.cloud);
+            leader.run_provisioning(&mut self.context, &self.cluster, &mut self.cloud_calls);
         }
         leader.pump_commit(&mut self.context, &self.cluster, &self.election);
         if let Some(reason) = leader.new_term_reason {
