--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -6,6 +6,7 @@
 use super::push::DIRECT_TIMEOUT;
 use crate::coordination::election::Role;
 use crate::coordination::lease_renewal::{self};
+use crate::coordination::peers::RelayedPush;
 use crate::coordination::state::{EarlyHeartbeat, HeartbeatOrigin};
 use crate::coordination::{timing, Controller, Effect, PushResult};
 use crate::protocol::agents::{AgentCommand, Heartbeat, HeartbeatResponse, PushedCommands, Redirect, TaskPhase};
@@ -403,7 +404,11 @@
             return;
         }
         let own = self.context.id();
-        self.relayed_pushes.insert(own, (node, id));
+        let push = RelayedPush {
+            requester: node,
+            request_id: id,
+        };
+        self.relayed_pushes.insert(own, push);
         self.context.effects.push(Effect::PushedCommands {
             id: own,
             addr,
--- a/src/coordination/cluster_config.rs
+++ b/src/coordination/cluster_config.rs
@@ -1,53 +1,65 @@
-//! Settings and facts that every part of a controller looks at.
+//! Settings and facts about the cluster that every part of a controller reads.
+//!
+//! The settings don't change while the process runs; the catalogue and the limits are updated by
+//! the parts that learn of them.
 
 use crate::protocol::cloud::MachineType;
-use crate::settings::Settings;
+use crate::settings::{Settings, Team};
 use crate::time::Micros;
 use glenhaven_store_limits::Limits;
 use std::collections::BTreeMap;
 
-/// Settings and facts that every part looks at.
+/// Settings and facts that every part reads.
 pub struct ClusterConfig {
+    /// This controller's settings.
     pub settings: Settings,
+    /// The cloud's machine types by name; empty until the cloud has answered.
     pub catalogue: BTreeMap<String, MachineType>,
-    /// What the state service takes.
+    /// What the state service accepts.
     pub limits: Limits,
-    /// A controller that is heard and not known to run this release, or a later one.
+    /// A controller that is alive and not known to run this release or a later one.
     pub lagging: Option<String>,
 }
 
 impl ClusterConfig {
-    /// Nodes in all, this one included.
+    /// What is known at the start: the settings.
+    pub fn new(settings: Settings) -> ClusterConfig {
+        ClusterConfig {
+            limits: settings.params.state.limits(),
+            settings,
+            catalogue: BTreeMap::new(),
+            lagging: None,
+        }
+    }
+
+    /// The number of controllers, this one included.
     pub fn nodes(&self) -> usize {
         self.settings.peers.len() + 1
     }
 
-    /// How long knowledge of term and cancellations may age before reports are
-    /// no longer answered: a lease renewed at the last moment still ends before
-    /// a cancellation unknown here is due. The margin covers drifting clocks.
+    /// The age from which on knowledge of the term and of cancellations is too old for answering
+    /// heartbeats: a lease renewed at the last moment still ends before a cancellation that is
+    /// unknown here is due. The margin covers clock drift.
     pub fn knowledge_limit(&self) -> Micros {
-        let w = &self.settings.params.workers;
-        Micros::from_secs((w.cancel_s - w.lease_s) * 0.99 - 1.0)
+        let workers = &self.settings.params.workers;
+        Micros::from_secs((workers.cancel_s - workers.lease_s) * 0.99 - 1.0)
     }
 
-    /// The limit of a team for CPUs and GPUs; 0 in the settings means none.
+    /// The limits of a team for CPUs and GPUs, infinite where the settings say 0, which means no
+    /// limit. A team that the settings don't name has a limit of 0.
     pub fn limits(&self, team: &str) -> (f64, f64) {
-        let open = |v: f64| if v > 0.0 { v } else { f64::INFINITY };
-        self.settings
-            .params
-            .teams
-            .iter()
-            .find(|t| t.name == team)
-            .map_or((0.0, 0.0), |t| (open(t.cpus_max), open(t.gpus_max)))
+        let or_infinite = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
+        self.team(team).map_or((0.0, 0.0), |team| {
+            (or_infinite(team.cpus_max), or_infinite(team.gpus_max))
+        })
     }
 
-    /// The guarantee of a team for CPUs and GPUs.
+    /// The CPUs and GPUs that a team is guaranteed.
     pub fn guarantee(&self, team: &str) -> (f64, f64) {
-        self.settings
-            .params
-            .teams
-            .iter()
-            .find(|t| t.name == team)
-            .map_or((0.0, 0.0), |t| (t.cpus, t.gpus))
+        self.team(team).map_or((0.0, 0.0), |team| (team.cpus, team.gpus))
+    }
+
+    fn team(&self, name: &str) -> Option<&Team> {
+        self.settings.params.teams.iter().find(|team| team.name == name)
     }
 }
--- /dev/null
+++ b/src/coordination/controller.rs
@@ -0,0 +1,277 @@
+//! The controller: it passes events to the parts that own them and collects their effects.
+//!
+//! Called by the runtime only. It decides nothing about jobs, machines or terms: those decisions
+//! belong to the election, the job API, the leader's state and the forwarder, which it owns.
+//!
+//! Invariant: events of a batch are processed in order, then the periodic work, then requests leave
+//! the store queue; nothing is sent outside of this order.
+
+use super::agents::HeartbeatProxy;
+use super::api::JobApi;
+use super::cluster_config::ClusterConfig;
+use super::context::Context;
+use super::election::{Election, ElectionContinuation};
+use super::events::{Continuation, Effect, Event, UserRequest};
+use super::forwarding::Forwarder;
+use super::lease_renewal::CancellationAttestations;
+use super::peers::{PeerStatus, RelayedPush};
+use super::provisioning::CloudCallTracker;
+use super::state::LeaderState;
+use super::store_queue::Urgency;
+use crate::protocol::peer::{Link, PeerMessage};
+use crate::protocol::store::{StoreRequest, StoreResponse};
+use crate::settings::Settings;
+use crate::time::Micros;
+use std::collections::{BTreeMap, VecDeque};
+
+/// A controller that has processed no batch for this long, although it looks at its clocks every
+/// few milliseconds, was paused. What is queued for it is old.
+const PROCESS_PAUSE: Micros = Micros::from_millis(900);
+
+/// A controller whose knowledge of the state service is older than this has lost the service.
+const STORE_LOST: Micros = Micros::from_millis(4000);
+
+/// The single owner of a controller's state.
+pub struct Controller {
+    pub(super) cluster: ClusterConfig,
+    pub(super) context: Context,
+    pub(super) election: Election,
+    pub(super) api: JobApi,
+    pub(super) cloud_calls: CloudCallTracker,
+    pub(super) heartbeat_proxy: HeartbeatProxy,
+    /// Cancellations that the other controllers attested while the state service did not answer.
+    pub(super) attestations: CancellationAttestations,
+    /// The leader's state, while this controller leads.
+    pub(super) leader: Option<LeaderState>,
+    /// What each other controller last said of itself, by its name.
+    pub(super) peers: BTreeMap<String, PeerStatus>,
+    /// The state of the links to the other controllers.
+    pub(super) peer_links: BTreeMap<String, Link>,
+    /// What is known of all links, and the requests that are forwarded.
+    pub(super) forwarder: Forwarder,
+    /// Commands sent to agents on behalf of the leader, by this controller's number for them.
+    pub(super) relayed_pushes: BTreeMap<u64, RelayedPush>,
+    /// The incarnation of this controller's leadership that has asked for agents' last heartbeats.
+    pub(super) last_heartbeats_requested_for: u64,
+    /// When the other controllers are next told that this one is alive.
+    pub(super) next_alive_at: Micros,
+    election_started: bool,
+    /// When the periodic summary is next logged.
+    pub(super) next_log_at: Micros,
+    /// When the last batch was processed.
+    last_batch_at: Micros,
+    /// The longest time between two batches since the last log.
+    pub(super) longest_pause: Micros,
+    /// Invariants that were found broken in this incarnation of the process.
+    pub(super) broken_invariants: u64,
+    /// When this incarnation of the process began.
+    pub(super) started_at: Micros,
+    /// When the state service lately refused changes because there were too many.
+    pub(super) limited_at: VecDeque<Micros>,
+}
+
+impl Controller {
+    /// A controller that knows only its settings.
+    pub fn new(settings: Settings, seed: u64, now: Micros) -> Controller {
+        let election = Election::new(&settings, now);
+        let mut rng = fastrand::Rng::with_seed(seed);
+        // Answers to requests of an earlier incarnation of this process may still arrive, and
+        // would be taken for answers to other requests: incarnations number their requests from
+        // values that are far apart.
+        let process_number = rng.u64(..);
+        let node = settings.node.clone();
+        let heartbeat_proxy = HeartbeatProxy::new(&settings.params.workers);
+        let cluster = ClusterConfig::new(settings);
+        let mut controller = Controller {
+            context: Context::new(&cluster.limits, rng, process_number >> 1, now),
+            cluster,
+            election,
+            api: JobApi::new(&node),
+            cloud_calls: CloudCallTracker::new(now),
+            heartbeat_proxy,
+            attestations: CancellationAttestations::new(now),
+            leader: None,
+            peers: BTreeMap::new(),
+            peer_links: BTreeMap::new(),
+            forwarder: Forwarder::new(&node, process_number),
+            relayed_pushes: BTreeMap::new(),
+            last_heartbeats_requested_for: 0,
+            next_alive_at: now,
+            election_started: false,
+            next_log_at: now,
+            last_batch_at: now,
+            longest_pause: Micros::ZERO,
+            broken_invariants: 0,
+            started_at: now,
+            limited_at: VecDeque::new(),
+        };
+        controller.set_rates();
+        controller
+    }
+
+    /// Sets the time of day, in milliseconds since 1970, that it is at `now` on this process's
+    /// clock.
+    pub fn set_time_of_day(&mut self, now: Micros, day_ms: u64) {
+        self.context.clock_origin_ms = day_ms.saturating_sub(now.0 / 1000);
+    }
+
+    /// Processes a batch of events and returns what is to be done outside.
+    pub fn handle(&mut self, now: Micros, batch: Vec<Event>) -> Vec<Effect> {
+        self.context.now = self.context.now.max(now);
+        if !self.election_started {
+            self.election_started = true;
+            self.election.start(&mut self.context);
+        }
+        let pause = self.context.now.since(self.last_batch_at);
+        self.last_batch_at = self.context.now;
+        self.longest_pause = self.longest_pause.max(pause);
+        if pause > PROCESS_PAUSE {
+            self.on_process_pause(pause);
+        }
+        for event in batch {
+            self.apply(event);
+        }
+        self.tick();
+        for continuation in self.context.store.expire(self.context.now) {
+            self.on_store_answer(continuation, StoreResponse::Refused);
+        }
+        for (id, request, timeout) in self.context.store.pump(self.context.now) {
+            self.context.effects.push(Effect::Store { id, request, timeout });
+        }
+        self.route_effects()
+    }
+
+    /// The process did nothing for a while. Whatever timed out meanwhile says nothing about
+    /// others: their messages are processed first.
+    fn on_process_pause(&mut self, pause: Micros) {
+        tracing::warn!(paused_s = pause.secs(), "this process was paused");
+        let now = self.context.now;
+        self.election.on_process_pause(now);
+        if let Some(leader) = self.leader.as_mut() {
+            leader.listening_since = now;
+        }
+    }
+
+    /// Processes one event.
+    pub(super) fn apply(&mut self, event: Event) {
+        match event {
+            Event::User { id, request } => self.on_user(id, request),
+            Event::Heartbeat { id, heartbeat } => self.on_report(id, heartbeat),
+            Event::Store { id, answer } => self.on_store_event(id, answer),
+            Event::Cloud { id, answer } => {
+                if let Some(answer) = self.on_direct_call(id, answer) {
+                    self.on_cloud(id, answer);
+                }
+            }
+            Event::Link { node, link } => {
+                tracing::debug!(node, ?link, "link");
+                self.forwarder
+                    .link_table
+                    .sends(&node, link == Link::Up, link == Link::Refused);
+                self.peer_links.insert(node, link);
+            }
+            Event::PushedCommands { id, answer } => {
+                if let Some(push) = self.relayed_pushes.remove(&id) {
+                    let message = PeerMessage::RelayedPushResult {
+                        id: push.request_id,
+                        answer,
+                    };
+                    let to = push.requester;
+                    self.context.effects.push(Effect::Peer { to, message });
+                } else if let Some(leader) = self.leader.as_mut() {
+                    leader.on_direct(id, answer);
+                }
+            }
+            Event::Peer(message) => self.on_peer(message),
+        }
+    }
+
+    /// An answer of the state service to a request of this controller, its own or a forwarded one.
+    fn on_store_event(&mut self, id: u64, answer: StoreResponse) {
+        let answer = self.note_limits(answer);
+        let Some(answer) = self.on_direct_answer(id, answer) else {
+            return;
+        };
+        let is_refused = matches!(answer, StoreResponse::Refused);
+        self.api.note_health(self.context.now, &answer);
+        if let Some(continuation) = self.context.store.answered(id, is_refused, self.context.now) {
+            self.on_store_answer(continuation, answer);
+        }
+    }
+
+    fn on_store_answer(&mut self, continuation: Continuation, answer: StoreResponse) {
+        match continuation {
+            Continuation::Election(continuation) => self.on_lead(continuation, answer),
+            Continuation::Api(continuation) => {
+                self.api
+                    .on_store(&mut self.context, &self.cluster, continuation, answer)
+            }
+            Continuation::Log(incarnation, continuation) => {
+                if self.leader.as_ref().is_some_and(|l| l.incarnation == incarnation) {
+                    self.on_leader_store(continuation, answer);
+                }
+            }
+        }
+    }
+
+    fn on_user(&mut self, id: u64, request: UserRequest) {
+        match request {
+            UserRequest::Ready => {
+                let status = if self.is_ready() { 200 } else { 503 };
+                self.context.reply(id, status, vec![], None);
+            }
+            other => {
+                let counts = |job: &str| {
+                    let progress = self.leader.as_ref().and_then(|l| l.progress(job));
+                    progress.map(|p| (p.finished, p.running))
+                };
+                self.api.on_user(&mut self.context, &self.cluster, id, other, counts);
+            }
+        }
+    }
+
+    /// Whether this controller takes requests of users: it does if it can decide them.
+    ///
+    /// In an outage of the state service all controllers are alike and stay ready; one that alone
+    /// has lost the service is not, so that the balancer sends users to the others.
+    fn is_ready(&self) -> bool {
+        if self.cluster.catalogue.is_empty() || !self.election.is_known() || !self.api.is_ready() {
+            return false;
+        }
+        let has_lost_store = self.context.now.since(self.election.fresh()) > STORE_LOST;
+        let a_peer_has_store = self.recent_peers().any(|peer| peer.store_is_current);
+        // A controller without contact to any other can't know whether they are alike: it has lost
+        // more than the service, and users should ask the others.
+        let is_isolated = self.cluster.nodes() > 1 && self.recent_peers().next().is_none();
+        !(has_lost_store && (a_peer_has_store || is_isolated))
+    }
+
+    /// Whether this controller leads and has read the log; for tests.
+    pub fn is_leader(&self) -> bool {
+        self.leader.as_ref().is_some_and(|l| l.is_loaded())
+    }
+
+    /// The controller's name.
+    pub fn node(&self) -> &str {
+        &self.cluster.settings.node
+    }
+
+    /// How many invariants were found broken in this incarnation of the process.
+    pub fn broken_invariants(&self) -> u64 {
+        self.broken_invariants
+    }
+
+    /// Queues a request of the election that is sent at `at` at the earliest.
+    pub(super) fn push_election_request_at(
+        &mut self,
+        at: Micros,
+        request: StoreRequest,
+        continuation: ElectionContinuation,
+        timeout: Micros,
+    ) {
+        let continuation = Continuation::Election(continuation);
+        self.context
+            .store
+            .push_at(at, Urgency::Lead, request, continuation, timeout);
+    }
+}
--- a/src/coordination/decision_log.rs
+++ b/src/coordination/decision_log.rs
@@ -1,5 +1,8 @@
 //! The leader's last decisions about starts, kept so that the cause of a broken invariant can be
-//! told after the fact.
+//! found after the fact.
+//!
+//! Whoever decides about a placement notes it here; the invariant monitor logs what it finds. The
+//! number of decisions is bounded, and nothing is ever decided by them.
 
 use super::state::void_proof::VoidProof;
 use super::state::MachineId;
@@ -8,37 +11,49 @@
 use std::collections::VecDeque;
 
 /// Decisions that are kept.
-const KEPT: usize = 4096;
-/// Decisions about one team that are told.
-const TOLD: usize = 40;
+const CAPACITY: usize = 4096;
+/// Decisions about one team that are logged.
+const LOGGED_PER_TEAM: usize = 40;
 
 /// What was decided about an attempt, and what allowed it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decided {
-    /// A start: what the team held before, and its limit, in CPUs and GPUs.
+    /// It was placed.
     Start {
+        /// What the team held before, in CPUs and GPUs.
         held: (f64, f64),
+        /// The team's limit, in CPUs and GPUs.
         limit: (f64, f64),
     },
-    /// The start left under this token: its record stands.
+    /// Its start was sent.
     Sent {
+        /// The fencing token that it was sent under.
         token: u64,
     },
-    /// An earlier leader's record was found in the log.
+    /// An earlier leader's record of it was found in the write-ahead log.
     Inherited,
+    /// It was asked to stop.
     Stop,
+    /// Its record was removed with this proof.
     Freed(VoidProof),
 }
 
 /// A decision about an attempt.
 #[derive(Clone, Debug)]
 pub struct Decision {
+    /// When it was made.
     pub at: Micros,
+    /// The team that the attempt is charged to.
     pub team: String,
+    /// The attempt's job.
     pub job: JobId,
+    /// The number of its task.
     pub task: u32,
+    /// The number of the attempt.
     pub attempt: u64,
+    /// The machine it is, or was to be, on.
     pub machine: MachineId,
+    /// What was decided.
     pub decided: Decided,
 }
 
@@ -47,9 +62,9 @@
 pub struct Decisions(VecDeque<Decision>);
 
 impl Decisions {
-    /// A decision is made; the oldest one is forgotten.
+    /// Adds a decision; the oldest one is dropped if there are too many.
     pub fn note(&mut self, decision: Decision) {
-        if self.0.len() == KEPT {
+        if self.0.len() == CAPACITY {
             self.0.pop_front();
         }
         self.0.push_back(decision);
@@ -58,7 +73,7 @@
     /// The last decisions about a team, the oldest first.
     pub fn of_team<'a>(&'a self, team: &'a str) -> Vec<&'a Decision> {
         let of_team = self.0.iter().rev().filter(|decision| decision.team == team);
-        let mut last: Vec<&Decision> = of_team.take(TOLD).collect();
+        let mut last: Vec<&Decision> = of_team.take(LOGGED_PER_TEAM).collect();
         last.reverse();
         last
     }
--- a/src/coordination/fault_injection.rs
+++ b/src/coordination/fault_injection.rs
@@ -1,18 +1,20 @@
-//! Faults that a build for tests only (feature `planted-faults`) has on request, to show that the
-//! soak finds them. Without the feature none of them is compiled in.
+//! Faults that are injected on request, to show that the soak test finds them.
+//!
+//! Only a build with the feature `planted-faults` has them, and only the one that the environment
+//! variable `GLENHAVEN_PLANTED` names is active. Without the feature none is compiled in.
 
-/// A fault that can be planted.
+/// A fault that can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
     /// The record of a task that is asked to stop is freed at once.
     FreesWithoutProof,
-    /// What a new leader finds in the log is not charged to its team.
+    /// A record that a new leader finds in the log is not charged to its team.
     ForgetsChargeAtTakeover,
     /// A leader sends the starts that an earlier one recorded.
     SendsInheritedStarts,
 }
 
-/// Whether this fault is planted in this process.
+/// Whether this fault is active in this process.
 #[cfg(feature = "planted-faults")]
 pub fn is_injected(fault: InjectedFault) -> bool {
     let name = match fault {
@@ -23,7 +25,7 @@
     std::env::var("GLENHAVEN_PLANTED").is_ok_and(|planted| planted == name)
 }
 
-/// Whether this fault is planted in this process: never, in an ordinary build.
+/// Whether this fault is active in this process: never, in an ordinary build.
 #[cfg(not(feature = "planted-faults"))]
 pub const fn is_injected(_fault: InjectedFault) -> bool {
     false
--- a/src/coordination/forwarding.rs
+++ b/src/coordination/forwarding.rs
@@ -523,11 +523,6 @@
         }
     }
 
-    /// Whether the settings name another controller like this.
-    pub(super) fn is_peer(&self, node: &str) -> bool {
-        self.cluster.settings.peers.iter().any(|p| p.node == node)
-    }
-
     /// Whether this node gave up the lead a moment ago.
     pub(super) fn gave_lately(&self) -> bool {
         self.forwarder.handover.gave_lately(self.context.now)
--- a/src/coordination/store_queue.rs
+++ b/src/coordination/store_queue.rs
@@ -1,4 +1,11 @@
-//! The queue of requests to the state service: paced, urgent first.
+//! The queue of requests to the state service: it keeps to the controller's rates and sends the
+//! most urgent requests first.
+//!
+//! Every part of a controller pushes its requests here; the controller takes those that may be
+//! sent after each batch. The queue knows nothing about what a request is for: it hands back the
+//! continuation that came with it, when the answer comes or the request has expired.
+//!
+//! Invariant: each pushed continuation is handed back exactly once.
 
 use crate::protocol::store::StoreRequest;
 use crate::time::Micros;
@@ -11,7 +18,7 @@
 pub enum Urgency {
     /// Leases, takeovers and watches.
     Lead,
-    /// Starts and aborts.
+    /// Starts and cancellations.
     Start,
     /// Acceptances and polls.
     User,
@@ -19,59 +26,139 @@
     Later,
 }
 
-/// Share of the bucket that each urgency leaves to more urgent ones.
+/// The share of the buckets that each urgency leaves to more urgent ones.
 const RESERVE: [f64; 4] = [0.0, 0.04, 0.08, 0.2];
-/// Requests in flight, watches aside; keeps sockets and memory bounded.
-const IN_FLIGHT: usize = 24;
+/// Requests in flight, not counting watches; keeps sockets and memory bounded.
+const MAX_IN_FLIGHT: usize = 24;
+/// A request that has waited for longer is not sent any more: whoever pushed it has given up, or
+/// decides anew.
+const EXPIRY: Micros = Micros::from_millis(4000);
+/// A rate grows from its least to its most in this many seconds without a refusal.
+const GROWTH_S: f64 = 8.0;
+/// Rates are raised at most this often, in seconds.
+const GROWTH_STEP_S: f64 = 0.25;
+/// A refusal multiplies a rate by this.
+const DECREASE: f64 = 0.6;
+/// The half-life of the measured demand for changes, in seconds.
+const DEMAND_HALF_LIFE_S: f64 = 1.5;
+
+/// The rate that is always allowed, and the one that it may grow to, in a second.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Growth {
+    /// Always allowed.
+    pub least: f64,
+    /// Allowed while the state service refuses nothing.
+    pub most: f64,
+}
 
+/// A rate that grows while nothing is refused, and the bucket that keeps to it.
+struct AdaptiveRate {
+    bucket: Bucket,
+    bounds: Growth,
+    current: f64,
+}
+
+impl AdaptiveRate {
+    fn new(rate: f64, now: Micros) -> AdaptiveRate {
+        AdaptiveRate {
+            bucket: Bucket::new(rate, now),
+            bounds: Growth {
+                least: rate,
+                most: rate,
+            },
+            current: rate,
+        }
+    }
+
+    fn set_bounds(&mut self, bounds: Growth, now: Micros) {
+        self.bounds = bounds;
+        self.set(bounds.least, now);
+    }
+
+    fn set(&mut self, rate: f64, now: Micros) {
+        self.current = rate;
+        self.bucket.set_rate(rate, now);
+    }
+
+    /// Raises the rate by what this span without a refusal allows.
+    fn grow(&mut self, span_s: f64, now: Micros) {
+        let Growth { least, most } = self.bounds;
+        let raised = self.current + (most - least) * span_s / GROWTH_S;
+        self.set(raised.clamp(least, most), now);
+    }
+
+    /// Lowers the rate after a refusal, and empties the bucket a little.
+    fn on_refusal(&mut self, now: Micros) {
+        self.bucket.spill(1.0, now);
+        self.set((self.current * DECREASE).max(self.bounds.least), now);
+    }
+}
+
+/// How many changes a second this controller wants to make.
+struct ChangeDemand {
+    /// Changes pushed since the last measurement.
+    pushed: f64,
+    /// The decayed rate up to the last measurement, in changes a second.
+    per_s: f64,
+    measured_at: Micros,
+}
+
+impl ChangeDemand {
+    /// The demand as of now, in changes a second.
+    fn measure(&mut self, now: Micros) -> f64 {
+        let span_s = now.since(self.measured_at).secs();
+        if span_s > 0.0 {
+            let keep = 0.5f64.powf(span_s / DEMAND_HALF_LIFE_S);
+            self.per_s = self.per_s * keep + self.pushed / span_s.max(0.1) * (1.0 - keep);
+            self.pushed = 0.0;
+            self.measured_at = now;
+        }
+        self.per_s
+    }
+}
+
+/// A request that waits to be sent.
 struct Queued<W> {
     request: StoreRequest,
     continuation: W,
     timeout: Micros,
-    /// When it was queued, or was to be.
-    at: Option<Micros>,
+    /// When it was first seen waiting.
+    queued_at: Option<Micros>,
+}
+
+/// A request that is to be queued later.
+struct Delayed<W> {
+    urgency: Urgency,
+    queued: Queued<W>,
 }
 
 /// A request that was sent and has not been answered.
 struct InFlight<W> {
     continuation: W,
-    watch: bool,
-    sent: Micros,
+    is_watch: bool,
+    sent_at: Micros,
 }
 
-/// What has waited here for longer is not sent any more: whoever wanted it has
-/// given up, or decides anew.
-const TOO_OLD: Micros = Micros::from_millis(4000);
-
-/// The queue; `W` says what a request's answer is for.
+/// The queue; `W` says what the answer to a request is for.
 pub struct StoreQueue<W> {
-    requests: Bucket,
-    writes: Bucket,
+    requests: AdaptiveRate,
+    changes: AdaptiveRate,
+    /// When the rates were last raised or lowered.
+    rates_changed_at: Micros,
+    /// Waiting requests, by urgency.
     queues: [VecDeque<Queued<W>>; 4],
-    delayed: BTreeMap<(Micros, u64), (Urgency, Queued<W>)>,
+    /// Requests to be queued later, by time and number.
+    delayed: BTreeMap<(Micros, u64), Delayed<W>>,
     in_flight: BTreeMap<u64, InFlight<W>>,
-    watches: usize,
-    /// How long requests took that were answered since the last log, watches aside.
+    watches_in_flight: usize,
+    /// How long requests other than watches took that were answered since the last log.
     round_trips: Waits,
-    next: u64,
-    /// The least and the most of requests and changes a second, the present
-    /// rates, and when they were last raised.
-    least: (f64, f64),
-    most: (f64, f64),
-    rates: (f64, f64),
-    raised: Micros,
-    /// Changes asked for since the last look, their decayed rate, and when that
-    /// was.
-    asked: f64,
-    wanted: f64,
-    /// Changes that wait outside this queue until they may go out.
-    held: f64,
-    looked: Micros,
+    last_id: u64,
+    demand: ChangeDemand,
+    /// Changes that wait outside this queue until they may be sent.
+    held_back_changes: f64,
 }
 
-/// A rate grows to its most over so many seconds without a refusal.
-const GROWTH_S: f64 = 8.0;
-
 /// How many changes a request makes.
 fn changes(request: &StoreRequest) -> f64 {
     match request {
@@ -81,219 +168,201 @@
 }
 
 impl<W> StoreQueue<W> {
-    pub fn new(rps: f64, write_rps: f64, now: Micros) -> Self {
+    /// An empty queue with fixed rates of requests and changes a second.
+    pub fn new(requests_per_s: f64, changes_per_s: f64, now: Micros) -> Self {
         StoreQueue {
-            requests: Bucket::new(rps, now),
-            writes: Bucket::new(write_rps, now),
+            requests: AdaptiveRate::new(requests_per_s, now),
+            changes: AdaptiveRate::new(changes_per_s, now),
+            rates_changed_at: now,
             queues: Default::default(),
             delayed: BTreeMap::new(),
             in_flight: BTreeMap::new(),
-            watches: 0,
+            watches_in_flight: 0,
             round_trips: Waits::default(),
-            next: 1,
-            least: (rps, write_rps),
-            most: (rps, write_rps),
-            rates: (rps, write_rps),
-            raised: now,
-            asked: 0.0,
-            wanted: 0.0,
-            held: 0.0,
-            looked: now,
+            last_id: 1,
+            demand: ChangeDemand {
+                pushed: 0.0,
+                per_s: 0.0,
+                measured_at: now,
+            },
+            held_back_changes: 0.0,
         }
     }
 
-    /// Changes a second that this node wants to make, with what waits here.
+    /// Changes a second that this controller wants to make, including what waits here.
     pub fn wants(&mut self, now: Micros) -> f64 {
-        let span = now.since(self.looked).secs();
-        if span > 0.0 {
-            let keep = 0.5f64.powf(span / 1.5);
-            self.wanted = self.wanted * keep + self.asked / span.max(0.1) * (1.0 - keep);
-            self.asked = 0.0;
-            self.looked = now;
-        }
-        let waits: f64 = self.queues.iter().flatten().map(|q| changes(&q.request)).sum();
-        self.wanted + waits + self.held
+        let per_s = self.demand.measure(now);
+        let waiting: f64 = self.queues.iter().flatten().map(|q| changes(&q.request)).sum();
+        per_s + waiting + self.held_back_changes
     }
 
-    /// How many changes wait elsewhere until [`write_allowed`](StoreQueue::write_allowed)
-    /// says that they may go out.
+    /// Sets how many changes wait elsewhere until [`write_allowed`](StoreQueue::write_allowed)
+    /// says that they may be sent.
     pub fn set_held_back_changes(&mut self, changes: f64) {
-        self.held = changes;
+        self.held_back_changes = changes;
     }
 
     /// Sets the rate of changes and leaves that of requests.
     pub fn set_write_rate(&mut self, rate: f64, now: Micros) {
-        self.least.1 = rate;
-        self.most.1 = rate;
-        self.rates.1 = rate;
-        self.writes.set_rate(rate, now);
+        let bounds = Growth {
+            least: rate,
+            most: rate,
+        };
+        self.changes.set_bounds(bounds, now);
     }
 
-    /// This node's share of the service's limits: what it always has, and what
-    /// it may grow to while the service refuses nothing.
-    pub fn set_rates(&mut self, rps: (f64, f64), write_rps: (f64, f64), now: Micros) {
-        self.least = (rps.0, write_rps.0);
-        self.most = (rps.1, write_rps.1);
-        self.rates = self.least;
-        self.raised = now;
-        self.requests.set_rate(self.rates.0, now);
-        self.writes.set_rate(self.rates.1, now);
+    /// Sets this controller's share of the service's limits for requests and changes.
+    pub fn set_rates(&mut self, requests: Growth, changes: Growth, now: Micros) {
+        self.rates_changed_at = now;
+        self.requests.set_bounds(requests, now);
+        self.changes.set_bounds(changes, now);
     }
 
-    /// Raises the rates little by little. Nodes that are refused fall back, so
-    /// that together they settle near the service's limits wherever users come.
+    /// Raises the rates little by little. Controllers that are refused fall back, so that together
+    /// they settle near the service's limits wherever users come.
     fn grow(&mut self, now: Micros) {
-        let span = now.since(self.raised).secs();
-        if span < 0.25 {
+        let span_s = now.since(self.rates_changed_at).secs();
+        if span_s < GROWTH_STEP_S {
             return;
         }
-        self.raised = now;
-        let step = |rate: f64, least: f64, most: f64| (rate + (most - least) * span / GROWTH_S).clamp(least, most);
-        self.rates.0 = step(self.rates.0, self.least.0, self.most.0);
-        self.rates.1 = step(self.rates.1, self.least.1, self.most.1);
-        self.requests.set_rate(self.rates.0, now);
-        self.writes.set_rate(self.rates.1, now);
+        self.rates_changed_at = now;
+        self.requests.grow(span_s, now);
+        self.changes.grow(span_s, now);
     }
 
-    /// Queues a request.
+    /// Queues a request. `timeout`: how long its answer is waited for once it is sent.
     pub fn push(&mut self, urgency: Urgency, request: StoreRequest, continuation: W, timeout: Micros) {
-        self.asked += changes(&request);
+        self.demand.pushed += changes(&request);
         self.queues[urgency as usize].push_back(Queued {
             request,
             continuation,
             timeout,
-            at: None,
+            queued_at: None,
         });
     }
 
-    /// Queues a request for later.
+    /// Queues a request at `at`.
     pub fn push_at(&mut self, at: Micros, urgency: Urgency, request: StoreRequest, continuation: W, timeout: Micros) {
-        self.next += 1;
-        self.delayed.insert(
-            (at, self.next),
-            (
-                urgency,
-                Queued {
-                    request,
-                    continuation,
-                    timeout,
-                    at: None,
-                },
-            ),
-        );
+        self.last_id += 1;
+        let queued = Queued {
+            request,
+            continuation,
+            timeout,
+            queued_at: None,
+        };
+        self.delayed.insert((at, self.last_id), Delayed { urgency, queued });
     }
 
-    /// How many requests of users wait here; refusals are decided by it.
+    /// How many requests of users wait here; whether more are accepted is decided by it.
     pub fn user_backlog(&self) -> usize {
         self.queues[Urgency::User as usize].len()
     }
 
-    /// Whether a transaction of `changes` changes could go out now.
+    /// Whether a transaction of `changes` changes could be sent now.
     pub fn write_allowed(&mut self, changes: f64, urgency: Urgency, now: Micros) -> bool {
-        self.writes.allows(changes, RESERVE[urgency as usize], now)
+        self.changes.bucket.allows(changes, RESERVE[urgency as usize], now)
     }
 
-    /// Requests that have waited for too long, as they do while the process
-    /// stands still: they were never sent.
+    /// Removes requests that have waited for too long, as they do while the process is paused, and
+    /// returns what they were for. They were never sent.
     pub fn expire(&mut self, now: Micros) -> Vec<W> {
-        let mut old = vec![];
+        let mut expired = vec![];
         for queue in &mut self.queues {
             let mut at = 0;
             while at < queue.len() {
-                if now.since(*queue[at].at.get_or_insert(now)) > TOO_OLD {
-                    old.extend(queue.remove(at).map(|q| q.continuation));
+                if now.since(*queue[at].queued_at.get_or_insert(now)) > EXPIRY {
+                    expired.extend(queue.remove(at).map(|q| q.continuation));
                 } else {
                     at += 1;
                 }
             }
         }
-        old
+        expired
     }
 
-    /// How long the requests took that were answered since the last call, watches aside. A
-    /// request without an answer counts with its time limit.
+    /// How long the requests took that were answered since the last call, not counting watches. A
+    /// request without an answer counts with its timeout.
     pub fn take_round_trips(&mut self) -> Option<Waited> {
         self.round_trips.take()
     }
 
     /// A number for a request that does not go through this queue.
     pub fn reserve_request_id(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+        self.last_id += 1;
+        self.last_id
     }
 
-    /// The requests that may go out now, with their ids.
-    pub fn pump(&mut self, now: Micros) -> Vec<(u64, StoreRequest, Micros)> {
-        self.grow(now);
+    /// Queues the delayed requests whose time has come.
+    fn queue_delayed(&mut self, now: Micros) {
         while let Some(entry) = self.delayed.first_entry() {
             if entry.key().0 > now {
                 break;
             }
-            let (urgency, queued) = entry.remove();
+            let Delayed { urgency, queued } = entry.remove();
             self.queues[urgency as usize].push_back(queued);
         }
+    }
+
+    /// Takes out the requests that may be sent now, with their numbers and timeouts.
+    pub fn pump(&mut self, now: Micros) -> Vec<(u64, StoreRequest, Micros)> {
+        self.grow(now);
+        self.queue_delayed(now);
         let mut out = vec![];
-        // A large transaction that waits for room saves it up: smaller ones of
-        // less urgency would take it away for ever.
-        let mut saving = false;
+        // A large transaction that the rate does not allow yet saves up for it: smaller ones that
+        // are less urgent would keep it waiting for ever.
+        let mut is_saving = false;
         for (level, reserve) in RESERVE.iter().enumerate() {
             while let Some(head) = self.queues[level].front() {
                 let cost = changes(&head.request);
-                let watch = matches!(head.request, StoreRequest::Watch { .. });
-                if !watch && level > 0 && self.in_flight.len() - self.watches >= IN_FLIGHT {
+                let is_watch = matches!(head.request, StoreRequest::Watch { .. });
+                let in_flight = self.in_flight.len() - self.watches_in_flight;
+                if !is_watch && level > 0 && in_flight >= MAX_IN_FLIGHT {
                     break;
                 }
-                if !self.requests.allows(1.0, *reserve, now) {
+                if !self.requests.bucket.allows(1.0, *reserve, now) {
                     break;
                 }
-                if cost > 0.0 && (saving || !self.writes.allows(cost, *reserve, now)) {
-                    saving = true;
+                if cost > 0.0 && (is_saving || !self.changes.bucket.allows(cost, *reserve, now)) {
+                    is_saving = true;
                     break;
                 }
-                self.requests.take(1.0, now);
-                self.writes.take(cost, now);
+                self.requests.bucket.take(1.0, now);
+                self.changes.bucket.take(cost, now);
                 if let Some(queued) = self.queues[level].pop_front() {
-                    self.next += 1;
-                    self.watches += usize::from(watch);
-                    let continuation = queued.continuation;
-                    let sent = now;
-                    self.in_flight.insert(
-                        self.next,
-                        InFlight {
-                            continuation,
-                            watch,
-                            sent,
-                        },
-                    );
-                    out.push((self.next, queued.request, queued.timeout));
+                    out.push(self.send(queued, is_watch, now));
                 }
             }
         }
         out
     }
 
-    /// What an answer is for. A refusal empties the buckets a little, so that
-    /// nodes whose shares do not add up slow down together.
-    pub fn answered(&mut self, id: u64, refused: bool, now: Micros) -> Option<W> {
-        let InFlight {
-            continuation,
-            watch,
-            sent,
-        } = self.in_flight.remove(&id)?;
-        if watch {
-            self.watches -= 1;
+    /// Counts a request as sent; returns its number, the request and its timeout.
+    fn send(&mut self, queued: Queued<W>, is_watch: bool, now: Micros) -> (u64, StoreRequest, Micros) {
+        self.last_id += 1;
+        self.watches_in_flight += usize::from(is_watch);
+        let sent = InFlight {
+            continuation: queued.continuation,
+            is_watch,
+            sent_at: now,
+        };
+        self.in_flight.insert(self.last_id, sent);
+        (self.last_id, queued.request, queued.timeout)
+    }
+
+    /// What an answer is for; `None` if no such request is in flight. A refusal lowers the rates,
+    /// so that controllers whose shares add up to too much slow down together.
+    pub fn answered(&mut self, id: u64, is_refused: bool, now: Micros) -> Option<W> {
+        let answered = self.in_flight.remove(&id)?;
+        if answered.is_watch {
+            self.watches_in_flight -= 1;
         } else {
-            self.round_trips.record(now.since(sent));
+            self.round_trips.record(now.since(answered.sent_at));
         }
-        if refused {
-            self.writes.spill(1.0, now);
-            self.requests.spill(1.0, now);
-            self.raised = now;
-            self.rates.0 = (self.rates.0 * 0.6).max(self.least.0);
-            self.rates.1 = (self.rates.1 * 0.6).max(self.least.1);
-            self.requests.set_rate(self.rates.0, now);
-            self.writes.set_rate(self.rates.1, now);
+        if is_refused {
+            self.rates_changed_at = now;
+            self.requests.on_refusal(now);
+            self.changes.on_refusal(now);
         }
-        Some(continuation)
+        Some(answered.continuation)
     }
 }
--- a/src/coordination/tick.rs
+++ b/src/coordination/tick.rs
@@ -1,12 +1,24 @@
-//! What a controller does after every batch of commands, and at times of its own: it says that it
-//! is alive, lets the leader act, and logs.
+//! What a controller does after every batch of events: the periodic work of its parts.
+//!
+//! Called by [`Controller::handle`]. The order of the steps is fixed: the election comes before
+//! whatever depends on who leads, and the leader acts last.
 
 use super::election::Role;
-use super::{Controller, Effect, CONTACT_TIMEOUT};
+use super::Controller;
 use crate::protocol::peer::PeerMessage;
 use crate::time::Micros;
 
+/// A controller not heard from for longer than this is not expected to answer agents.
+const CONTACT_TIMEOUT: Micros = Micros::from_millis(1600);
+/// How often the other controllers are told that this one is alive.
+const ALIVE_PERIOD: Micros = Micros::from_millis(500);
+/// Knowledge of the state service that is older than this is not called current.
+const CURRENT: Micros = Micros::from_millis(2500);
+/// How often a summary is logged.
+const LOG_PERIOD: Micros = Micros::from_millis(10_000);
+
 impl Controller {
+    /// Runs the periodic work that is due.
     pub(super) fn tick(&mut self) {
         let now = self.context.now;
         self.run_link_probes();
@@ -27,69 +39,47 @@
         self.run_cloud_calls();
         self.run_leader();
         if now >= self.next_alive_at {
-            self.next_alive_at = now + Micros::from_millis(500);
-            let message = PeerMessage::Alive {
-                node: self.cluster.settings.node.clone(),
-                term: self.election.term(),
-                fresh: now.since(self.election.fresh()) < Micros::from_secs(2.5),
-                leads: self.election.role() == Role::Leader,
-                wants: (self.update_change_share() * 1000.0).min(4e9) as u32,
-                serves: self.heartbeat_proxy.serves(now, self.election.role() == Role::Leader),
-                at: now.0,
-                links: self.observed_links(),
-            };
-            for peer in &self.cluster.settings.peers {
-                self.context.effects.push(Effect::Peer {
-                    to: peer.node.clone(),
-                    message: message.clone(),
-                });
-            }
-            if let Some(leader) = self.leader.as_mut() {
-                let changed = leader.changed_progress();
-                if !changed.is_empty() {
-                    for peer in &self.cluster.settings.peers {
-                        self.context.effects.push(Effect::Peer {
-                            to: peer.node.clone(),
-                            message: PeerMessage::Progress(changed.clone()),
-                        });
-                    }
-                }
-            }
+            self.next_alive_at = now + ALIVE_PERIOD;
+            self.announce_alive();
+            self.publish_progress();
         }
         if now >= self.next_log_at {
-            self.next_log_at = now + Micros::from_secs(10.0);
+            self.next_log_at = now + LOG_PERIOD;
             self.log_state_service();
-            if let Some(waited) = self.api.take_waits() {
-                let (open, pages) = self.api.pages();
-                tracing::debug!(?waited, open, pages, "accepted");
-            }
-            let (answered, asked_anew) = self.api.take_answered();
-            if !answered.is_empty() {
-                tracing::info!(?answered, asked_anew, "answers, by what they rested on");
-            }
-            let refused = self.api.take_refusals();
-            if !refused.is_empty() {
-                let (open, pages) = self.api.pages();
-                tracing::info!(?refused, open, pages, "requests were refused");
-            }
-            if let Some(leader) = self.leader.as_mut() {
-                if let Some(waited) = leader.blocked_jobs.take_waits() {
-                    tracing::info!(?waited, "tasks of jobs that waited for others began");
-                }
-                leader.log_summary(&self.cluster, now);
-                leader.log_slo_accounting(&self.cluster, now);
-            }
+            self.log_api();
+            self.log_leader();
         }
     }
 
-    /// Invariants that were seen broken in this life of the process (`invariants.rs`).
-    pub fn broken_invariants(&self) -> u64 {
-        self.broken_invariants
+    /// Tells the other controllers that this one is alive, and how it is.
+    fn announce_alive(&mut self) {
+        let now = self.context.now;
+        let leads = self.election.role() == Role::Leader;
+        let message = PeerMessage::Alive {
+            node: self.cluster.settings.node.clone(),
+            term: self.election.term(),
+            fresh: now.since(self.election.fresh()) < CURRENT,
+            leads,
+            wants: (self.update_change_share() * 1000.0).min(4e9) as u32,
+            serves: self.heartbeat_proxy.serves(now, leads),
+            at: now.0,
+            links: self.observed_links(),
+        };
+        self.broadcast(&message);
     }
 
-    /// Whose token this controller acts under, up to which revision it has read the state
-    /// service, how long answers took, and how long this process did nothing: it tells a slow
-    /// service from a controller that waits for its processor.
+    /// Sends the counts of jobs that changed to the other controllers, which show them to users.
+    fn publish_progress(&mut self) {
+        let Some(leader) = self.leader.as_mut() else { return };
+        let changed = leader.changed_progress();
+        if !changed.is_empty() {
+            self.broadcast(&PeerMessage::Progress(changed));
+        }
+    }
+
+    /// Logs the term this controller acts under, the revision up to which it has read the state
+    /// service, how long answers took, and how long this process did nothing: the last two tell a
+    /// slow service from a controller that waits for a processor.
     fn log_state_service(&mut self) {
         let longest_pause = std::mem::take(&mut self.longest_pause);
         tracing::info!(
@@ -103,6 +93,32 @@
         );
     }
 
+    /// Logs what the job API accepted, answered and refused since the last time.
+    fn log_api(&mut self) {
+        if let Some(waited) = self.api.take_waits() {
+            let (open, pages) = self.api.pages();
+            tracing::debug!(?waited, open, pages, "accepted");
+        }
+        let (answered, asked_anew) = self.api.take_answered();
+        if !answered.is_empty() {
+            tracing::info!(?answered, asked_anew, "answers, by what they rested on");
+        }
+        let refused = self.api.take_refusals();
+        if !refused.is_empty() {
+            let (open, pages) = self.api.pages();
+            tracing::info!(?refused, open, pages, "requests were refused");
+        }
+    }
+
+    fn log_leader(&mut self) {
+        let Some(leader) = self.leader.as_mut() else { return };
+        if let Some(waited) = leader.blocked_jobs.take_waits() {
+            tracing::info!(?waited, "tasks of jobs that waited for others began");
+        }
+        leader.log_summary(&self.cluster, self.context.now);
+        leader.log_slo_accounting(&self.cluster, self.context.now);
+    }
+
     fn run_leader(&mut self) {
         self.ask_recall();
         let Some(leader) = self.leader.as_mut() else { return };
@@ -110,30 +126,29 @@
             leader.load(&mut self.context);
             return;
         }
-        // After a standstill, another node may lead by now.
+        // After a pause of the process, another controller may lead by now.
         if self.election.in_doubt() {
             return;
         }
-        let sure = self.election.is_sure(self.context.now);
+        let now = self.context.now;
+        let holds_lease = self.election.is_sure(now);
         for (name, peer) in &self.peers {
-            leader.record_controller_contact(name, peer.last_contact, CONTACT_TIMEOUT, self.context.now);
+            leader.record_controller_contact(name, peer.last_contact, CONTACT_TIMEOUT, now);
         }
-        leader.run_machine_checks(&mut self.context, &self.cluster, sure);
-        leader.check_invariants(&self.cluster, self.context.now);
+        leader.run_machine_checks(&mut self.context, &self.cluster, holds_lease);
+        leader.check_invariants(&self.cluster, now);
         self.broken_invariants += std::mem::take(&mut leader.invariants.broken);
         leader.schedule(&mut self.context, &self.cluster);
-        // A leader that may have been deposed returns no machines: the next one
-        // may be using them.
-        if sure {
+        // A leader that may have been deposed returns no machines: the next one may be using them.
+        if holds_lease {
             leader.run_provisioning(&mut self.context, &self.cluster, &mut self.cloud_calls);
         }
         leader.pump_commit(&mut self.context, &self.cluster, &self.election);
         if let Some(reason) = leader.new_term_reason {
             self.election.raise(&mut self.context, reason.as_str());
         }
-        let now = self.context.now;
-        let carry = &self.forwarder;
-        let reached = |node: &str| carry.reaches(node, now);
-        leader.flush_outboxes(&mut self.context, &self.election, &self.api, reached);
+        let forwarder = &self.forwarder;
+        let is_reachable = |node: &str| forwarder.reaches(node, now);
+        leader.flush_outboxes(&mut self.context, &self.election, &self.api, is_reachable);
     }
 }
