--- a/src/coordination/agents/heartbeat_proxy.rs
+++ b/src/coordination/agents/heartbeat_proxy.rs
@@ -51,7 +51,7 @@
 impl HeartbeatProxy {
     pub fn new(workers: &Workers) -> HeartbeatProxy {
         HeartbeatProxy {
-            unreached_for: timing::unreached(workers),
+            unreached_for: timing::unreachable_controller(workers),
             ..HeartbeatProxy::default()
         }
     }
@@ -105,7 +105,7 @@
         let Some((at, to)) = self.sent_away.get(machine) else {
             return false;
         };
-        let back = now.since(*at) < timing::COMES_BACK;
+        let back = now.since(*at) < timing::REDIRECT_RETURN;
         if back {
             self.unreached.insert(to.clone(), now + self.unreached_for);
         }
@@ -168,7 +168,7 @@
         let late: Vec<u64> = self
             .forwarded
             .iter()
-            .filter(|(_, f)| now.since(f.at) > timing::FORWARD)
+            .filter(|(_, f)| now.since(f.at) > timing::HEARTBEAT_FORWARD)
             .map(|(id, _)| *id)
             .collect();
         for id in late {
--- a/src/coordination/agents/heartbeat_status.rs
+++ b/src/coordination/agents/heartbeat_status.rs
@@ -432,7 +432,7 @@
                 tracing::info!(machine = %name, jobs = m.task_failures.len(), "machine doubted: tasks fail on it");
             }
             m.quarantined_since.get_or_insert(now);
-            m.quarantined_until = now + timing::QUARANTINED;
+            m.quarantined_until = now + timing::QUARANTINE;
         }
     }
 
--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -49,7 +49,7 @@
                 p.store_is_current && self.reaches_node(name) && !self.heartbeat_proxy.unreached.contains_key(*name)
             })
             // One that keeps ending has few workers every time that it is back.
-            .filter(|(_, p)| now.since(p.known_since) > timing::SETTLED)
+            .filter(|(_, p)| now.since(p.known_since) > timing::CONTROLLER_SETTLED)
             .map(|(name, p)| (name.clone(), p.agents_served))
             .min_by_key(|(_, serves)| *serves)?;
         (own > least + least / 3 + UNEVEN).then_some(node)
--- a/src/coordination/election/announce.rs
+++ b/src/coordination/election/announce.rs
@@ -48,12 +48,12 @@
             self.election.said = Release { release, began_ms };
             let before = said.map_or(0, |s| s.began_ms);
             let apart = Micros::from_millis(began_ms.saturating_sub(before));
-            if before > 0 && apart < timing::KEEPS_ENDING {
+            if before > 0 && apart < timing::CRASH_LOOP {
                 tracing::warn!(
                     after_s = apart.secs(),
                     "this process keeps ending: others lead, if there are any"
                 );
-                self.election.leaves_lead = Some(now + timing::LEAVES_LEAD);
+                self.election.leaves_lead = Some(now + timing::CRASH_LOOP_DEFERENCE);
             }
         }
         let lowered = self.cluster.limits.is_lowered() && !self.election.lowered;
--- a/src/coordination/failure_detection/stragglers.rs
+++ b/src/coordination/failure_detection/stragglers.rs
@@ -59,7 +59,7 @@
                 known += 1;
                 tracing::info!(machine = %name, "machine doubted: tasks take long on it");
             }
-            m.slow_until = now + timing::SLOW;
+            m.slow_until = now + timing::SLOW_MACHINE;
         }
         // What would be done sooner elsewhere starts again there.
         let mut moved: Vec<(JobId, u32)> = vec![];
--- a/src/coordination/failure_detection/suspected.rs
+++ b/src/coordination/failure_detection/suspected.rs
@@ -22,7 +22,7 @@
         cluster: &ClusterConfig,
         unheard: impl Fn(&Machine) -> Option<Micros>,
     ) -> BTreeSet<MachineId> {
-        let limit = timing::report_missed(&cluster.settings.params.workers);
+        let limit = timing::heartbeat_missed(&cluster.settings.params.workers);
         let mut silent: Vec<(Micros, &Machine)> = vec![];
         let (mut up, mut room) = (0usize, 0.0);
         for m in self.machines.values().filter(|m| m.state == MachineState::Up) {
--- a/src/coordination/failure_detection/zone_partition.rs
+++ b/src/coordination/failure_detection/zone_partition.rs
@@ -2,7 +2,7 @@
 //! moved out of them. The decisions are those of `glenhaven-zone-health`.
 
 use crate::coordination::state::{LeaderState, Machine, MachineId, MachineState};
-use crate::coordination::timing::REHOME;
+use crate::coordination::timing::AGENT_FAILOVER;
 use crate::coordination::ClusterConfig;
 use crate::time::Micros;
 use glenhaven_zone_health::{in_step, Change, Far, Move, Sign, Times};
@@ -49,7 +49,7 @@
             .and_then(|name| self.failures.controllers.get(name));
         let found = node
             .and_then(|n| n.lost)
-            .map_or(Micros::ZERO, |at| now.min(at + REHOME));
+            .map_or(Micros::ZERO, |at| now.min(at + AGENT_FAILOVER));
         // A zone that is back has been heard by its controllers first, as a rule.
         let back = self
             .failures
--- a/src/coordination/provisioning/listed.rs
+++ b/src/coordination/provisioning/listed.rs
@@ -59,11 +59,11 @@
         };
         let patience = |m: &Machine| {
             if kept_inside(m) {
-                inside + timing::lease_ends(w)
+                inside + timing::lease_end(w)
             } else if m.spot || m.machine_type.is_empty() {
                 silent
             } else {
-                timing::lease_ends(w)
+                timing::lease_end(w)
             }
         };
         // Where a node is lost, its workers find another one first.
@@ -104,7 +104,7 @@
         let alone = |m: &Machine| {
             let judged = !cut_off(m)
                 && !doubted.contains(&m.heartbeat_proxy)
-                && now.since(m.last_proxied_at) > timing::KEPT_TOLD;
+                && now.since(m.last_proxied_at) > timing::PROXY_ANNOUNCEMENT;
             judged.then(|| now.since(m.last_heartbeat.max(listens(m))))
         };
         let hung = self.given_up_early(cluster, alone);
@@ -117,7 +117,7 @@
             let listens = listening.get(&m.name).copied().unwrap_or(self.listening_since);
             // What another node keeps runs on, but nothing that ends there can be
             // recorded: a short cut is sat out, a long one is not.
-            let sat_out = now.since(m.last_heartbeat.max(listens)) < timing::kept(w);
+            let sat_out = now.since(m.last_heartbeat.max(listens)) < timing::proxied_machine(w);
             let proxied_at = if sat_out { m.last_proxied_at } else { Micros::ZERO };
             // In a zone that is cut off, leases run on from the last report.
             let known = zones.is_cut(&m.zone) && m.last_heartbeat > Micros::ZERO;
@@ -148,7 +148,7 @@
                 _ => None,
             };
             // A node that keeps a machine stops cancelled tasks there itself.
-            let kept = now.since(m.last_proxied_at) < timing::KEPT_TOLD;
+            let kept = now.since(m.last_proxied_at) < timing::PROXY_ANNOUNCEMENT;
             let why = why.or_else(|| (!kept && held_too_long.contains(&m.name)).then_some("keeps a cancelled task"));
             if let Some(why) = why {
                 let (tasks, services) = (m.tasks.len(), m.service_tasks);
--- a/src/coordination/provisioning/mod.rs
+++ b/src/coordination/provisioning/mod.rs
@@ -104,7 +104,7 @@
                         claim.value.zone.clone(),
                         claim.value.spot,
                     );
-                    self.provisioning.blocked.insert(key, now + timing::NO_CAPACITY);
+                    self.provisioning.blocked.insert(key, now + timing::CAPACITY_RETRY);
                 }
                 tracing::debug!(
                     claim = id,
@@ -140,7 +140,7 @@
                     claim.value.zone.clone(),
                     claim.value.spot,
                 );
-                self.provisioning.blocked.insert(key, now + timing::NO_CAPACITY);
+                self.provisioning.blocked.insert(key, now + timing::CAPACITY_RETRY);
                 claim.state = ClaimState::Over;
             }
             _ => {
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -143,11 +143,13 @@
             }
             let since = *m.idle_since.get_or_insert(now);
             // Time to learn whether a job is to blame instead.
-            let faulty =
-                m.quarantined_since.is_some_and(|at| now.since(at) > timing::FAULTY) && now < m.quarantined_until;
+            let faulty = m
+                .quarantined_since
+                .is_some_and(|at| now.since(at) > timing::QUARANTINE_RELEASE)
+                && now < m.quarantined_until;
             let doubted = faulty
                 || now < m.slow_until
-                || (m.is_asymmetrically_partitioned() && now.since(since) > timing::FAULTY);
+                || (m.is_asymmetrically_partitioned() && now.since(since) > timing::QUARANTINE_RELEASE);
             if doubted {
                 m.state = MachineState::Releasing;
                 self.provisioning.to_release.insert(m.name.clone());
