--- a/src/coordination/audit.rs
+++ b/src/coordination/audit.rs
@@ -1,8 +1,9 @@
-//! No accepted job is stranded: now and then the leader compares what the pages of
-//! acceptances say, as its own desk has them, with what it holds. Whatever is open there
-//! and missing here, twice in a row, is read once more and taken up. The comparison is in
-//! memory; only when something is missing does it cost requests, one for each thousand
-//! pages.
+//! The acceptance audit: no accepted job is lost.
+//!
+//! Periodically the leader compares the open jobs that its own job API knows from the acceptance
+//! pages with the jobs it holds. A job that is missing in two consecutive audits is read again from
+//! the state service and taken up. The comparison is in memory; only if something is missing does it
+//! cost requests, one for each thousand pages.
 
 use super::log::LogContinuation;
 use super::state::LeaderState;
@@ -15,22 +16,25 @@
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
-/// How often it is compared. What is on its way between two looks is not missed twice.
-const EVERY: Micros = Micros::from_millis(8000);
+/// How often the audit runs. A job that is on its way during one audit has arrived by the next.
+const AUDIT_PERIOD: Micros = Micros::from_millis(8000);
 
-/// What the leader misses.
+/// The state of the audit.
 #[derive(Default)]
 pub struct Audit {
-    next: Micros,
-    /// Missing at the last look, and those to be read.
-    missed: BTreeSet<String>,
+    /// When it runs next.
+    next_at: Micros,
+    /// Jobs that were missing in the last audit.
+    missing: BTreeSet<String>,
+    /// Jobs that are being read again.
     wanted: BTreeSet<String>,
-    asked: bool,
+    /// The acceptance pages are being read.
+    is_reading: bool,
 }
 
 impl LeaderState {
-    /// Jobs that are open by the pages and that this leader neither holds nor has closed.
-    fn missing(&self, open: impl Iterator<Item = impl AsRef<str>>) -> BTreeSet<String> {
+    /// The open jobs that this leader neither holds nor has closed.
+    fn missing_jobs(&self, open: impl Iterator<Item = impl AsRef<str>>) -> BTreeSet<String> {
         let known = |id: &str| self.jobs.contains_key(id) || self.log_writer.is_closed(id);
         open.filter(|id| !known(id.as_ref()))
             .map(|id| id.as_ref().to_string())
@@ -39,33 +43,33 @@
 }
 
 impl Controller {
-    /// Compares what is open with what the leader holds.
+    /// Compares the open jobs with those the leader holds, if it is time to.
     pub(super) fn run_acceptance_audit(&mut self) {
         let now = self.context.now;
         let Some(leader) = self.leader.as_mut().filter(|l| l.is_loaded()) else {
             return;
         };
-        if now < leader.audit.next || !self.api.is_ready() {
+        if now < leader.audit.next_at || !self.api.is_ready() {
             return;
         }
-        leader.audit.next = now + EVERY;
-        let missing = leader.missing(self.api.open_jobs());
-        let again: BTreeSet<String> = missing.intersection(&leader.audit.missed).cloned().collect();
-        leader.audit.missed = missing;
+        leader.audit.next_at = now + AUDIT_PERIOD;
+        let missing = leader.missing_jobs(self.api.open_jobs());
+        let still_missing: BTreeSet<String> = missing.intersection(&leader.audit.missing).cloned().collect();
+        leader.audit.missing = missing;
         leader.check_blocked();
-        if again.is_empty() || leader.audit.asked {
+        if still_missing.is_empty() || leader.audit.is_reading {
             return;
         }
         tracing::warn!(
-            jobs = again.len(),
+            jobs = still_missing.len(),
             "accepted jobs are missing here; their pages are read again"
         );
-        leader.audit.wanted = again;
-        leader.audit.asked = true;
-        self.read_for_audit(String::new());
+        leader.audit.wanted = still_missing;
+        leader.audit.is_reading = true;
+        self.read_acceptances(String::new());
     }
 
-    fn read_for_audit(&mut self, after: String) {
+    fn read_acceptances(&mut self, after: String) {
         let Some(leader) = self.leader.as_ref() else { return };
         let prefix = keys::ACCEPTED.into();
         let continuation = Continuation::Log(leader.incarnation, LogContinuation::Audit);
@@ -75,12 +79,12 @@
             .push(Urgency::User, request, continuation, Micros::from_millis(1500));
     }
 
-    /// Pages of acceptances came. Without an answer, the next look asks again.
+    /// Acceptance pages that were read. Without an answer, the next audit reads them again.
     pub(super) fn on_audit(&mut self, answer: StoreResponse) {
         let now = self.context.now;
         let Some(leader) = self.leader.as_mut() else { return };
         let StoreResponse::Rows(rows) = answer else {
-            leader.audit.asked = false;
+            leader.audit.is_reading = false;
             return;
         };
         for Row { value, version, .. } in &rows.items {
@@ -96,8 +100,8 @@
             }
         }
         match rows.items.last() {
-            Some(last) if rows.more => self.read_for_audit(last.key.clone()),
-            _ => leader.audit.asked = false,
+            Some(last) if rows.more => self.read_acceptances(last.key.clone()),
+            _ => leader.audit.is_reading = false,
         }
     }
 }
--- a/src/coordination/invariants.rs
+++ b/src/coordination/invariants.rs
@@ -1,5 +1,7 @@
-//! What has to hold at every moment, looked at while the leader runs. A broken invariant is an
-//! error line with the decisions that led to it; it never ends the process.
+//! The leader's invariants, checked while it runs.
+//!
+//! Called by the leader's periodic work. A broken invariant is logged as an error, with the
+//! decisions that led to it, and counted; it never ends the process and changes no decision.
 
 use super::decision_log::Decisions;
 use super::scheduling::unexplained;
@@ -8,22 +10,22 @@
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often the leader looks.
-const EVERY: Micros = Micros::from_millis(2000);
-/// Sums of cores differ by less than this from what they should be.
+/// How often the invariants are checked.
+const CHECK_PERIOD: Micros = Micros::from_millis(2000);
+/// Rounding changes sums of cores by less than this.
 const ROUNDING: f64 = 1e-6;
 
-/// CPUs and GPUs of tasks that machines list.
-type ListedMachine = (f64, f64);
+/// The CPUs and GPUs of a team's tasks that machines list.
+type ListedUse = (f64, f64);
 
-/// What was found broken, and the decisions that preceded it.
+/// What was found broken, and the latest decisions.
 pub struct InvariantMonitor {
-    /// The latest decisions about starts.
+    /// The latest decisions about attempts.
     pub(super) decisions: Decisions,
     next_check: Micros,
-    /// Broken invariants that the process has not counted yet.
+    /// Broken invariants that the controller has not counted yet.
     pub(super) broken: u64,
-    /// Teams whose listed tasks exceed their limits.
+    /// Teams whose listed tasks exceeded their limits at the last check.
     over_limit: BTreeSet<String>,
 }
 
@@ -40,19 +42,19 @@
 }
 
 impl LeaderState {
-    /// Looks at the invariants when it is time.
+    /// Checks the invariants, if it is time to.
     pub fn check_invariants(&mut self, cluster: &ClusterConfig, now: Micros) {
         if now < self.invariants.next_check {
             return;
         }
-        self.invariants.next_check = now + EVERY;
+        self.invariants.next_check = now + CHECK_PERIOD;
         self.check_quotas(cluster);
-        let miscounted = self.jobs.values().filter(|job| !is_counted_right(job)).count();
+        let miscounted = self.jobs.values().filter(|job| !is_count_consistent(job)).count();
         self.invariants.broken += miscounted as u64;
     }
 
-    /// No team's tasks, as machines list them since this leadership began, exceed its limit. What an
-    /// earlier report says may have ended before something else began.
+    /// Checks that no team's tasks, as machines have listed them since this leadership began, exceed
+    /// its limit. What an earlier heartbeat lists may have ended before something else began.
     fn check_quotas(&mut self, cluster: &ClusterConfig) {
         let listed = self.listed_use();
         let exceeds = |team: &str| {
@@ -70,9 +72,9 @@
         self.invariants.over_limit.retain(|team| over.contains(team));
     }
 
-    /// What machines list, by team, with a record or without.
-    fn listed_use(&self) -> BTreeMap<String, ListedMachine> {
-        let mut listed: BTreeMap<String, ListedMachine> = BTreeMap::new();
+    /// What the tasks that machines list use, by team, with a record or without.
+    fn listed_use(&self) -> BTreeMap<String, ListedUse> {
+        let mut listed: BTreeMap<String, ListedUse> = BTreeMap::new();
         let mut add = |team: &str, cpus: f64, gpus: f64| {
             let held = listed.entry(team.to_string()).or_default();
             held.0 += cpus;
@@ -81,8 +83,8 @@
         for job in self.jobs.values().filter(|job| job.held_tasks > 0) {
             let confirmed = job.placements.values().filter(|placement| {
                 let machine = self.machines.get(&placement.machine);
-                let is_current = machine.is_some_and(|machine| machine.fencing_token >= self.first_term);
-                is_current && matches!(placement.phase, PlacementPhase::Seen(_))
+                let is_recent = machine.is_some_and(|machine| machine.fencing_token >= self.first_term);
+                is_recent && matches!(placement.phase, PlacementPhase::Seen(_))
             });
             let count = confirmed.count() as f64;
             add(&job.spec.team, count * job.spec.cpus, count * job.spec.gpus);
@@ -93,7 +95,7 @@
         listed
     }
 
-    fn log_quota_violation(&self, cluster: &ClusterConfig, team: &str, listed: ListedMachine) {
+    fn log_quota_violation(&self, cluster: &ClusterConfig, team: &str, listed: ListedUse) {
         let limit = cluster.limits(team);
         tracing::error!(
             team,
@@ -109,12 +111,12 @@
     }
 }
 
-/// What is counted of a job as it changes is what its records say.
-fn is_counted_right(job: &Job) -> bool {
+/// Whether a job's running count of held tasks equals what its placements say.
+fn is_count_consistent(job: &Job) -> bool {
     let records = job.active_placements().count();
-    let right = records == job.held_tasks as usize;
-    if !right {
+    let is_consistent = records == job.held_tasks as usize;
+    if !is_consistent {
         tracing::error!(job = %job.id, held = job.held_tasks, records, "a job's count differs from its records");
     }
-    right
+    is_consistent
 }
