--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -6,7 +6,8 @@
 use super::push::DIRECT_TIMEOUT;
 use crate::coordination::election::Role;
 use crate::coordination::lease_renewal::{self};
-use crate::coordination::state::EarlyHeartbeat;
+use crate::coordination::peers::RelayedPush;
+use crate::coordination::state::{EarlyHeartbeat, HeartbeatOrigin};
 use crate::coordination::{timing, Controller, Effect, PushResult};
 use crate::protocol::agents::{AgentCommand, Heartbeat, HeartbeatResponse, PushedCommands, Redirect, TaskPhase};
 use crate::protocol::peer::{Link, PeerMessage};
@@ -45,11 +46,11 @@
             .peers
             .iter()
             .filter(|(name, p)| {
-                p.fresh && self.reaches_node(name) && !self.heartbeat_proxy.unreached.contains_key(*name)
+                p.store_is_current && self.reaches_node(name) && !self.heartbeat_proxy.unreached.contains_key(*name)
             })
             // One that keeps ending has few workers every time that it is back.
-            .filter(|(_, p)| now.since(p.since) > timing::SETTLED)
-            .map(|(name, p)| (name.clone(), p.serves))
+            .filter(|(_, p)| now.since(p.known_since) > timing::CONTROLLER_SETTLED)
+            .map(|(name, p)| (name.clone(), p.agents_served))
             .min_by_key(|(_, serves)| *serves)?;
         (own > least + least / 3 + UNEVEN).then_some(node)
     }
@@ -147,9 +148,11 @@
                 // Answered as soon as the book is read, or the lease confirmed,
                 // which takes moments.
                 if leader.early_heartbeats.len() < EARLY {
-                    leader
-                        .early_heartbeats
-                        .push((EarlyHeartbeat::Worker(id), heartbeat, now));
+                    leader.early_heartbeats.push(EarlyHeartbeat {
+                        origin: HeartbeatOrigin::Agent(id),
+                        heartbeat,
+                        received_at: now,
+                    });
                 } else {
                     self.context.reply(id, 503, vec![], Some(1));
                 }
@@ -175,7 +178,7 @@
             // worker may get through where this node does not. Where nothing
             // comes back, it would most likely wait in vain while its lease
             // runs out.
-            let refused = self.links.get(&leader) == Some(&Link::Refused);
+            let refused = self.peer_links.get(&leader) == Some(&Link::Refused);
             // A leader that had the state service by way of others only, and is not
             // heard by now, most likely leads no more.
             let lost = self.forwarder.link_table.last_told(&leader, &Host::State) == LinkState::Down;
@@ -199,7 +202,7 @@
             at: now,
         };
         self.heartbeat_proxy.forwarded.insert(number, passed);
-        self.context.out.push(Effect::Peer { to: leader, message });
+        self.context.effects.push(Effect::Peer { to: leader, message });
     }
 
     /// Answers a report alone, and remembers the machine as kept here.
@@ -226,9 +229,11 @@
         match self.leader.as_mut() {
             Some(leader) if !leader.is_loaded() || self.election.in_doubt() => {
                 if leader.early_heartbeats.len() < EARLY {
-                    leader
-                        .early_heartbeats
-                        .push((EarlyHeartbeat::Peer(node, id), heartbeat, now));
+                    leader.early_heartbeats.push(EarlyHeartbeat {
+                        origin: HeartbeatOrigin::Controller(node, id),
+                        heartbeat,
+                        received_at: now,
+                    });
                 }
             }
             Some(_) => self.answer_forward(node, id, heartbeat),
@@ -242,11 +247,12 @@
         let Some(leader) = self.leader.as_mut().filter(|l| l.is_loaded()) else {
             return;
         };
-        for (from, heartbeat, at) in std::mem::take(&mut leader.early_heartbeats) {
-            match from {
-                EarlyHeartbeat::Worker(id) => self.answer_report(id, heartbeat),
-                EarlyHeartbeat::Peer(node, id) => self.answer_forward(node, id, heartbeat),
-                EarlyHeartbeat::FromMemory(node) => self.take_recalled(&node, &heartbeat, at),
+        for early in std::mem::take(&mut leader.early_heartbeats) {
+            let (heartbeat, at) = (early.heartbeat, early.received_at);
+            match early.origin {
+                HeartbeatOrigin::Agent(id) => self.answer_report(id, heartbeat),
+                HeartbeatOrigin::Controller(node, id) => self.answer_forward(node, id, heartbeat),
+                HeartbeatOrigin::Memory(node) => self.take_recalled(&node, &heartbeat, at),
             }
         }
     }
@@ -273,7 +279,7 @@
         }
         let commands = self.leaders_answer(&heartbeat, Some(&node));
         let message = PeerMessage::HeartbeatResponse { id, commands };
-        self.context.out.push(Effect::Peer { to: node, message });
+        self.context.effects.push(Effect::Peer { to: node, message });
     }
 
     /// What the leader answers to a report, here or by way of another node.
@@ -309,22 +315,25 @@
         let Some(leader) = self
             .leader
             .as_mut()
-            .filter(|l| l.incarnation != self.heartbeats_requested)
+            .filter(|l| l.incarnation != self.last_heartbeats_requested_for)
         else {
             return;
         };
-        self.heartbeats_requested = leader.incarnation;
+        self.last_heartbeats_requested_for = leader.incarnation;
         let node = self.cluster.settings.node.clone();
         for peer in &self.cluster.settings.peers {
             let message = PeerMessage::LastHeartbeatsRequest { node: node.clone() };
-            self.context.out.push(Effect::Peer {
+            self.context.effects.push(Effect::Peer {
                 to: peer.node.clone(),
                 message,
             });
         }
         for (at, heartbeat) in self.heartbeat_proxy.served.values() {
-            let from = EarlyHeartbeat::FromMemory(node.clone());
-            leader.early_heartbeats.push((from, heartbeat.clone(), *at));
+            leader.early_heartbeats.push(EarlyHeartbeat {
+                origin: HeartbeatOrigin::Memory(node.clone()),
+                heartbeat: heartbeat.clone(),
+                received_at: *at,
+            });
         }
     }
 
@@ -345,7 +354,7 @@
                 node: self.cluster.settings.node.clone(),
                 heartbeats: some.to_vec(),
             };
-            self.context.out.push(Effect::Peer {
+            self.context.effects.push(Effect::Peer {
                 to: to.clone(),
                 message,
             });
@@ -360,8 +369,11 @@
             match self.leader.as_mut() {
                 Some(leader) if !leader.is_loaded() => {
                     if leader.early_heartbeats.len() < EARLY {
-                        let from = EarlyHeartbeat::FromMemory(node.to_string());
-                        leader.early_heartbeats.push((from, heartbeat, at));
+                        leader.early_heartbeats.push(EarlyHeartbeat {
+                            origin: HeartbeatOrigin::Memory(node.to_string()),
+                            heartbeat,
+                            received_at: at,
+                        });
                     }
                 }
                 Some(_) => self.take_recalled(node, &heartbeat, at),
@@ -388,12 +400,16 @@
         if body.fencing_token < self.election.term() || body.commands.iter().any(cancelled) {
             let answer = PushResult::NotSent;
             let message = PeerMessage::RelayedPushResult { id, answer };
-            self.context.out.push(Effect::Peer { to: node, message });
+            self.context.effects.push(Effect::Peer { to: node, message });
             return;
         }
         let own = self.context.id();
-        self.relayed_pushes.insert(own, (node, id));
-        self.context.out.push(Effect::PushedCommands {
+        let push = RelayedPush {
+            requester: node,
+            request_id: id,
+        };
+        self.relayed_pushes.insert(own, push);
+        self.context.effects.push(Effect::PushedCommands {
             id: own,
             addr,
             body,
--- a/src/coordination/election/announce.rs
+++ b/src/coordination/election/announce.rs
@@ -43,17 +43,17 @@
         }
         let said = self.election.releases.get(&self.election.node);
         if self.election.said.release == 0 {
-            let began_ms = self.context.time_of_day(self.began).max(1);
+            let began_ms = self.context.time_of_day(self.started_at).max(1);
             let release = CURRENT_RELEASE;
             self.election.said = Release { release, began_ms };
             let before = said.map_or(0, |s| s.began_ms);
             let apart = Micros::from_millis(began_ms.saturating_sub(before));
-            if before > 0 && apart < timing::KEEPS_ENDING {
+            if before > 0 && apart < timing::CRASH_LOOP {
                 tracing::warn!(
                     after_s = apart.secs(),
                     "this process keeps ending: others lead, if there are any"
                 );
-                self.election.leaves_lead = Some(now + timing::LEAVES_LEAD);
+                self.election.leaves_lead = Some(now + timing::CRASH_LOOP_DEFERENCE);
             }
         }
         let lowered = self.cluster.limits.is_lowered() && !self.election.lowered;
@@ -92,7 +92,7 @@
     fn lagging(&self) -> Option<String> {
         let heard = |p: &&crate::settings::Peer| {
             let view = self.peers.get(&p.node);
-            view.is_some_and(|v| self.context.now.since(v.at) < LISTENS)
+            view.is_some_and(|v| self.context.now.since(v.last_contact) < LISTENS)
         };
         let peers = self.cluster.settings.peers.iter().filter(heard);
         let mut behind = peers.filter(|p| {
--- a/src/coordination/failure_detection/stragglers.rs
+++ b/src/coordination/failure_detection/stragglers.rs
@@ -22,8 +22,8 @@
 impl LeaderState {
     /// The time a task of the job runs, if enough of them have completed.
     fn usual_s(job: &crate::coordination::state::Job) -> Option<f64> {
-        let (sum, n) = job.completed_runs;
-        (n >= LEAST_RUNS && n >= job.held_tasks).then(|| sum / f64::from(n))
+        let runs = job.completed_runs;
+        (runs.count >= LEAST_RUNS && runs.count >= job.held_tasks).then(|| runs.mean_s())
     }
 
     /// Looks for tasks that are overdue, and moves work off their machines.
@@ -59,7 +59,7 @@
                 known += 1;
                 tracing::info!(machine = %name, "machine doubted: tasks take long on it");
             }
-            m.slow_until = now + timing::SLOW;
+            m.slow_until = now + timing::SLOW_MACHINE;
         }
         // What would be done sooner elsewhere starts again there.
         let mut moved: Vec<(JobId, u32)> = vec![];
--- a/src/coordination/failure_detection/suspected.rs
+++ b/src/coordination/failure_detection/suspected.rs
@@ -22,7 +22,7 @@
         cluster: &ClusterConfig,
         unheard: impl Fn(&Machine) -> Option<Micros>,
     ) -> BTreeSet<MachineId> {
-        let limit = timing::report_missed(&cluster.settings.params.workers);
+        let limit = timing::heartbeat_missed(&cluster.settings.params.workers);
         let mut silent: Vec<(Micros, &Machine)> = vec![];
         let (mut up, mut room) = (0usize, 0.0);
         for m in self.machines.values().filter(|m| m.state == MachineState::Up) {
@@ -65,6 +65,6 @@
         };
         let jobs = m.tasks.iter().filter_map(|(id, _)| self.jobs.get(id));
         let lower = jobs.filter(|j| j.spec.priority < Priority::Production);
-        (t.cpus - m.used[0]).max(0.0) + lower.map(|j| j.spec.cpus).sum::<f64>()
+        (t.cpus - m.used.cpus).max(0.0) + lower.map(|j| j.spec.cpus).sum::<f64>()
     }
 }
--- a/src/coordination/failure_detection/zone_partition.rs
+++ b/src/coordination/failure_detection/zone_partition.rs
@@ -2,7 +2,7 @@
 //! moved out of them. The decisions are those of `glenhaven-zone-health`.
 
 use crate::coordination::state::{LeaderState, Machine, MachineId, MachineState};
-use crate::coordination::timing::REHOME;
+use crate::coordination::timing::AGENT_FAILOVER;
 use crate::coordination::ClusterConfig;
 use crate::time::Micros;
 use glenhaven_zone_health::{in_step, Change, Far, Move, Sign, Times};
@@ -49,7 +49,7 @@
             .and_then(|name| self.failures.controllers.get(name));
         let found = node
             .and_then(|n| n.lost)
-            .map_or(Micros::ZERO, |at| now.min(at + REHOME));
+            .map_or(Micros::ZERO, |at| now.min(at + AGENT_FAILOVER));
         // A zone that is back has been heard by its controllers first, as a rule.
         let back = self
             .failures
@@ -120,8 +120,8 @@
         for m in self.machines.values() {
             let cores = cluster.catalogue.get(&m.machine_type).map_or(0.0, |t| t.cpus);
             if !self.failures.zones.is_cut(&m.zone) {
-                if m.takes_work(now, silent) {
-                    room += cores - m.used[0];
+                if m.accepts_work(now, silent) {
+                    room += cores - m.used.cpus;
                 }
             } else if m.service_tasks == 0
                 && m.state == MachineState::Up
@@ -129,7 +129,7 @@
             {
                 far.push(Far {
                     machine: m.name.clone(),
-                    cores: m.used[0],
+                    cores: m.used.cpus,
                     heard: m.last_heartbeat,
                 });
             }
@@ -148,7 +148,7 @@
             .machines
             .values()
             .filter(|m| m.service_tasks > 0 && self.failures.zones.is_cut(&m.zone))
-            .map(|m| m.used[0])
+            .map(|m| m.used.cpus)
             .sum();
         in_step(far, room - waiting - services).into_iter().collect()
     }
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -20,7 +20,7 @@
 
 use super::api::JobApi;
 use super::election::{Election, Role};
-use super::state::{LeaderState, MachineId, PlacementPhase};
+use super::state::{LeaderState, MachineId, NewTermReason, PlacementPhase};
 use super::{ClusterConfig, Controller, Effect};
 use crate::protocol::agents::{AgentCommand, Heartbeat, HeartbeatResponse, TaskPhase};
 use crate::protocol::peer::PeerMessage;
@@ -158,7 +158,7 @@
             }
         }
         if flies {
-            self.new_term_reason = Some("a start of a cancelled job may still be on its way");
+            self.new_term_reason = Some(NewTermReason::StartOfCancelledJob);
         }
     }
 
@@ -223,7 +223,7 @@
                 round,
                 seen: self.election.jobs_seen(),
             };
-            self.context.out.push(Effect::Peer {
+            self.context.effects.push(Effect::Peer {
                 to: peer.node.clone(),
                 message,
             });
@@ -246,7 +246,7 @@
             term: self.election.term(),
             cancelled,
         };
-        self.context.out.push(Effect::Peer { to: node, message });
+        self.context.effects.push(Effect::Peer { to: node, message });
     }
 
     /// What another controller knows to be cancelled: made by the state service, as it read.
