--- a/src/coordination/invariants.rs
+++ b/src/coordination/invariants.rs
@@ -2,7 +2,7 @@
 //! error line with the decisions that led to it; it never ends the process.
 
 use super::decision_log::Decisions;
-use super::scheduling::unexplained;
+use super::scheduling::orphaned_attempt_specs;
 use super::state::{Job, LeaderState, PlacementPhase};
 use super::ClusterConfig;
 use crate::time::Micros;
@@ -87,7 +87,7 @@
             let count = confirmed.count() as f64;
             add(&job.spec.team, count * job.spec.cpus, count * job.spec.gpus);
         }
-        for spec in unexplained(&self.jobs, &self.machines) {
+        for spec in orphaned_attempt_specs(&self.jobs, &self.machines) {
             add(&spec.team, spec.cpus, spec.gpus);
         }
         listed
--- a/src/coordination/objectives.rs
+++ b/src/coordination/objectives.rs
@@ -114,7 +114,7 @@
             // What fails everywhere, or waits for its own team's limit, is not
             // behind others; nobody knows when a job of an earlier leader came.
             let (limit, _) = cluster.limits(&job.spec.team);
-            let of_team = held.get(&job.spec.team).map_or(0.0, |h| h.0);
+            let of_team = held.get(&job.spec.team).map_or(0.0, |usage| usage.cpus);
             let limited = !job.waiting.is_empty() && of_team + job.spec.cpus > limit;
             let blameless = job.arrival_unknown || job.is_suspect(now) || limited;
             let age = now.since(job.arrived).secs();
--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -127,7 +127,7 @@
                 last.insert(class, job);
             }
             let team = left.entry(&job.spec.team).or_insert_with(|| {
-                let of_team = held.get(&job.spec.team).map_or(0.0, |h| h.0);
+                let of_team = held.get(&job.spec.team).map_or(0.0, |usage| usage.cpus);
                 (cluster.limits(&job.spec.team).0 - of_team).max(0.0)
             });
             let cores = (job.waiting.len() as f64 * effective_cores(&job.spec, cluster)).min(*team);
--- a/src/coordination/provisioning/demand.rs
+++ b/src/coordination/provisioning/demand.rs
@@ -273,7 +273,7 @@
         for job in self.jobs.values() {
             let s = &job.spec;
             // What its team's limit stops starts on no machine, however many are rented.
-            let team_holds = held.get(&s.team).map_or(0.0, |h| h.0);
+            let team_holds = held.get(&s.team).map_or(0.0, |usage| usage.cpus);
             let left = cluster.limits(&s.team).0 - team_holds;
             if left < s.cpus {
                 continue;
--- a/src/coordination/scheduling/pools.rs
+++ b/src/coordination/scheduling/pools.rs
@@ -1,62 +1,101 @@
-//! Balanced Splitting: how servers (slots) are split into class pools and
-//! helpers, and how the demand behind the split is estimated.
+//! Balanced Splitting: how slots are split into class pools and helpers, and how the demand behind
+//! the split is estimated.
+//!
+//! A model without knowledge of jobs and machines, in the terms of the paper (`docs/DESIGN.md`).
+//!
+//! Invariant: the pools never hold more slots in all than there are.
 
 use crate::time::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A class as the paper has it: jobs of one need and one kind of run time.
+/// Rounding must not put a step on the wrong side: steps lie where a product is a whole number.
+const ROUNDING: f64 = 1e-9;
+/// How far below a step ψ is taken: the largest value is approached from below.
+const BELOW_STEP: f64 = 1e-7;
+/// Decayed demand below this many slot-seconds is forgotten.
+const FORGOTTEN_SLOT_S: f64 = 1e-3;
+
+/// A class in the sense of the paper: jobs of one need and one kind of run time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassKey {
     /// Whether a slot is a GPU rather than a core.
     pub gpu: bool,
+    /// Name of the class.
     pub class: String,
+    /// Slots that one task needs at once.
     pub need: u32,
 }
 
-/// One class's part in the split.
+/// The demand of one class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// Slots one job holds at once (n_i).
+    /// Slots that one job holds at once (n_i).
     pub need: u32,
     /// Demand in slots (a multiple of the paper's ϱ_i; only ratios matter).
     pub load: f64,
 }
 
-/// How many jobs each pool holds at `x`: floor(x·k/n_i·ϱ_i/ϱ).
-fn jobs_at(x: f64, k: u32, total: f64, d: &Demand) -> u32 {
-    let exact = x * f64::from(k) / f64::from(d.need) * d.load / total;
-    // Steps lie where the product is a whole number; rounding in the last bit
-    // must not put a step on the wrong side.
-    (exact + 1e-9).floor() as u32
+impl Demand {
+    /// How many jobs the class's pool would hold without rounding: x·k/n_i·ϱ_i/ϱ.
+    fn exact_jobs(&self, x: f64, slots: u32, total_load: f64) -> f64 {
+        x * f64::from(slots) / f64::from(self.need) * self.load / total_load
+    }
+
+    /// How many jobs the class's pool holds at `x`: floor(x·k/n_i·ϱ_i/ϱ).
+    fn jobs(&self, x: f64, slots: u32, total_load: f64) -> u32 {
+        (self.exact_jobs(x, slots, total_load) + ROUNDING).floor() as u32
+    }
+}
+
+/// A split of slots into pools and helpers.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Split {
+    /// Slots of each class's pool (a_i), in the order of the demands.
+    pub pool_slots: Vec<u32>,
+    /// The ψ of the paper, between 0 and 1.
+    pub psi: f64,
 }
 
-/// Pool sizes in slots (a_i), and ψ. What is left over are the helpers: at
-/// least as many as the largest need, unless the split is exact or the fleet is
-/// smaller than that.
-pub fn split(k: u32, demands: &[Demand]) -> (Vec<u32>, f64) {
-    let total: f64 = demands.iter().map(|d| d.load.max(0.0)).sum();
-    if k == 0 || total <= 0.0 {
-        return (vec![0; demands.len()], 0.0);
+/// Splits `slots` slots by demand. What is left over are the helpers: at least as many as the
+/// largest need, unless the split is exact or there are fewer slots than that.
+pub fn split(slots: u32, demands: &[Demand]) -> Split {
+    let total_load: f64 = demands.iter().map(|d| d.load.max(0.0)).sum();
+    if slots == 0 || total_load <= 0.0 {
+        return Split {
+            pool_slots: vec![0; demands.len()],
+            psi: 0.0,
+        };
     }
-    let sizes = |x: f64| -> Vec<u32> { demands.iter().map(|d| jobs_at(x, k, total, d) * d.need).collect() };
-    let exact = demands.iter().all(|d| {
-        let jobs = f64::from(k) / f64::from(d.need) * d.load / total;
-        (jobs - jobs.round()).abs() < 1e-9
+    let pool_slots_at =
+        |x: f64| -> Vec<u32> { demands.iter().map(|d| d.jobs(x, slots, total_load) * d.need).collect() };
+    let split_at = |psi: f64| Split {
+        pool_slots: pool_slots_at(psi),
+        psi,
+    };
+    let is_exact = demands.iter().all(|d| {
+        let jobs = d.exact_jobs(1.0, slots, total_load);
+        (jobs - jobs.round()).abs() < ROUNDING
     });
-    if exact {
-        return (sizes(1.0), 1.0);
-    }
-    let largest = demands.iter().map(|d| d.need).max().unwrap_or(0);
-    let fits = |x: f64| sizes(x).iter().sum::<u32>() + largest <= k;
-    if fits(1.0) {
-        return (sizes(1.0), 1.0);
+    let largest_need = demands.iter().map(|d| d.need).max().unwrap_or(0);
+    let leaves_helpers = |x: f64| pool_slots_at(x).iter().sum::<u32>() + largest_need <= slots;
+    if is_exact || leaves_helpers(1.0) {
+        return split_at(1.0);
     }
-    // The left-over shrinks only where some floor steps up, so the largest x
-    // lies just below one of the steps, and fits() is monotone over them.
+    // The left-over shrinks only where some floor steps up, so the largest x lies just below one of
+    // the steps, and `leaves_helpers` is monotone over them.
+    let steps = steps(slots, demands, total_load);
+    let first_too_large = steps.partition_point(|&x| leaves_helpers(x));
+    // Every class with a step there keeps the job before it.
+    let psi = steps.get(first_too_large).map_or(1.0, |x| (x - BELOW_STEP).max(0.0));
+    split_at(psi)
+}
+
+/// The values of x up to 1 at which a pool grows by one job, in ascending order.
+fn steps(slots: u32, demands: &[Demand], total_load: f64) -> Vec<f64> {
     let mut steps: Vec<f64> = vec![];
-    for d in demands.iter().filter(|d| d.load > 0.0) {
-        let per_job = f64::from(d.need) * total / (f64::from(k) * d.load);
+    for demand in demands.iter().filter(|d| d.load > 0.0) {
+        let per_job = f64::from(demand.need) * total_load / (f64::from(slots) * demand.load);
         let mut jobs = 1.0;
         while jobs * per_job <= 1.0 + 1e-12 {
             steps.push(jobs * per_job);
@@ -64,55 +103,51 @@
         }
     }
     steps.sort_by(f64::total_cmp);
-    let cut = steps.partition_point(|&x| fits(x));
-    let psi = match steps.get(cut) {
-        // The supremum is approached from below: every class with a step here
-        // keeps the job before it.
-        Some(&x) => (x - 1e-7).max(0.0),
-        None => 1.0,
-    };
-    (sizes(psi), psi)
+    steps
 }
 
-/// Decayed slot-seconds per class; the estimate of ϱ_i.
+/// Decayed slot-seconds of each class: the estimate of ϱ_i.
 #[derive(Debug, Default)]
 pub struct Estimate {
-    sums: BTreeMap<Rc<ClassKey>, f64>,
-    at: Option<Micros>,
+    slot_seconds: BTreeMap<Rc<ClassKey>, f64>,
+    last_observed_at: Option<Micros>,
 }
 
 impl Estimate {
-    /// Adds what each class holds (and asks for) since the last call, and lets
-    /// older demand decay with the given half life.
-    pub fn observe(&mut self, holding: &BTreeMap<Rc<ClassKey>, f64>, half_life_s: f64, now: Micros) {
-        let span = self.at.map_or(0.0, |at| now.since(at).secs());
-        self.at = Some(now);
-        let keep = 0.5f64.powf(span / half_life_s);
-        for sum in self.sums.values_mut() {
-            *sum *= keep;
+    /// Adds the slots that each class has held and asked for since the last call, and lets older
+    /// demand decay with the given half life.
+    pub fn observe(&mut self, demanded_slots: &BTreeMap<Rc<ClassKey>, f64>, half_life_s: f64, now: Micros) {
+        let span_s = self.last_observed_at.map_or(0.0, |at| now.since(at).secs());
+        self.last_observed_at = Some(now);
+        let decay = 0.5f64.powf(span_s / half_life_s);
+        for sum in self.slot_seconds.values_mut() {
+            *sum *= decay;
         }
-        for (class, slots) in holding {
-            *self.sums.entry(class.clone()).or_default() += slots * span;
+        for (class, slots) in demanded_slots {
+            *self.slot_seconds.entry(class.clone()).or_default() += slots * span_s;
         }
-        self.sums
-            .retain(|class, sum| *sum > 1e-3 || holding.contains_key(class));
+        self.slot_seconds
+            .retain(|class, sum| *sum > FORGOTTEN_SLOT_S || demanded_slots.contains_key(class));
     }
 
-    /// The demand of each class: its decayed average, or what it holds and asks
-    /// for now if that is more, so that a burst widens its pool at once. A class
-    /// without history starts even.
-    pub fn demands(&self, holding: &BTreeMap<Rc<ClassKey>, f64>, half_life_s: f64) -> Vec<(Rc<ClassKey>, Demand)> {
+    /// The demand of each class: its decayed average, or what it holds and asks for now if that is
+    /// more, so that a burst widens its pool at once. A class without history gets an even part.
+    pub fn demands(
+        &self,
+        demanded_slots: &BTreeMap<Rc<ClassKey>, f64>,
+        half_life_s: f64,
+    ) -> Vec<(Rc<ClassKey>, Demand)> {
         let average = |sum: f64| sum * std::f64::consts::LN_2 / half_life_s;
-        let some: Vec<f64> = self.sums.values().copied().filter(|s| *s > 0.0).collect();
-        let even = if some.is_empty() {
+        let nonzero: Vec<f64> = self.slot_seconds.values().copied().filter(|s| *s > 0.0).collect();
+        let even = if nonzero.is_empty() {
             1.0
         } else {
-            average(some.iter().sum::<f64>() / some.len() as f64)
+            average(nonzero.iter().sum::<f64>() / nonzero.len() as f64)
         };
-        self.sums
+        self.slot_seconds
             .iter()
             .map(|(class, sum)| {
-                let now = holding.get(class).copied().unwrap_or(0.0);
+                let now = demanded_slots.get(class).copied().unwrap_or(0.0);
                 let load = average(*sum).max(now);
                 let load = if load > 0.0 { load } else { even };
                 (class.clone(), Demand { need: class.need, load })
@@ -130,36 +165,39 @@
     fn psi_matches_its_definition() {
         let mut rng = fastrand::Rng::with_seed(7);
         for _ in 0..400 {
-            let k = rng.u32(1..300);
+            let slots = rng.u32(1..300);
             let demands: Vec<Demand> = (0..rng.usize(1..5))
                 .map(|_| Demand {
                     need: 1 << rng.u32(0..5),
                     load: rng.f64() * 10.0 + 0.01,
                 })
                 .collect();
-            let (sizes, psi) = split(k, &demands);
+            let Split { pool_slots, psi } = split(slots, &demands);
             let largest = demands.iter().map(|d| d.need).max().unwrap();
             let total: f64 = demands.iter().map(|d| d.load).sum();
             let left = |x: f64| {
-                k as i64
+                i64::from(slots)
                     - demands
                         .iter()
-                        .map(|d| i64::from(jobs_at(x, k, total, d) * d.need))
+                        .map(|d| i64::from(d.jobs(x, slots, total) * d.need))
                         .sum::<i64>()
             };
-            for (d, size) in demands.iter().zip(&sizes) {
+            for (d, size) in demands.iter().zip(&pool_slots) {
                 assert_eq!(size % d.need, 0);
             }
-            if k >= largest {
-                let used: u32 = sizes.iter().sum();
-                assert!(used <= k);
+            if slots >= largest {
+                let used: u32 = pool_slots.iter().sum();
+                assert!(used <= slots);
                 if psi < 1.0 {
-                    assert!(left(psi) >= i64::from(largest), "k {k} {demands:?}");
+                    assert!(left(psi) >= i64::from(largest), "slots {slots} {demands:?}");
                     // No larger x on a grid leaves enough helpers.
                     for step in 1..=2000 {
                         let x = psi + 1e-6 + (1.0 - psi) * f64::from(step) / 2000.0;
                         if x <= 1.0 {
-                            assert!(left(x) < i64::from(largest), "k {k} psi {psi} x {x} {demands:?}");
+                            assert!(
+                                left(x) < i64::from(largest),
+                                "slots {slots} psi {psi} x {x} {demands:?}"
+                            );
                         }
                     }
                 }
@@ -170,6 +208,7 @@
     #[test]
     fn an_exact_split_leaves_no_helpers() {
         let demands = [Demand { need: 1, load: 1.0 }, Demand { need: 2, load: 1.0 }];
-        assert_eq!(split(8, &demands), (vec![4, 4], 1.0));
+        let pool_slots = vec![4, 4];
+        assert_eq!(split(8, &demands), Split { pool_slots, psi: 1.0 });
     }
 }
--- /dev/null
+++ b/src/coordination/scheduling/queue.rs
@@ -0,0 +1,93 @@
+//! The order in which a scheduling pass looks at the jobs that wait, and which of them are within
+//! their team's guarantee.
+//!
+//! Reads the leader's state and decides the order only; what starts is decided by the pass.
+
+use super::super::state::{Job, LeaderState};
+use super::super::{ClusterConfig, JobId};
+use super::quota::TeamUsage;
+use super::rules::missed_deadlines;
+use super::EPSILON;
+use crate::protocol::users::{JobSpec, Priority};
+use crate::time::Micros;
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The jobs with waiting tasks, in the order in which they are looked at.
+pub(super) struct JobQueue {
+    pub(super) order: Vec<JobId>,
+    /// Jobs within their team's guarantee, whether they wait or not.
+    pub(super) guaranteed: BTreeSet<JobId>,
+}
+
+/// A job's place in the queue. The fields are compared one after another, as they stand here.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Rank {
+    /// Whether the job fails everywhere.
+    is_suspect: bool,
+    priority: Reverse<Priority>,
+    beyond_guarantee: bool,
+    /// How many of its deadlines it can no longer meet.
+    missed_deadlines: u8,
+    /// The job's age: the revision at which it came.
+    order: u64,
+}
+
+impl LeaderState {
+    /// The jobs that may start tasks now, in the order of the queue.
+    pub(super) fn job_queue(&self, cluster: &ClusterConfig, now: Micros) -> JobQueue {
+        let guaranteed = self.within_guarantee(cluster);
+        let mut ranked: Vec<(Rank, &JobId)> = self
+            .jobs
+            .values()
+            .filter(|j| j.may_run() && !j.waiting.is_empty() && now >= j.not_before)
+            .map(|j| (self.rank(cluster, j, &guaranteed, now), &j.id))
+            .collect();
+        ranked.sort();
+        let order = ranked.into_iter().map(|(_, id)| id.clone()).collect();
+        JobQueue { order, guaranteed }
+    }
+
+    fn rank(&self, cluster: &ClusterConfig, job: &Job, guaranteed: &BTreeSet<JobId>, now: Micros) -> Rank {
+        Rank {
+            is_suspect: job.is_suspect(now),
+            priority: Reverse(job.priority),
+            beyond_guarantee: !guaranteed.contains(&job.id),
+            missed_deadlines: missed_deadlines(cluster, job, self.fetch_s(cluster, &job.spec), now),
+            order: job.order,
+        }
+    }
+
+    /// How many seconds a machine that is up needs to have the image: none if any machine has it
+    /// already.
+    fn fetch_s(&self, cluster: &ClusterConfig, spec: &JobSpec) -> f64 {
+        let locations = self.image_locations.get(spec.image.as_str());
+        if locations.is_some_and(|machines| !machines.is_empty()) {
+            return 0.0;
+        }
+        let rates = cluster.catalogue.values().map(|t| t.fetch_gb_per_s);
+        spec.image_gb / rates.fold(0.01, f64::max)
+    }
+
+    /// Jobs that fit into their team's guarantee together with the team's earlier unfinished ones.
+    pub fn within_guarantee(&self, cluster: &ClusterConfig) -> BTreeSet<JobId> {
+        let teams = &cluster.settings.params.teams;
+        if teams.iter().all(|t| t.cpus <= 0.0 && t.gpus <= 0.0) {
+            return BTreeSet::new();
+        }
+        let unfinished = self.jobs.values().filter(|j| j.cancelled.is_none() && !j.blocked);
+        let mut jobs: Vec<&Job> = unfinished.collect();
+        jobs.sort_by_key(|j| j.version);
+        let mut sums: BTreeMap<&str, TeamUsage> = BTreeMap::new();
+        let mut within = BTreeSet::new();
+        for job in jobs {
+            let sum = sums.entry(&job.spec.team).or_default();
+            sum.add(&job.spec, f64::from(job.spec.tasks - job.finished));
+            let (cpus, gpus) = cluster.guarantee(&job.spec.team);
+            if sum.cpus <= cpus + EPSILON && sum.gpus <= gpus + EPSILON {
+                within.insert(job.id.clone());
+            }
+        }
+        within
+    }
+}
--- a/src/coordination/scheduling/quota.rs
+++ b/src/coordination/scheduling/quota.rs
@@ -1,57 +1,92 @@
-//! What each team holds, and whether its limit admits one more task: the one place that decides it,
-//! for starts as for work that is stopped to make room.
+//! What each team uses, and whether its limit admits one more task.
+//!
+//! This is the one place that decides it, for starts as well as for the preemption of a team's own
+//! work. A pass builds one ledger from the leader's state and charges every start to it.
+//!
+//! Invariant: usage is never counted too low. A placement is counted until it is proven void, and
+//! an attempt that a machine lists without a record is counted like a placement.
 
 use super::super::agents::parse_task;
 use super::super::state::{Job, Machine, MachineId};
 use super::super::{ClusterConfig, JobId};
-use super::rules::team_use;
-use super::EPS;
+use super::EPSILON;
 use crate::protocol::users::JobSpec;
 use std::collections::BTreeMap;
 
-/// CPUs and GPUs that each team holds: every record that is not proven void, and every attempt
-/// without a record that a machine lists.
+/// What the tasks of one team use.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct TeamUsage {
+    /// CPU cores.
+    pub cpus: f64,
+    /// GPUs.
+    pub gpus: f64,
+}
+
+impl TeamUsage {
+    /// Adds `tasks` tasks of a job.
+    pub fn add(&mut self, spec: &JobSpec, tasks: f64) {
+        self.cpus += tasks * spec.cpus;
+        self.gpus += tasks * spec.gpus;
+    }
+}
+
+/// The usage of all teams, as far as the leader knows it.
 pub struct QuotaLedger {
-    held: BTreeMap<String, (f64, f64)>,
+    usage: BTreeMap<String, TeamUsage>,
 }
 
 impl QuotaLedger {
-    /// What teams hold by the records and reports that the leader has.
+    /// Counts every placement that is not proven void, and every orphaned attempt that a machine
+    /// lists.
     pub fn of(jobs: &BTreeMap<JobId, Job>, machines: &BTreeMap<MachineId, Machine>) -> QuotaLedger {
-        let mut held = QuotaLedger { held: team_use(jobs) };
-        for spec in unexplained(jobs, machines) {
-            held.charge(spec);
+        let mut ledger = QuotaLedger { usage: team_use(jobs) };
+        for spec in orphaned_attempt_specs(jobs, machines) {
+            ledger.charge(spec);
         }
-        held
+        ledger
     }
 
-    /// What a team holds.
-    pub fn of_team(&self, team: &str) -> (f64, f64) {
-        self.held.get(team).copied().unwrap_or_default()
+    /// What a team uses.
+    pub fn of_team(&self, team: &str) -> TeamUsage {
+        self.usage.get(team).copied().unwrap_or_default()
     }
 
-    /// What all teams hold.
-    pub fn teams(&self) -> impl Iterator<Item = (&String, &(f64, f64))> {
-        self.held.iter()
+    /// What each team uses, in the order of the teams' names.
+    pub fn teams(&self) -> impl Iterator<Item = (&String, &TeamUsage)> {
+        self.usage.iter()
     }
 
-    /// Whether a team's limit has room for one more task of this job.
+    /// Whether the limit of the job's team admits one more of its tasks.
     pub fn admits(&self, cluster: &ClusterConfig, spec: &JobSpec) -> bool {
-        let (cpus, gpus) = self.of_team(&spec.team);
+        let usage = self.of_team(&spec.team);
         let (max_cpus, max_gpus) = cluster.limits(&spec.team);
-        cpus + spec.cpus <= max_cpus + EPS && gpus + spec.gpus <= max_gpus + EPS
+        usage.cpus + spec.cpus <= max_cpus + EPSILON && usage.gpus + spec.gpus <= max_gpus + EPSILON
     }
 
-    /// One more task of this job is held.
+    /// Charges one task of this job to its team.
     pub fn charge(&mut self, spec: &JobSpec) {
-        let held = self.held.entry(spec.team.clone()).or_default();
-        held.0 += spec.cpus;
-        held.1 += spec.gpus;
+        self.usage.entry(spec.team.clone()).or_default().add(spec, 1.0);
+    }
+}
+
+/// What each team uses: CPUs and GPUs of every placement that is not proven void.
+pub fn team_use(jobs: &BTreeMap<JobId, Job>) -> BTreeMap<String, TeamUsage> {
+    let mut usage: BTreeMap<String, TeamUsage> = BTreeMap::new();
+    for job in jobs.values().filter(|j| j.held > 0) {
+        // The name is copied for the first job of a team only.
+        if !usage.contains_key(&job.spec.team) {
+            usage.insert(job.spec.team.clone(), TeamUsage::default());
+        }
+        if let Some(team) = usage.get_mut(&job.spec.team) {
+            team.add(&job.spec, f64::from(job.held));
+        }
     }
+    usage
 }
 
-/// The jobs of attempts that machines list and no record explains, as far as those are open.
-pub fn unexplained<'a>(
+/// The specs of the attempts that machines list and no record explains, as far as their jobs are
+/// open; a spec is repeated for each attempt.
+pub fn orphaned_attempt_specs<'a>(
     jobs: &'a BTreeMap<JobId, Job>,
     machines: &'a BTreeMap<MachineId, Machine>,
 ) -> impl Iterator<Item = &'a JobSpec> {
--- a/src/coordination/scheduling/rules.rs
+++ b/src/coordination/scheduling/rules.rs
@@ -1,19 +1,22 @@
-//! Where a job may run, when it has to begin, and what its team holds.
+//! Rules about one job: where it may run, when it has to start, and how long it is expected to run.
+//!
+//! Functions of the job and the settings, called by the scheduler and by provisioning. They decide
+//! nothing and change nothing.
 
 use super::super::state::{Job, Machine, MachineId};
-use super::super::{ClusterConfig, JobId};
+use super::super::ClusterConfig;
 use crate::protocol::users::{JobSpec, Priority, Shape};
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
-/// How long a service is taken to last.
-const SERVICE_LASTS: Micros = Micros::from_millis(600_000);
-/// How long a job that is late lets others go first.
-const YIELD: Micros = Micros::from_millis(120_000);
-/// How long before its latest start, or after its arrival if nobody expects it
-/// at any time, work of low priority takes any room.
-const LEFTOVER_MARGIN: Micros = Micros::from_millis(60_000);
-const LEFTOVER_PATIENCE: Micros = Micros::from_millis(150_000);
+/// How long a replica of a service is expected to run.
+const SERVICE_DURATION: Micros = Micros::from_millis(600_000);
+/// How long after its last deadline a job lets others go first.
+const MAX_YIELD: Micros = Micros::from_millis(120_000);
+/// How long before its latest start low-priority work is no longer best effort.
+const BEST_EFFORT_MARGIN: Micros = Micros::from_millis(60_000);
+/// How long after its arrival low-priority work without a deadline is no longer best effort.
+const BEST_EFFORT_PATIENCE: Micros = Micros::from_millis(150_000);
 
 /// Whether a job's tasks may run on machines like this one.
 pub fn allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
@@ -23,8 +26,7 @@
         && spec.zone.as_ref().is_none_or(|z| z == zone)
 }
 
-/// The zones where a job's next task may start, given where its others are;
-/// `None` means any.
+/// The zones where a job's next task may start, given where its others are; `None` means any.
 pub fn open_zones(job: &Job, machines: &BTreeMap<MachineId, Machine>, all: &[String]) -> Option<Vec<String>> {
     if let Some(zone) = &job.spec.zone {
         return Some(vec![zone.clone()]);
@@ -36,23 +38,20 @@
     if job.spec.one_zone {
         return zones.keys().next().map(|z| vec![z.clone()]);
     }
-    let most = job.spec.tasks.div_ceil(2);
-    let open = |z: &&String| zones.get(*z).copied().unwrap_or(0) < most;
+    let max_per_zone = job.spec.tasks.div_ceil(2);
+    let open = |zone: &&String| zones.get(*zone).copied().unwrap_or(0) < max_per_zone;
     Some(all.iter().filter(open).cloned().collect())
 }
 
-/// When a job's last task must start for the job to be done as its user and the
-/// operators' objectives expect; `None` if nothing is expected.
+/// When a job's last task must start for the job to meet its deadline and the operators'
+/// objectives; `None` if it has neither.
 pub fn latest_start(cluster: &ClusterConfig, job: &Job) -> Option<Micros> {
-    let by_objective = cluster
-        .settings
-        .params
-        .objectives
-        .iter()
+    let objectives = cluster.settings.params.objectives.iter();
+    let within_s = objectives
         .filter(|o| o.kind == "finished" && o.class == job.spec.class)
         .filter_map(|o| o.within_s)
         .max_by(f64::total_cmp);
-    let by_objective = by_objective.map(|within| job.arrived + Micros::from_secs(within));
+    let by_objective = within_s.map(|within_s| job.arrived + Micros::from_secs(within_s));
     let due = match (job.due(), by_objective) {
         (Some(a), Some(b)) => a.min(b),
         (a, b) => a.or(b)?,
@@ -60,23 +59,44 @@
     Some(due - Micros::from_secs(job.spec.estimate_s))
 }
 
-/// Whether a job takes only what others leave: work of low priority that may use
-/// spot machines and still has the time. On an ordinary machine it starts where
-/// other work keeps the machine at least as long.
+/// Whether a job is best effort, and takes only capacity that other work leaves: low-priority work
+/// that may use spot machines and still has time. On an on-demand machine it starts only where
+/// other work holds the machine at least as long.
 pub fn is_best_effort(cluster: &ClusterConfig, job: &Job, now: Micros) -> bool {
     let late = match latest_start(cluster, job) {
-        Some(at) => now + LEFTOVER_MARGIN >= at,
-        None => now.since(job.arrived) > LEFTOVER_PATIENCE,
+        Some(at) => now + BEST_EFFORT_MARGIN >= at,
+        None => now.since(job.arrived) > BEST_EFFORT_PATIENCE,
     };
     job.priority == Priority::Low && job.spec.spot && !late
 }
 
-/// How many of the times by which a job should be done it can no longer keep.
-/// It lets others go first that can: time spent on it would make them late as
-/// well. Not for ever: after a while its age counts again.
-pub(super) fn lateness(cluster: &ClusterConfig, job: &Job, fetch_s: f64, now: Micros) -> u8 {
+/// How many of its deadlines a job can no longer meet. In the queue it lets others go first that
+/// still can meet theirs: time spent on it would make them late as well. Not for ever: some time
+/// after the last deadline it counts as missing none, and its age decides again.
+pub(super) fn missed_deadlines(cluster: &ClusterConfig, job: &Job, fetch_s: f64, now: Micros) -> u8 {
+    let deadlines_s = completion_deadlines_s(cluster, job);
+    let latest_start =
+        |deadline_s: f64| job.arrived + Micros::from_secs((deadline_s - job.spec.estimate_s - fetch_s).max(0.0));
+    let last_s = deadlines_s.iter().copied().fold(0.0, f64::max);
+    if now > latest_start(last_s) + MAX_YIELD {
+        return 0;
+    }
+    let completions = deadlines_s.iter().filter(|d| now > latest_start(**d)).count();
+    // Deadlines for the start of tasks: what waits for longer has missed them.
+    let objectives = cluster.settings.params.objectives.iter();
+    let starts = objectives
+        .filter(|o| !job.is_service() && o.kind == "wait" && o.class == job.spec.class)
+        .filter_map(|o| o.within_s)
+        .filter(|within_s| now > job.arrived + Micros::from_secs((within_s - fetch_s).max(0.0)))
+        .count();
+    (completions + starts).min(255) as u8
+}
+
+/// The times by which a job should be done, in seconds after its arrival: by the operators'
+/// objectives or, if there is none for its class, by its own deadline.
+fn completion_deadlines_s(cluster: &ClusterConfig, job: &Job) -> Vec<f64> {
     let objectives = cluster.settings.params.objectives.iter();
-    let mut dues: Vec<f64> = objectives
+    let mut deadlines_s: Vec<f64> = objectives
         .filter(|o| o.class == job.spec.class)
         .filter_map(|o| match o.kind.as_str() {
             "finished" => o.within_s,
@@ -84,51 +104,19 @@
             _ => None,
         })
         .collect();
-    if dues.is_empty() {
-        dues.extend(job.deadline_s(1.0));
-    }
-    let latest = |due: f64| job.arrived + Micros::from_secs((due - job.spec.estimate_s - fetch_s).max(0.0));
-    let missed = dues.iter().filter(|due| now > latest(**due)).count();
-    // A time by which tasks start: what waits for longer has missed it.
-    let objectives = cluster.settings.params.objectives.iter();
-    let waits = objectives
-        .filter(|o| !job.is_service() && o.kind == "wait" && o.class == job.spec.class)
-        .filter_map(|o| o.within_s);
-    let missed = missed
-        + waits
-            .filter(|within| now > job.arrived + Micros::from_secs((within - fetch_s).max(0.0)))
-            .count();
-    let last = dues.iter().copied().fold(0.0, f64::max);
-    if now > latest(last) + YIELD {
-        0
-    } else {
-        missed.min(255) as u8
+    if deadlines_s.is_empty() {
+        deadlines_s.extend(job.deadline_s(1.0));
     }
+    deadlines_s
 }
 
-/// What each team holds: CPUs and GPUs of every record not yet void.
-pub fn team_use(jobs: &BTreeMap<JobId, Job>) -> BTreeMap<String, (f64, f64)> {
-    let mut held: BTreeMap<String, (f64, f64)> = BTreeMap::new();
-    for job in jobs.values().filter(|j| j.held > 0) {
-        let n = f64::from(job.held);
-        if !held.contains_key(&job.spec.team) {
-            held.insert(job.spec.team.clone(), (0.0, 0.0));
-        }
-        if let Some(e) = held.get_mut(&job.spec.team) {
-            e.0 += n * job.spec.cpus;
-            e.1 += n * job.spec.gpus;
-        }
-    }
-    held
-}
-
-/// The zones a job's tasks are in; `None` when a record's zone is not known, in
+/// How many of a job's tasks are in each zone; `None` if the zone of one of them is not known, in
 /// which case a job with a rule about zones has to wait.
 pub(super) fn zones_of(job: &Job, machines: &BTreeMap<MachineId, Machine>) -> Option<BTreeMap<String, u32>> {
     let mut zones = BTreeMap::new();
-    for p in job.holding() {
+    for placement in job.holding() {
         let zone = machines
-            .get(&p.machine)
+            .get(&placement.machine)
             .map(|m| m.zone.clone())
             .filter(|z| !z.is_empty())?;
         *zones.entry(zone).or_default() += 1;
@@ -136,15 +124,10 @@
     Some(zones)
 }
 
-/// How long a task of this kind is expected to hold its machine. Nobody says it
-/// of a service.
-pub(super) fn lasts(spec: &JobSpec) -> Micros {
+/// How long a task of the job is expected to hold its machine. For a service no estimate is given.
+pub(super) fn expected_duration(spec: &JobSpec) -> Micros {
     match spec.shape {
-        Shape::Service => SERVICE_LASTS,
+        Shape::Service => SERVICE_DURATION,
         Shape::Array => Micros::from_secs(spec.estimate_s),
     }
 }
-
-/// The order of the queue: whether the job fails everywhere, priority, whether beyond the team's guarantee,
-/// how late beyond help, and age.
-pub(super) type Rank = (bool, std::cmp::Reverse<Priority>, bool, u8, u64);
--- /dev/null
+++ b/src/coordination/scheduling/starts.rs
@@ -0,0 +1,253 @@
+//! Starts the waiting tasks of one job, as far as slots, the team's limit and machines allow.
+//!
+//! Called by the steps of a scheduling pass. A start is a decision in memory: the placement is
+//! committed to the leader's log and sent to the agent afterwards.
+//!
+//! Invariant: no start is decided that the team's limit does not admit.
+
+use super::super::decision_log::Decided;
+use super::super::log::queues::QueuedStarts;
+use super::super::log::LogWriter;
+use super::super::state::{Job, LeaderState, Placement, PlacementPhase, TaskState};
+use super::super::{ClusterConfig, JobId};
+use super::best_fit::{BestFit, BestFitRequest};
+use super::candidates::KindGroups;
+use super::pass::{Pass, SlotSource};
+use super::pools::ClassKey;
+use super::quota::TeamUsage;
+use super::rules::{is_best_effort, zones_of};
+use super::{IMAGE_PATIENCE, MAX_STARTS};
+use crate::protocol::users::Priority;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// Why no more tasks of a job are started.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum StartsEnded {
+    /// The slot source has no slots left for the job.
+    OutOfSlots,
+    /// Nothing waits, the team's limit or the pass's is reached, or no machine fits.
+    Otherwise,
+}
+
+/// What holds for all starts of a job in one call.
+struct StartPlan {
+    /// Only machines that have the image are used: it is worth waiting for one.
+    only_with_image: bool,
+    best_effort: bool,
+    is_suspect: bool,
+    /// Tasks of the job in each zone; empty if it has no rule about zones.
+    task_zones: BTreeMap<String, u32>,
+    /// Found when first needed.
+    kind_groups: Option<KindGroups>,
+}
+
+/// One decided start.
+struct Start<'a> {
+    job: &'a JobId,
+    task: u32,
+    fit: BestFit,
+    source: SlotSource,
+    /// What the team used before it.
+    team_usage: TeamUsage,
+}
+
+impl LeaderState {
+    /// Starts tasks of a job, the first waiting one first, until something stops it.
+    pub(super) fn start_job(
+        &mut self,
+        pass: &mut Pass,
+        cluster: &ClusterConfig,
+        id: &JobId,
+        source: SlotSource,
+    ) -> StartsEnded {
+        let Some(mut plan) = self.plan_starts(pass, cluster, id) else {
+            return StartsEnded::Otherwise;
+        };
+        let mut slots_taken = 0;
+        while let Some(job) = self.jobs.get(id) {
+            let Some(task) = job.waiting.first().copied() else {
+                break;
+            };
+            // A job that fails everywhere is tried with one task at a time.
+            if pass.starts >= MAX_STARTS || (plan.is_suspect && job.held > 0) {
+                break;
+            }
+            if !self.has_slots(pass, &job.class, source, slots_taken) {
+                return StartsEnded::OutOfSlots;
+            }
+            if !pass.quota.admits(cluster, &job.spec) {
+                break;
+            }
+            let fit = self.fit_next_task(pass, job, &mut plan);
+            if fit.is_some_and(|fit| plan.only_with_image && !fit.has_image) {
+                break;
+            }
+            let Some(job) = self.jobs.get_mut(id) else { break };
+            let Some(fit) = fit else {
+                job.stuck_since.get_or_insert(pass.now);
+                break;
+            };
+            job.stuck_since = None;
+            let team_usage = pass.quota.of_team(&job.spec.team);
+            slots_taken += job.class.need;
+            self.charge_start(pass, id, fit, source, &mut plan);
+            let start = Start {
+                job: id,
+                task,
+                fit,
+                source,
+                team_usage,
+            };
+            if self.place_task(pass, cluster, &start).is_none() {
+                break;
+            }
+        }
+        StartsEnded::Otherwise
+    }
+
+    /// What holds for all starts of the job; `None` if it cannot start anything now.
+    fn plan_starts(&self, pass: &Pass, cluster: &ClusterConfig, id: &JobId) -> Option<StartPlan> {
+        let job = self.jobs.get(id)?;
+        let only_with_image = job.priority == Priority::Production
+            && job.is_service()
+            && pass.now.since(job.arrived) < IMAGE_PATIENCE
+            && self.preemption_beats_fetch(&pass.candidates, job);
+        // To find out where its tasks are looks at all of them: only for a rule about zones.
+        let task_zones = if job.spec.one_zone || job.spec.spread {
+            zones_of(job, &self.machines)?
+        } else {
+            BTreeMap::new()
+        };
+        Some(StartPlan {
+            only_with_image,
+            best_effort: is_best_effort(cluster, job, pass.now),
+            is_suspect: job.is_suspect(pass.now),
+            task_zones,
+            kind_groups: None,
+        })
+    }
+
+    /// Whether the source has slots for one more task of the class; `slots_taken` were taken for
+    /// the job since the call began.
+    fn has_slots(&self, pass: &Pass, class: &ClassKey, source: SlotSource, slots_taken: u32) -> bool {
+        match source {
+            SlotSource::Pool => {
+                let pool = self.scheduler.pools.get(class).copied().unwrap_or(0);
+                pass.pool_slots_used(class) + class.need <= pool
+            }
+            SlotSource::Helpers => {
+                pass.helper_slots_used.of(class.gpu) + class.need <= self.scheduler.helpers.of(class.gpu)
+            }
+            SlotSource::Borrowed { max_slots } => slots_taken + class.need <= max_slots,
+        }
+    }
+
+    /// The machine for the job's next task.
+    fn fit_next_task(&self, pass: &mut Pass, job: &Job, plan: &mut StartPlan) -> Option<BestFit> {
+        let kinds = &self.scheduler.kinds;
+        let kind_groups = plan.kind_groups.get_or_insert_with(|| KindGroups::of(&job.spec, kinds));
+        pass.best_fit(&BestFitRequest {
+            job,
+            is_suspect: plan.is_suspect,
+            best_effort: plan.best_effort,
+            task_zones: &plan.task_zones,
+            kind_groups,
+            kinds,
+            image_locations: self.image_locations.get(job.spec.image.as_str()),
+            machines: &self.machines,
+            reservations: &self.reservations,
+        })
+    }
+
+    /// Charges a start to the counts of the pass.
+    fn charge_start(&self, pass: &mut Pass, id: &JobId, fit: BestFit, source: SlotSource, plan: &mut StartPlan) {
+        let Some(job) = self.jobs.get(id) else { return };
+        let kinds = &self.scheduler.kinds;
+        pass.take_capacity(&job.spec, fit, kinds);
+        pass.quota.charge(&job.spec);
+        if job.spec.one_zone || job.spec.spread {
+            let zone = &kinds[pass.candidates[fit.candidate].kind].zone;
+            *plan.task_zones.entry(zone.clone()).or_default() += 1;
+        }
+        pass.take_slots(&job.class, source);
+        pass.starts += 1;
+    }
+
+    /// Makes the placement of a start and queues it for the log; `None` if the machine is gone.
+    fn place_task(&mut self, pass: &mut Pass, cluster: &ClusterConfig, start: &Start) -> Option<()> {
+        let job = self.jobs.get_mut(start.job)?;
+        let candidate = &mut pass.candidates[start.fit.candidate];
+        let machine = self.machines.get_mut(&candidate.name)?;
+        let task = start.task;
+        let on_helpers = !matches!(start.source, SlotSource::Pool);
+        let placement = Placement {
+            attempt: queue_attempt(job, task, self.tasks_per_range, &mut self.log_writer),
+            machine: candidate.name.clone(),
+            incarnation: machine.incarnation,
+            fencing_token: self.term,
+            phase: PlacementPhase::Committing,
+            sent: false,
+            stop: None,
+            stop_at: pass.now,
+            helper: on_helpers,
+            since: pass.now,
+            running_since: None,
+            restored: false,
+        };
+        job.waiting.remove(&task);
+        job.states[task as usize] = TaskState::Placed;
+        let decided = log_start(job, &placement, cluster, start, self.term);
+        self.invariants
+            .decisions
+            .note(job.decision(task, &placement, decided, pass.now));
+        job.placements.insert(task, placement);
+        job.held += 1;
+        if on_helpers {
+            job.on_helpers += 1;
+        }
+        machine.take(&job.spec, 1.0);
+        machine.until = machine.until.max(candidate.busy_until);
+        machine.tasks.insert((start.job.clone(), task));
+        machine.idle_since = None;
+        if !start.fit.has_image {
+            let known = self.image_locations.get_key_value(job.spec.image.as_str());
+            let image: Rc<str> = known.map_or_else(|| job.spec.image.as_str().into(), |(name, _)| name.clone());
+            if machine.fetching.insert(image) {
+                candidate.pending_fetches += 1;
+            }
+        }
+        Some(())
+    }
+}
+
+/// Gives a task its next attempt and queues its range to be committed to the log.
+fn queue_attempt(job: &mut Job, task: u32, tasks_per_range: u32, log_writer: &mut LogWriter) -> u64 {
+    let range_number = task / tasks_per_range;
+    let range = job.task_ranges.entry(range_number).or_default();
+    range.last_attempt += 1;
+    let queued = *range.queued.get_or_insert(job.priority);
+    let starts = QueuedStarts::new(queued, job.version, job.id.clone(), range_number);
+    log_writer.starting.insert(starts);
+    range.last_attempt
+}
+
+/// Logs what allowed a start, and returns it for the list of decisions.
+fn log_start(job: &Job, placement: &Placement, cluster: &ClusterConfig, start: &Start, term: u64) -> Decided {
+    let held = (start.team_usage.cpus, start.team_usage.gpus);
+    let limit = cluster.limits(&job.spec.team);
+    tracing::debug!(
+        job = %job.id,
+        task = start.task,
+        attempt = placement.attempt,
+        machine = %placement.machine,
+        team = job.spec.team,
+        held_cpus = held.0,
+        held_gpus = held.1,
+        limit_cpus = limit.0,
+        limit_gpus = limit.1,
+        term,
+        "start allowed"
+    );
+    Decided::Start { held, limit }
+}
--- a/src/coordination/state/machine.rs
+++ b/src/coordination/state/machine.rs
@@ -62,7 +62,7 @@
     /// Tasks of services among them.
     pub services: i32,
     /// Its place in the present scheduling pass, if it takes new work.
-    pub room: Option<usize>,
+    pub candidate: Option<usize>,
     /// Images fetched here, the last used at the back.
     pub images: VecDeque<(Rc<str>, f64)>,
     /// Images that tasks placed here have yet to fetch.
@@ -114,7 +114,7 @@
             kind: None,
             used: [0.0; 3],
             services: 0,
-            room: None,
+            candidate: None,
             idle_since: None,
             to_forget: false,
             outbox: Outbox::default(),
--- a/src/coordination/summary.rs
+++ b/src/coordination/summary.rs
@@ -89,7 +89,7 @@
             doomed = self.machines.len() - up - booting,
             inherited = self.inherited(),
             unexplained = self.machines.values().map(|m| m.orphaned_attempts.len()).sum::<usize>(),
-            helpers = self.scheduler.helpers[0],
+            helpers = self.scheduler.helpers.cores,
             pools = ?self.scheduler.pools.iter().map(|(k, v)| format!("{}x{}={}", k.class, k.need, v)).collect::<Vec<_>>(),
             "fleet"
         );
