--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,8 +7,8 @@
 #![forbid(unsafe_code)]
 
 pub mod coordination;
-pub mod daemon;
 pub mod protocol;
+pub mod runtime;
 pub mod settings;
 pub mod storage;
 pub mod transport;
--- a/src/main.rs
+++ b/src/main.rs
@@ -44,7 +44,7 @@
         println!("{}: settings are valid", args.config.display());
         return ExitCode::SUCCESS;
     }
-    match glenhaven::daemon::run(settings) {
+    match glenhaven::runtime::run(settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("glenhaven: {error}");
--- /dev/null
+++ b/src/runtime/replies.rs
@@ -0,0 +1,70 @@
+//! Requests of users and agents that wait for the controller's answer.
+//!
+//! Invariant: a number is registered as long as its connection waits; a connection that is given
+//! up takes its number with it.
+
+use crate::transport::server::Outgoing;
+use async_channel::{Receiver, Sender};
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Instant;
+
+/// An answer, and when the controller gave it.
+pub struct TimedReply {
+    /// When it was given.
+    pub given_at: Instant,
+    /// The answer.
+    pub answer: Outgoing,
+}
+
+/// The requests that wait, by number. Clones share them.
+#[derive(Clone, Default)]
+pub struct PendingReplies {
+    waiting: Rc<RefCell<HashMap<u64, Sender<TimedReply>>>>,
+    last_id: Rc<Cell<u64>>,
+}
+
+impl PendingReplies {
+    /// Registers a request under a new number.
+    pub fn register(&self) -> PendingReply {
+        self.last_id.set(self.last_id.get() + 1);
+        let id = self.last_id.get();
+        let (sender, receiver) = async_channel::bounded(1);
+        self.waiting.borrow_mut().insert(id, sender);
+        PendingReply {
+            id,
+            receiver,
+            replies: self.clone(),
+        }
+    }
+
+    /// Answers a request, if it still waits.
+    pub fn complete(&self, id: u64, answer: Outgoing) {
+        if let Some(sender) = self.waiting.borrow_mut().remove(&id) {
+            let given_at = Instant::now();
+            sender.try_send(TimedReply { given_at, answer }).ok();
+        }
+    }
+}
+
+/// A request that waits; dropped when its connection is given up.
+pub struct PendingReply {
+    /// Its number.
+    pub id: u64,
+    receiver: Receiver<TimedReply>,
+    replies: PendingReplies,
+}
+
+impl PendingReply {
+    /// Waits for the answer; `None` if there will be none.
+    pub async fn wait(&self) -> Option<TimedReply> {
+        self.receiver.recv().await.ok()
+    }
+}
+
+impl Drop for PendingReply {
+    fn drop(&mut self) {
+        self.replies.waiting.borrow_mut().remove(&self.id);
+    }
+}
--- /dev/null
+++ b/src/runtime/state_client.rs
@@ -0,0 +1,156 @@
+//! The client of the state service.
+//!
+//! Each request is described in one place, [`describe`]: what is sent, and what the answers mean.
+
+use super::http_call::{decode_body, escape_query, CallOutcome, HttpCall};
+use crate::protocol::store::{Lease, NewLease, Revision, Row, Rows, StoreRequest, StoreResponse, WatchEvents};
+use crate::protocol::to_cbor;
+use crate::protocol::users::ErrorBody;
+use crate::time::Micros;
+use crate::transport::client::Client;
+use http_types::Method;
+use std::rc::Rc;
+
+/// Idle connections that are kept for requests, and for watches.
+const REQUEST_CONNECTIONS: usize = 8;
+const WATCH_CONNECTIONS: usize = 2;
+/// The error text of a transaction with a lease that has expired.
+const NO_SUCH_LEASE: &str = "no such lease";
+
+/// Connections to the state service.
+#[derive(Clone)]
+pub struct StateClient {
+    requests: Rc<Client>,
+    /// Watches are long and have connections of their own.
+    watches: Rc<Client>,
+}
+
+impl StateClient {
+    /// A client of the service at this address; `None` if it is not an address.
+    pub fn new(address: &str) -> Option<StateClient> {
+        Some(StateClient {
+            requests: Client::new(address, REQUEST_CONNECTIONS)?,
+            watches: Client::new(address, WATCH_CONNECTIONS)?,
+        })
+    }
+
+    /// Sends a request and waits for its answer.
+    pub async fn send(&self, request: StoreRequest, timeout: Micros) -> StoreResponse {
+        let client = match request {
+            StoreRequest::Watch { .. } => &self.watches,
+            _ => &self.requests,
+        };
+        describe(request).send(client, "the state service", timeout).await
+    }
+}
+
+impl CallOutcome for StoreResponse {
+    fn refused() -> Self {
+        StoreResponse::Refused
+    }
+    fn unknown() -> Self {
+        StoreResponse::Unknown
+    }
+    fn malformed() -> Self {
+        StoreResponse::Malformed
+    }
+}
+
+/// What is sent for a request, and what the answers to it mean.
+fn describe(request: StoreRequest) -> HttpCall<StoreResponse> {
+    match request {
+        StoreRequest::Get { key } => HttpCall::new(Method::Get, format!("/kv/{key}"), decode_row),
+        StoreRequest::List { prefix, after } => {
+            HttpCall::new(Method::Get, list_path(&prefix, &after), |status, body| {
+                (status == 200)
+                    .then(|| decode_body(body, StoreResponse::Unknown, |rows: Rows| StoreResponse::Rows(rows)))
+            })
+        }
+        StoreRequest::Transaction(txn) => {
+            let has_changes = !txn.changes.is_empty();
+            let decode = move |status, body: &[u8]| decode_transaction(has_changes, status, body);
+            HttpCall::new(Method::Post, "/txn".into(), decode).with_body(to_cbor(&txn))
+        }
+        StoreRequest::Grant { ttl_ms } => HttpCall::new(Method::Post, "/holds".into(), |status, body| {
+            let granted = |lease: Lease| StoreResponse::Lease(lease.lease);
+            (status == 200).then(|| decode_body(body, StoreResponse::Unknown, granted))
+        })
+        .with_body(to_cbor(&NewLease { ttl_ms })),
+        StoreRequest::Renew { lease } => {
+            let path = format!("/holds/{lease}/touch");
+            HttpCall::new(Method::Post, path, move |status, _| match status {
+                200 => Some(StoreResponse::Lease(lease)),
+                404 => Some(StoreResponse::NoLease),
+                _ => None,
+            })
+        }
+        StoreRequest::Drop { lease } => {
+            let path = format!("/holds/{lease}");
+            HttpCall::new(Method::Delete, path, move |status, _| match status {
+                200 | 204 => Some(StoreResponse::Lease(lease)),
+                404 => Some(StoreResponse::NoLease),
+                _ => None,
+            })
+        }
+        StoreRequest::Watch { prefix, after, wait_ms } => {
+            let prefix = escape_query(&prefix);
+            let path = format!("/follow?prefix={prefix}&after={after}&wait_ms={wait_ms}");
+            HttpCall::new(Method::Get, path, decode_watch)
+        }
+    }
+}
+
+fn list_path(prefix: &str, after: &str) -> String {
+    let prefix = escape_query(prefix);
+    if after.is_empty() {
+        format!("/kv?prefix={prefix}&most=1000")
+    } else {
+        format!("/kv?prefix={prefix}&after={}&most=1000", escape_query(after))
+    }
+}
+
+fn decode_row(status: u16, body: &[u8]) -> Option<StoreResponse> {
+    match status {
+        200 => Some(decode_body(body, StoreResponse::Unknown, |row: Row| {
+            StoreResponse::Row(row)
+        })),
+        404 => Some(decode_body(body, StoreResponse::Unknown, |at: Revision| {
+            StoreResponse::Missing { revision: at.revision }
+        })),
+        _ => None,
+    }
+}
+
+fn decode_transaction(has_changes: bool, status: u16, body: &[u8]) -> Option<StoreResponse> {
+    match status {
+        200 => Some(decode_body(body, StoreResponse::Unknown, |at: Revision| {
+            StoreResponse::Committed { revision: at.revision }
+        })),
+        409 => Some(decode_body(body, StoreResponse::Unknown, |at: Revision| {
+            StoreResponse::Conflict {
+                failed: at.failed,
+                revision: at.revision,
+            }
+        })),
+        429 if has_changes => Some(StoreResponse::Limited),
+        400 => Some(decode_body(body, StoreResponse::Malformed, |refusal: ErrorBody| {
+            if refusal.error == NO_SUCH_LEASE {
+                StoreResponse::NoLease
+            } else {
+                tracing::error!(error = refusal.error, "the state service refuses a transaction");
+                StoreResponse::Malformed
+            }
+        })),
+        _ => None,
+    }
+}
+
+fn decode_watch(status: u16, body: &[u8]) -> Option<StoreResponse> {
+    match status {
+        200 => Some(decode_body(body, StoreResponse::Unknown, |events: WatchEvents| {
+            StoreResponse::Events(events)
+        })),
+        410 => Some(StoreResponse::Compacted),
+        _ => None,
+    }
+}
