--- a/src/coordination/agents/heartbeat_status.rs
+++ b/src/coordination/agents/heartbeat_status.rs
@@ -115,7 +115,7 @@
                 let kind = (heartbeat.machine_type.clone(), heartbeat.zone.clone(), heartbeat.spot);
                 self.provisioning
                     .boot_times
-                    .came_up(kind, at.since(rented), t.boot_s, now);
+                    .record_boot(kind, at.since(rented), t.boot_s, now);
             }
             self.dirty = true;
             let boot_s = now.since(machine.since).secs();
--- a/src/coordination/failure_detection/suspected.rs
+++ b/src/coordination/failure_detection/suspected.rs
@@ -17,7 +17,7 @@
 impl LeaderState {
     /// Machines to be given up before their leases end. `unheard` says for how long each
     /// one that may be judged alone was not heard.
-    pub fn given_up_early(
+    pub fn early_failures(
         &self,
         cluster: &ClusterConfig,
         unheard: impl Fn(&Machine) -> Option<Micros>,
--- a/src/coordination/failure_detection/zone_partition.rs
+++ b/src/coordination/failure_detection/zone_partition.rs
@@ -42,7 +42,7 @@
 
     /// From when on the silence of a machine counts: the leader hears it from
     /// then on, and its workers have found another controller if they lost theirs.
-    pub fn listens_to(&self, m: &Machine, now: Micros) -> Micros {
+    pub fn silence_counts_from(&self, m: &Machine, now: Micros) -> Micros {
         let node = m.via.as_deref().and_then(|name| self.failures.controllers.get(name));
         let found = node
             .and_then(|n| n.lost)
@@ -110,7 +110,7 @@
     }
 
     /// Machines of cut-off zones whose arrays there is room for elsewhere by now.
-    pub fn released_in_step(&self, cluster: &ClusterConfig, now: Micros) -> BTreeSet<MachineId> {
+    pub fn machines_leaving_cut_zones(&self, cluster: &ClusterConfig, now: Micros) -> BTreeSet<MachineId> {
         let mut far = vec![];
         let mut room = 0.0;
         let silent = Self::work_silence(cluster);
--- a/src/coordination/objectives.rs
+++ b/src/coordination/objectives.rs
@@ -27,7 +27,7 @@
     /// Whether it is known to be kept or missed.
     pub judged: bool,
     /// Whether a rental was made on the promise that this is kept.
-    pub promised: bool,
+    pub committed: bool,
 }
 
 /// What is expected of a job: the operators' objectives for its class, or else its
@@ -48,7 +48,7 @@
                 starts,
                 share: share.unwrap_or(SHARE),
                 judged: false,
-                promised: false,
+                committed: false,
             });
         }
     };
@@ -76,7 +76,7 @@
             starts: false,
             share: SHARE,
             judged: false,
-            promised: false,
+            committed: false,
         }));
     }
     aims
@@ -124,7 +124,7 @@
                     aim.judged = true;
                     let kept = age <= aim.due_s;
                     if kept || !blameless {
-                        judged.push((job.spec.class.clone(), aim.number, kept, aim.promised));
+                        judged.push((job.spec.class.clone(), aim.number, kept, aim.committed));
                     }
                 }
             }
@@ -146,7 +146,7 @@
         for aim in job.objectives.iter_mut().flatten().filter(|a| !a.judged) {
             aim.judged = true;
             self.slo.judged(&job.spec.class, aim.number, age <= aim.due_s, now);
-            if aim.promised {
+            if aim.committed {
                 self.slo.promised(&job.spec.class, age <= aim.due_s, now);
             }
         }
--- a/src/coordination/provisioning/boot_times.rs
+++ b/src/coordination/provisioning/boot_times.rs
@@ -1,126 +1,169 @@
-//! How long machines take to boot, learnt for each type, zone and sort of rental
-//! from those that came up lately and those that have yet to.
+//! How long machines take to boot, learnt for each kind of rental from those that came up lately
+//! and from those that have yet to.
+//!
+//! The leader records each boot and updates the profiles regularly; scale-out asks what part of
+//! booting machines it can count on, and failure handling asks which boots to give up. Gives no
+//! machine up itself.
 
 use crate::coordination::state::{Machine, MachineId, MachineState};
 use crate::coordination::ClusterConfig;
 use crate::time::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A type, a zone, and whether it is spot.
+/// A machine type, a zone, and whether it is spot.
 pub type BootKind = (String, String, bool);
 
-/// Boots that tell how it is now: so many, for so long.
-const KEPT: usize = 24;
+/// Boots of a kind that are remembered.
+const MAX_BOOTS: usize = 24;
+/// How long a boot is remembered.
 const RECENT: Micros = Micros::from_millis(150_000);
-/// A boot takes up to this many times its nominal time; after that it is late,
-/// and after the second it is given up.
+/// A boot is late after this many times its nominal time.
 const LATE: f64 = 1.6;
+/// A boot is given up after this many times its nominal time.
 const DEAD: f64 = 2.2;
-/// Where most boots are late, they are waited for this long: giving them up and
-/// renting again would only begin anew, and costs as much.
-const PATIENT: f64 = 6.0;
-/// Part of what such boots would bring that is counted on; the rest is rented
-/// anew, and tells when the trouble is over.
-const COUNTED: f64 = 0.8;
-const LEAST: usize = 3;
-
-/// What is known of one kind.
+/// Where most boots are late, they are waited for this many times their nominal time: giving them
+/// up and renting again would only begin anew, and costs as much.
+const DEAD_IF_STALLED: f64 = 6.0;
+/// Part of stalled boots that is counted on; the rest is rented anew, and its boots show when
+/// they are no longer stalled.
+const COUNTED_IF_STALLED: f64 = 0.8;
+/// Boots from which on a profile is learnt.
+const MIN_BOOTS: usize = 3;
+/// Nine of ten boots usually take less than this many times the nominal time.
+const USUAL_NINTH_DECILE: f64 = 1.4;
+
+/// How machines of one kind boot at present.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
-    /// How many times the usual time boots take.
+pub struct BootProfile {
+    /// How many times as long as usual boots take.
     pub factor: f64,
     /// Whether most boots of late are late.
-    pub stalled: bool,
+    pub is_stalled: bool,
 }
 
-impl Pace {
-    const USUAL: Pace = Pace {
+impl BootProfile {
+    const USUAL: BootProfile = BootProfile {
         factor: 1.0,
-        stalled: false,
+        is_stalled: false,
     };
 
-    /// When a machine that has booted for this long is late.
+    /// Whether a machine that has booted for this long is late. `boot_s`: its nominal time.
     pub fn is_late(&self, age: Micros, boot_s: f64) -> bool {
         age > Micros::from_secs(boot_s * LATE * self.factor + 2.0)
     }
 
-    /// When it will most likely never come up.
+    /// Whether it will most likely never come up. `boot_s`: its nominal time.
     pub fn is_dead(&self, age: Micros, boot_s: f64) -> bool {
-        let times = if self.stalled { PATIENT } else { DEAD * self.factor };
+        let times = if self.is_stalled {
+            DEAD_IF_STALLED
+        } else {
+            DEAD * self.factor
+        };
         age > Micros::from_secs(boot_s * times + 5.0)
     }
 
-    /// What part of a booting machine is counted on.
-    pub fn counted(&self, age: Micros, boot_s: f64) -> f64 {
-        match (self.is_late(age, boot_s), self.stalled) {
+    /// What part of a booting machine is counted on. `boot_s`: its nominal time.
+    pub fn counted_share(&self, age: Micros, boot_s: f64) -> f64 {
+        match (self.is_late(age, boot_s), self.is_stalled) {
             (false, _) => 1.0,
-            (true, true) => COUNTED,
+            (true, true) => COUNTED_IF_STALLED,
             (true, false) => 0.0,
         }
     }
 }
 
-/// The boots of late.
+/// A boot that has ended.
+struct Boot {
+    came_up_at: Micros,
+    /// How many times its nominal time it took.
+    times_nominal: f64,
+}
+
+/// Boots of a kind that are late, against those that were not.
+#[derive(Default)]
+struct Lateness {
+    late: usize,
+    on_time: usize,
+}
+
+/// The recent boots, and the profiles learnt from them.
 #[derive(Default)]
 pub struct BootTimes {
-    /// When a machine came up, and how many times its nominal time that took.
-    seen: BTreeMap<BootKind, VecDeque<(Micros, f64)>>,
-    paces: BTreeMap<BootKind, Pace>,
+    recent: BTreeMap<BootKind, VecDeque<Boot>>,
+    profiles: BTreeMap<BootKind, BootProfile>,
 }
 
 impl BootTimes {
-    /// A machine came up.
-    pub fn came_up(&mut self, kind: BootKind, took: Micros, boot_s: f64, now: Micros) {
-        let seen = self.seen.entry(kind).or_default();
-        seen.push_back((now, took.secs() / boot_s.max(1.0)));
-        if seen.len() > KEPT {
-            seen.pop_front();
+    /// Records that a machine came up after `took`. `boot_s`: its nominal time.
+    pub fn record_boot(&mut self, kind: BootKind, took: Micros, boot_s: f64, now: Micros) {
+        let recent = self.recent.entry(kind).or_default();
+        recent.push_back(Boot {
+            came_up_at: now,
+            times_nominal: took.secs() / boot_s.max(1.0),
+        });
+        if recent.len() > MAX_BOOTS {
+            recent.pop_front();
         }
     }
 
-    pub fn pace(&self, machine: &Machine) -> Pace {
+    /// How machines of this machine's kind boot at present.
+    pub fn profile(&self, machine: &Machine) -> BootProfile {
         let kind = kind_of(machine);
-        self.paces.get(&kind).copied().unwrap_or(Pace::USUAL)
+        self.profiles.get(&kind).copied().unwrap_or(BootProfile::USUAL)
     }
 
-    /// Looks at all machines anew.
-    pub fn look(&mut self, cluster: &ClusterConfig, machines: &BTreeMap<MachineId, Machine>, now: Micros) {
-        let mut waits: BTreeMap<BootKind, (usize, usize)> = BTreeMap::new();
-        for m in machines.values() {
-            let (Some(t), Some(at)) = (cluster.catalogue.get(&m.machine_type), m.rented_at) else {
-                continue;
-            };
-            let age = now.since(at);
-            let due = age > Micros::from_secs(t.boot_s * LATE + 2.0);
-            if due && m.state == MachineState::Booting {
-                waits.entry(kind_of(m)).or_default().0 += 1;
-            }
-        }
-        self.paces.clear();
-        for (kind, seen) in &mut self.seen {
-            seen.retain(|(at, _)| now.since(*at) < RECENT);
-            let on_time = seen.iter().filter(|(_, times)| *times <= LATE).count();
-            if let Some(w) = waits.get_mut(kind) {
-                w.1 = on_time;
+    /// Learns the profiles anew from recent boots and from the machines that are booting.
+    pub fn update(&mut self, cluster: &ClusterConfig, machines: &BTreeMap<MachineId, Machine>, now: Micros) {
+        let mut lateness = late_boots(cluster, machines, now);
+        self.profiles.clear();
+        for (kind, recent) in &mut self.recent {
+            recent.retain(|boot| now.since(boot.came_up_at) < RECENT);
+            if let Some(lateness) = lateness.get_mut(kind) {
+                lateness.on_time = recent.iter().filter(|boot| boot.times_nominal <= LATE).count();
             }
-            if seen.len() >= LEAST {
-                let mut times: Vec<f64> = seen.iter().map(|s| s.1).collect();
-                times.sort_by(f64::total_cmp);
-                // Nine of ten boots take less; usually that is 1.4 times the
-                // nominal time.
-                let most = times[(times.len() * 9 / 10).min(times.len() - 1)];
-                let factor = (most / 1.4).clamp(1.0, 4.0);
-                self.paces.insert(kind.clone(), Pace { factor, stalled: false });
+            if recent.len() >= MIN_BOOTS {
+                self.profiles.insert(kind.clone(), learnt_profile(recent));
             }
         }
-        for (kind, (late, on_time)) in waits {
-            if late >= LEAST && late > on_time {
-                self.paces.entry(kind).or_insert(Pace::USUAL).stalled = true;
+        for (kind, Lateness { late, on_time }) in lateness {
+            if late >= MIN_BOOTS && late > on_time {
+                self.profiles.entry(kind).or_insert(BootProfile::USUAL).is_stalled = true;
             }
         }
     }
 }
 
-fn kind_of(m: &Machine) -> BootKind {
-    (m.machine_type.clone(), m.zone.clone(), m.spot)
+/// Machines that are still booting though they should be up, by kind.
+fn late_boots(
+    cluster: &ClusterConfig,
+    machines: &BTreeMap<MachineId, Machine>,
+    now: Micros,
+) -> BTreeMap<BootKind, Lateness> {
+    let mut lateness: BTreeMap<BootKind, Lateness> = BTreeMap::new();
+    for machine in machines.values() {
+        let machine_type = cluster.catalogue.get(&machine.machine_type);
+        let (Some(machine_type), Some(rented_at)) = (machine_type, machine.rented_at) else {
+            continue;
+        };
+        let is_due = now.since(rented_at) > Micros::from_secs(machine_type.boot_s * LATE + 2.0);
+        if is_due && machine.state == MachineState::Booting {
+            lateness.entry(kind_of(machine)).or_default().late += 1;
+        }
+    }
+    lateness
+}
+
+/// The profile of a kind by its recent boots, of which there are some.
+fn learnt_profile(recent: &VecDeque<Boot>) -> BootProfile {
+    let mut times: Vec<f64> = recent.iter().map(|boot| boot.times_nominal).collect();
+    times.sort_by(f64::total_cmp);
+    let ninth_decile = times[(times.len() * 9 / 10).min(times.len() - 1)];
+    BootProfile {
+        factor: (ninth_decile / USUAL_NINTH_DECILE).clamp(1.0, 4.0),
+        is_stalled: false,
+    }
+}
+
+fn kind_of(machine: &Machine) -> BootKind {
+    (machine.machine_type.clone(), machine.zone.clone(), machine.spot)
 }
--- a/src/coordination/provisioning/claims.rs
+++ b/src/coordination/provisioning/claims.rs
@@ -1,84 +1,123 @@
-//! Rental requests and their records: each is recorded before it is made, and asked for again
-//! under the same name by the next leader.
+//! Claims: rental requests and their records.
+//!
+//! A claim is recorded in the leader's log before it is requested from the cloud, and requested
+//! again under the same name by the next leader. The log reads from here what is to be recorded and
+//! reports what has been.
+//!
+//! Invariant: a claim is requested only when its record is committed, and its record is dropped only
+//! when it is settled.
 
-use super::{Claim, ClaimState, Provisioning};
+use super::{MachineId, Provisioning};
 use crate::storage::records::ClaimValue;
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// How far a claim has come.
+pub(super) enum ClaimState {
+    /// To be recorded first.
+    Unrecorded,
+    /// Recorded; to be requested.
+    Recorded,
+    /// Requested; the answer is awaited.
+    Requested,
+    /// Answered; kept until every machine of it has been seen.
+    Answered(Vec<MachineId>),
+    /// Its record may be dropped.
+    Settled,
+}
+
+/// A rental request.
+pub(super) struct Claim {
+    /// The name under which it is requested: the cloud rents no machine twice under one name.
+    pub(super) id: String,
+    pub(super) value: ClaimValue,
+    pub(super) state: ClaimState,
+    /// The page of the log that records it, if one does.
+    pub(super) page: Option<u64>,
+    /// When it may be requested, again after an answer that did not decide it.
+    pub(super) retry_at: Micros,
+}
+
 impl Provisioning {
-    /// Requests of an earlier leader: asked again under the same name, which
-    /// tells their machines or, if they were never made, makes them now.
+    /// Adopts the claims of an earlier leader. They are requested again under the same names: that
+    /// gives the names of their machines or, if they were never requested, rents them now.
+    /// `claims`: by name, the page that records each and its value.
     pub fn adopt_claims(&mut self, claims: BTreeMap<String, (u64, ClaimValue)>, now: Micros) {
-        for (id, (base, value)) in claims {
+        for (id, (page, value)) in claims {
             self.claims.push(Claim {
                 id,
                 value,
                 state: ClaimState::Recorded,
-                base,
-                again_at: now,
-                tries: 0,
+                page: (page > 0).then_some(page),
+                retry_at: now,
             });
         }
     }
 
-    pub fn claims_to_record(&self, most: usize) -> Vec<(String, ClaimValue)> {
+    /// Up to `max` claims that are to be recorded.
+    pub fn claims_to_record(&self, max: usize) -> Vec<(String, ClaimValue)> {
         self.claims
             .iter()
-            .filter(|c| matches!(c.state, ClaimState::Wanted))
-            .take(most)
+            .filter(|c| matches!(c.state, ClaimState::Unrecorded))
+            .take(max)
             .map(|c| (c.id.clone(), c.value.clone()))
             .collect()
     }
 
-    /// The request stands in this page of the book.
-    pub fn claim_recorded(&mut self, id: &str, base: u64) {
-        if let Some(c) = self.claims.iter_mut().find(|c| c.id == id) {
-            c.base = base;
-            if matches!(c.state, ClaimState::Wanted) {
-                c.state = ClaimState::Recorded;
+    /// The record of a claim is committed in this page of the log.
+    pub fn claim_recorded(&mut self, id: &str, page: u64) {
+        if let Some(claim) = self.claims.iter_mut().find(|c| c.id == id) {
+            claim.page = (page > 0).then_some(page);
+            if matches!(claim.state, ClaimState::Unrecorded) {
+                claim.state = ClaimState::Recorded;
             }
         }
     }
 
-    /// Requests that stand in pages before this one.
+    /// Unsettled claims that are recorded in pages before this one.
     pub fn claims_before(&self, page: u64) -> Vec<(String, ClaimValue)> {
         self.claims
             .iter()
-            .filter(|c| c.base > 0 && c.base < page && !matches!(c.state, ClaimState::Over))
+            .filter(|c| c.page.is_some_and(|p| p < page) && !matches!(c.state, ClaimState::Settled))
             .map(|c| (c.id.clone(), c.value.clone()))
             .collect()
     }
 
-    /// The first page that says something of a request other than these.
-    pub fn oldest_claim(&self, but: &BTreeSet<&str>) -> Option<u64> {
+    /// The first page that records a claim other than these.
+    pub fn oldest_claim(&self, except: &BTreeSet<&str>) -> Option<u64> {
         self.claims
             .iter()
-            .filter(|c| c.base > 0 && !but.contains(c.id.as_str()))
-            .map(|c| c.base)
+            .filter(|c| !except.contains(c.id.as_str()))
+            .filter_map(|c| c.page)
             .min()
     }
 
-    /// Requests that are settled, and of which the book is to say so.
-    pub fn claims_to_drop(&self, most: usize) -> Vec<String> {
+    /// Up to `max` claims that are settled and whose records are to be dropped.
+    pub fn claims_to_drop(&self, max: usize) -> Vec<String> {
         self.claims
             .iter()
-            .filter(|c| matches!(c.state, ClaimState::Over))
-            .take(most)
+            .filter(|c| matches!(c.state, ClaimState::Settled))
+            .take(max)
             .map(|c| c.id.clone())
             .collect()
     }
 
-    /// The book says that these are settled.
+    /// The log has dropped the records of these claims.
     pub fn claims_dropped(&mut self, ids: &[String]) {
         self.claims.retain(|c| !ids.contains(&c.id));
     }
 
-    /// Machines asked for and not yet named.
+    /// Claims whose machines are on their way, and not named yet.
     pub fn coming(&self) -> impl Iterator<Item = &ClaimValue> {
+        let is_coming = |state: &ClaimState| {
+            matches!(
+                state,
+                ClaimState::Unrecorded | ClaimState::Recorded | ClaimState::Requested
+            )
+        };
         self.claims
             .iter()
-            .filter(|c| matches!(c.state, ClaimState::Wanted | ClaimState::Recorded | ClaimState::Asked))
+            .filter(move |c| is_coming(&c.state))
             .map(|c| &c.value)
     }
 }
--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -1,288 +1,504 @@
-//! Ordinary machines for work that may use spot machines: what they would serve in
-//! time, and cost. The decision is that of `glenhaven-provisioning`.
+//! Cost and benefit of on-demand machines for work that may use spot machines, when no spot machine
+//! is to be had.
+//!
+//! Called when machines are to be rented and the cloud has no spot capacity. Builds a model of the
+//! queue, of the capacity that is free or becomes so, and of prices; `glenhaven-provisioning`
+//! projects it and advises. Nothing is rented here, and nothing changes except that
+//! [`LeaderState::record_commitments`] marks what a rental is expected to achieve.
 
 use super::effective_cores;
 use crate::coordination::objectives::JobObjective;
-use crate::coordination::scheduling::is_best_effort;
-use crate::coordination::state::{Job, LeaderState, MachineState};
+use crate::coordination::scheduling::{is_best_effort, team_use, TeamUsage};
+use crate::coordination::state::{Job, LeaderState, Machine, MachineState};
 use crate::coordination::{ClusterConfig, JobId};
+use crate::protocol::cloud::MachineType;
+use crate::protocol::users::Priority;
 use crate::time::Micros;
-use glenhaven_provisioning::{advise, Advice, Due, Offer, Supply, Work};
+use glenhaven_provisioning::{advise, Due, Offer, Supply, Work};
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Waiting jobs that are looked at one by one; what is behind them in the queue
-/// counts together.
-const JOBS: usize = 250;
-/// Jobs of up to so many cores that came within so many seconds are looked at
-/// together.
-const SMALL: f64 = 8.0;
-const TOGETHER_S: f64 = 4.0;
-/// What has missed all of its times is to start within this: it must not wait for
-/// ever.
-const AT_LAST_S: f64 = 60.0;
-/// What that is worth beside a time that can still be kept.
-const AT_LAST: f64 = 0.25;
-/// What comes is looked at in parts of so many seconds, for so long.
-const PART_S: f64 = 10.0;
+/// Entries of the queue that are projected one by one; what comes after them is merged into the
+/// last.
+const MAX_ENTRIES: usize = 250;
+/// Jobs of up to so many cores that came within [`MERGED_ARRIVALS_S`] of each other are merged into
+/// one entry: there may be thousands.
+const MERGED_CORES: f64 = 8.0;
+/// See [`MERGED_CORES`].
+const MERGED_ARRIVALS_S: f64 = 4.0;
+/// A job that has missed all of its objectives is to start within this: it must not wait for ever.
+const ALL_MISSED_START_S: f64 = 60.0;
+/// What that is worth in relation to an objective that can still be met.
+const ALL_MISSED_WORTH: f64 = 0.25;
+/// Arrivals that are expected are merged into entries of so many seconds.
+const EXPECTED_STEP_S: f64 = 10.0;
+/// How far ahead arrivals are expected.
 const EXPECTED_S: f64 = 120.0;
-/// Boots under way are counted on after so many times their usual time.
-const BOOTS: f64 = 1.1;
-/// The longest that an image is waited for.
-const FETCH_S: f64 = 60.0;
+/// Boots under way are counted on after so many times their nominal time.
+const BOOT_FACTOR: f64 = 1.1;
+/// The longest that an image is expected to be fetched.
+const MAX_FETCH_S: f64 = 60.0;
+/// The least time that a running task is expected to go on.
+const MIN_REMAINING_S: f64 = 2.0;
+/// Tasks of a job that must have completed before their run times are expected of the others.
+const MIN_RUNS: u32 = 3;
+/// Projections are trusted while this share of what rentals committed to came true.
+const MIN_TRUST: f64 = 0.5;
+/// A class counts as if a job of it came at least this often.
+const MAX_ARRIVAL_INTERVAL_S: f64 = 20.0;
+/// Seconds in the hour that prices are for.
+const HOUR_S: f64 = 3600.0;
+
+/// How many cores of on-demand machines to rent, and what for.
+#[derive(Clone, Debug, Default)]
+pub struct OnDemandAdvice {
+    /// Cores to rent; 0 if nothing is worth it.
+    pub cores: f64,
+    /// What the rental is expected to achieve.
+    pub commitments: Vec<Commitment>,
+}
+
+/// An objective of a job that a rental is expected to let it meet.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Commitment {
+    /// The job.
+    pub job: JobId,
+    /// Number of the objective among those of the job's class.
+    pub objective: usize,
+}
 
 impl LeaderState {
-    /// How long a task of the job is expected to run: as those before it did, or as
-    /// its owner says, corrected by how wrong the class's owners were lately.
-    fn expected_s(&self, job: &Job) -> f64 {
-        let (sum, n) = job.runs;
-        if n >= 3 {
-            sum / f64::from(n)
+    /// How long a task of the job is expected to run: as long as those that completed, or as its
+    /// owner estimates, corrected by the bias of the class's estimates of late.
+    fn expected_run_s(&self, job: &Job) -> f64 {
+        let (sum_s, runs) = job.runs;
+        if runs >= MIN_RUNS {
+            sum_s / f64::from(runs)
         } else {
             job.spec.estimate_s * self.slo.bias(&job.spec.class)
         }
     }
 
-    /// Whether machines are rented for a class by what they would serve in time: where
-    /// the operators say how long its tasks may wait, they are, as long as most of what
-    /// such rentals promised came true. Other work has time: it gets machines for its
-    /// backlog, which costs far less for each job that is in time.
+    /// Whether machines are rented for a class by what they would let it meet: that is so where
+    /// an objective says how long its tasks may wait, as long as most of what such rentals committed
+    /// to came true. Other work has time: it gets machines for its backlog, which costs far less
+    /// for each job that is in time.
     pub fn must_not_wait(&self, cluster: &ClusterConfig, class: &str, now: Micros) -> bool {
-        let mut aims = cluster.settings.params.objectives.iter();
-        let named = aims.any(|o| o.class == class && o.kind == "wait");
-        named && self.slo.trust(class, now) >= BELIEVED
+        let mut objectives = cluster.settings.params.objectives.iter();
+        let has_wait_objective = objectives.any(|o| o.class == class && o.kind == "wait");
+        has_wait_objective && self.slo.trust(class, now) >= MIN_TRUST
+    }
+
+    /// How many cores of on-demand machines to rent now for work that may use spot machines, when
+    /// none of those is to be had. `reserved_cores` of the capacity that is free or on its way are
+    /// for other work.
+    pub fn on_demand_cost_benefit(&self, cluster: &ClusterConfig, reserved_cores: f64, now: Micros) -> OnDemandAdvice {
+        Projection::new(self, cluster, now).map_or_else(OnDemandAdvice::default, |p| p.advise(reserved_cores))
+    }
+
+    /// Marks the objectives that a rental is expected to let jobs meet: whether they are met tells
+    /// how far such projections can be trusted.
+    pub fn record_commitments(&mut self, commitments: Vec<Commitment>) {
+        for Commitment { job, objective } in commitments {
+            let objectives = self.jobs.get_mut(&job).and_then(|j| j.objectives.as_mut());
+            for committed in objectives.into_iter().flatten().filter(|o| o.number == objective) {
+                committed.committed = true;
+            }
+        }
     }
+}
 
-    /// How many cores of ordinary machines to rent now for what may use spot
-    /// machines, when none of those is to be had. `ordinary` cores of the room
-    /// that there is and comes are for other work.
-    pub fn on_demand_cost_benefit(&self, cluster: &ClusterConfig, ordinary: f64, now: Micros) -> (Advice, Promises) {
-        let usable: Vec<_> = cluster
+/// What machines of the zones that are not cut off cost and need.
+struct Market {
+    /// Lowest price of an on-demand core for a second.
+    on_demand_price: f64,
+    /// Lowest price of a spot core for a second.
+    spot_price: f64,
+    /// Longest nominal boot.
+    boot_s: f64,
+    /// Fastest rate at which a machine fetches images.
+    fetch_gb_per_s: f64,
+}
+
+impl Market {
+    /// `None` if there is no machine to be rented at all.
+    fn of(leader: &LeaderState, cluster: &ClusterConfig) -> Option<Market> {
+        let usable: Vec<&MachineType> = cluster
             .catalogue
             .values()
-            .filter(|t| t.zones.iter().any(|z| !self.failures.zones.is_cut(z)))
+            .filter(|t| t.zones.iter().any(|z| !leader.failures.zones.is_cut(z)))
             .collect();
-        let per_core = |price: f64, cpus: f64| price / cpus.max(1.0) / 3600.0;
-        let price = usable.iter().map(|t| per_core(t.price, t.cpus));
-        let price = price.fold(f64::INFINITY, f64::min);
-        let cheap = usable.iter().map(|t| per_core(t.spot_price, t.cpus));
-        let cheap = cheap.fold(f64::INFINITY, f64::min);
-        let Some(boot_s) = usable.iter().map(|t| t.boot_s).reduce(f64::max) else {
-            return Default::default();
-        };
-        let rate = usable.iter().map(|t| t.fetch_gb_per_s).fold(0.01, f64::max);
-        let fetch_s = |j: &Job| (j.spec.image_gb / rate).min(FETCH_S);
-
-        // What everything costs a second: each aim of a class is taken to be worth
-        // as much as a part of it, each job its share of that.
-        let (mut spent, mut demand) = (0.0, 0.0);
-        for m in self.machines.values().filter(|m| m.state != MachineState::Releasing) {
-            if let Some(t) = cluster.catalogue.get(&m.machine_type) {
-                spent += if m.spot { t.spot_price } else { t.price } / 3600.0;
-            }
-        }
-        for job in self.jobs.values().filter(|j| j.may_run()) {
-            let tasks = f64::from(job.held) + job.waiting.len() as f64;
-            demand += tasks * effective_cores(&job.spec, cluster);
-        }
-        let spent = spent.max(demand * cheap) * cluster.settings.operator.in_time_worth;
-        let mut hurries: BTreeMap<&str, bool> = BTreeMap::new();
-        for job in self.jobs.values().filter(|j| j.spec.spot && !j.waiting.is_empty()) {
+        let per_core = |price: f64, cpus: f64| price / cpus.max(1.0) / HOUR_S;
+        let on_demand_prices = usable.iter().map(|t| per_core(t.price, t.cpus));
+        let spot_prices = usable.iter().map(|t| per_core(t.spot_price, t.cpus));
+        Some(Market {
+            on_demand_price: on_demand_prices.fold(f64::INFINITY, f64::min),
+            spot_price: spot_prices.fold(f64::INFINITY, f64::min),
+            boot_s: usable.iter().map(|t| t.boot_s).reduce(f64::max)?,
+            fetch_gb_per_s: usable.iter().map(|t| t.fetch_gb_per_s).fold(0.01, f64::max),
+        })
+    }
+}
+
+/// What the advice is computed from.
+struct Projection<'a> {
+    leader: &'a LeaderState,
+    cluster: &'a ClusterConfig,
+    now: Micros,
+    market: Market,
+    /// Classes that have work waiting which may use spot machines, and whether they must not wait.
+    must_not_wait: BTreeMap<&'a str, bool>,
+    /// What meeting objectives is worth in all, for a second.
+    worth_per_s: f64,
+}
+
+impl<'a> Projection<'a> {
+    /// `None` if nothing that waits is worth a projection.
+    fn new(leader: &'a LeaderState, cluster: &'a ClusterConfig, now: Micros) -> Option<Projection<'a>> {
+        let market = Market::of(leader, cluster)?;
+        let mut must_not_wait: BTreeMap<&str, bool> = BTreeMap::new();
+        for job in leader.jobs.values().filter(|j| j.spec.spot && !j.waiting.is_empty()) {
             let class = job.spec.class.as_str();
-            hurries
+            must_not_wait
                 .entry(class)
-                .or_insert_with(|| self.must_not_wait(cluster, class, now));
+                .or_insert_with(|| leader.must_not_wait(cluster, class, now));
         }
-        if !hurries.values().any(|h| *h) {
-            return Default::default();
+        if !must_not_wait.values().any(|must_not_wait| *must_not_wait) {
+            return None;
         }
-        let worth = |class: &str, aim: &JobObjective| {
-            if !hurries.get(class).copied().unwrap_or(false) {
-                return 0.0;
-            }
-            let jobs = self.slo.inflow(class, now).jobs_per_s;
-            // A class of which a job comes every few minutes is not worth all.
-            let a_job = spent / jobs.max(1.0 / NO_OFTENER_S);
-            a_job * self.slo.urgency(class, aim.number, aim.share, now)
+        let worth_per_s = worth_per_s(leader, cluster, &market);
+        Some(Projection {
+            leader,
+            cluster,
+            now,
+            market,
+            must_not_wait,
+            worth_per_s,
+        })
+    }
+
+    /// Projects the queue with and without more machines.
+    fn advise(&self, reserved_cores: f64) -> OnDemandAdvice {
+        let waiting = self.waiting_jobs();
+        let mut queue = self.merged_queue(&waiting);
+        if queue.entries.is_empty() {
+            return OnDemandAdvice::default();
+        }
+        self.add_expected_arrivals(&mut queue, &waiting);
+        let offer = Offer {
+            ready_s: self.market.boot_s,
+            price: self.market.on_demand_price,
+            idle_s: self.cluster.settings.operator.idle_s,
+            most: 1e9,
         };
+        let advice = advise(&queue.entries, &self.supply(reserved_cores), &offer);
+        if advice.cores > 0.0 {
+            tracing::debug!(
+                cores = advice.cores,
+                saves = advice.saves,
+                costs = advice.costs,
+                "on-demand machines are worth their cost"
+            );
+        }
+        OnDemandAdvice {
+            cores: advice.cores,
+            commitments: queue.commitments(&advice.saved),
+        }
+    }
 
-        // What waits, in the order of the queue.
-        let within = self.within_guarantee(cluster);
-        let mut left: BTreeMap<&str, f64> = BTreeMap::new();
-        let held = crate::coordination::scheduling::team_use(&self.jobs);
-        let mut waiting: Vec<&Job> = self
-            .jobs
-            .values()
+    fn fetch_s(&self, job: &Job) -> f64 {
+        (job.spec.image_gb / self.market.fetch_gb_per_s).min(MAX_FETCH_S)
+    }
+
+    /// How long a task of the job is expected to hold its cores, the fetch of its image included.
+    fn hold_s(&self, job: &Job) -> f64 {
+        self.leader.expected_run_s(job) + self.fetch_s(job)
+    }
+
+    /// What it is worth that one job of the class meets the objective.
+    fn worth(&self, class: &str, objective: &JobObjective) -> f64 {
+        if !self.must_not_wait.get(class).copied().unwrap_or(false) {
+            return 0.0;
+        }
+        let jobs_per_s = self.leader.slo.inflow(class, self.now).jobs_per_s;
+        // A class of which a job comes every few minutes is not worth all.
+        let per_job = self.worth_per_s / jobs_per_s.max(1.0 / MAX_ARRIVAL_INTERVAL_S);
+        let urgency = self
+            .leader
+            .slo
+            .urgency(class, objective.number, objective.share, self.now);
+        per_job * urgency
+    }
+
+    /// Jobs that wait and may use spot machines, in the order of the queue.
+    fn waiting_jobs(&self) -> Vec<WaitingJob<'a>> {
+        let guaranteed = self.leader.within_guarantee(self.cluster);
+        let jobs = self.leader.jobs.values();
+        let mut waiting: Vec<WaitingJob> = jobs
             .filter(|j| j.spec.spot && j.may_run() && !j.waiting.is_empty())
-            .filter(|j| !j.is_suspect(now) && !is_best_effort(cluster, j, now))
+            .filter(|j| !j.is_suspect(self.now) && !is_best_effort(self.cluster, j, self.now))
+            .map(|job| WaitingJob {
+                job,
+                is_guaranteed: guaranteed.contains(&job.id),
+            })
             .collect();
-        waiting.sort_by_key(|j| (std::cmp::Reverse(j.priority), !within.contains(&j.id), j.version));
-        let mut queue: Vec<Work> = vec![];
-        // Whose aims the times of each work are.
-        let mut whose: Vec<Vec<(JobId, Vec<usize>)>> = vec![];
-        let mut alike = BTreeMap::new();
-        let mut last: BTreeMap<&str, &Job> = BTreeMap::new();
-        for job in waiting {
-            let class = job.spec.class.as_str();
-            if last.get(class).is_none_or(|l| l.version < job.version) {
-                last.insert(class, job);
-            }
-            let team = left.entry(&job.spec.team).or_insert_with(|| {
-                let of_team = held.get(&job.spec.team).map_or(0.0, |usage| usage.cpus);
-                (cluster.limits(&job.spec.team).0 - of_team).max(0.0)
-            });
-            let cores = (job.waiting.len() as f64 * effective_cores(&job.spec, cluster)).min(*team);
-            *team -= cores;
+        waiting.sort_by_key(|w| (Reverse(w.job.priority), !w.is_guaranteed, w.job.version));
+        waiting
+    }
+
+    /// Entries for what waits, as far as the limits of the teams let it run.
+    fn merged_queue(&self, waiting: &[WaitingJob<'a>]) -> Queue<'a> {
+        let usage = team_use(&self.leader.jobs);
+        let mut left_of_limits: BTreeMap<&str, f64> = BTreeMap::new();
+        let mut queue = Queue::default();
+        for waiting_job in waiting {
+            let job = waiting_job.job;
+            let left = left_of_limits
+                .entry(&job.spec.team)
+                .or_insert_with(|| self.left_of_limit(&usage, &job.spec.team));
+            let cores = (job.waiting.len() as f64 * effective_cores(&job.spec, self.cluster)).min(*left);
+            *left -= cores;
             if cores <= 0.0 {
                 continue;
             }
-            let run_s = self.expected_s(job) + fetch_s(job);
-            let age = now.since(job.arrived).secs();
-            let mut dues: Vec<Due> = vec![];
-            let mut numbers = vec![];
-            let mut most: f64 = 0.0;
-            for aim in job.objectives.iter().flatten() {
-                let worth = worth(class, aim);
-                most = most.max(worth);
-                let start_by_s = aim.due_s - age - if aim.starts { fetch_s(job) } else { run_s };
-                if start_by_s >= 0.0 {
-                    dues.push(Due { start_by_s, worth });
-                    numbers.push(aim.number);
-                }
-            }
-            if dues.is_empty() {
-                dues.push(Due {
-                    start_by_s: AT_LAST_S,
-                    worth: most * AT_LAST,
-                });
-            }
-            // Small jobs that came together are looked at together: there may be
-            // thousands.
-            let small = (cores <= SMALL).then(|| {
-                let moment = (age / TOGETHER_S) as u64;
-                (job.priority, within.contains(&job.id), class, moment, dues.len())
-            });
-            let like = small.and_then(|key| alike.get(&key).copied());
-            let like = like.or((queue.len() >= JOBS).then(|| queue.len() - 1));
-            if let Some(like) = like {
-                queue[like].cores += cores;
-                whose[like].push((job.id.clone(), numbers));
-                for (sum, due) in queue[like].dues.iter_mut().zip(&dues) {
-                    sum.worth += due.worth;
-                }
-                continue;
-            }
-            if let Some(key) = small {
-                alike.insert(key, queue.len());
-            }
-            whose.push(vec![(job.id.clone(), numbers)]);
-            queue.push(Work {
+            let work = Work {
                 cores,
-                run_s,
+                run_s: self.hold_s(job),
                 from_s: 0.0,
-                dues,
+                dues: vec![],
+            };
+            self.add_waiting(&mut queue, waiting_job, work);
+        }
+        queue
+    }
+
+    /// Cores that a team's limit still admits.
+    fn left_of_limit(&self, usage: &BTreeMap<String, TeamUsage>, team: &str) -> f64 {
+        let used = usage.get(team).map_or(0.0, |usage| usage.cpus);
+        (self.cluster.limits(team).0 - used).max(0.0)
+    }
+
+    /// Adds what waits of one job, merged with what is alike.
+    fn add_waiting(&self, queue: &mut Queue<'a>, waiting_job: &WaitingJob<'a>, mut work: Work) {
+        let job = waiting_job.job;
+        let age_s = self.now.since(job.arrived).secs();
+        let (dues, objectives) = self.start_times(job, work.run_s, age_s);
+        let merge_key = (work.cores <= MERGED_CORES).then(|| MergeKey {
+            priority: job.priority,
+            is_guaranteed: waiting_job.is_guaranteed,
+            class: &job.spec.class,
+            arrival_step: (age_s / MERGED_ARRIVALS_S) as u64,
+            dues: dues.len(),
+        });
+        work.dues = dues;
+        let member = Member {
+            job: job.id.clone(),
+            objectives,
+        };
+        queue.add(merge_key, work, member);
+    }
+
+    /// By when the job's last task has to start for each objective that it can still meet, and the
+    /// numbers of these objectives. If it can meet none, one time that stands for all.
+    fn start_times(&self, job: &Job, hold_s: f64, age_s: f64) -> (Vec<Due>, Vec<usize>) {
+        let mut dues: Vec<Due> = vec![];
+        let mut numbers = vec![];
+        let mut max_worth: f64 = 0.0;
+        for objective in job.objectives.iter().flatten() {
+            let worth = self.worth(&job.spec.class, objective);
+            max_worth = max_worth.max(worth);
+            let before_s = if objective.starts { self.fetch_s(job) } else { hold_s };
+            let start_by_s = objective.due_s - age_s - before_s;
+            if start_by_s >= 0.0 {
+                dues.push(Due { start_by_s, worth });
+                numbers.push(objective.number);
+            }
+        }
+        if dues.is_empty() {
+            dues.push(Due {
+                start_by_s: ALL_MISSED_START_S,
+                worth: max_worth * ALL_MISSED_WORTH,
             });
         }
-        if queue.is_empty() {
-            return Default::default();
+        (dues, numbers)
+    }
+
+    /// Adds the arrivals that are expected meanwhile, which take their part of the capacity; the
+    /// youngest waiting job of a class stands for those to come.
+    fn add_expected_arrivals(&self, queue: &mut Queue, waiting: &[WaitingJob<'a>]) {
+        let mut youngest: BTreeMap<&str, &Job> = BTreeMap::new();
+        for WaitingJob { job, .. } in waiting {
+            let class = job.spec.class.as_str();
+            if youngest.get(class).is_none_or(|y| y.version < job.version) {
+                youngest.insert(class, job);
+            }
         }
-        // What is expected to come meanwhile takes its part of the room.
-        for (class, job) in last {
-            let inflow = self.slo.inflow(class, now);
-            let run_s = inflow.run_s * self.slo.bias(class) + fetch_s(job);
-            let mut from_s = PART_S / 2.0;
+        for (class, job) in youngest {
+            let inflow = self.leader.slo.inflow(class, self.now);
+            let run_s = inflow.run_s * self.leader.slo.bias(class) + self.fetch_s(job);
+            let mut from_s = EXPECTED_STEP_S / 2.0;
             while from_s < EXPECTED_S {
-                let dues = job.objectives.iter().flatten().map(|aim| Due {
-                    start_by_s: from_s + aim.due_s - if aim.starts { fetch_s(job) } else { run_s },
-                    worth: worth(class, aim) * inflow.jobs_per_s * PART_S,
+                let dues = job.objectives.iter().flatten().map(|objective| {
+                    let before_s = if objective.starts { self.fetch_s(job) } else { run_s };
+                    Due {
+                        start_by_s: from_s + objective.due_s - before_s,
+                        worth: self.worth(class, objective) * inflow.jobs_per_s * EXPECTED_STEP_S,
+                    }
                 });
-                queue.push(Work {
-                    cores: inflow.cores_per_s * PART_S,
+                queue.entries.push(Work {
+                    cores: inflow.cores_per_s * EXPECTED_STEP_S,
                     run_s,
                     from_s,
                     dues: dues.collect(),
                 });
-                from_s += PART_S;
+                from_s += EXPECTED_STEP_S;
             }
         }
+    }
 
+    /// Cores that are free or become so, less `reserved_cores`.
+    fn supply(&self, reserved_cores: f64) -> Supply {
         let mut supply = Supply {
-            free: -ordinary,
+            free: -reserved_cores,
             coming: vec![],
         };
-        let quiet = Self::work_silence(cluster);
-        for m in self.machines.values().filter(|m| !self.failures.zones.is_cut(&m.zone)) {
-            let Some(t) = cluster.catalogue.get(&m.machine_type) else {
+        let zones = &self.leader.failures.zones;
+        let silence = LeaderState::work_silence(self.cluster);
+        for machine in self.leader.machines.values().filter(|m| !zones.is_cut(&m.zone)) {
+            let Some(machine_type) = self.cluster.catalogue.get(&machine.machine_type) else {
                 continue;
             };
-            if m.state == MachineState::Booting {
-                let age = now.since(m.since);
-                let counted = self.provisioning.boot_times.pace(m).counted(age, t.boot_s);
-                let ready_s = (t.boot_s * BOOTS - age.secs()).max(1.0);
-                supply.coming.push((ready_s, t.cpus * counted));
-            } else if m.takes_work(now, quiet) {
-                supply.free += t.cpus - m.used[0];
-                for (id, task) in &m.tasks {
-                    let Some(job) = self.jobs.get(id).filter(|j| !j.is_service()) else {
-                        continue;
-                    };
-                    let Some(p) = job.placements.get(task) else { continue };
-                    let run_s = self.expected_s(job) + fetch_s(job);
-                    let ran_s = now.since(p.since).secs();
-                    supply.coming.push(((run_s - ran_s).max(2.0), job.spec.cpus));
-                }
+            if machine.state == MachineState::Booting {
+                supply.coming.push(self.booting_cores(machine, machine_type));
+            } else if machine.takes_work(self.now, silence) {
+                supply.free += machine_type.cpus - machine.used[0];
+                self.add_cores_of_running_tasks(&mut supply, machine);
             }
         }
-        for claim in self
-            .provisioning
-            .coming()
-            .filter(|c| !self.failures.zones.is_cut(&c.zone))
-        {
-            if let Some(t) = cluster.catalogue.get(&claim.machine_type) {
-                let cores = t.cpus * f64::from(claim.count);
-                supply.coming.push((t.boot_s * BOOTS, cores));
+        let claims = self.leader.provisioning.coming();
+        for claim in claims.filter(|c| !zones.is_cut(&c.zone)) {
+            if let Some(machine_type) = self.cluster.catalogue.get(&claim.machine_type) {
+                let cores = machine_type.cpus * f64::from(claim.count);
+                supply.coming.push((machine_type.boot_s * BOOT_FACTOR, cores));
             }
         }
-        let offer = Offer {
-            ready_s: boot_s,
-            price,
-            idle_s: cluster.settings.operator.idle_s,
-            most: 1e9,
-        };
-        let advice = advise(&queue, &supply, &offer);
-        if advice.cores > 0.0 {
-            tracing::debug!(
-                cores = advice.cores,
-                saves = advice.saves,
-                costs = advice.costs,
-                "ordinary machines are worth it"
-            );
-        }
-        let mut promises = vec![];
-        for (work, due) in &advice.saved {
-            for (job, numbers) in whose.get(*work).into_iter().flatten() {
-                promises.extend(numbers.get(*due).map(|number| (job.clone(), *number)));
-            }
+        supply
+    }
+
+    /// In how many seconds a booting machine is ready, and with how many cores it is counted.
+    fn booting_cores(&self, machine: &Machine, machine_type: &MachineType) -> (f64, f64) {
+        let age = self.now.since(machine.since);
+        let profile = self.leader.provisioning.boot_times.profile(machine);
+        let counted = profile.counted_share(age, machine_type.boot_s);
+        let ready_s = (machine_type.boot_s * BOOT_FACTOR - age.secs()).max(1.0);
+        (ready_s, machine_type.cpus * counted)
+    }
+
+    /// Adds the cores that the tasks of arrays on a machine give back when they end.
+    fn add_cores_of_running_tasks(&self, supply: &mut Supply, machine: &Machine) {
+        for (id, task) in &machine.tasks {
+            let Some(job) = self.leader.jobs.get(id).filter(|j| !j.is_service()) else {
+                continue;
+            };
+            let Some(placement) = job.placements.get(task) else {
+                continue;
+            };
+            let ran_s = self.now.since(placement.since).secs();
+            let remaining_s = (self.hold_s(job) - ran_s).max(MIN_REMAINING_S);
+            supply.coming.push((remaining_s, job.spec.cpus));
         }
-        (advice, promises)
     }
+}
 
-    /// A rental was made on the promise that these jobs keep these times: what comes
-    /// of it tells how far such projections are to be believed.
-    pub fn promise(&mut self, promises: Promises) {
-        for (id, number) in promises {
-            let aims = self.jobs.get_mut(&id).and_then(|j| j.objectives.as_mut());
-            for aim in aims.into_iter().flatten().filter(|a| a.number == number) {
-                aim.promised = true;
-            }
+/// What meeting objectives is worth in all, for a second: a part of what everything costs. Each
+/// objective of a class is taken to be worth the same, and each job its share of that.
+fn worth_per_s(leader: &LeaderState, cluster: &ClusterConfig, market: &Market) -> f64 {
+    let (mut rent, mut demanded_cores) = (0.0, 0.0);
+    let rented = leader.machines.values();
+    for machine in rented.filter(|m| m.state != MachineState::Releasing) {
+        if let Some(machine_type) = cluster.catalogue.get(&machine.machine_type) {
+            let price = if machine.spot {
+                machine_type.spot_price
+            } else {
+                machine_type.price
+            };
+            rent += price / HOUR_S;
         }
     }
+    for job in leader.jobs.values().filter(|j| j.may_run()) {
+        let tasks = f64::from(job.held) + job.waiting.len() as f64;
+        demanded_cores += tasks * effective_cores(&job.spec, cluster);
+    }
+    rent.max(demanded_cores * market.spot_price) * cluster.settings.operator.in_time_worth
 }
 
-/// Jobs and the numbers of their aims.
-pub type Promises = Vec<(JobId, usize)>;
+/// A job with waiting tasks.
+struct WaitingJob<'a> {
+    job: &'a Job,
+    is_guaranteed: bool,
+}
 
-/// Projections are believed while so much of what they promised came true.
-const BELIEVED: f64 = 0.5;
+/// Small jobs that have the same key are merged into one entry.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct MergeKey<'a> {
+    priority: Priority,
+    is_guaranteed: bool,
+    class: &'a str,
+    /// Age of the jobs in steps of [`MERGED_ARRIVALS_S`].
+    arrival_step: u64,
+    /// How many times by which to start they have.
+    dues: usize,
+}
 
-/// A class counts as if a job of it came at least this often, in seconds.
-const NO_OFTENER_S: f64 = 20.0;
+/// A job that is part of an entry.
+struct Member {
+    job: JobId,
+    /// Numbers of its objectives, in the order of the entry's times.
+    objectives: Vec<usize>,
+}
+
+/// The queue that is projected.
+#[derive(Default)]
+struct Queue<'a> {
+    entries: Vec<Work>,
+    /// The jobs of each entry; expected arrivals, at the end of the entries, have none.
+    members: Vec<Vec<Member>>,
+    mergeable: BTreeMap<MergeKey<'a>, usize>,
+}
+
+impl<'a> Queue<'a> {
+    /// Merges work into the entry with its key, or into the last one if there are enough entries;
+    /// else makes a new entry.
+    fn add(&mut self, merge_key: Option<MergeKey<'a>>, work: Work, member: Member) {
+        let alike = merge_key.as_ref().and_then(|key| self.mergeable.get(key).copied());
+        let is_full = self.entries.len() >= MAX_ENTRIES;
+        if let Some(index) = alike.or(is_full.then(|| self.entries.len() - 1)) {
+            let entry = &mut self.entries[index];
+            entry.cores += work.cores;
+            for (sum, due) in entry.dues.iter_mut().zip(&work.dues) {
+                sum.worth += due.worth;
+            }
+            self.members[index].push(member);
+            return;
+        }
+        if let Some(key) = merge_key {
+            self.mergeable.insert(key, self.entries.len());
+        }
+        self.members.push(vec![member]);
+        self.entries.push(work);
+    }
+
+    /// The objectives behind these times: pairs of an entry's index and its time's.
+    fn commitments(&self, saved: &[(usize, usize)]) -> Vec<Commitment> {
+        let mut commitments = vec![];
+        for (entry, due) in saved {
+            for member in self.members.get(*entry).into_iter().flatten() {
+                commitments.extend(member.objectives.get(*due).map(|objective| Commitment {
+                    job: member.job.clone(),
+                    objective: *objective,
+                }));
+            }
+        }
+        commitments
+    }
+}
--- /dev/null
+++ b/src/coordination/provisioning/failed_machines.rs
@@ -0,0 +1,281 @@
+//! The cloud's list of machines, and which machines are given up: boots that never end, machines
+//! that are silent, interrupted or failed, and those that keep a cancelled task for too long.
+//!
+//! The leader calls this with every page of the list and at intervals. A machine that is given up is
+//! only marked for release; what ran there counts as running until the cloud confirms that it is
+//! gone.
+
+use super::super::state::{LeaderState, Machine, MachineId, MachineState};
+use super::super::{timing, ClusterConfig};
+use crate::protocol::cloud::ListedMachine;
+use crate::time::Micros;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
+use std::rc::Rc;
+
+/// Nominal boot time of a machine whose type is not known, in seconds.
+const UNKNOWN_BOOT_S: f64 = 60.0;
+/// Silent machines from which on a controller that hears most of its machines silent is doubted.
+const MIN_SILENT: usize = 3;
+
+/// Why a machine is given up.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum GiveUpReason {
+    NeverBooted,
+    WorkFitsElsewhere,
+    ServicesFitElsewhere,
+    Silent,
+    Interrupted,
+    KeepsCancelledTask,
+}
+
+impl GiveUpReason {
+    fn as_str(self) -> &'static str {
+        match self {
+            GiveUpReason::NeverBooted => "it never booted",
+            GiveUpReason::WorkFitsElsewhere => "its zone is cut off, and its work fits elsewhere",
+            GiveUpReason::ServicesFitElsewhere => "it is silent, and its services fit elsewhere",
+            GiveUpReason::Silent => "it is silent",
+            GiveUpReason::Interrupted => "the cloud took it back",
+            GiveUpReason::KeepsCancelledTask => "it keeps a cancelled task",
+        }
+    }
+}
+
+impl fmt::Display for GiveUpReason {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(self.as_str())
+    }
+}
+
+impl LeaderState {
+    /// A machine in the list: unknown ones are adopted, failed ones returned.
+    pub(super) fn on_listed_machine(&mut self, listed: ListedMachine, now: Micros) {
+        let name: MachineId = listed.name.as_str().into();
+        if self.released.contains(&name) {
+            return;
+        }
+        let rented_at = now.since(Micros::from_secs(listed.age_s));
+        let machine = self.machines.entry(name.clone()).or_insert_with(|| {
+            tracing::debug!(
+                machine = listed.name,
+                phase = listed.phase,
+                "machine adopted from the list"
+            );
+            let mut machine = Machine::unknown(name, now);
+            machine.since = rented_at;
+            machine
+        });
+        if machine.machine_type.is_empty() {
+            machine.describe(&listed.machine_type, &listed.zone, listed.spot);
+        }
+        machine.rented_at.get_or_insert(rented_at);
+        if machine.addr.is_empty() {
+            machine.addr = listed.addr;
+        }
+        if listed.phase == "failed" && machine.state != MachineState::Releasing {
+            tracing::info!(machine = listed.name, "machine failed");
+            machine.state = MachineState::Releasing;
+            self.provisioning.to_release.insert(machine.name.clone());
+        }
+    }
+
+    /// Gives up machines that failed, and marks them for release.
+    pub fn release_failed_machines(&mut self, cluster: &ClusterConfig, now: Micros) {
+        self.provisioning.boot_times.update(cluster, &self.machines, now);
+        let check = FailureCheck::new(self, cluster, now);
+        let given_up: Vec<(MachineId, GiveUpReason)> = self
+            .machines
+            .values()
+            .filter(|m| m.state != MachineState::Releasing)
+            .filter_map(|m| Some((m.name.clone(), check.give_up_reason(m)?)))
+            .collect();
+        for (name, reason) in given_up {
+            let Some(machine) = self.machines.get_mut(&name) else {
+                continue;
+            };
+            tracing::info!(
+                machine = %name,
+                zone = &*machine.zone,
+                reason = reason.as_str(),
+                tasks = machine.tasks.len(),
+                services = machine.services,
+                "machine given up"
+            );
+            machine.state = MachineState::Releasing;
+            self.provisioning.to_release.insert(name);
+            self.dirty = true;
+        }
+    }
+
+    /// Machines on which tasks of cancelled jobs have not stopped though they should have.
+    fn machines_keeping_cancelled_tasks(&self, cluster: &ClusterConfig, now: Micros) -> BTreeSet<MachineId> {
+        let patience = Micros::from_secs(cluster.settings.params.workers.cancel_s * 0.5);
+        self.jobs
+            .values()
+            .filter(|j| j.cancelled.is_some())
+            .flat_map(|j| j.placements.values())
+            .filter(|p| now.since(p.stop_at) > patience)
+            .map(|p| p.machine.clone())
+            .collect()
+    }
+
+    /// Controllers that hear more than half of their machines silent at once: that says more about
+    /// the controller than about the machines. `None` in the set is this controller.
+    fn doubted_controllers(&self, silent: Micros, now: Micros) -> BTreeSet<Option<Rc<str>>> {
+        #[derive(Default)]
+        struct Heard {
+            machines: usize,
+            silent: usize,
+        }
+        let mut heard_by: BTreeMap<Option<Rc<str>>, Heard> = BTreeMap::new();
+        // A zone that is cut off says nothing about the controller that heard it.
+        let is_cut = |m: &Machine| self.failures.zones.is_cut(&m.zone);
+        let up = self.machines.values().filter(|m| m.state == MachineState::Up);
+        for machine in up.filter(|m| !is_cut(m)) {
+            let counts_from = self.silence_counts_from(machine, now);
+            let last_contact = machine.last_heartbeat.max(machine.proxied_at).max(counts_from);
+            let heard = heard_by.entry(machine.via.clone()).or_default();
+            heard.machines += 1;
+            heard.silent += usize::from(now.since(last_contact) > silent);
+        }
+        heard_by
+            .into_iter()
+            .filter(|(_, heard)| heard.silent >= MIN_SILENT && heard.silent * 2 > heard.machines)
+            .map(|(controller, _)| controller)
+            .collect()
+    }
+}
+
+/// What decides which machines are given up, looked up once for all of them.
+struct FailureCheck<'a> {
+    leader: &'a LeaderState,
+    cluster: &'a ClusterConfig,
+    now: Micros,
+    /// How long without a heartbeat a machine counts as silent.
+    silent: Micros,
+    doubted_controllers: BTreeSet<Option<Rc<str>>>,
+    keeping_cancelled_tasks: BTreeSet<MachineId>,
+    /// Machines of cut-off zones whose work fits elsewhere.
+    leaving_cut_zones: BTreeSet<MachineId>,
+    /// Silent machines whose services fit elsewhere.
+    early_failures: BTreeSet<MachineId>,
+}
+
+impl<'a> FailureCheck<'a> {
+    fn new(leader: &'a LeaderState, cluster: &'a ClusterConfig, now: Micros) -> FailureCheck<'a> {
+        let silent = timing::silent(&cluster.settings.params.workers);
+        let mut check = FailureCheck {
+            leader,
+            cluster,
+            now,
+            silent,
+            doubted_controllers: leader.doubted_controllers(silent, now),
+            keeping_cancelled_tasks: leader.machines_keeping_cancelled_tasks(cluster, now),
+            leaving_cut_zones: leader.machines_leaving_cut_zones(cluster, now),
+            early_failures: BTreeSet::new(),
+        };
+        check.early_failures = leader.early_failures(cluster, |m| check.silence_by_itself(m));
+        check
+    }
+
+    fn is_cut(&self, machine: &Machine) -> bool {
+        self.leader.failures.zones.is_cut(&machine.zone)
+    }
+
+    fn is_heard_by_doubted(&self, machine: &Machine) -> bool {
+        self.doubted_controllers.contains(&machine.via)
+    }
+
+    /// Whether another controller has said lately that it has contact with the machine.
+    fn is_proxied(&self, machine: &Machine) -> bool {
+        self.now.since(machine.proxied_at) <= timing::KEPT_TOLD
+    }
+
+    /// How long a machine has been silent, if its silence says something about it alone.
+    fn silence_by_itself(&self, machine: &Machine) -> Option<Micros> {
+        let is_alone = !self.is_cut(machine) && !self.is_heard_by_doubted(machine) && !self.is_proxied(machine);
+        let counts_from = self.leader.silence_counts_from(machine, self.now);
+        is_alone.then(|| self.now.since(machine.last_heartbeat.max(counts_from)))
+    }
+
+    /// How long a machine has been silent for this decision.
+    fn silence(&self, machine: &Machine) -> Micros {
+        let counts_from = self.leader.silence_counts_from(machine, self.now);
+        // What another controller has contact with runs on, but nothing that ends there can be
+        // recorded: a short cut is sat out, a long one is not.
+        let max_cut = timing::kept(&self.cluster.settings.params.workers);
+        let is_sat_out = self.now.since(machine.last_heartbeat.max(counts_from)) < max_cut;
+        let proxied_at = if is_sat_out { machine.proxied_at } else { Micros::ZERO };
+        // In a zone that is cut off, leases run from the last heartbeat.
+        let lease_runs = self.is_cut(machine) && machine.last_heartbeat > Micros::ZERO;
+        let counts_from = if lease_runs { Micros::ZERO } else { counts_from };
+        self.now.since(machine.last_heartbeat.max(proxied_at).max(counts_from))
+    }
+
+    /// How long a machine may be silent. A silent spot machine was most likely taken back. An
+    /// on-demand one is more likely cut off with its tasks running; they run on until its lease
+    /// ends, and releasing it earlier would only stop them. A machine that a new leader knows from
+    /// the log only, without a heartbeat and not listed, is most likely gone as well.
+    fn max_silence(&self, machine: &Machine) -> Micros {
+        let workers = &self.cluster.settings.params.workers;
+        if self.may_be_served_in_cut_zone(machine) {
+            self.cluster.knowledge_limit() + timing::lease_ends(workers)
+        } else if machine.spot || machine.machine_type.is_empty() {
+            self.silent
+        } else {
+            timing::lease_ends(workers)
+        }
+    }
+
+    /// Inside a zone that is cut off, its controllers go on answering for as long as their knowledge
+    /// is fresh enough, and services run on until the leases renewed by them end. If they were dead
+    /// instead, the cloud's list would show it.
+    fn may_be_served_in_cut_zone(&self, machine: &Machine) -> bool {
+        let mut peers = self.cluster.settings.peers.iter();
+        machine.services > 0 && self.is_cut(machine) && peers.any(|p| p.zone == machine.zone)
+    }
+
+    fn give_up_reason(&self, machine: &Machine) -> Option<GiveUpReason> {
+        let reason = match machine.state {
+            MachineState::Booting if machine.tasks.is_empty() => {
+                self.has_never_booted(machine).then_some(GiveUpReason::NeverBooted)
+            }
+            _ => self.failure_of_booted(machine),
+        };
+        // A controller that has contact with a machine stops cancelled tasks there itself.
+        let is_served_elsewhere = self.now.since(machine.proxied_at) < timing::KEPT_TOLD;
+        let keeps_cancelled = !is_served_elsewhere && self.keeping_cancelled_tasks.contains(&machine.name);
+        reason.or(keeps_cancelled.then_some(GiveUpReason::KeepsCancelledTask))
+    }
+
+    fn has_never_booted(&self, machine: &Machine) -> bool {
+        let machine_type = self.cluster.catalogue.get(&machine.machine_type);
+        let boot_s = machine_type.map_or(UNKNOWN_BOOT_S, |t| t.boot_s);
+        let profile = self.leader.provisioning.boot_times.profile(machine);
+        // To a new leader all machines are booting until their first heartbeat.
+        let heard_agents = self.now.since(self.leader.listens_since) > self.silent;
+        profile.is_dead(self.now.since(machine.since), boot_s) && heard_agents
+    }
+
+    fn failure_of_booted(&self, machine: &Machine) -> Option<GiveUpReason> {
+        let workers = &self.cluster.settings.params.workers;
+        let silence = self.silence(machine);
+        let max_silence = self.max_silence(machine);
+        let is_believed = self.is_cut(machine)
+            || !self.is_heard_by_doubted(machine)
+            || silence > max_silence + Micros::from_secs(workers.lease_s);
+        let is_interrupted = machine.interruption_at.is_some_and(|at| self.now > at);
+        if self.leaving_cut_zones.contains(&machine.name) {
+            Some(GiveUpReason::WorkFitsElsewhere)
+        } else if self.early_failures.contains(&machine.name) {
+            Some(GiveUpReason::ServicesFitElsewhere)
+        } else if silence > max_silence && is_believed {
+            Some(GiveUpReason::Silent)
+        } else if is_interrupted && silence > Micros::from_secs(workers.report_s * 1.5 + 1.0) {
+            Some(GiveUpReason::Interrupted)
+        } else {
+            None
+        }
+    }
+}
--- a/src/coordination/provisioning/mod.rs
+++ b/src/coordination/provisioning/mod.rs
@@ -1,13 +1,23 @@
-//! Renting and returning machines: for what waits and what is coming; late and
-//! dead boots given up, silent machines released, unexpected ones adopted.
+//! Provisioning: which machines are rented, kept and returned.
+//!
+//! Owned by the leader and run on every tick. Scale-out and scale-in compare what work asks for with
+//! what machines supply; machines that never boot, fall silent or fail are given up and released;
+//! machines that the cloud lists and nobody knows are adopted.
+//!
+//! A rental is recorded in the leader's log before it is requested, under a name that makes the
+//! request idempotent. Provisioning must not free the placements on a machine: they are void only
+//! when the cloud has confirmed its release.
 
 pub mod boot_times;
 mod calls;
 mod claims;
 pub mod cost_benefit;
 mod demand;
-mod listed;
+mod failed_machines;
+mod scale_in;
 mod scale_out;
+mod scaling;
+mod stuck;
 
 use super::state::{LeaderState, Machine, MachineId, MachineState};
 use super::{timing, CloudRequest, CloudResponse, ClusterConfig, Context};
@@ -17,218 +27,234 @@
 use boot_times::BootTimes;
 pub use calls::CloudCallTracker;
 use calls::CloudContinuation;
+use claims::{Claim, ClaimState};
 pub use demand::effective_cores;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines in a release: the most that the cloud takes.
-const RELEASED_AT_ONCE: usize = 100;
+/// Machines in one release request: the most that the cloud takes.
+const MAX_RELEASED_AT_ONCE: usize = 100;
+/// Release requests in flight at a time.
+const MAX_RELEASES_IN_FLIGHT: usize = 2;
+/// The time between two decisions about scale-out and scale-in.
+const DECISION_INTERVAL: Micros = Micros::from_millis(250);
+/// Share of the call rate that rental requests leave to releases.
+const RENTAL_RATE_RESERVE: f64 = 0.1;
+/// Share of the call rate that listing leaves to releases and rental requests.
+const LIST_RATE_RESERVE: f64 = 0.3;
 
-/// How far a rental request has come.
-enum ClaimState {
-    /// To be written to the state service first.
-    Wanted,
-    Recorded,
-    Asked,
-    /// Answered; kept until every machine of it has been seen.
-    Answered(Vec<MachineId>),
-    /// Its record may be deleted.
-    Over,
-}
-
-struct Claim {
-    id: String,
-    value: ClaimValue,
-    state: ClaimState,
-    /// The page of the book that names it; 0: none does.
-    base: u64,
-    again_at: Micros,
-    tries: u32,
-}
-
-/// Machines that the leader has requested, lists and releases.
+/// The machines that the leader requests, lists and releases.
 pub struct Provisioning {
-    /// How long machines of each kind took to boot lately.
+    /// How long machines of each kind took to boot of late.
     pub(super) boot_times: BootTimes,
     claims: Vec<Claim>,
     next_claim: u64,
-    next_list: Micros,
-    listing: Option<String>,
-    list_flying: bool,
+    /// When the list of machines is read again.
+    next_list_at: Micros,
+    /// The last machine read of a list that is being read.
+    list_cursor: Option<String>,
+    list_in_flight: bool,
     /// Whether this leader has read the whole list of machines once.
-    listed: bool,
-    blocked: BTreeMap<(String, String, bool), Micros>,
-    releasing: usize,
-    /// Machines given up whose release has yet to be asked for: looked at with every batch
-    /// instead of all machines.
+    has_listed: bool,
+    /// Machine type, zone and sort of rental of which there is no capacity, and until when it is
+    /// not asked for.
+    no_capacity_until: BTreeMap<(String, String, bool), Micros>,
+    releases_in_flight: usize,
+    /// Machines given up whose release has yet to be requested; kept apart so that not all machines
+    /// are examined for every batch.
     to_release: BTreeSet<MachineId>,
-    next_decide: Micros,
-    /// When ordinary machines are thought of again.
-    next_advice: Micros,
+    next_decision_at: Micros,
+    /// When cost and benefit of on-demand machines are considered again.
+    next_cost_benefit_at: Micros,
     /// Decayed demand of work that may use spot machines, in cores.
-    average: f64,
-    average_at: Option<Micros>,
+    average_spot_demand: f64,
+    averaged_at: Option<Micros>,
 }
 
 impl Provisioning {
+    /// Nothing rented, nothing listed; the first list and the first decision are due at once.
     pub fn new(now: Micros) -> Provisioning {
         Provisioning {
             boot_times: BootTimes::default(),
             claims: vec![],
             next_claim: 0,
-            next_list: now,
-            listing: None,
-            list_flying: false,
-            listed: false,
-            blocked: BTreeMap::new(),
-            releasing: 0,
+            next_list_at: now,
+            list_cursor: None,
+            list_in_flight: false,
+            has_listed: false,
+            no_capacity_until: BTreeMap::new(),
+            releases_in_flight: 0,
             to_release: BTreeSet::new(),
-            next_decide: now,
-            next_advice: now,
-            average: 0.0,
-            average_at: None,
+            next_decision_at: now,
+            next_cost_benefit_at: now,
+            average_spot_demand: 0.0,
+            averaged_at: None,
         }
     }
 }
 
 impl LeaderState {
-    fn rented(&mut self, id: &str, answer: CloudResponse, now: Micros, pause: Micros) {
-        let Some(claim) = self.provisioning.claims.iter_mut().find(|c| c.id == id) else {
-            return;
-        };
-        match answer {
-            CloudResponse::Rented(names) => {
-                let names: Vec<MachineId> = names.iter().map(|n| n.as_str().into()).collect();
-                if (names.len() as u32) < claim.value.count {
-                    let key = (
-                        claim.value.machine_type.clone(),
-                        claim.value.zone.clone(),
-                        claim.value.spot,
-                    );
-                    self.provisioning.blocked.insert(key, now + timing::NO_CAPACITY);
-                }
-                tracing::debug!(
-                    claim = id,
-                    machine_type = claim.value.machine_type,
-                    zone = claim.value.zone,
-                    spot = claim.value.spot,
-                    asked = claim.value.count,
-                    got = names.len(),
-                    "rented"
-                );
-                for name in &names {
-                    if self.released.contains(name) {
-                        continue;
-                    }
-                    let m = self
-                        .machines
-                        .entry(name.clone())
-                        .or_insert_with(|| Machine::unknown(name.clone(), now));
-                    m.rented_at.get_or_insert(now);
-                    if m.machine_type.is_empty() {
-                        let v = &claim.value;
-                        m.describe(&v.machine_type, &v.zone, v.spot);
-                    }
-                }
-                claim.state = ClaimState::Answered(names);
-            }
-            CloudResponse::NoCapacity | CloudResponse::Malformed => {
-                // Nothing was rented under this name, and it is not asked
-                // again. An earlier try that went unanswered may still be
-                // executed; its machines are adopted when they show.
-                let key = (
-                    claim.value.machine_type.clone(),
-                    claim.value.zone.clone(),
-                    claim.value.spot,
-                );
-                self.provisioning.blocked.insert(key, now + timing::NO_CAPACITY);
-                claim.state = ClaimState::Over;
-            }
-            _ => {
-                claim.state = ClaimState::Recorded;
-                claim.tries += 1;
-                claim.again_at = now + pause;
-            }
-        }
-    }
-
-    /// Rents, lists and returns machines.
+    /// Releases and rents machines, reads the cloud's list of them, and decides anew when it is
+    /// time.
     pub fn run_provisioning(&mut self, context: &mut Context, cluster: &ClusterConfig, cloud: &mut CloudCallTracker) {
-        let now = context.now;
         if cluster.catalogue.is_empty() {
             return;
         }
-        // What is lost frees its tasks only when it is returned: that first.
+        // Lost machines first: their tasks are freed only when they are released.
+        self.request_releases(context, cluster, cloud);
+        self.request_rentals(context, cluster, cloud);
+        self.settle_seen_claims();
+        self.request_list(context, cluster, cloud);
+        if context.now >= self.provisioning.next_decision_at {
+            self.provisioning.next_decision_at = context.now + DECISION_INTERVAL;
+            self.decide_scaling(cluster, context.now);
+        }
+    }
+
+    /// Requests the release of machines that are given up.
+    fn request_releases(&mut self, context: &mut Context, cluster: &ClusterConfig, cloud: &mut CloudCallTracker) {
         let machines = &self.machines;
-        let waits = |m: &Machine| m.state == MachineState::Releasing && m.release_sent.is_none();
+        let is_unreleased = |m: &Machine| m.state == MachineState::Releasing && m.release_sent.is_none();
         self.provisioning
             .to_release
-            .retain(|name| machines.get(name).is_some_and(waits));
-        let doomed: Vec<MachineId> = self
+            .retain(|name| machines.get(name).is_some_and(is_unreleased));
+        let batch: Vec<MachineId> = self
             .provisioning
             .to_release
             .iter()
-            .take(RELEASED_AT_ONCE)
+            .take(MAX_RELEASED_AT_ONCE)
             .cloned()
             .collect();
-        if !doomed.is_empty() && self.provisioning.releasing < 2 {
-            let request = CloudRequest::Release(MachineNames {
-                machines: doomed.iter().map(|n| n.to_string()).collect(),
-            });
-            let wait = CloudContinuation::Release(self.incarnation, doomed.clone());
-            if cloud.call(context, cluster, wait, request, 0.0) {
-                self.provisioning.releasing += 1;
-                for name in doomed {
-                    if let Some(m) = self.machines.get_mut(&name) {
-                        m.release_sent = Some(now);
-                    }
+        if batch.is_empty() || self.provisioning.releases_in_flight >= MAX_RELEASES_IN_FLIGHT {
+            return;
+        }
+        let request = CloudRequest::Release(MachineNames {
+            machines: batch.iter().map(|name| name.to_string()).collect(),
+        });
+        let continuation = CloudContinuation::Release(self.incarnation, batch.clone());
+        if cloud.call(context, cluster, continuation, request, 0.0) {
+            self.provisioning.releases_in_flight += 1;
+            for name in batch {
+                if let Some(machine) = self.machines.get_mut(&name) {
+                    machine.release_sent = Some(context.now);
                 }
             }
         }
+    }
+
+    /// Sends the rental requests that are recorded.
+    fn request_rentals(&mut self, context: &mut Context, cluster: &ClusterConfig, cloud: &mut CloudCallTracker) {
+        let now = context.now;
         for claim in &mut self.provisioning.claims {
-            if matches!(claim.state, ClaimState::Recorded) && now >= claim.again_at {
-                let request = CloudRequest::Provision(ProvisionRequest {
-                    claim: claim.id.clone(),
-                    machine_type: claim.value.machine_type.clone(),
-                    zone: claim.value.zone.clone(),
-                    spot: claim.value.spot,
-                    count: claim.value.count,
-                });
-                let wait = CloudContinuation::ProvisionRequest(self.incarnation, claim.id.clone());
-                if !cloud.call(context, cluster, wait, request, 0.1) {
-                    break;
-                }
-                claim.state = ClaimState::Asked;
+            if !matches!(claim.state, ClaimState::Recorded) || now < claim.retry_at {
+                continue;
             }
+            let request = CloudRequest::Provision(ProvisionRequest {
+                claim: claim.id.clone(),
+                machine_type: claim.value.machine_type.clone(),
+                zone: claim.value.zone.clone(),
+                spot: claim.value.spot,
+                count: claim.value.count,
+            });
+            let continuation = CloudContinuation::ProvisionRequest(self.incarnation, claim.id.clone());
+            if !cloud.call(context, cluster, continuation, request, RENTAL_RATE_RESERVE) {
+                break;
+            }
+            claim.state = ClaimState::Requested;
         }
-        let (machines, gone) = (&self.machines, &self.released);
+    }
+
+    /// Settles the claims whose machines have all been seen, by a heartbeat or in the list.
+    fn settle_seen_claims(&mut self) {
+        let (machines, released) = (&self.machines, &self.released);
         for claim in &mut self.provisioning.claims {
             if let ClaimState::Answered(names) = &claim.state {
-                let seen = |n: &MachineId| {
-                    gone.contains(n) || machines.get(n).is_none_or(|m| m.incarnation > 0 || !m.addr.is_empty())
+                let is_seen = |name: &MachineId| {
+                    let machine = machines.get(name);
+                    released.contains(name) || machine.is_none_or(|m| m.incarnation > 0 || !m.addr.is_empty())
                 };
-                if names.iter().all(seen) {
-                    claim.state = ClaimState::Over;
+                if names.iter().all(is_seen) {
+                    claim.state = ClaimState::Settled;
                 }
             }
         }
-        if !self.provisioning.list_flying && (self.provisioning.listing.is_some() || now >= self.provisioning.next_list)
-        {
-            let request = CloudRequest::List {
-                after: self.provisioning.listing.clone().unwrap_or_default(),
-            };
-            if cloud.call(
-                context,
-                cluster,
-                CloudContinuation::List(self.incarnation),
-                request,
-                0.3,
-            ) {
-                self.provisioning.list_flying = true;
+    }
+
+    /// Requests the next page of the list of machines, if one is due.
+    fn request_list(&mut self, context: &mut Context, cluster: &ClusterConfig, cloud: &mut CloudCallTracker) {
+        let provisioning = &mut self.provisioning;
+        let is_due = provisioning.list_cursor.is_some() || context.now >= provisioning.next_list_at;
+        if provisioning.list_in_flight || !is_due {
+            return;
+        }
+        let request = CloudRequest::List {
+            after: provisioning.list_cursor.clone().unwrap_or_default(),
+        };
+        let continuation = CloudContinuation::List(self.incarnation);
+        if cloud.call(context, cluster, continuation, request, LIST_RATE_RESERVE) {
+            provisioning.list_in_flight = true;
+        }
+    }
+
+    /// Handles the answer to a rental request, which is sent again after `pause` if need be.
+    fn on_rental_answer(&mut self, id: &str, answer: CloudResponse, now: Micros, pause: Micros) {
+        let Some(index) = self.provisioning.claims.iter().position(|c| c.id == id) else {
+            return;
+        };
+        match answer {
+            CloudResponse::Rented(names) => {
+                let names: Vec<MachineId> = names.iter().map(|n| n.as_str().into()).collect();
+                let value = self.provisioning.claims[index].value.clone();
+                if (names.len() as u32) < value.count {
+                    self.provisioning.note_no_capacity(&value, now);
+                }
+                tracing::debug!(
+                    claim = id,
+                    machine_type = value.machine_type,
+                    zone = value.zone,
+                    spot = value.spot,
+                    requested = value.count,
+                    rented = names.len(),
+                    "machines rented"
+                );
+                self.add_rented_machines(&names, &value, now);
+                self.provisioning.claims[index].state = ClaimState::Answered(names);
+            }
+            CloudResponse::NoCapacity | CloudResponse::Malformed => {
+                // Nothing was rented under this name, and it is not requested again. An earlier try
+                // without an answer may still be executed; its machines are adopted when they show.
+                let value = self.provisioning.claims[index].value.clone();
+                self.provisioning.note_no_capacity(&value, now);
+                self.provisioning.claims[index].state = ClaimState::Settled;
+            }
+            _ => {
+                let claim = &mut self.provisioning.claims[index];
+                claim.state = ClaimState::Recorded;
+                claim.retry_at = now + pause;
             }
         }
-        if now >= self.provisioning.next_decide {
-            self.provisioning.next_decide = now + Micros::from_millis(250);
-            self.decide(cluster, now);
+    }
+
+    fn add_rented_machines(&mut self, names: &[MachineId], value: &ClaimValue, now: Micros) {
+        for name in names {
+            if self.released.contains(name) {
+                continue;
+            }
+            let machine = self
+                .machines
+                .entry(name.clone())
+                .or_insert_with(|| Machine::unknown(name.clone(), now));
+            machine.rented_at.get_or_insert(now);
+            if machine.machine_type.is_empty() {
+                machine.describe(&value.machine_type, &value.zone, value.spot);
+            }
         }
     }
 }
+
+impl Provisioning {
+    /// There is not enough capacity for a claim: the same is not requested for a while.
+    fn note_no_capacity(&mut self, value: &ClaimValue, now: Micros) {
+        let key = (value.machine_type.clone(), value.zone.clone(), value.spot);
+        self.no_capacity_until.insert(key, now + timing::NO_CAPACITY);
+    }
+}
--- /dev/null
+++ b/src/coordination/provisioning/scale_in.rs
@@ -0,0 +1,64 @@
+//! Scale-in: returns machines that have been idle for a while and are not wanted, and idle ones
+//! that are faulty.
+//!
+//! Marks machines for release only. A machine with a task, or with an attempt that no record
+//! explains, is never returned.
+
+use super::super::state::{LeaderState, Machine, MachineState};
+use super::super::{timing, ClusterConfig};
+use super::demand::CoresByRental;
+use crate::time::Micros;
+
+impl LeaderState {
+    /// Returns idle machines, as long as the others supply what is wanted.
+    pub(super) fn return_idle(
+        &mut self,
+        cluster: &ClusterConfig,
+        now: Micros,
+        wanted: CoresByRental,
+        mut supply: CoresByRental,
+    ) {
+        let min_idle = Micros::from_secs(cluster.settings.operator.idle_s);
+        for machine in self.machines.values_mut() {
+            let Some(machine_type) = cluster.catalogue.get(&machine.machine_type) else {
+                continue;
+            };
+            if machine.state != MachineState::Up || !machine.tasks.is_empty() || !machine.orphaned_attempts.is_empty() {
+                machine.idle_since = None;
+                continue;
+            }
+            if machine.interruption_at.is_some() {
+                continue;
+            }
+            let idle = now.since(*machine.idle_since.get_or_insert(now));
+            if is_faulty(machine, idle, now) {
+                machine.state = MachineState::Releasing;
+                self.provisioning.to_release.insert(machine.name.clone());
+                continue;
+            }
+            if idle < min_idle {
+                continue;
+            }
+            let of_rental = *supply.of_mut(machine.spot) - machine_type.cpus;
+            let total = supply.total() - machine_type.cpus;
+            let is_spare = total >= wanted.total() && (machine.spot || of_rental >= wanted.on_demand);
+            if is_spare {
+                tracing::debug!(machine = %machine.name, "idle machine returned");
+                *supply.of_mut(machine.spot) = of_rental;
+                machine.state = MachineState::Releasing;
+                self.provisioning.to_release.insert(machine.name.clone());
+            }
+        }
+    }
+}
+
+/// Whether an idle machine is better replaced. A machine where tasks failed gets time first: it may
+/// turn out that their job is the cause.
+fn is_faulty(machine: &Machine, idle: Micros, now: Micros) -> bool {
+    let quarantined = machine
+        .quarantined_since
+        .is_some_and(|at| now.since(at) > timing::FAULTY);
+    (quarantined && now < machine.quarantined_until)
+        || now < machine.slow_until
+        || (machine.is_asymmetrically_partitioned() && idle > timing::FAULTY)
+}
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -1,171 +1,199 @@
-//! Rents machines where they are to be had, and returns idle ones.
+//! Scale-out: of which type and in which zone machines are rented for so many cores.
+//!
+//! Decides on one claim at a time and adds it to the list; the log records it, and
+//! [`LeaderState::run_provisioning`] requests it.
 
 use super::super::scheduling::allowed;
 use super::super::state::{LeaderState, MachineState};
-use super::super::{timing, ClusterConfig};
-use super::demand::Supply;
-use super::{Claim, ClaimState};
+use super::super::ClusterConfig;
+use super::claims::{Claim, ClaimState};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
 use crate::storage::records::ClaimValue;
 use crate::time::Micros;
 
-/// Machines asked for at once, even if that is all of a need.
-const BATCH: f64 = 6.0;
+/// Machines in one claim at the least, if so many are needed: below it, a need is not spread over
+/// zones.
+const MIN_BATCH: f64 = 6.0;
 /// The most machines that the cloud takes in one request.
-const MOST: f64 = 50.0;
-/// Requests on their way at a time.
-const CLAIMS: usize = 16;
+const MAX_BATCH: f64 = 50.0;
+/// Claims that are not answered yet at a time.
+const MAX_OPEN_CLAIMS: usize = 16;
+/// An offer that costs less than this part of another is cheaper.
+const CHEAPER: f64 = 0.97;
+/// An offer that costs less than this many times another is taken to cost no more.
+const SIMILAR: f64 = 1.03;
+
+/// Cores to be rented.
+pub(super) struct Rental<'a> {
+    pub(super) spot: bool,
+    pub(super) cores: f64,
+    /// The job that the machines have to suit; `None`: any that needs machines.
+    pub(super) job: Option<&'a JobSpec>,
+    /// The zones that may be used; `None`: any.
+    pub(super) zones: Option<&'a [String]>,
+}
+
+impl Rental<'_> {
+    fn allows_zone(&self, zone: &String) -> bool {
+        self.zones.is_none_or(|zones| zones.contains(zone))
+    }
+
+    /// How many machines of a type the cores take, at least one.
+    fn machines(&self, machine_type: &MachineType) -> f64 {
+        (self.cores / machine_type.cpus.max(1.0)).ceil().max(1.0)
+    }
+
+    /// What the rental costs with this type, for each core that is used.
+    fn cost_per_core(&self, machine_type: &MachineType) -> f64 {
+        let price = if self.spot {
+            machine_type.spot_price
+        } else {
+            machine_type.price
+        };
+        price * self.machines(machine_type) / self.cores.max(1.0)
+    }
+}
+
+/// A machine type in a zone.
+struct ZoneOffer<'a> {
+    cost_per_core: f64,
+    /// Machines of this sort of rental that are in the zone already.
+    machines_in_zone: usize,
+    zone: &'a String,
+    machine_type: &'a MachineType,
+}
+
+impl ZoneOffer<'_> {
+    /// Cheaper; or similar, and smaller or in a zone with fewer machines.
+    fn is_better_than(&self, other: &ZoneOffer) -> bool {
+        let (cost, cpus) = (self.cost_per_core, self.machine_type.cpus);
+        let is_similar = cost < other.cost_per_core * SIMILAR;
+        cost < other.cost_per_core * CHEAPER
+            || (is_similar && cpus < other.machine_type.cpus)
+            || (is_similar && cpus <= other.machine_type.cpus && self.machines_in_zone < other.machines_in_zone)
+    }
+}
 
 impl LeaderState {
-    /// Requests machines of one kind for so many cores; false if none can be
-    /// asked for now.
+    /// Claims machines for so many cores; false if there is no offer for them now.
     pub(super) fn rent(&mut self, cluster: &ClusterConfig, now: Micros, spot: bool, cores: f64) -> bool {
-        self.rent_where(cluster, now, spot, cores, None, &|_| true)
+        let rental = Rental {
+            spot,
+            cores,
+            job: None,
+            zones: None,
+        };
+        self.rent_where(cluster, now, &rental)
     }
 
-    /// The same in some zones only and, if given, for one job.
-    pub(super) fn rent_where(
-        &mut self,
-        cluster: &ClusterConfig,
-        now: Micros,
-        spot: bool,
-        cores: f64,
-        only: Option<&JobSpec>,
-        zone_open: &dyn Fn(&String) -> bool,
-    ) -> bool {
-        if self.provisioning.coming().count() >= CLAIMS {
+    /// Claims machines for a rental; false if there is no offer for it now. With too many claims
+    /// open it waits for them, and counts as claimed.
+    pub(super) fn rent_where(&mut self, cluster: &ClusterConfig, now: Micros, rental: &Rental) -> bool {
+        if self.provisioning.coming().count() >= MAX_OPEN_CLAIMS {
             return true;
         }
-        let specs: Vec<&JobSpec> = match only {
-            Some(spec) => vec![spec],
-            None => self
-                .jobs
-                .values()
-                .filter(|j| {
-                    j.cancelled.is_none() && !j.blocked && (j.spec.spot == spot || (!spot && !j.waiting.is_empty()))
-                })
-                .map(|j| &j.spec)
-                .collect(),
+        let Some(offer) = self.best_offer(cluster, now, rental) else {
+            return false;
         };
-        let mut best: Option<(f64, usize, String, &MachineType)> = None;
-        for t in cluster.catalogue.values() {
-            let price = if spot { t.spot_price } else { t.price };
-            for zone in t
-                .zones
-                .iter()
-                .filter(|z| zone_open(z) && !self.failures.zones.is_cut(z))
-            {
-                let key = (t.name.clone(), zone.clone(), spot);
-                if self.provisioning.blocked.get(&key).is_some_and(|until| now < *until) {
+        let value = claim_value(rental, &offer);
+        self.add_claim(value, rental.cores, now);
+        true
+    }
+
+    fn best_offer<'a>(&self, cluster: &'a ClusterConfig, now: Micros, rental: &Rental) -> Option<ZoneOffer<'a>> {
+        let specs = self.specs_to_suit(rental);
+        let mut best: Option<ZoneOffer> = None;
+        for machine_type in cluster.catalogue.values() {
+            for zone in &machine_type.zones {
+                if !rental.allows_zone(zone) || !self.is_available(machine_type, zone, rental.spot, now) {
                     continue;
                 }
-                if !specs.is_empty()
-                    && !specs.iter().any(|s| {
-                        allowed(s, &t.name, zone, spot) && s.cpus <= t.cpus && s.memory <= t.memory && s.gpus <= t.gpus
-                    })
-                {
+                let suits = |spec: &&JobSpec| suits(spec, machine_type, zone, rental.spot);
+                if !specs.is_empty() && !specs.iter().any(suits) {
                     continue;
                 }
-                let count = (cores / t.cpus.max(1.0)).ceil().max(1.0);
-                // What the request costs for the cores that are used.
-                let cost = price * count / cores.max(1.0);
-                let here = self
-                    .machines
-                    .values()
-                    .filter(|m| m.zone == *zone && m.spot == spot && m.state != MachineState::Releasing)
-                    .count();
-                let better = match &best {
-                    None => true,
-                    Some((c, n, _, b)) => {
-                        let alike = cost < c * 1.03;
-                        cost < c * 0.97 || (alike && t.cpus < b.cpus) || (alike && t.cpus <= b.cpus && here < *n)
-                    }
+                let offer = ZoneOffer {
+                    cost_per_core: rental.cost_per_core(machine_type),
+                    machines_in_zone: self.machines_in_zone(zone, rental.spot),
+                    zone,
+                    machine_type,
                 };
-                if better {
-                    best = Some((cost, here, zone.clone(), t));
+                if best.as_ref().is_none_or(|best| offer.is_better_than(best)) {
+                    best = Some(offer);
                 }
             }
         }
-        let Some((_, _, zone, t)) = best else { return false };
-        // A large need is spread over the zones, one request after the other.
-        let all = (cores / t.cpus.max(1.0)).ceil();
-        let share = (all / t.zones.len().max(1) as f64).ceil().max(BATCH);
-        let count = all.min(share).clamp(1.0, MOST) as u32;
+        best
+    }
+
+    /// The jobs of which a machine has to suit one.
+    fn specs_to_suit<'a>(&'a self, rental: &Rental<'a>) -> Vec<&'a JobSpec> {
+        if let Some(spec) = rental.job {
+            return vec![spec];
+        }
+        let spot = rental.spot;
+        let uses = |spec: &JobSpec, is_waiting: bool| spec.spot == spot || (!spot && is_waiting);
+        self.jobs
+            .values()
+            .filter(|j| j.cancelled.is_none() && !j.blocked && uses(&j.spec, !j.waiting.is_empty()))
+            .map(|j| &j.spec)
+            .collect()
+    }
+
+    /// Whether machines of this type can be asked for in a zone now.
+    fn is_available(&self, machine_type: &MachineType, zone: &str, spot: bool, now: Micros) -> bool {
+        let key = (machine_type.name.clone(), zone.to_string(), spot);
+        let no_capacity_until = self.provisioning.no_capacity_until.get(&key);
+        !self.failures.zones.is_cut(zone) && no_capacity_until.is_none_or(|until| now >= *until)
+    }
+
+    fn machines_in_zone(&self, zone: &str, spot: bool) -> usize {
+        self.machines
+            .values()
+            .filter(|m| m.zone == zone && m.spot == spot && m.state != MachineState::Releasing)
+            .count()
+    }
+
+    fn add_claim(&mut self, value: ClaimValue, cores: f64, now: Micros) {
         self.provisioning.next_claim += 1;
         let id = format!("r-{}-{}", self.term, self.provisioning.next_claim);
         tracing::debug!(
             claim = id,
-            machine_type = t.name,
-            zone,
-            spot,
-            count,
+            machine_type = value.machine_type,
+            zone = value.zone,
+            spot = value.spot,
+            count = value.count,
             cores,
-            "to be rented"
+            "machines claimed"
         );
-        let value = ClaimValue {
-            machine_type: t.name.clone(),
-            zone,
-            spot,
-            count,
-        };
         self.provisioning.claims.push(Claim {
             id,
             value,
-            state: ClaimState::Wanted,
-            base: 0,
-            again_at: now,
-            tries: 0,
+            state: ClaimState::Unrecorded,
+            page: None,
+            retry_at: now,
         });
-        true
     }
+}
 
-    /// Returns machines that have been idle for a while and are not wanted.
-    pub(super) fn return_idle(
-        &mut self,
-        cluster: &ClusterConfig,
-        now: Micros,
-        want_ordinary: f64,
-        want_flexible: f64,
-        mut supply: [Supply; 2],
-    ) {
-        let idle = Micros::from_secs(cluster.settings.operator.idle_s);
-        for m in self.machines.values_mut() {
-            let Some(t) = cluster.catalogue.get(&m.machine_type) else {
-                continue;
-            };
-            if m.state != MachineState::Up || !m.tasks.is_empty() || !m.orphaned_attempts.is_empty() {
-                m.idle_since = None;
-                continue;
-            }
-            if m.interruption_at.is_some() {
-                continue;
-            }
-            let since = *m.idle_since.get_or_insert(now);
-            // Time to learn whether a job is to blame instead.
-            let faulty =
-                m.quarantined_since.is_some_and(|at| now.since(at) > timing::FAULTY) && now < m.quarantined_until;
-            let doubted = faulty
-                || now < m.slow_until
-                || (m.is_asymmetrically_partitioned() && now.since(since) > timing::FAULTY);
-            if doubted {
-                m.state = MachineState::Releasing;
-                self.provisioning.to_release.insert(m.name.clone());
-                continue;
-            }
-            if now.since(since) < idle {
-                continue;
-            }
-            let kind = usize::from(m.spot);
-            let rest = supply[kind].cores - t.cpus;
-            let total = supply[0].cores + supply[1].cores - t.cpus;
-            let enough = total >= want_ordinary + want_flexible && (m.spot || rest >= want_ordinary);
-            if enough {
-                tracing::debug!(machine = %m.name, "idle machine returned");
-                supply[kind].cores = rest;
-                m.state = MachineState::Releasing;
-                self.provisioning.to_release.insert(m.name.clone());
-            }
-        }
+/// Whether a task of the job may run and fits on a machine of this type.
+fn suits(spec: &JobSpec, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
+    allowed(spec, &machine_type.name, zone, spot)
+        && spec.cpus <= machine_type.cpus
+        && spec.memory <= machine_type.memory
+        && spec.gpus <= machine_type.gpus
+}
+
+/// The claim for an offer. A large need is spread over the zones, one claim after the other.
+fn claim_value(rental: &Rental, offer: &ZoneOffer) -> ClaimValue {
+    let machine_type = offer.machine_type;
+    let all = (rental.cores / machine_type.cpus.max(1.0)).ceil();
+    let per_zone = (all / machine_type.zones.len().max(1) as f64).ceil().max(MIN_BATCH);
+    ClaimValue {
+        machine_type: machine_type.name.clone(),
+        zone: offer.zone.clone(),
+        spot: rental.spot,
+        count: all.min(per_zone).clamp(1.0, MAX_BATCH) as u32,
     }
 }
--- /dev/null
+++ b/src/coordination/provisioning/scaling.rs
@@ -0,0 +1,108 @@
+//! The regular decision about scale-out and scale-in: what work asks for against what machines
+//! supply.
+
+use super::super::state::LeaderState;
+use super::super::ClusterConfig;
+use super::demand::CoresByRental;
+use super::Provisioning;
+use crate::time::Micros;
+
+/// Half life of the average demand of work that may use spot machines, in seconds.
+const AVERAGE_HALF_LIFE_S: f64 = 20.0;
+/// Missing cores from which on spot machines are rented.
+const MIN_MISSING_SPOT: f64 = 1.0;
+/// Cores from which on a rental of on-demand machines is worth its request.
+const MIN_ON_DEMAND: f64 = 0.5;
+/// The pause before cost and benefit are considered again, after a rental and otherwise.
+const PAUSE_AFTER_RENTAL: Micros = Micros::from_millis(250);
+const PAUSE: Micros = Micros::from_millis(1000);
+
+impl Provisioning {
+    /// Lets the average demand of work that may use spot machines follow the present one.
+    fn update_average(&mut self, spot_demand: f64, now: Micros) {
+        let span_s = self.averaged_at.map_or(0.0, |at| now.since(at).secs());
+        self.averaged_at = Some(now);
+        let decay = 0.5f64.powf(span_s / AVERAGE_HALF_LIFE_S);
+        self.average_spot_demand = self.average_spot_demand * decay + spot_demand * (1.0 - decay);
+    }
+}
+
+impl LeaderState {
+    /// Decides what to rent and what to return.
+    pub(super) fn decide_scaling(&mut self, cluster: &ClusterConfig, now: Micros) {
+        let demand = self.demand(cluster, now);
+        self.provisioning.update_average(demand.spot, now);
+        // A new leader knows from the log only the names of machines with tasks. Before the list
+        // or heartbeats describe the machines, it would rent all that is there a second time.
+        let patience = Micros::from_secs(cluster.settings.params.workers.report_s * 1.5 + 2.0);
+        let heard_agents = now.since(self.began) > patience;
+        if !self.provisioning.has_listed && !heard_agents {
+            return;
+        }
+        let wanted = self.wanted_cores(cluster, demand, now);
+        let supply = self.supplied_cores(cluster, heard_agents, now);
+        self.scale_out(cluster, now, wanted, supply);
+        let is_enough_in_all = supply.total() >= demand.total();
+        self.rent_for_stuck_jobs(cluster, now, is_enough_in_all);
+        self.return_idle(cluster, now, wanted, supply);
+    }
+
+    /// Cores that there should be: the demand with its reserve and headroom, less what runs on in
+    /// zones that are cut off, which is not replaced yet.
+    fn wanted_cores(&self, cluster: &ClusterConfig, demand: CoresByRental, now: Micros) -> CoresByRental {
+        let headroom = 1.0 + cluster.settings.operator.headroom;
+        let on_demand = if demand.on_demand > 0.0 {
+            demand.on_demand + self.service_reserve()
+        } else {
+            0.0
+        };
+        let staying = self.cores_staying_in_cut_zones(cluster, now);
+        let spot = demand.spot.max(self.provisioning.average_spot_demand * headroom);
+        CoresByRental {
+            on_demand: (on_demand - staying.on_demand).max(0.0),
+            spot: (spot - staying.spot).max(0.0),
+        }
+    }
+
+    /// Rents what is missing: spot machines for work that may use them or, if there are none, as
+    /// many on-demand machines as are worth it.
+    fn scale_out(&mut self, cluster: &ClusterConfig, now: Micros, wanted: CoresByRental, supply: CoresByRental) {
+        let missing_on_demand = wanted.on_demand - supply.on_demand;
+        if missing_on_demand > 0.0 {
+            self.rent(cluster, now, false, missing_on_demand);
+        }
+        let spare_on_demand = (supply.on_demand - wanted.on_demand).max(0.0);
+        let missing_spot = wanted.spot - spare_on_demand - supply.spot;
+        if missing_spot <= MIN_MISSING_SPOT {
+            return;
+        }
+        let is_waiting = self
+            .jobs
+            .values()
+            .any(|j| j.may_run() && j.spec.spot && !j.waiting.is_empty());
+        let has_rented = self.rent(cluster, now, true, missing_spot);
+        if !has_rented && is_waiting && now >= self.provisioning.next_cost_benefit_at {
+            self.rent_on_demand_if_worth_it(cluster, now, missing_on_demand.max(0.0), spare_on_demand + supply.spot);
+        }
+    }
+
+    /// Rents on-demand machines for work that may use spot machines. `reserved_cores` of those free
+    /// or on their way are for other work, `available_cores` are there for this work.
+    fn rent_on_demand_if_worth_it(
+        &mut self,
+        cluster: &ClusterConfig,
+        now: Micros,
+        reserved_cores: f64,
+        available_cores: f64,
+    ) {
+        let advice = self.on_demand_cost_benefit(cluster, reserved_cores, now);
+        let shortfall = self.backlog_shortfall(cluster, available_cores, now);
+        let cores = advice.cores.max(shortfall);
+        let has_rented = cores > MIN_ON_DEMAND && self.rent(cluster, now, false, cores);
+        if has_rented {
+            self.record_commitments(advice.commitments);
+        }
+        let pause = if has_rented { PAUSE_AFTER_RENTAL } else { PAUSE };
+        self.provisioning.next_cost_benefit_at = now + pause;
+    }
+}
