--- a/src/coordination/agents/heartbeat_status.rs
+++ b/src/coordination/agents/heartbeat_status.rs
@@ -117,7 +117,7 @@
                 let kind = (heartbeat.machine_type.clone(), heartbeat.zone.clone(), heartbeat.spot);
                 self.provisioning
                     .boot_times
-                    .came_up(kind, at.since(rented), t.boot_s, now);
+                    .record_boot(kind, at.since(rented), t.boot_s, now);
             }
             self.needs_scheduling = true;
             let boot_s = now.since(machine.known_since).secs();
