--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
 //! glenhaven: a cluster scheduler daemon built on Balanced Splitting.
 //!
-//! Layers, lowest first; a lower one never imports an upper one:
-//! [`protocol`] (messages), [`transport`] (HTTP, peer links, pacing),
-//! [`bookkeeping`] (store keys and records), [`coordination`] (the single owner
-//! of all state), and [`daemon`], which joins them into a process.
+//! Layers, lowest first; a lower one does not decide anything for an upper one:
+//! [`protocol`] (the messages of every interface), [`transport`] (HTTP, links between controllers,
+//! rate limits), [`storage`] (keys and records in the state service), [`coordination`] (the single
+//! owner of a controller's state), and [`runtime`], which joins them into a process. [`settings`]
+//! are read by all of them.
 #![forbid(unsafe_code)]
 
 pub mod coordination;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,7 @@
-//! The glenhaven daemon.
+//! The glenhaven daemon: reads the arguments and the settings and starts the runtime.
+//!
+//! Exit codes: 0 after `--check` of valid settings, 1 if the process can't run, 2 if the settings are
+//! not valid.
 #![forbid(unsafe_code)]
 
 use clap::Parser;
@@ -19,8 +22,8 @@
     check: bool,
 }
 
-fn main() -> ExitCode {
-    let args = Args::parse();
+/// Starts the log on standard error, at the level that LOG_LEVEL names.
+fn start_log() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => tracing::Level::ERROR,
         Ok("warn") => tracing::Level::WARN,
@@ -33,6 +36,11 @@
         .with_ansi(false)
         .with_writer(std::io::stderr)
         .init();
+}
+
+fn main() -> ExitCode {
+    let args = Args::parse();
+    start_log();
     let settings = match glenhaven::settings::Settings::load(&args.config) {
         Ok(settings) => settings,
         Err(error) => {
