--- a/crates/connectivity/src/handover.rs
+++ b/crates/connectivity/src/handover.rs
@@ -2,212 +2,250 @@
 
 use super::{Host, LinkState, LinkTable};
 use glenhaven_time::Micros;
+use std::cmp::Reverse;
 use std::collections::VecDeque;
 
-/// What a controller reaches, directly and by way of others.
+/// The reason for a handover has to hold for this long.
+const HOLD: Micros = Micros::from_millis(3000);
+/// A new leader first reads the write-ahead log and receives its agents' heartbeats.
+const SETTLE: Micros = Micros::from_millis(6000);
+/// Handovers in a minute by one controller, at most.
+const MAX_HANDOVERS: usize = 2;
+const MINUTE: Micros = Micros::from_millis(60_000);
+/// The pause after handing over to nobody in particular doubles this often, at most.
+const MAX_DOUBLINGS: u32 = 4;
+
+/// What a controller reaches, directly and through others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reach {
-    /// Whether it has a way to the state service without help.
+    /// Whether its own link to the state service may work.
     pub state: bool,
-    /// Controllers that it hears and that hear it, itself among them.
-    pub nodes: u32,
-    /// Workers that report to one of these.
-    pub workers: u32,
+    /// Controllers that it reaches in both directions, itself among them.
+    pub controllers: u32,
+    /// Agents that send their heartbeats to one of these.
+    pub agents: u32,
 }
 
 impl Reach {
-    /// Whether this is far more than the other: what differs by less is no reason to
-    /// change anything. Workers count first, then controllers.
+    /// Whether this is far more than the other; a smaller difference is no reason to change
+    /// anything. Agents count first, then controllers.
     pub fn is_far_more(&self, than: &Reach) -> bool {
         if self.state != than.state {
-            return self.state && self.workers >= than.workers / 2 && self.nodes >= than.nodes.div_ceil(2);
+            let half_the_agents = than.agents / 2;
+            let half_the_controllers = than.controllers.div_ceil(2);
+            return self.state && self.agents >= half_the_agents && self.controllers >= half_the_controllers;
         }
-        let more = |a: u32, b: u32| a > b.saturating_mul(2);
-        match (more(self.workers, than.workers), more(than.workers, self.workers)) {
-            (true, _) => true,
-            (_, true) => false,
-            _ => self.nodes >= than.nodes.saturating_mul(2),
+        let more_than_twice = |a: u32, b: u32| a > b.saturating_mul(2);
+        if more_than_twice(self.agents, than.agents) {
+            true
+        } else if more_than_twice(than.agents, self.agents) {
+            false
+        } else {
+            self.controllers >= than.controllers.saturating_mul(2)
         }
     }
 }
 
 impl LinkTable {
-    /// Workers that report to a controller, by what it told.
-    fn serves(&self, node: &str, now: Micros) -> u32 {
-        let workers = |host: &Host| matches!(host, Host::Workers(_));
-        if node == self.me {
-            let own = self.own.iter().filter(|(host, _)| workers(host));
-            return own.map(|(_, sight)| sight.count).sum();
+    /// Agents that send their heartbeats to a controller, by its report.
+    fn agents_of(&self, node: &str, now: Micros) -> u32 {
+        let is_agents = |host: &Host| matches!(host, Host::Agents(_));
+        if node == self.node {
+            let own = self.own.iter().filter(|(host, _)| is_agents(host));
+            return own.map(|(_, link)| link.agent_count).sum();
         }
-        let Some(row) = self.row(node, now) else { return 0 };
-        let told = row.cells.iter().filter(|(host, _)| workers(host));
-        told.map(|(_, cell)| cell.2).sum()
+        let Some(report) = self.current_report(node, now) else {
+            return 0;
+        };
+        let reported = report.links.iter().filter(|(host, _)| is_agents(host));
+        reported.map(|(_, link)| link.agent_count).sum()
     }
 
     /// What a controller reaches, as far as this one knows.
     pub fn reach(&self, node: &str, now: Micros) -> Reach {
         let mut reach = Reach {
-            state: self.link(node, &Host::State, now) > LinkState::Down,
-            nodes: 1,
-            workers: self.serves(node, now),
+            state: self.link_state(node, &Host::State, now) > LinkState::Down,
+            controllers: 1,
+            agents: self.agents_of(node, now),
         };
-        let others = self.rows.keys().filter(|name| *name != node).cloned();
-        let me = (node != self.me).then(|| self.me.clone());
-        for other in others.chain(me) {
-            if self.link(node, &Host::Node(other.clone()), now).serves() {
-                reach.nodes += 1;
-                reach.workers = reach.workers.saturating_add(self.serves(&other, now));
+        let others = self.reports.keys().filter(|name| *name != node).cloned();
+        let this = (node != self.node).then(|| self.node.clone());
+        for other in others.chain(this) {
+            if self.link_state(node, &Host::Node(other.clone()), now).serves() {
+                reach.controllers += 1;
+                reach.agents = reach.agents.saturating_add(self.agents_of(&other, now));
             }
         }
         reach
     }
 
-    /// How many controllers are neither heard nor known to refuse connections.
+    /// How many controllers are neither heard from nor known to refuse connections.
     fn silent_nodes(&self, now: Micros) -> u32 {
-        let silent = |host: &Host| {
-            matches!(host, Host::Node(_)) && self.own(host, now) == LinkState::Down && !self.own[host].refuses
+        let is_silent = |host: &Host| {
+            let is_down = matches!(host, Host::Node(_)) && self.own_link(host, now) == LinkState::Down;
+            is_down && !self.own[host].refuses_connections
         };
-        self.own.keys().filter(|host| silent(host)).count() as u32
+        self.own.keys().filter(|host| is_silent(host)).count() as u32
     }
 
-    /// How many controllers heard here would make a better leader than this one. All
-    /// that see the same count the same.
+    /// How many controllers with current reports would make a better leader than this one.
+    /// Controllers that see the same links agree on it.
     pub fn rank(&self, now: Micros) -> u32 {
-        let own = self.reach(&self.me, now);
-        let better = |name: &&String| {
+        let own = self.reach(&self.node, now);
+        let is_better = |name: &&String| {
             let reach = self.reach(name, now);
-            reach.is_far_more(&own) || (!own.is_far_more(&reach) && **name < self.me)
+            reach.is_far_more(&own) || (!own.is_far_more(&reach) && **name < self.node)
         };
-        let heard = self.rows.keys().filter(|name| self.row(name, now).is_some());
-        heard.filter(better).count() as u32
+        self.reporting_nodes(now).filter(is_better).count() as u32
+    }
+
+    /// The controller that reaches the most of those that reach far more than `own`.
+    fn better_leader(&self, own: &Reach, now: Micros) -> Option<&String> {
+        self.reporting_nodes(now)
+            .map(|name| (self.reach(name, now), name))
+            .filter(|(reach, _)| reach.state && reach.is_far_more(own))
+            .max_by_key(|(reach, name)| (reach.agents, reach.controllers, Reverse(*name)))
+            .map(|(_, name)| name)
     }
 }
 
-/// Why a leader gives up the lead.
+/// Why a leader gives up the leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    /// A controller that it hears reaches far more.
+pub enum HandoverReason {
+    /// A controller that it reaches reaches far more.
     ReachesLess,
-    /// It hears no controller and hardly any worker, and has the state service only.
-    Alone,
+    /// It reaches the state service, but no controller and hardly any agent.
+    Isolated,
 }
 
-impl Why {
-    /// For the log.
-    pub fn text(self) -> &'static str {
+impl HandoverReason {
+    /// The reason as it is logged.
+    pub fn as_str(self) -> &'static str {
         match self {
-            Why::ReachesLess => "another controller reaches far more",
-            Why::Alone => "no controller and hardly any worker is heard here",
+            HandoverReason::ReachesLess => "another controller reaches far more",
+            HandoverReason::Isolated => "no controller and hardly any agent is reached from here",
         }
     }
 }
 
-/// A leader's decision to give up the lead.
+/// A leader's decision to give up the leadership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Handover {
-    /// To whom; to nobody in particular if nobody is heard.
+    /// The controller that should lead; `None`: any but this one.
     pub to: Option<String>,
-    pub why: Why,
+    /// The reason.
+    pub reason: HandoverReason,
+}
+
+/// A handover that is considered.
+#[derive(Clone, Debug)]
+struct Candidate {
+    to: Option<String>,
+    since: Micros,
 }
 
-/// Decides when the lead is given up: after a while in which the same holds, and not
+/// Decides when a leader gives up the leadership: after its reason has held for a while, and not
 /// often.
 #[derive(Clone, Debug, Default)]
-pub struct Lead {
-    since: Option<(Option<String>, Micros)>,
-    given: VecDeque<Micros>,
-    /// Not to be given up to nobody in particular before this, and how often it was
-    /// since this controller last exchanged messages with another.
-    alone: (Micros, u32),
+pub struct HandoverPolicy {
+    candidate: Option<Candidate>,
+    /// When the leadership was given up, in the last minute.
+    handovers: VecDeque<Micros>,
+    /// Before this, the leadership is not given up to nobody in particular.
+    isolated_not_before: Micros,
+    /// How often it was since this controller last reached another.
+    isolated_handovers: u32,
 }
 
-/// So long has the reason to hold.
-const HOLD: Micros = Micros::from_millis(3000);
-/// A new leader reads the book and hears its workers first.
-const SETTLE: Micros = Micros::from_millis(6000);
-/// So many handovers in a minute at the most, by one controller.
-const MOST: usize = 2;
-const MINUTE: Micros = Micros::from_millis(60_000);
-
-impl Lead {
+impl HandoverPolicy {
     /// This controller has begun to lead.
-    pub fn begun(&mut self) {
-        self.since = None;
+    pub fn on_lead_began(&mut self) {
+        self.candidate = None;
     }
 
-    /// Looks whether the lead that began then is to be given up now. `others` are the
-    /// other controllers there are in all, `machines` those that work.
-    pub fn look(
+    /// Decides whether the leadership that began at `began` is to be given up now. `others`: the
+    /// number of other controllers; `machines`: that of machines that work, asked only if needed.
+    pub fn decide(
         &mut self,
-        link_table: &LinkTable,
+        links: &LinkTable,
         others: u32,
         machines: impl FnOnce() -> u32,
         began: Micros,
         now: Micros,
     ) -> Option<Handover> {
-        let own = link_table.reach(&link_table.me, now);
-        while self.given.front().is_some_and(|at| now.since(*at) > MINUTE) {
-            self.given.pop_front();
+        while self.handovers.front().is_some_and(|at| now.since(*at) > MINUTE) {
+            self.handovers.pop_front();
+        }
+        let Some(handover) = self.wanted_handover(links, others, machines, now) else {
+            self.candidate = None;
+            return None;
+        };
+        let since = self.held_since(&handover, now);
+        let has_held = now.since(since) >= HOLD && now.since(began) >= SETTLE;
+        if !has_held || self.handovers.len() >= MAX_HANDOVERS {
+            return None;
         }
-        let best = link_table
-            .rows
-            .keys()
-            .filter(|name| link_table.row(name, now).is_some())
-            .map(|name| (link_table.reach(name, now), name))
-            .filter(|(reach, _)| reach.state && reach.is_far_more(&own))
-            .max_by_key(|(reach, name)| (reach.workers, reach.nodes, std::cmp::Reverse(*name)));
-        // One other may have ended; several are more likely well and not heard. Where
-        // their hosts refuse connections, their workers are sent here instead.
-        let silent = link_table.silent_nodes(now);
-        if own.nodes > 1 {
-            self.alone = Default::default();
+        self.handovers.push_back(now);
+        self.candidate = None;
+        if handover.reason == HandoverReason::Isolated {
+            // Where no controller reaches another one, the leadership would go round for ever.
+            let pause = Micros(MINUTE.0 << self.isolated_handovers.min(MAX_DOUBLINGS));
+            self.isolated_not_before = now + pause;
+            self.isolated_handovers += 1;
         }
-        let alone = now >= self.alone.0
+        Some(handover)
+    }
+
+    /// The handover that there is a reason for now.
+    fn wanted_handover(
+        &mut self,
+        links: &LinkTable,
+        others: u32,
+        machines: impl FnOnce() -> u32,
+        now: Micros,
+    ) -> Option<Handover> {
+        let own = links.reach(&links.node, now);
+        if own.controllers > 1 {
+            self.isolated_not_before = Micros::ZERO;
+            self.isolated_handovers = 0;
+        }
+        // One other controller may have crashed; several are more likely well and not reached. Where
+        // their hosts refuse connections, their agents are redirected here instead.
+        let is_isolated = now >= self.isolated_not_before
             && others > 1
             && own.state
-            && own.nodes == 1
-            && silent == others
-            && own.workers * 2 < machines();
-        let found = match best {
-            // What can be asked by way of others works here as well as there.
-            Some((_, name)) if own.state => Some(Handover {
+            && own.controllers == 1
+            && links.silent_nodes(now) == others
+            && own.agents * 2 < machines();
+        match links.better_leader(&own, now) {
+            // What can be forwarded by others works here as well as there.
+            Some(name) if own.state => Some(Handover {
                 to: Some(name.clone()),
-                why: Why::ReachesLess,
+                reason: HandoverReason::ReachesLess,
             }),
-            _ if alone => Some(Handover {
+            _ if is_isolated => Some(Handover {
                 to: None,
-                why: Why::Alone,
+                reason: HandoverReason::Isolated,
             }),
             _ => None,
-        };
-        let Some(found) = found else {
-            self.since = None;
-            return None;
-        };
-        let since = match &self.since {
-            Some((to, at)) if *to == found.to => *at,
+        }
+    }
+
+    /// Since when the same handover has been wanted.
+    fn held_since(&mut self, handover: &Handover, now: Micros) -> Micros {
+        match &self.candidate {
+            Some(candidate) if candidate.to == handover.to => candidate.since,
             _ => {
-                self.since = Some((found.to.clone(), now));
+                let to = handover.to.clone();
+                self.candidate = Some(Candidate { to, since: now });
                 now
             }
-        };
-        let held = now.since(since) >= HOLD && now.since(began) >= SETTLE;
-        if !held || self.given.len() >= MOST {
-            return None;
-        }
-        self.given.push_back(now);
-        self.since = None;
-        if found.why == Why::Alone {
-            // Where no controller hears another one, the lead would go round for ever.
-            self.alone.0 = now + Micros(MINUTE.0 << self.alone.1.min(4));
-            self.alone.1 += 1;
         }
-        Some(found)
     }
 
-    /// Whether this controller gave up the lead a moment ago: it lets the others go
-    /// first.
-    pub fn gave_lately(&self, now: Micros) -> bool {
-        self.given.back().is_some_and(|at| now.since(*at) < HOLD + HOLD)
+    /// Whether this controller gave up the leadership a moment ago: it lets the others go first in
+    /// the election.
+    pub fn gave_up_recently(&self, now: Micros) -> bool {
+        self.handovers.back().is_some_and(|at| now.since(*at) < HOLD + HOLD)
     }
 }
--- /dev/null
+++ b/crates/connectivity/src/link_table.rs
@@ -0,0 +1,317 @@
+//! The table of links: what this controller saw of its own, and what the others report of theirs.
+
+use super::{Host, LinkObservation, LinkState, Route};
+use glenhaven_time::Micros;
+use siphasher::sip::SipHasher13;
+use std::collections::BTreeMap;
+use std::hash::{Hash, Hasher};
+
+/// A controller says that it is alive several times in this span. Without a message for longer, it
+/// counts as unreachable, and what it reported as out of date.
+const CONTACT_TIMEOUT: Micros = Micros::from_millis(1600);
+/// A link is down after failures without an answer for this long. A service that answers slowly now
+/// and then answers something in between; one that is taken for down by mistake is reached through
+/// another controller, which does no harm.
+const DOWN_AFTER: Micros = Micros::from_millis(350);
+/// Fewer failures than this don't make a link that is down.
+const MIN_FAILURES: u32 = 3;
+/// Consecutive answers after which a link that was down is used again.
+const RECOVERED: u32 = 3;
+/// Answers that take this long on average make a slow link.
+const SLOW: Micros = Micros::from_millis(250);
+/// The oldest age that is reported; what is older says nothing more.
+const MAX_AGE: Micros = Micros::from_millis(60_000);
+/// Links that one message reports, at most.
+const MAX_OBSERVATIONS: usize = 64;
+
+/// What this controller saw of one of its own links.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct LinkHistory {
+    /// When the host last answered, or was last heard from.
+    last_contact: Option<Micros>,
+    /// Failures since then.
+    failures: u32,
+    /// When the first of them was.
+    failing_since: Option<Micros>,
+    /// Consecutive answers since the last failure.
+    answers: u32,
+    /// How long answers take, decayed.
+    round_trip: Micros,
+    /// Of a controller: whether it acknowledges messages, if known.
+    acknowledges: Option<bool>,
+    /// It refuses connections: its host is there.
+    pub refuses_connections: bool,
+    /// Of agents: how many send their heartbeats here.
+    pub agent_count: u32,
+}
+
+/// What another controller reported of one of its links.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ReportedLink {
+    state: LinkState,
+    /// When its host was last heard from, on this controller's clock.
+    last_contact: Micros,
+    pub agent_count: u32,
+}
+
+/// What another controller reported of its links.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Report {
+    received_at: Micros,
+    pub links: BTreeMap<Host, ReportedLink>,
+}
+
+/// The links as one controller knows them.
+#[derive(Clone, Debug)]
+pub struct LinkTable {
+    /// The name of this controller.
+    pub(super) node: String,
+    pub(super) own: BTreeMap<Host, LinkHistory>,
+    /// The last report of each other controller, by its name.
+    pub(super) reports: BTreeMap<String, Report>,
+}
+
+impl LinkTable {
+    /// The table of the controller with this name, with nothing in it.
+    pub fn new(node: &str) -> LinkTable {
+        LinkTable {
+            node: node.to_string(),
+            own: BTreeMap::new(),
+            reports: BTreeMap::new(),
+        }
+    }
+
+    /// Records that a host answered what it was asked `round_trip` ago; `None` if that says nothing
+    /// about the link, as with a watch, which waits by itself.
+    ///
+    /// A link that was down is up again only after several consecutive answers, so that others do
+    /// not rely on one that flaps.
+    pub fn record_answer(&mut self, host: Host, round_trip: Option<Micros>, now: Micros) {
+        let was_down = self.own_link(&host, now) == LinkState::Down;
+        let link = self.own.entry(host).or_default();
+        if let Some(round_trip) = round_trip {
+            link.round_trip = Micros((link.round_trip.0 * 3 + round_trip.0) / 4);
+        }
+        link.answers = if was_down { link.answers + 1 } else { RECOVERED };
+        if link.answers >= RECOVERED {
+            link.last_contact = Some(now);
+            link.failures = 0;
+            link.failing_since = None;
+        }
+    }
+
+    /// Records that nothing came back from a host, or nothing but a refusal.
+    pub fn record_failure(&mut self, host: Host, now: Micros) {
+        let link = self.own.entry(host).or_default();
+        link.failures = link.failures.saturating_add(1);
+        link.failing_since.get_or_insert(now);
+        link.answers = 0;
+    }
+
+    /// Records a message of another controller.
+    pub fn record_contact(&mut self, node: &str, now: Micros) {
+        let link = self.own.entry(Host::Node(node.to_string())).or_default();
+        link.last_contact = Some(now);
+    }
+
+    /// Records whether another controller acknowledges messages, and if not, whether it refuses
+    /// connections.
+    pub fn record_delivery(&mut self, node: &str, acknowledges: bool, refuses_connections: bool) {
+        let link = self.own.entry(Host::Node(node.to_string())).or_default();
+        link.acknowledges = Some(acknowledges);
+        link.refuses_connections = refuses_connections && !acknowledges;
+    }
+
+    /// Records how many agents of a zone send their heartbeats here, and when the last one came.
+    pub fn record_agents(&mut self, zone: &str, count: u32, last_heartbeat: Micros) {
+        let link = self.own.entry(Host::Agents(zone.to_string())).or_default();
+        link.agent_count = count;
+        link.last_contact = link.last_contact.max(Some(last_heartbeat));
+    }
+
+    /// Whether this controller's own link to a service has failed since it last worked.
+    pub fn is_failing(&self, host: &Host) -> bool {
+        self.own.get(host).is_some_and(|link| link.failing_since.is_some())
+    }
+
+    /// Whether a link that was down has answered again, though not yet often enough to be relied
+    /// on.
+    pub fn is_recovering(&self, host: &Host) -> bool {
+        let is_service = matches!(host, Host::State | Host::Cloud);
+        is_service && self.own.get(host).is_some_and(|link| link.answers > 0)
+    }
+
+    /// The state of this controller's own link to a host.
+    pub fn own_link(&self, host: &Host, now: Micros) -> LinkState {
+        let Some(link) = self.own.get(host) else {
+            return LinkState::Unknown;
+        };
+        match host {
+            Host::State | Host::Cloud => link.service_state(now),
+            Host::Node(_) => link.controller_state(now),
+            Host::Agents(_) if link.agent_count > 0 => LinkState::Up,
+            Host::Agents(_) => LinkState::Unknown,
+        }
+    }
+
+    /// What this controller reports to the others.
+    pub fn observations(&self, now: Micros) -> Vec<LinkObservation> {
+        let observation = |(host, link): (&Host, &LinkHistory)| {
+            let age = link.last_contact.map_or(MAX_AGE, |at| now.since(at)).min(MAX_AGE);
+            LinkObservation {
+                host: host.clone(),
+                state: self.own_link(host, now),
+                age_ms: (age.0 / 1000) as u32,
+                agent_count: link.agent_count,
+            }
+        };
+        self.own.iter().take(MAX_OBSERVATIONS).map(observation).collect()
+    }
+
+    /// Records what another controller reports.
+    pub fn record_observations(&mut self, node: &str, observations: &[LinkObservation], now: Micros) {
+        let reported = |observation: &LinkObservation| {
+            let age = Micros::from_millis(u64::from(observation.age_ms)).min(MAX_AGE);
+            let link = ReportedLink {
+                state: observation.state,
+                last_contact: Micros(now.0.saturating_sub(age.0)),
+                agent_count: observation.agent_count,
+            };
+            (observation.host.clone(), link)
+        };
+        let report = Report {
+            received_at: now,
+            links: observations.iter().take(MAX_OBSERVATIONS).map(reported).collect(),
+        };
+        self.reports.insert(node.to_string(), report);
+    }
+
+    /// The report of another controller, unless it is out of date.
+    pub(super) fn current_report(&self, node: &str, now: Micros) -> Option<&Report> {
+        let report = self.reports.get(node)?;
+        (now.since(report.received_at) < CONTACT_TIMEOUT).then_some(report)
+    }
+
+    /// The names of the controllers whose reports are current.
+    pub(super) fn reporting_nodes(&self, now: Micros) -> impl Iterator<Item = &String> {
+        self.reports
+            .keys()
+            .filter(move |name| self.current_report(name, now).is_some())
+    }
+
+    /// The link to a host that another controller reports, if its report is current.
+    fn reported_link(&self, node: &str, host: &Host, now: Micros) -> Option<&ReportedLink> {
+        self.current_report(node, now)?.links.get(host)
+    }
+
+    fn reported_state(&self, node: &str, host: &Host, now: Micros) -> LinkState {
+        self.reported_link(node, host, now)
+            .map_or(LinkState::Unknown, |link| link.state)
+    }
+
+    /// The state of the link from a controller to a host, by what that controller reports or this
+    /// one sees.
+    ///
+    /// Between controllers both ends count: a link over which one sends and the other receives
+    /// nothing works in one direction only.
+    pub fn link_state(&self, from: &str, to: &Host, now: Micros) -> LinkState {
+        if from == self.node {
+            return self.own_link(to, now);
+        }
+        let there = self.reported_state(from, to, now);
+        let Host::Node(other) = to else { return there };
+        let host = Host::Node(from.to_string());
+        let back = if *other == self.node {
+            self.own_link(&host, now)
+        } else {
+            self.reported_state(other, &host, now)
+        };
+        match (there, back) {
+            (LinkState::Unknown, back) => back,
+            (there, LinkState::Unknown) => there,
+            (there, back) => there.min(back).max(LinkState::Down),
+        }
+    }
+
+    /// How a request to a host is to be sent: directly unless that fails; then through a controller
+    /// that this one reaches in both directions, and that has heard from the host since this one's
+    /// own failures began. Controllers choose different ones, and each the same one as long as
+    /// nothing changes.
+    pub fn route(&self, to: &Host, now: Micros) -> Route {
+        // A link that answers again is used again: after an outage all of them recover at once, and
+        // nobody should forward what the others can send themselves.
+        if self.is_recovering(to) || !matches!(self.own_link(to, now), LinkState::Down | LinkState::Unidirectional) {
+            return Route::Direct;
+        }
+        let via = self
+            .reports
+            .keys()
+            .filter(|name| !matches!(to, Host::Node(node) if node == *name))
+            .filter(|name| self.own_link(&Host::Node((*name).clone()), now) == LinkState::Up)
+            .filter_map(|name| {
+                let is_worse = self.forwards(name, to, now)? != LinkState::Up;
+                Some((is_worse, self.preference(name, to), name))
+            })
+            .min();
+        via.map_or(Route::Nowhere, |(_, _, name)| Route::Via(name.clone()))
+    }
+
+    /// The state of another controller's link to a host, if it can forward requests there.
+    fn forwards(&self, node: &str, to: &Host, now: Micros) -> Option<LinkState> {
+        let failing_since = self.own.get(to).and_then(|link| link.failing_since);
+        let link = self.reported_link(node, to, now)?;
+        // Hardly anybody but the leader calls the cloud, so its last answer may be old.
+        let is_recent = !matches!(to, Host::State) || link.last_contact > failing_since.unwrap_or(Micros::ZERO);
+        let is_mutual = match to {
+            Host::Node(_) => self.link_state(node, to, now) == LinkState::Up,
+            _ => true,
+        };
+        (link.state.serves() && is_recent && is_mutual).then_some(link.state)
+    }
+
+    /// Spreads the controllers that need forwarding over those that can forward. It is the same in
+    /// every release.
+    fn preference(&self, via: &str, to: &Host) -> u64 {
+        let mut hasher = SipHasher13::new();
+        (self.node.as_str(), via, to).hash(&mut hasher);
+        hasher.finish()
+    }
+
+    /// The state of a link that another controller last reported, however long ago.
+    pub fn last_reported_state(&self, node: &str, host: &Host) -> LinkState {
+        let link = self.reports.get(node).and_then(|report| report.links.get(host));
+        link.map_or(LinkState::Unknown, |link| link.state)
+    }
+
+    /// Whether any controller with a current report reaches this host.
+    pub fn is_reached_by_any(&self, to: &Host, now: Micros) -> bool {
+        let mut links = self.reports.keys().filter_map(|name| self.reported_link(name, to, now));
+        links.any(|link| link.state.serves())
+    }
+}
+
+impl LinkHistory {
+    fn service_state(&self, now: Micros) -> LinkState {
+        let has_failed_long = self.failing_since.is_some_and(|at| now.since(at) >= DOWN_AFTER);
+        if self.failures >= MIN_FAILURES && has_failed_long {
+            LinkState::Down
+        } else if self.last_contact.is_none() {
+            LinkState::Unknown
+        } else if self.round_trip >= SLOW {
+            LinkState::Slow
+        } else {
+            LinkState::Up
+        }
+    }
+
+    fn controller_state(&self, now: Micros) -> LinkState {
+        let is_heard = self.last_contact.is_some_and(|at| now.since(at) < CONTACT_TIMEOUT);
+        match (is_heard, self.acknowledges) {
+            (true, None | Some(true)) => LinkState::Up,
+            (true, Some(false)) | (false, Some(true)) => LinkState::Unidirectional,
+            (false, Some(false)) => LinkState::Down,
+            (false, None) if self.last_contact.is_some() => LinkState::Down,
+            (false, None) => LinkState::Unknown,
+        }
+    }
+}
--- a/crates/connectivity/tests/connectivity.rs
+++ b/crates/connectivity/tests/connectivity.rs
@@ -1,6 +1,6 @@
 //! What follows from a picture of links, over many pictures.
 
-use glenhaven_connectivity::{Backoff, Host, Lead, LinkState, LinkTable, Route, Why};
+use glenhaven_connectivity::{Backoff, HandoverPolicy, HandoverReason, Host, LinkState, LinkTable, Route};
 use glenhaven_time::Micros;
 use proptest::prelude::*;
 
@@ -34,22 +34,22 @@
         while now <= until {
             let t = at(now);
             for (i, p) in pictures.iter_mut().enumerate() {
-                p.workers("z", self.workers[i], t);
+                p.record_agents("z", self.workers[i], t);
                 if self.state[i] {
-                    p.answered(Host::State, Some(Micros::from_millis(5)), t);
+                    p.record_answer(Host::State, Some(Micros::from_millis(5)), t);
                 } else {
-                    p.failed(Host::State, t);
+                    p.record_failure(Host::State, t);
                 }
             }
-            let told: Vec<_> = pictures.iter().map(|p| p.tell(t)).collect();
+            let told: Vec<_> = pictures.iter().map(|p| p.observations(t)).collect();
             for (i, link_table) in pictures.iter_mut().enumerate() {
                 for j in (0..5).filter(|j| *j != i) {
                     // i hears j; what i sends arrives where j hears i.
                     if self.hears[i][j] {
-                        link_table.heard(NAMES[j], t);
-                        link_table.told(NAMES[j], &told[j], t);
+                        link_table.record_contact(NAMES[j], t);
+                        link_table.record_observations(NAMES[j], &told[j], t);
                     }
-                    link_table.sends(NAMES[j], self.hears[j][i] && self.hears[i][j], false);
+                    link_table.record_delivery(NAMES[j], self.hears[j][i] && self.hears[i][j], false);
                 }
             }
             now += 0.5;
@@ -76,9 +76,9 @@
         let now = at(6.0);
         for (i, p) in world.pictures(6.0).iter().enumerate() {
             let good = |j: usize| j != i && world.hears[i][j] && world.hears[j][i] && world.state[j];
-            match p.way(&Host::State, now) {
+            match p.route(&Host::State, now) {
                 Route::Direct => prop_assert!(world.state[i]),
-                Route::By(name) => {
+                Route::Via(name) => {
                     let j = NAMES.iter().position(|n| *n == name).unwrap();
                     prop_assert!(!world.state[i] && good(j));
                 }
@@ -102,23 +102,23 @@
     /// However links change, one controller gives up the lead at most twice a minute.
     #[test]
     fn handovers_are_few(worlds in prop::collection::vec(worlds(), 1..12)) {
-        let mut lead = Lead::default();
+        let mut lead = HandoverPolicy::default();
         let mut given = vec![];
         for second in 0..240u64 {
             let world = &worlds[(second / 8) as usize % worlds.len()];
             let now = at(second as f64 + 20.0);
             let mut link_table = LinkTable::new("a");
             for host in NAMES.iter().skip(1).filter(|_| world.hears[0][1]) {
-                link_table.heard(host, now);
+                link_table.record_contact(host, now);
             }
-            link_table.answered(Host::State, None, now);
+            link_table.record_answer(Host::State, None, now);
             for (j, name) in NAMES.iter().enumerate().skip(1) {
-                link_table.sends(name, world.hears[j][0], false);
+                link_table.record_delivery(name, world.hears[j][0], false);
                 if world.hears[0][j] {
-                    link_table.heard(name, now);
+                    link_table.record_contact(name, now);
                 }
             }
-            if lead.look(&link_table, 4, || 100, Micros::ZERO, now).is_some() {
+            if lead.decide(&link_table, 4, || 100, Micros::ZERO, now).is_some() {
                 given.push(now);
             }
         }
@@ -131,25 +131,25 @@
     #[test]
     fn ages_are_never_negative(age in 0u32..u32::MAX, now in 1.0f64..100.0) {
         let mut p = LinkTable::new("a");
-        let mut cells = LinkTable::new("b").tell(at(now));
-        cells.push(glenhaven_connectivity::LinkObservation { host: Host::State, sure: LinkState::Up, age_ms: age, count: u32::MAX });
-        p.heard("b", at(now));
-        p.sends("b", true, false);
-        p.told("b", &cells, at(now));
-        p.failed(Host::State, at(now - 1.0));
-        p.failed(Host::State, at(now - 0.5));
-        p.failed(Host::State, at(now - 0.2));
+        let mut cells = LinkTable::new("b").observations(at(now));
+        cells.push(glenhaven_connectivity::LinkObservation { host: Host::State, state: LinkState::Up, age_ms: age, agent_count: u32::MAX });
+        p.record_contact("b", at(now));
+        p.record_delivery("b", true, false);
+        p.record_observations("b", &cells, at(now));
+        p.record_failure(Host::State, at(now - 1.0));
+        p.record_failure(Host::State, at(now - 0.5));
+        p.record_failure(Host::State, at(now - 0.2));
         // Whatever it says, it is believed for no longer than it is heard.
         let later = at(now + 1.7);
-        prop_assert_eq!(p.way(&Host::State, later), Route::Nowhere);
-        prop_assert_eq!(p.link("b", &Host::State, later), LinkState::Unknown);
+        prop_assert_eq!(p.route(&Host::State, later), Route::Nowhere);
+        prop_assert_eq!(p.link_state("b", &Host::State, later), LinkState::Unknown);
     }
 
     #[test]
     fn pauses_stay_between_their_bounds(first in 1u64..2000, most in 1u64..60_000, tries in 1usize..80, luck in 0.0f64..1.0) {
         let mut b = Backoff::new(Micros::from_millis(first), Micros::from_millis(most));
         for _ in 0..tries {
-            let pause = b.next(luck);
+            let pause = b.next_pause(luck);
             prop_assert!(pause <= Micros::from_millis(most));
             prop_assert!(pause >= Micros::from_millis(first.min(most) / 2));
         }
@@ -165,16 +165,24 @@
     }
     let now = at(10.0);
     let link_table = &world.pictures(10.0)[0];
-    assert_eq!(link_table.link("a", &Host::Node("b".into()), now), LinkState::OneWay);
-    let mut lead = Lead::default();
+    assert_eq!(
+        link_table.link_state("a", &Host::Node("b".into()), now),
+        LinkState::Unidirectional
+    );
+    let mut lead = HandoverPolicy::default();
     let began = at(0.0);
     assert_eq!(
-        lead.look(link_table, 4, || 200, began, now),
+        lead.decide(link_table, 4, || 200, began, now),
         None,
         "not before it has held"
     );
-    let found = lead.look(&world.pictures(14.0)[0], 4, || 200, began, at(14.0)).unwrap();
-    assert_eq!((found.to.as_deref(), found.why), (Some("b"), Why::ReachesLess));
+    let found = lead
+        .decide(&world.pictures(14.0)[0], 4, || 200, began, at(14.0))
+        .unwrap();
+    assert_eq!(
+        (found.to.as_deref(), found.reason),
+        (Some("b"), HandoverReason::ReachesLess)
+    );
 }
 
 #[test]
@@ -186,38 +194,38 @@
         row[0] = false;
     }
     let link_table = world.pictures(10.0)[0].clone();
-    let mut lead = Lead::default();
-    assert_eq!(lead.look(&link_table, 4, || 40, Micros::ZERO, at(10.0)), None);
+    let mut lead = HandoverPolicy::default();
+    assert_eq!(lead.decide(&link_table, 4, || 40, Micros::ZERO, at(10.0)), None);
     assert_eq!(
-        lead.look(&link_table, 4, || 40, Micros::ZERO, at(14.0)),
+        lead.decide(&link_table, 4, || 40, Micros::ZERO, at(14.0)),
         None,
         "most of its workers come here"
     );
-    assert_eq!(lead.look(&link_table, 4, || 100, Micros::ZERO, at(14.0)), None);
-    let found = lead.look(&link_table, 4, || 100, Micros::ZERO, at(18.0)).unwrap();
-    assert_eq!((found.to, found.why), (None, Why::Alone));
-    assert!(lead.gave_lately(at(19.0)) && !lead.gave_lately(at(25.0)));
+    assert_eq!(lead.decide(&link_table, 4, || 100, Micros::ZERO, at(14.0)), None);
+    let found = lead.decide(&link_table, 4, || 100, Micros::ZERO, at(18.0)).unwrap();
+    assert_eq!((found.to, found.reason), (None, HandoverReason::Isolated));
+    assert!(lead.gave_up_recently(at(19.0)) && !lead.gave_up_recently(at(25.0)));
 }
 
 #[test]
 fn a_link_that_flaps_is_not_relied_on() {
     let mut p = LinkTable::new("a");
-    p.answered(Host::State, None, at(1.0));
+    p.record_answer(Host::State, None, at(1.0));
     for ms in [1200, 1400, 1700] {
-        p.failed(Host::State, Micros::from_millis(ms));
+        p.record_failure(Host::State, Micros::from_millis(ms));
     }
-    assert_eq!(p.own(&Host::State, at(1.8)), LinkState::Down);
-    p.answered(Host::State, None, at(2.0));
-    assert!(p.answers_again(&Host::State));
+    assert_eq!(p.own_link(&Host::State, at(1.8)), LinkState::Down);
+    p.record_answer(Host::State, None, at(2.0));
+    assert!(p.is_recovering(&Host::State));
     assert_eq!(
-        p.own(&Host::State, at(2.0)),
+        p.own_link(&Host::State, at(2.0)),
         LinkState::Down,
         "one answer is not enough"
     );
-    p.failed(Host::State, at(2.4));
-    p.answered(Host::State, None, at(2.8));
-    p.answered(Host::State, None, at(3.2));
-    assert_eq!(p.own(&Host::State, at(3.2)), LinkState::Down);
-    p.answered(Host::State, None, at(3.6));
-    assert_eq!(p.own(&Host::State, at(3.6)), LinkState::Up);
+    p.record_failure(Host::State, at(2.4));
+    p.record_answer(Host::State, None, at(2.8));
+    p.record_answer(Host::State, None, at(3.2));
+    assert_eq!(p.own_link(&Host::State, at(3.2)), LinkState::Down);
+    p.record_answer(Host::State, None, at(3.6));
+    assert_eq!(p.own_link(&Host::State, at(3.6)), LinkState::Up);
 }
--- a/crates/connectivity/tests/exhaustive.rs
+++ b/crates/connectivity/tests/exhaustive.rs
@@ -2,7 +2,7 @@
 //! has the state service: 65,536 worlds, each held still. Whoever leads, the lead comes
 //! to rest.
 
-use glenhaven_connectivity::{Host, Lead, LinkTable};
+use glenhaven_connectivity::{HandoverPolicy, Host, LinkTable};
 use glenhaven_time::Micros;
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
@@ -20,22 +20,22 @@
     for round in 0..4u64 {
         let t = Micros(now.0 - (3 - round) * 500_000);
         for (i, p) in pictures.iter_mut().enumerate() {
-            p.workers("z", WORKERS[i], t);
+            p.record_agents("z", WORKERS[i], t);
             if state >> i & 1 == 1 {
-                p.answered(Host::State, None, t);
+                p.record_answer(Host::State, None, t);
             } else {
-                p.failed(Host::State, t);
+                p.record_failure(Host::State, t);
             }
         }
-        let told: Vec<_> = pictures.iter().map(|p| p.tell(t)).collect();
+        let told: Vec<_> = pictures.iter().map(|p| p.observations(t)).collect();
         for (i, p) in pictures.iter_mut().enumerate() {
             for j in (0..4).filter(|j| *j != i) {
                 if carries(links, j, i) {
-                    p.heard(NAMES[j], t);
-                    p.told(NAMES[j], &told[j], t);
+                    p.record_contact(NAMES[j], t);
+                    p.record_observations(NAMES[j], &told[j], t);
                 }
                 // An acknowledgement comes the other way.
-                p.sends(NAMES[j], carries(links, i, j) && carries(links, j, i), false);
+                p.record_delivery(NAMES[j], carries(links, i, j) && carries(links, j, i), false);
             }
         }
     }
@@ -43,14 +43,14 @@
 }
 
 /// Whom this leader gives the lead to if nothing changes: `None` if it keeps it.
-fn gives(lead: &mut Lead, link_table: &LinkTable, now: Micros) -> Option<Option<usize>> {
+fn gives(lead: &mut HandoverPolicy, link_table: &LinkTable, now: Micros) -> Option<Option<usize>> {
     // The picture is of now; the reason has held since three seconds ago.
     let earlier = Micros(now.0 - 3_000_000);
     assert!(
-        lead.look(link_table, 3, || 42, Micros::ZERO, earlier).is_none(),
+        lead.decide(link_table, 3, || 42, Micros::ZERO, earlier).is_none(),
         "at once"
     );
-    let handover = lead.look(link_table, 3, || 42, Micros::ZERO, now)?;
+    let handover = lead.decide(link_table, 3, || 42, Micros::ZERO, now)?;
     Some(handover.to.map(|to| NAMES.iter().position(|n| *n == to).unwrap()))
 }
 
@@ -64,7 +64,7 @@
             for first in 0..4 {
                 let mut leader = first;
                 let mut steps = 0;
-                let mut leads = [(); 4].map(|_| Lead::default());
+                let mut leads = [(); 4].map(|_| HandoverPolicy::default());
                 while let Some(to) = gives(&mut leads[leader], &pictures[leader], now) {
                     given += 1;
                     steps += 1;
--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -67,7 +67,7 @@
             .settings
             .peers
             .iter()
-            .all(|p| link_table.own(&Host::Node(p.node.clone()), now) < LinkState::Slow);
+            .all(|p| link_table.own_link(&Host::Node(p.node.clone()), now) < LinkState::Slow);
         if !alone || now < self.heartbeat_proxy.next_sent_on {
             return None;
         }
@@ -136,7 +136,7 @@
             }
             // A leader that can't know any more whether it leads, and hears nobody, would
             // hold workers that another one takes for dead.
-            if !self.election.is_sure(now) && !self.forwarder.hears_state(now) {
+            if !self.election.is_sure(now) && !self.forwarder.receives_store_answers(now) {
                 if let Some(node) = self.better_placed(&heartbeat.machine) {
                     return self.send_away(id, &heartbeat.machine, node);
                 }
@@ -181,7 +181,7 @@
             let refused = self.peer_links.get(&leader) == Some(&Link::Refused);
             // A leader that had the state service by way of others only, and is not
             // heard by now, most likely leads no more.
-            let lost = self.forwarder.link_table.last_told(&leader, &Host::State) == LinkState::Down;
+            let lost = self.forwarder.link_table.last_reported_state(&leader, &Host::State) == LinkState::Down;
             if refused && !lost && !self.heartbeat_proxy.came_back(&heartbeat.machine, now) {
                 return self.send_away(id, &heartbeat.machine, leader);
             }
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -167,7 +167,7 @@
                 tracing::debug!(node, ?link, "link");
                 self.forwarder
                     .link_table
-                    .sends(&node, link == Link::Up, link == Link::Refused);
+                    .record_delivery(&node, link == Link::Up, link == Link::Refused);
                 self.peer_links.insert(node, link);
             }
             Event::PushedCommands { id, answer } => {
--- a/src/coordination/election/campaign.rs
+++ b/src/coordination/election/campaign.rs
@@ -108,7 +108,7 @@
                 // A lease that is renewed without anybody hearing of it keeps all others
                 // from taking over. Answers are waited for by trying the link instead;
                 // after an outage every lease has its full time again.
-                if now >= self.election.next_renew && self.forwarder.hears_state(now) {
+                if now >= self.election.next_renew && self.forwarder.receives_store_answers(now) {
                     self.election.next_renew = now + Micros(self.election.ttl.0 / 3);
                     let continuation = Continuation::Election(ElectionContinuation::Renew { sent: now, lease });
                     self.context.store.push(
@@ -147,8 +147,8 @@
         }
         // Whoever has the state service only by way of others leaves the lead to them.
         let host = Host::State;
-        if self.forwarder.link_table.own(&host, now) == LinkState::Down
-            && self.forwarder.link_table.someone_reaches(&host, now)
+        if self.forwarder.link_table.own_link(&host, now) == LinkState::Down
+            && self.forwarder.link_table.is_reached_by_any(&host, now)
         {
             self.election.elect_at = None;
             return;
@@ -162,7 +162,7 @@
                     Micros(self.election.index as u64 * 150_000)
                 } else {
                     let rank = u64::from(self.forwarder.link_table.rank(now));
-                    let last = ends || self.gave_lately();
+                    let last = ends || self.gave_up_lead_recently();
                     let given = if last { AFTER_GIVING } else { Micros::ZERO };
                     Micros(rank * BEHIND + self.context.rng.u64(0..40_000)) + given + self.election.deference(now)
                 };
--- a/src/coordination/forwarding.rs
+++ b/src/coordination/forwarding.rs
@@ -1,10 +1,14 @@
-//! The links of this controller, and what goes by way of another one because a link
-//! fails: requests to the state service and the cloud, and messages to controllers.
+//! Routes around links that fail: requests to the state service and the cloud, and messages to
+//! controllers, that are sent through another controller.
 //!
-//! This room owns the picture of links and the requests that are carried, its own and
-//! those of others. It decides how something is sent, never whether it may be: terms,
-//! conditions, fences and names of rentals travel with what they belong to, and what
-//! is carried late or lost is as good as late or lost on the network.
+//! Called by the controller with the effects of each batch, and with the answers and messages that
+//! may belong to forwarded requests. It owns the table of links and the requests that are on their
+//! way, this controller's own and those of others. It decides how something is sent, never whether
+//! it may be: terms, conditions, fencing tokens and names of rentals travel with what they belong
+//! to, and a forwarded request that is late or lost is as good as late or lost on the network.
+//!
+//! Invariant: at most one hop. A request or message that came through another controller is never
+//! passed on.
 
 use super::election::Role;
 use super::{CloudRequest, CloudResponse, Controller, Effect, Event};
@@ -13,28 +17,42 @@
 use crate::protocol::{from_cbor, to_cbor};
 use crate::storage::keys;
 use crate::time::Micros;
-use glenhaven_connectivity::{Handover, Host, Lead, LinkObservation, LinkState, LinkTable, Route};
+use glenhaven_connectivity::{Handover, HandoverPolicy, Host, LinkObservation, LinkState, LinkTable, Route};
 use std::collections::BTreeMap;
 
 /// Requests of others that are on their way from here at a time; more are refused.
-const AT_ONCE: usize = 48;
-/// A request that was on its way here for longer is not made: its sender may have been
-/// deposed meanwhile, or has given up.
-const TOO_LATE: Micros = Micros::from_millis(1500);
-/// A link that is down is tried this often, so that its return is noticed.
-const PROBE: Micros = Micros::from_millis(400);
-const PROBE_LIMIT: Micros = Micros::from_millis(350);
-/// One that has failed once is tried more often until it is known to be down or not: a
-/// quiet node would learn it only with its next requests.
-const DOUBT: Micros = Micros::from_millis(120);
-const DOUBT_LIMIT: Micros = Micros::from_millis(150);
-const SELDOM: Micros = Micros::from_millis(5000);
-/// An answer that a frame between controllers does not hold.
-const LARGEST: usize = 900 * 1024;
-/// Reports tell of workers' links for this many report periods.
-const REPORTS: f64 = 1.25;
-
-/// Which service a number belongs to.
+const MAX_FORWARDED: usize = 48;
+/// A request that took longer to get here is not made: its sender may have been deposed meanwhile,
+/// or has given up.
+const MAX_DELAY: Micros = Micros::from_millis(1500);
+/// A link that is down is probed this often, so that its recovery is noticed.
+const DOWN_PROBES: ProbeTiming = ProbeTiming {
+    period: Micros::from_millis(400),
+    timeout: Micros::from_millis(350),
+};
+/// A link that has failed once is probed more often until it is known to be down or not: an idle
+/// controller would learn it only with its next requests.
+const SUSPECT_PROBES: ProbeTiming = ProbeTiming {
+    period: Micros::from_millis(120),
+    timeout: Micros::from_millis(150),
+};
+/// A service that this controller hardly needs is probed this often.
+const IDLE_PROBE_PERIOD: Micros = Micros::from_millis(5000);
+/// The largest answer that fits into a frame between controllers, in bytes.
+const MAX_ANSWER_BYTES: usize = 900 * 1024;
+/// Heartbeats count as a link to an agent for this many heartbeat periods.
+const HEARTBEAT_PERIODS: f64 = 1.25;
+/// What a clock may drift between two messages, which are half a second apart, in microseconds.
+const CLOCK_DRIFT: i64 = 500;
+
+/// How often a failing link is probed, and how long an answer is waited for.
+#[derive(Clone, Copy)]
+struct ProbeTiming {
+    period: Micros,
+    timeout: Micros,
+}
+
+/// The service that a request number belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Service {
     State,
@@ -50,111 +68,136 @@
     }
 }
 
-/// A request that this controller made itself.
-struct Made {
-    at: Micros,
-    /// A watch waits by itself: how long it took says nothing.
-    waits: bool,
-    whose: Whose,
+/// A request that this controller sent to a service itself.
+struct SentRequest {
+    sent_at: Micros,
+    /// A watch waits by itself: how long it took says nothing about the link.
+    is_watch: bool,
+    origin: RequestOrigin,
 }
 
-enum Whose {
+/// Who waits for the answer to a request.
+enum RequestOrigin {
+    /// This controller.
     Own,
-    /// Only to see whether the link is back.
+    /// Nobody: it only shows whether the link has recovered.
     Probe,
-    /// Of another controller: which, its life, and its number.
-    Other(String, u64, u64),
+    /// Another controller.
+    Forwarded(ForwardedId),
 }
 
-/// How the clock of another controller stands to this one, as far as messages tell.
-struct Clock {
-    /// The least of (received here - sent there).
+/// The identity of a request that another controller forwarded.
+struct ForwardedId {
+    node: String,
+    /// The number of that controller's process incarnation.
+    process_number: u64,
+    /// That controller's number for the request.
+    id: u64,
+}
+
+/// The clock of another controller relative to this one, as far as messages tell.
+struct ClockOffset {
+    /// The least difference between receiving a message here and sending it there, in
+    /// microseconds.
     least: i64,
-    at: u64,
+    /// That controller's clock at its last message, in microseconds.
+    sender_clock: u64,
 }
 
-/// The links as they are known here, and what is carried.
+/// The links as they are known here, and the requests on their way.
 pub struct Forwarder {
-    /// A number of this process: answers to what an earlier one asked are not for it.
-    life: u64,
+    /// A number of this process incarnation: answers to an earlier one's requests are dropped.
+    process_number: u64,
+    /// What is known of all links.
     pub link_table: LinkTable,
-    handover: Lead,
-    made: BTreeMap<(Service, u64), Made>,
-    /// Asked of another controller: until when.
-    asked: BTreeMap<(Service, u64), Micros>,
-    clocks: BTreeMap<String, Clock>,
-    next_probe: [Micros; 2],
-    /// Since when this node has led with the book read.
+    handover: HandoverPolicy,
+    /// Requests sent from here, own and forwarded, by this controller's number for them.
+    sent: BTreeMap<(Service, u64), SentRequest>,
+    /// Own requests that another controller was asked to make, and until when each is waited for.
+    delegated: BTreeMap<(Service, u64), Micros>,
+    clocks: BTreeMap<String, ClockOffset>,
+    next_probe_at: BTreeMap<Service, Micros>,
+    /// Since when this controller has led with the write-ahead log read.
     led_since: Option<Micros>,
-    told: BTreeMap<Host, bool>,
+    /// Whether the link to a service was last logged as down.
+    logged_down: BTreeMap<Service, bool>,
 }
 
 impl Forwarder {
-    pub fn new(node: &str, life: u64) -> Forwarder {
+    /// A forwarder that knows of no link.
+    pub fn new(node: &str, process_number: u64) -> Forwarder {
         Forwarder {
-            life,
+            process_number,
             link_table: LinkTable::new(node),
-            handover: Lead::default(),
-            made: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            handover: HandoverPolicy::default(),
+            sent: BTreeMap::new(),
+            delegated: BTreeMap::new(),
             clocks: BTreeMap::new(),
-            next_probe: [Micros::ZERO; 2],
+            next_probe_at: BTreeMap::new(),
             led_since: None,
-            told: BTreeMap::new(),
+            logged_down: BTreeMap::new(),
         }
     }
 
-    /// Another controller says that it is alive, and how its links are.
-    pub fn hears(&mut self, node: &str, at: u64, links: &[LinkObservation], now: Micros) {
-        self.link_table.heard(node, now);
-        self.link_table.told(node, links, now);
-        let apart = now.0 as i64 - at as i64;
+    /// Another controller says that it is alive and how its links are. `sender_clock`: its steady
+    /// clock, in microseconds.
+    pub fn on_alive(&mut self, node: &str, sender_clock: u64, links: &[LinkObservation], now: Micros) {
+        self.link_table.record_contact(node, now);
+        self.link_table.record_observations(node, links, now);
+        let offset = now.0 as i64 - sender_clock as i64;
         match self.clocks.get_mut(node) {
-            // A new life begins its clock anew; a clock that drifts is followed.
-            Some(clock) if at >= clock.at => {
-                clock.least = clock.least.min(apart) + DRIFT;
-                clock.at = at;
+            Some(clock) if sender_clock >= clock.sender_clock => {
+                clock.least = clock.least.min(offset) + CLOCK_DRIFT;
+                clock.sender_clock = sender_clock;
             }
+            // A new process incarnation starts its clock again.
             _ => {
-                self.clocks.insert(node.to_string(), Clock { least: apart, at });
+                let clock = ClockOffset {
+                    least: offset,
+                    sender_clock,
+                };
+                self.clocks.insert(node.to_string(), clock);
             }
         }
     }
 
-    /// Whether a message that says when it was sent was on its way for too long. It
-    /// can only be too strict, never prove anything.
-    fn is_late(&self, node: &str, at: u64, now: Micros) -> bool {
+    /// Whether a message sent at `sender_clock` took too long to get here. The answer may be too
+    /// strict; it is never a proof.
+    fn is_late(&self, node: &str, sender_clock: u64, now: Micros) -> bool {
         let Some(clock) = self.clocks.get(node) else {
             return true;
         };
-        now.0 as i64 - at as i64 - clock.least > TOO_LATE.0 as i64
+        now.0 as i64 - sender_clock as i64 - clock.least > MAX_DELAY.0 as i64
     }
 
-    /// Whether messages reach this controller, directly or by way of another.
+    /// Whether messages reach a controller, directly or through another one.
     pub fn reaches(&self, node: &str, now: Micros) -> bool {
         let host = Host::Node(node.to_string());
-        match self.link_table.own(&host, now) {
+        match self.link_table.own_link(&host, now) {
             LinkState::Up => true,
             LinkState::Unknown => false,
-            _ => matches!(self.link_table.way(&host, now), Route::By(_)),
+            _ => matches!(self.link_table.route(&host, now), Route::Via(_)),
         }
     }
 
-    /// Whether the answers of the state service reach this node, its own or those to
-    /// somebody who asks for it. If not, what is sent there may still be executed.
-    pub fn hears_state(&self, now: Micros) -> bool {
-        self.link_table.way(&Host::State, now) != Route::Nowhere || self.link_table.answers_again(&Host::State)
+    /// Whether answers of the state service reach this controller, directly or through another one.
+    /// If not, what is sent there may still be executed.
+    pub fn receives_store_answers(&self, now: Micros) -> bool {
+        self.link_table.route(&Host::State, now) != Route::Nowhere || self.link_table.is_recovering(&Host::State)
     }
-}
 
-/// What a clock may drift between two messages, half a second apart.
-const DRIFT: i64 = 500;
+    /// Requests of other controllers that are on their way from here.
+    fn forwarded_requests(&self) -> usize {
+        let is_forwarded = |sent: &&SentRequest| matches!(sent.origin, RequestOrigin::Forwarded(_));
+        self.sent.values().filter(is_forwarded).count()
+    }
+}
 
 impl Controller {
-    /// Sends what was decided by the ways that work.
+    /// Sends the effects of the batch over the links that work.
     pub(super) fn route_effects(&mut self) -> Vec<Effect> {
         let decided = std::mem::take(&mut self.context.effects);
-        let mut out = Vec::with_capacity(decided.len());
+        let mut routed = Vec::with_capacity(decided.len());
         for effect in decided {
             let effect = match effect {
                 Effect::Store { id, request, timeout } => self.route_store_request(id, request, timeout),
@@ -162,64 +205,74 @@
                 Effect::Peer { to, message } => self.route_peer_message(to, message),
                 other => other,
             };
-            out.push(effect);
+            routed.push(effect);
         }
-        out
+        routed
     }
 
-    fn made(&mut self, service: Service, id: u64, waits: bool, whose: Whose) {
-        let at = self.context.now;
-        self.forwarder.made.insert((service, id), Made { at, waits, whose });
+    /// Notes a request that is sent from here.
+    fn note_sent(&mut self, service: Service, id: u64, is_watch: bool, origin: RequestOrigin) {
+        let sent = SentRequest {
+            sent_at: self.context.now,
+            is_watch,
+            origin,
+        };
+        self.forwarder.sent.insert((service, id), sent);
     }
 
     fn route_store_request(&mut self, id: u64, request: StoreRequest, timeout: Micros) -> Effect {
-        let waits = matches!(request, StoreRequest::Watch { .. });
-        if !self.forwarder.made.contains_key(&(Service::State, id)) {
-            if let Some(by) = self.route_via(&Host::State) {
-                let what = ForwardedBody::State(to_cbor(&request));
-                return self.ask(by, Service::State, id, what, timeout);
+        // A request that is noted already is a forwarded one or a probe: it is sent from here.
+        if !self.forwarder.sent.contains_key(&(Service::State, id)) {
+            if let Some(via) = self.route_via(&Host::State) {
+                let request = ForwardedBody::State(to_cbor(&request));
+                return self.delegate(via, Service::State, id, request, timeout);
             }
-            self.made(Service::State, id, waits, Whose::Own);
+            let is_watch = matches!(request, StoreRequest::Watch { .. });
+            self.note_sent(Service::State, id, is_watch, RequestOrigin::Own);
         }
         Effect::Store { id, request, timeout }
     }
 
     fn route_cloud_request(&mut self, id: u64, request: CloudRequest, timeout: Micros) -> Effect {
-        if !self.forwarder.made.contains_key(&(Service::Cloud, id)) {
-            if let Some(by) = self.route_via(&Host::Cloud) {
-                let what = ForwardedBody::Cloud(to_cbor(&request));
-                return self.ask(by, Service::Cloud, id, what, timeout);
+        if !self.forwarder.sent.contains_key(&(Service::Cloud, id)) {
+            if let Some(via) = self.route_via(&Host::Cloud) {
+                let request = ForwardedBody::Cloud(to_cbor(&request));
+                return self.delegate(via, Service::Cloud, id, request, timeout);
             }
-            self.made(Service::Cloud, id, false, Whose::Own);
+            self.note_sent(Service::Cloud, id, false, RequestOrigin::Own);
         }
         Effect::Cloud { id, request, timeout }
     }
 
+    /// The controller through which a host is reached; `None`: it is reached directly or not at
+    /// all.
     fn route_via(&self, host: &Host) -> Option<String> {
-        match self.forwarder.link_table.way(host, self.context.now) {
-            Route::By(node) if self.cluster.settings.operator.ways_by_others => Some(node),
+        match self.forwarder.link_table.route(host, self.context.now) {
+            Route::Via(node) if self.cluster.settings.operator.ways_by_others => Some(node),
             _ => None,
         }
     }
 
-    fn ask(&mut self, to: String, service: Service, id: u64, what: ForwardedBody, timeout: Micros) -> Effect {
-        self.forwarder.asked.insert((service, id), self.context.now + timeout);
+    /// Asks another controller to make a request.
+    fn delegate(&mut self, to: String, service: Service, id: u64, request: ForwardedBody, timeout: Micros) -> Effect {
+        let until = self.context.now + timeout;
+        self.forwarder.delegated.insert((service, id), until);
         let message = PeerMessage::ForwardRequest {
             node: self.cluster.settings.node.clone(),
-            life: self.forwarder.life,
+            life: self.forwarder.process_number,
             id,
             at: self.context.now.0,
             term: self.election.term(),
             timeout_ms: (timeout.0 / 1000) as u32,
-            what,
+            what: request,
         };
         Effect::Peer { to, message }
     }
 
-    /// Messages that somebody waits for go by way of a third controller where there is
-    /// no link; what is repeated anyway does not.
+    /// Messages that somebody waits for go through a third controller where there is no link; those
+    /// that are repeated anyway do not.
     fn route_peer_message(&self, to: String, message: PeerMessage) -> Effect {
-        let passes = matches!(
+        let is_awaited = matches!(
             message,
             PeerMessage::Heartbeat { .. }
                 | PeerMessage::HeartbeatResponse { .. }
@@ -228,124 +281,99 @@
                 | PeerMessage::RelayPush { .. }
                 | PeerMessage::RelayedPushResult { .. }
         );
-        let by = passes.then(|| self.route_via(&Host::Node(to.clone()))).flatten();
-        match by {
-            Some(by) => {
+        let via = is_awaited.then(|| self.route_via(&Host::Node(to.clone()))).flatten();
+        match via {
+            Some(via) => {
                 let body = bitcode::encode(&message);
                 let message = PeerMessage::RelayMessage { to, body };
-                Effect::Peer { to: by, message }
+                Effect::Peer { to: via, message }
             }
             None => Effect::Peer { to, message },
         }
     }
 
-    /// An answer of the state service to this node itself, if it is for this node.
+    /// An answer of the state service to a request sent from here. Returns it if it is for this
+    /// controller.
     pub(super) fn on_direct_answer(&mut self, id: u64, answer: StoreResponse) -> Option<StoreResponse> {
-        let Some(made) = self.forwarder.made.remove(&(Service::State, id)) else {
+        let Some(sent) = self.forwarder.sent.remove(&(Service::State, id)) else {
             return Some(answer);
         };
-        let failed = matches!(answer, StoreResponse::Refused | StoreResponse::Unknown);
-        self.note_link(Service::State, &made, failed);
-        match made.whose {
-            Whose::Own => Some(answer),
-            Whose::Probe => None,
-            Whose::Other(to, life, id) => {
+        let has_failed = matches!(answer, StoreResponse::Refused | StoreResponse::Unknown);
+        self.note_link(Service::State, &sent, has_failed);
+        match sent.origin {
+            RequestOrigin::Own => Some(answer),
+            RequestOrigin::Probe => None,
+            RequestOrigin::Forwarded(request) => {
                 let mut body = to_cbor(&answer);
-                if body.len() > LARGEST {
+                if body.len() > MAX_ANSWER_BYTES {
                     body = to_cbor(&StoreResponse::Unknown);
                 }
-                let what = ForwardedBody::State(body);
-                let message = PeerMessage::ForwardedResponse { life, id, what };
-                self.context.effects.push(Effect::Peer { to, message });
+                self.return_forwarded(request, ForwardedBody::State(body));
                 None
             }
         }
     }
 
-    /// The same of the cloud.
+    /// The same for an answer of the cloud.
     pub(super) fn on_direct_call(&mut self, id: u64, answer: CloudResponse) -> Option<CloudResponse> {
-        let Some(made) = self.forwarder.made.remove(&(Service::Cloud, id)) else {
+        let Some(sent) = self.forwarder.sent.remove(&(Service::Cloud, id)) else {
             return Some(answer);
         };
-        let failed = matches!(answer, CloudResponse::Refused | CloudResponse::Unknown);
-        self.note_link(Service::Cloud, &made, failed);
-        match made.whose {
-            Whose::Own => Some(answer),
-            Whose::Probe => None,
-            Whose::Other(to, life, id) => {
-                let what = ForwardedBody::Cloud(to_cbor(&answer));
-                let message = PeerMessage::ForwardedResponse { life, id, what };
-                self.context.effects.push(Effect::Peer { to, message });
+        let has_failed = matches!(answer, CloudResponse::Refused | CloudResponse::Unknown);
+        self.note_link(Service::Cloud, &sent, has_failed);
+        match sent.origin {
+            RequestOrigin::Own => Some(answer),
+            RequestOrigin::Probe => None,
+            RequestOrigin::Forwarded(request) => {
+                self.return_forwarded(request, ForwardedBody::Cloud(to_cbor(&answer)));
                 None
             }
         }
     }
 
-    fn note_link(&mut self, service: Service, made: &Made, failed: bool) {
+    /// Sends the answer to a forwarded request back.
+    fn return_forwarded(&mut self, request: ForwardedId, answer: ForwardedBody) {
+        let message = PeerMessage::ForwardedResponse {
+            life: request.process_number,
+            id: request.id,
+            what: answer,
+        };
+        let to = request.node;
+        self.context.effects.push(Effect::Peer { to, message });
+    }
+
+    /// Records what an answer, or its absence, says about the link to a service.
+    fn note_link(&mut self, service: Service, sent: &SentRequest, has_failed: bool) {
         let now = self.context.now;
-        if failed {
-            self.forwarder.link_table.failed(service.host(), now);
-        } else {
-            let took = (!made.waits).then(|| now.since(made.at));
-            let was_down = self.forwarder.link_table.own(&service.host(), now) == LinkState::Down;
-            self.forwarder.link_table.answered(service.host(), took, now);
-            if was_down && service == Service::State {
-                self.election.renew_soon(now);
-            }
+        let links = &mut self.forwarder.link_table;
+        if has_failed {
+            links.record_failure(service.host(), now);
+            return;
+        }
+        let round_trip = (!sent.is_watch).then(|| now.since(sent.sent_at));
+        let was_down = links.own_link(&service.host(), now) == LinkState::Down;
+        links.record_answer(service.host(), round_trip, now);
+        if was_down && service == Service::State {
+            self.election.renew_soon(now);
         }
     }
 
-    /// What is carried for others, and what others carried.
+    /// A message about something that is forwarded or relayed.
     pub(super) fn on_forwarded(&mut self, message: PeerMessage) {
-        let now = self.context.now;
         match message {
-            PeerMessage::ForwardRequest {
-                node,
-                life,
-                id,
-                at,
-                term,
-                timeout_ms,
-                what,
-            } => {
-                let timeout = Micros::from_millis(u64::from(timeout_ms));
-                let others = |m: &&Made| matches!(m.whose, Whose::Other(..));
-                let full = self.forwarder.made.values().filter(others).count() >= AT_ONCE;
-                // A call to the cloud carries no condition: a leader that is known to be
-                // deposed makes none. What goes to the state service does, and it is how
-                // the sender learns of a later term.
-                let deposed = matches!(what, ForwardedBody::Cloud(_)) && term < self.election.term();
-                let never = !self.cluster.settings.operator.ways_by_others || !self.is_peer(&node);
-                let late = never || full || deposed || self.forwarder.is_late(&node, at, now);
-                self.forward_for(node, life, id, what, timeout, late);
-            }
-            PeerMessage::ForwardedResponse { life, id, what } if life == self.forwarder.life => {
-                let service = match &what {
-                    ForwardedBody::State(_) => Service::State,
-                    ForwardedBody::Cloud(_) => Service::Cloud,
-                };
-                if self.forwarder.asked.remove(&(service, id)).is_none() {
-                    return;
-                }
-                match what {
-                    ForwardedBody::State(body) => {
-                        let answer = from_cbor(&body).unwrap_or(StoreResponse::Unknown);
-                        self.apply(Event::Store { id, answer });
-                    }
-                    ForwardedBody::Cloud(body) => {
-                        let answer = from_cbor(&body).unwrap_or(CloudResponse::Unknown);
-                        self.apply(Event::Cloud { id, answer });
-                    }
-                }
+            PeerMessage::ForwardRequest { .. } => self.on_forward_request(message),
+            PeerMessage::ForwardedResponse { life, id, what } if life == self.forwarder.process_number => {
+                self.on_forwarded_response(id, what);
             }
             PeerMessage::RelayMessage { to, body } => {
-                if self.forwarder.link_table.own(&Host::Node(to.clone()), now) == LinkState::Up {
+                let link = Host::Node(to.clone());
+                if self.forwarder.link_table.own_link(&link, self.context.now) == LinkState::Up {
                     let message = PeerMessage::RelayedMessage(body);
                     self.context.effects.push(Effect::Peer { to, message });
                 }
             }
             PeerMessage::RelayedMessage(body) => match bitcode::decode::<PeerMessage>(&body) {
-                // One hop: nothing that is passed on makes this node pass or ask.
+                // One hop: a relayed message makes this controller neither relay nor forward.
                 Ok(
                     PeerMessage::RelayMessage { .. }
                     | PeerMessage::RelayedMessage(_)
@@ -358,83 +386,141 @@
         }
     }
 
-    /// Makes a request for another controller. `not` says that it must not be made: it
-    /// was never executed then, which is what a refusal says.
-    fn forward_for(&mut self, to: String, life: u64, id: u64, what: ForwardedBody, timeout: Micros, not: bool) {
-        let whose = Whose::Other(to.clone(), life, id);
-        let refused = match what {
-            ForwardedBody::State(body) => match from_cbor::<StoreRequest>(&body) {
-                Ok(request) if !not => {
-                    let own = self.context.store.reserve_request_id();
-                    let waits = matches!(request, StoreRequest::Watch { .. });
-                    self.made(Service::State, own, waits, whose);
-                    let effect = Effect::Store {
-                        id: own,
-                        request,
-                        timeout,
-                    };
-                    return self.context.effects.push(effect);
-                }
-                _ => ForwardedBody::State(to_cbor(&StoreResponse::Refused)),
+    /// Another controller asks for a request that it can't make itself.
+    fn on_forward_request(&mut self, message: PeerMessage) {
+        let PeerMessage::ForwardRequest {
+            node,
+            life,
+            id,
+            at,
+            term,
+            timeout_ms,
+            what,
+        } = message
+        else {
+            return;
+        };
+        // A call to the cloud carries no condition: a leader that is known to be deposed makes none.
+        // A request to the state service does, and it is how the sender learns of a later term.
+        let is_deposed = matches!(what, ForwardedBody::Cloud(_)) && term < self.election.term();
+        let is_allowed = self.cluster.settings.operator.ways_by_others && self.is_peer(&node);
+        let is_refused = !is_allowed
+            || self.forwarder.forwarded_requests() >= MAX_FORWARDED
+            || is_deposed
+            || self.forwarder.is_late(&node, at, self.context.now);
+        let request = ForwardedId {
+            node,
+            process_number: life,
+            id,
+        };
+        let timeout = Micros::from_millis(u64::from(timeout_ms));
+        if is_refused {
+            self.refuse_forwarded(request, &what);
+            return;
+        }
+        match what {
+            ForwardedBody::State(ref body) => match from_cbor::<StoreRequest>(body) {
+                Ok(store_request) => self.forward_to_store(request, store_request, timeout),
+                Err(_) => self.refuse_forwarded(request, &what),
             },
-            ForwardedBody::Cloud(body) => match from_cbor::<CloudRequest>(&body) {
-                Ok(request) if !not => {
-                    let own = self.context.id();
-                    self.made(Service::Cloud, own, false, whose);
-                    let effect = Effect::Cloud {
-                        id: own,
-                        request,
-                        timeout,
-                    };
-                    return self.context.effects.push(effect);
-                }
-                _ => ForwardedBody::Cloud(to_cbor(&CloudResponse::Refused)),
+            ForwardedBody::Cloud(ref body) => match from_cbor::<CloudRequest>(body) {
+                Ok(cloud_request) => self.forward_to_cloud(request, cloud_request, timeout),
+                Err(_) => self.refuse_forwarded(request, &what),
             },
+        }
+    }
+
+    fn forward_to_store(&mut self, forwarded: ForwardedId, request: StoreRequest, timeout: Micros) {
+        let id = self.context.store.reserve_request_id();
+        let is_watch = matches!(request, StoreRequest::Watch { .. });
+        self.note_sent(Service::State, id, is_watch, RequestOrigin::Forwarded(forwarded));
+        self.context.effects.push(Effect::Store { id, request, timeout });
+    }
+
+    fn forward_to_cloud(&mut self, forwarded: ForwardedId, request: CloudRequest, timeout: Micros) {
+        let id = self.context.id();
+        self.note_sent(Service::Cloud, id, false, RequestOrigin::Forwarded(forwarded));
+        self.context.effects.push(Effect::Cloud { id, request, timeout });
+    }
+
+    /// Answers a forwarded request that was not made: a refusal says that it was never executed.
+    fn refuse_forwarded(&mut self, request: ForwardedId, what: &ForwardedBody) {
+        let refusal = match what {
+            ForwardedBody::State(_) => ForwardedBody::State(to_cbor(&StoreResponse::Refused)),
+            ForwardedBody::Cloud(_) => ForwardedBody::Cloud(to_cbor(&CloudResponse::Refused)),
         };
-        let message = PeerMessage::ForwardedResponse {
-            life,
-            id,
-            what: refused,
+        self.return_forwarded(request, refusal);
+    }
+
+    /// The answer to a request that another controller made for this one.
+    fn on_forwarded_response(&mut self, id: u64, answer: ForwardedBody) {
+        let service = match &answer {
+            ForwardedBody::State(_) => Service::State,
+            ForwardedBody::Cloud(_) => Service::Cloud,
         };
-        self.context.effects.push(Effect::Peer { to, message });
+        // The answer came too late, or twice.
+        if self.forwarder.delegated.remove(&(service, id)).is_none() {
+            return;
+        }
+        match answer {
+            ForwardedBody::State(body) => {
+                let answer = from_cbor(&body).unwrap_or(StoreResponse::Unknown);
+                self.apply(Event::Store { id, answer });
+            }
+            ForwardedBody::Cloud(body) => {
+                let answer = from_cbor(&body).unwrap_or(CloudResponse::Unknown);
+                self.apply(Event::Cloud { id, answer });
+            }
+        }
     }
 
-    /// How this node's links are, for the others.
+    /// How this controller's links are, for the others.
     pub(super) fn observed_links(&mut self) -> Vec<LinkObservation> {
         let now = self.context.now;
-        let period = Micros::from_secs(self.cluster.settings.params.workers.report_s * REPORTS + 2.0);
-        let mut zones: BTreeMap<String, (u32, Micros)> = BTreeMap::new();
-        for t in self.cluster.catalogue.values() {
-            for zone in &t.zones {
+        let heartbeat_s = self.cluster.settings.params.workers.report_s;
+        let period = Micros::from_secs(heartbeat_s * HEARTBEAT_PERIODS + 2.0);
+        let mut zones: BTreeMap<String, ZoneAgents> = BTreeMap::new();
+        for machine_type in self.cluster.catalogue.values() {
+            for zone in &machine_type.zones {
                 zones.entry(zone.clone()).or_default();
             }
         }
-        for (zone, at) in self.heartbeat_proxy.reporting() {
-            if now.since(at) < period {
-                if let Some(entry) = zones.get_mut(zone) {
-                    *entry = (entry.0 + 1, entry.1.max(at));
+        for (zone, heartbeat_at) in self.heartbeat_proxy.reporting() {
+            if now.since(heartbeat_at) < period {
+                if let Some(agents) = zones.get_mut(zone) {
+                    agents.count += 1;
+                    agents.last_heartbeat = agents.last_heartbeat.max(heartbeat_at);
                 }
             }
         }
-        for (zone, (count, last)) in zones {
-            self.forwarder.link_table.workers(&zone, count, last);
+        let links = &mut self.forwarder.link_table;
+        for (zone, agents) in zones {
+            links.record_agents(&zone, agents.count, agents.last_heartbeat);
         }
-        self.forwarder.link_table.tell(now)
+        links.observations(now)
     }
 
-    /// Links that are down are tried, what was asked of others in vain is given up, and
-    /// a leader looks whether another controller had better lead.
+    /// Probes links that fail, gives up on delegated requests without an answer, and checks whether
+    /// another controller should lead.
     pub(super) fn run_link_probes(&mut self) {
+        self.expire_delegated();
+        for service in [Service::State, Service::Cloud] {
+            self.log_link_change(service);
+            self.probe_if_due(service);
+        }
+        self.check_handover();
+    }
+
+    /// Gives up on delegated requests that were not answered in time.
+    fn expire_delegated(&mut self) {
         let now = self.context.now;
-        let over: Vec<(Service, u64)> = self
-            .forwarder
-            .asked
-            .iter()
+        let delegated = self.forwarder.delegated.iter();
+        let expired: Vec<(Service, u64)> = delegated
             .filter(|(_, until)| now >= **until)
-            .map(|(key, _)| *key)
+            .map(|(request, _)| *request)
             .collect();
-        for (service, id) in over {
-            self.forwarder.asked.remove(&(service, id));
+        for (service, id) in expired {
+            self.forwarder.delegated.remove(&(service, id));
             self.apply(match service {
                 Service::State => Event::Store {
                     id,
@@ -446,85 +532,98 @@
                 },
             });
         }
-        for (i, service) in [Service::State, Service::Cloud].into_iter().enumerate() {
-            let host = service.host();
-            let down = self.forwarder.link_table.own(&host, now) == LinkState::Down;
-            let before = self.forwarder.told.insert(host.clone(), down);
-            if down != before.unwrap_or(false) {
-                let way = self.forwarder.link_table.way(&host, now);
-                tracing::info!(?host, down, ?way, "a link has changed");
-                if service == Service::State && matches!(way, Route::By(_)) {
-                    self.api.served_again();
-                }
-            }
-            let (pause, limit) = if down {
-                (PROBE, PROBE_LIMIT)
-            } else {
-                (DOUBT, DOUBT_LIMIT)
-            };
-            // Hardly anybody but the leader needs the cloud, which takes few calls.
-            let needs = service == Service::State || self.election.role() == Role::Leader;
-            let pause = if needs { pause } else { SELDOM };
-            let fails = self.forwarder.link_table.fails(&host);
-            if fails && now >= self.forwarder.next_probe[i] {
-                self.forwarder.next_probe[i] = now + pause;
-                self.probe(service, limit);
+    }
+
+    /// Logs that the link to a service went down or recovered, if it did.
+    fn log_link_change(&mut self, service: Service) {
+        let now = self.context.now;
+        let host = service.host();
+        let down = self.forwarder.link_table.own_link(&host, now) == LinkState::Down;
+        let was_down = self.forwarder.logged_down.insert(service, down).unwrap_or(false);
+        if down != was_down {
+            let route = self.forwarder.link_table.route(&host, now);
+            tracing::info!(?host, down, way = ?route, "a link has changed");
+            if service == Service::State && matches!(route, Route::Via(_)) {
+                self.api.served_again();
             }
         }
-        self.check_handover();
+    }
+
+    /// Probes the link to a service if it fails and it is time to.
+    fn probe_if_due(&mut self, service: Service) {
+        let now = self.context.now;
+        let host = service.host();
+        let is_down = self.forwarder.link_table.own_link(&host, now) == LinkState::Down;
+        let timing = if is_down { DOWN_PROBES } else { SUSPECT_PROBES };
+        // Hardly anybody but the leader needs the cloud, which takes few calls.
+        let is_needed = service == Service::State || self.election.role() == Role::Leader;
+        let period = if is_needed { timing.period } else { IDLE_PROBE_PERIOD };
+        let due_at = self.forwarder.next_probe_at.get(&service);
+        let is_due = due_at.is_none_or(|at| now >= *at);
+        if is_due && self.forwarder.link_table.is_failing(&host) {
+            self.forwarder.next_probe_at.insert(service, now + period);
+            self.probe(service, timing.timeout);
+        }
     }
 
     fn probe(&mut self, service: Service, timeout: Micros) {
         match service {
             Service::State => {
                 let id = self.context.store.reserve_request_id();
-                self.made(service, id, false, Whose::Probe);
+                self.note_sent(service, id, false, RequestOrigin::Probe);
                 let request = StoreRequest::Get { key: keys::TERM.into() };
                 self.context.effects.push(Effect::Store { id, request, timeout });
             }
             Service::Cloud => {
                 let id = self.context.id();
-                self.made(service, id, false, Whose::Probe);
+                self.note_sent(service, id, false, RequestOrigin::Probe);
                 let request = CloudRequest::Catalogue;
                 self.context.effects.push(Effect::Cloud { id, request, timeout });
             }
         }
     }
 
-    /// A leader that another controller would do better for gives up the lead.
+    /// Gives up the leadership if another controller should have it.
     fn check_handover(&mut self) {
         let now = self.context.now;
-        let leads = self.election.role() == Role::Leader && self.leader.as_ref().is_some_and(|l| l.is_loaded());
+        let is_leader = self.election.role() == Role::Leader;
+        let leads = is_leader && self.leader.as_ref().is_some_and(|l| l.is_loaded());
         if !leads || self.election.is_taking() || self.election.in_doubt() {
-            if self.election.role() != Role::Leader {
+            if !is_leader {
                 self.forwarder.led_since = None;
             }
             return;
         }
-        let began = match self.forwarder.led_since {
+        let led_since = match self.forwarder.led_since {
             Some(at) => at,
             None => {
                 self.forwarder.led_since = Some(now);
-                self.forwarder.handover.begun();
+                self.forwarder.handover.on_lead_began();
                 now
             }
         };
         let others = self.cluster.settings.peers.len() as u32;
-        // Counted only where the decision depends on it: it looks at every machine, and this is
-        // asked with every batch.
+        // Counted only where the decision depends on it: it looks at every machine, and the policy
+        // decides after every batch.
         let machines = || self.leader.as_ref().map_or(0, |l| l.working_machines());
-        let found = self
-            .forwarder
-            .handover
-            .look(&self.forwarder.link_table, others, machines, began, now);
-        if let Some(Handover { to, why }) = found {
-            tracing::warn!(term = self.election.term(), to, why = why.text(), "giving up the lead");
-            self.give_up_lead(to, why.text());
+        let links = &self.forwarder.link_table;
+        let handover = self.forwarder.handover.decide(links, others, machines, led_since, now);
+        if let Some(Handover { to, reason }) = handover {
+            let why = reason.as_str();
+            tracing::warn!(term = self.election.term(), to, why, "giving up the lead");
+            self.give_up_lead(to, why);
         }
     }
 
-    /// Whether this node gave up the lead a moment ago.
-    pub(super) fn gave_lately(&self) -> bool {
-        self.forwarder.handover.gave_lately(self.context.now)
+    /// Whether this controller gave up the leadership a moment ago.
+    pub(super) fn gave_up_lead_recently(&self) -> bool {
+        self.forwarder.handover.gave_up_recently(self.context.now)
     }
 }
+
+/// The agents of a zone that send their heartbeats here.
+#[derive(Clone, Copy, Default)]
+struct ZoneAgents {
+    count: u32,
+    last_heartbeat: Micros,
+}
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -105,7 +105,7 @@
         };
         let now = self.context.now;
         if self.is_peer(&node) {
-            self.forwarder.hears(&node, at, &links, now);
+            self.forwarder.on_alive(&node, at, &links, now);
             let same_incarnation = self.peers.get(&node).filter(|peer| peer.sender_clock <= at);
             let status = PeerStatus {
                 last_contact: now,
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -75,7 +75,7 @@
             Turn::Message(message) => Some(message),
             Turn::Taken(n) => {
                 told(Link::Up);
-                pauses.worked();
+                pauses.reset();
                 unacked.drain(..n.min(unacked.len()));
                 None
             }
@@ -105,7 +105,7 @@
                     told(if refused { Link::Refused } else { Link::Silent });
                     // Whatever has queued up meanwhile is out of date.
                     while queue.try_recv().is_ok() {}
-                    Timer::after(Duration::from_micros(pauses.next(fastrand::f64()).0)).await;
+                    Timer::after(Duration::from_micros(pauses.next_pause(fastrand::f64()).0)).await;
                     continue;
                 }
             }
