--- a/src/coordination/scheduling/best_fit.rs
+++ b/src/coordination/scheduling/best_fit.rs
@@ -172,7 +172,7 @@
             let index = request.machines.get(name)?.candidate_index?;
             let candidate = &self.candidates[index];
             let kind_rank = kinds.iter().position(|k| *k == candidate.kind)?;
-            let suits = candidate.free.fit(&request.job.spec) && request.may_retry_on(name);
+            let suits = candidate.free.fits(&request.job.spec) && request.may_retry_on(name);
             suits.then_some((kind_rank, !candidate.runs_services, index))
         });
         ranked.min().map(|(_, _, index)| index)
@@ -193,7 +193,7 @@
             let first = self.skip_full(request, kind_index);
             for &index in self.by_kind[kind_index].iter().skip(first) {
                 let candidate = &self.candidates[index];
-                if !candidate.free.fit(spec) || !self.accepts(request, candidate) {
+                if !candidate.free.fits(spec) || !self.accepts(request, candidate) {
                     continue;
                 }
                 let longer_steps = task_end.since(candidate.busy_until).0 / HOLD_STEP.0;
@@ -222,7 +222,7 @@
     fn skip_full(&mut self, request: &BestFitRequest, kind: usize) -> usize {
         let kinds = request.kinds.len();
         let full = self.full.entry(request.size()).or_insert_with(|| vec![0; kinds]);
-        let fits = |index: &usize| self.candidates[*index].free.fit(&request.job.spec);
+        let fits = |index: &usize| self.candidates[*index].free.fits(&request.job.spec);
         while self.by_kind[kind].get(full[kind]).is_some_and(|index| !fits(index)) {
             full[kind] += 1;
         }
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -6,8 +6,8 @@
 
 use super::super::state::{LeaderState, Machine, MachineId, MachineKind};
 use super::super::ClusterConfig;
-use super::resources::Resources;
 use super::rules::allowed;
+use crate::coordination::state::Resources;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
 use crate::time::Micros;
@@ -93,7 +93,7 @@
         free: Resources {
             cpus: kind.cpus - machine.used.cpus,
             gpus: kind.gpus - machine.used.gpus,
-            memory: kind.memory - machine.used.memory_gb,
+            memory_gb: kind.memory - machine.used.memory_gb,
         },
         busy_until: machine.expected_idle_at,
         runs_services: machine.service_tasks > 0,
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -18,10 +18,10 @@
 mod preemption;
 mod queue;
 mod quota;
-mod resources;
 mod rules;
 mod starts;
 
+use super::state::ROUNDING_TOLERANCE as EPSILON;
 use super::state::{LeaderState, MachineKind};
 use super::{timing, ClusterConfig, Context};
 use crate::protocol::users::Priority;
@@ -38,8 +38,6 @@
 
 /// Tasks started in one pass; the rest follow with the next, moments later.
 const MAX_STARTS: usize = 400;
-/// Amounts of resources that differ by less than this are taken to be equal.
-const EPSILON: f64 = 1e-6;
 /// The least time between two passes: changes within it are handled together.
 const MIN_PASS_INTERVAL: Micros = Micros::from_millis(40);
 /// The time after which a pass runs although nothing has changed.
--- a/src/coordination/scheduling/pass.rs
+++ b/src/coordination/scheduling/pass.rs
@@ -8,9 +8,9 @@
 use super::candidates::CandidateMachine;
 use super::pools::ClassKey;
 use super::quota::QuotaLedger;
-use super::resources::Resources;
 use super::rules::expected_duration;
 use super::SlotCounts;
+use crate::coordination::state::Resources;
 use crate::protocol::users::{JobSpec, Shape};
 use crate::time::Micros;
 use std::collections::BTreeMap;
@@ -84,7 +84,7 @@
     /// Charges the start of one task to the machine and to the counts of free cores.
     pub(super) fn take_capacity(&mut self, spec: &JobSpec, fit: BestFit, kinds: &[MachineKind]) {
         let candidate = &mut self.candidates[fit.candidate];
-        candidate.free.subtract(Resources::of_task(spec));
+        candidate.free -= Resources::of_task(spec);
         candidate.busy_until = candidate.busy_until.max(self.now + expected_duration(spec));
         let spot = kinds[candidate.kind].spot;
         if !spot {
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -12,9 +12,9 @@
 use super::pass::Pass;
 use super::queue::JobQueue;
 use super::quota::QuotaLedger;
-use super::resources::Resources;
 use super::rules::{allowed, is_best_effort};
 use super::{EPSILON, GUARANTEE_PATIENCE, MAX_PREEMPTION_EXAMINED, PREEMPTION_INTERVAL};
+use crate::coordination::state::Resources;
 use crate::protocol::users::{JobSpec, Priority};
 use crate::time::Micros;
 use std::cmp::Reverse;
@@ -156,7 +156,7 @@
             return vec![];
         }
         pass.preemption_examined += pass.candidates.len();
-        let fits = |c: &CandidateMachine| c.free.fit(&job.spec) && self.allows(&job.spec, c);
+        let fits = |c: &CandidateMachine| c.free.fits(&job.spec) && self.allows(&job.spec, c);
         if !pass.candidates.iter().any(fits) {
             return vec![];
         }
@@ -243,10 +243,10 @@
                 };
                 let has_exited = matches!(placement.phase, PlacementPhase::Exited(_));
                 if placement.stop_grace_s.is_some() || (other.priority < job.priority && !has_exited) {
-                    free.add(Resources::of_task(&other.spec));
+                    free += Resources::of_task(&other.spec);
                 }
             }
-            free.fit(&job.spec)
+            free.fits(&job.spec)
         })
     }
 }
@@ -304,19 +304,19 @@
     let mut preemptions = vec![];
     while *wanted > 0 {
         let mut chosen = vec![];
-        while !free.fit(spec) {
+        while !free.fits(spec) {
             let Some(victim) = victims.next() else { break };
-            free.add(victim.resources);
+            *free += victim.resources;
             if victim.is_running {
                 let over = pass.cpus_over_guarantee.entry(victim.team.clone()).or_default();
                 *over -= victim.resources.cpus;
             }
             chosen.extend(victim.preemption());
         }
-        if !free.fit(spec) {
+        if !free.fits(spec) {
             break;
         }
-        free.subtract(Resources::of_task(spec));
+        *free -= Resources::of_task(spec);
         *wanted -= 1;
         preemptions.extend(chosen);
     }
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -34,7 +34,7 @@
 pub use job::{slots_per_task, CompletedRuns, Job, Placement, PlacementPhase, ProgressCounts, TaskRange, TaskState};
 pub use job_events::EarlyJobEvent;
 pub use machine::{CachedImage, Machine, MachineId, MachineKind, MachineState};
-pub use resources::Resources;
+pub use resources::{Resources, ROUNDING_TOLERANCE};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The half-life of the accounting of classes and teams.
--- a/src/coordination/state/resources.rs
+++ b/src/coordination/state/resources.rs
@@ -5,6 +5,9 @@
 
 use crate::protocol::users::JobSpec;
 
+/// Sums of amounts differ by less than this from what they should be.
+pub const ROUNDING_TOLERANCE: f64 = 1e-6;
+
 /// An amount of each resource that a machine has or a task needs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
@@ -25,6 +28,13 @@
             memory_gb: spec.memory,
         }
     }
+
+    /// Whether one task of the job fits into this amount.
+    pub fn fits(&self, spec: &JobSpec) -> bool {
+        self.cpus + ROUNDING_TOLERANCE >= spec.cpus
+            && self.gpus + ROUNDING_TOLERANCE >= spec.gpus
+            && self.memory_gb + ROUNDING_TOLERANCE >= spec.memory
+    }
 }
 
 impl std::ops::AddAssign for Resources {
