--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,126 +1,164 @@
 //! HTTP client: kept connections, one request at a time on each.
+//!
+//! It tells whether a request that got no answer may have been executed. It never sends a request
+//! twice, except reads.
 
 use super::stream::Stream;
+use super::timeout::within;
 use crate::time::Micros;
-use async_io::{Async, Timer};
-use futures_lite::FutureExt;
+use async_io::Async;
 use http_types::{Method, Request, Url};
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What came of a call.
+/// Connecting takes at most this long.
+const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+
+/// The result of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallResult {
+    /// An answer.
     Answer {
+        /// Its HTTP status.
         status: u16,
+        /// Its body.
         body: Vec<u8>,
     },
-    /// The request never left: it cannot have been executed.
+    /// The request was never sent: it can't have been executed.
     NotSent,
     /// No usable answer: the request may have been executed, or may be later.
     NoAnswer,
 }
 
+/// A call that is being made.
+struct Call {
+    method: Method,
+    url: Url,
+    body: Option<Vec<u8>>,
+    limit: Duration,
+    began: Instant,
+}
+
+impl Call {
+    fn request(&self) -> Request {
+        let mut request = Request::new(self.method, self.url.clone());
+        if let Some(body) = &self.body {
+            request.set_body(body.clone());
+            request.insert_header("content-type", "application/cbor");
+        }
+        request
+    }
+
+    fn connect_limit(&self) -> Duration {
+        self.limit.min(CONNECT_LIMIT)
+    }
+
+    /// A process that was paused while it connected must not send what it has long given up.
+    fn is_too_late(&self) -> bool {
+        self.began.elapsed() > self.limit
+    }
+}
+
+/// An answer that was read whole.
+struct Exchange {
+    status: u16,
+    body: Vec<u8>,
+    /// The connection can be used for another request.
+    is_kept_alive: bool,
+}
+
 /// Connections to one address.
 pub struct Client {
-    addr: SocketAddr,
+    address: SocketAddr,
     url: Url,
     idle: RefCell<Vec<Stream>>,
-    keep: usize,
+    max_idle: usize,
 }
 
 impl Client {
-    /// A client that keeps up to `keep` idle connections.
-    pub fn new(addr: &str, keep: usize) -> Option<Rc<Client>> {
+    /// A client that keeps up to `max_idle` idle connections; `None` if it is not an address.
+    pub fn new(address: &str, max_idle: usize) -> Option<Rc<Client>> {
         Some(Rc::new(Client {
-            addr: addr.parse().ok()?,
-            url: Url::parse(&format!("http://{addr}/")).ok()?,
+            address: address.parse().ok()?,
+            url: Url::parse(&format!("http://{address}/")).ok()?,
             idle: RefCell::default(),
-            keep,
+            max_idle,
         }))
     }
 
-    async fn connect(&self, within: Duration) -> Option<Stream> {
-        let open = async { Async::<TcpStream>::connect(self.addr).await.ok() };
-        let late = async {
-            Timer::after(within).await;
-            None
-        };
-        let stream = open.or(late).await?;
+    async fn connect(&self, limit: Duration) -> Option<Stream> {
+        let stream = within(limit, async { Async::<TcpStream>::connect(self.address).await.ok() }).await?;
         Some(Stream::new(stream))
     }
 
-    async fn exchange(stream: Stream, request: Request) -> Option<(u16, Vec<u8>, bool)> {
+    /// Sends a request and reads the answer; `None` if there is no usable one.
+    async fn exchange(stream: Stream, request: Request) -> Option<Exchange> {
         let mut response = async_h1::connect(stream, request).await.ok()?;
         let body = response.body_bytes().await.ok()?;
-        let close = response
+        let closes = response
             .header("connection")
             .is_some_and(|v| v.last().as_str().eq_ignore_ascii_case("close"));
-        Some((response.status().into(), body, !close))
+        Some(Exchange {
+            status: response.status().into(),
+            body,
+            is_kept_alive: !closes,
+        })
     }
 
     /// Makes a call; `path` begins with a slash and may carry a query.
     pub async fn call(&self, method: Method, path: &str, body: Option<Vec<u8>>, timeout: Micros) -> CallResult {
-        let within = Duration::from_micros(timeout.0);
-        let began = Instant::now();
-        // A process that stood still while it connected must not send what it
-        // has long given up.
-        let too_late = || began.elapsed() > within;
+        let limit = Duration::from_micros(timeout.0);
         let Ok(url) = self.url.join(path) else {
             return CallResult::NotSent;
         };
-        let build = || {
-            let mut request = Request::new(method, url.clone());
-            if let Some(body) = &body {
-                request.set_body(body.clone());
-                request.insert_header("content-type", "application/cbor");
-            }
-            request
+        let call = Call {
+            method,
+            url,
+            body,
+            limit,
+            began: Instant::now(),
         };
-        let work = async {
-            let kept = self.idle.borrow_mut().pop();
-            let reused = kept.is_some();
-            let stream = match kept {
+        let work = async { Some(self.attempt(&call).await) };
+        within(limit, work).await.unwrap_or(CallResult::NoAnswer)
+    }
+
+    async fn attempt(&self, call: &Call) -> CallResult {
+        let kept = self.idle.borrow_mut().pop();
+        let is_reused = kept.is_some();
+        let mut stream = match kept {
+            Some(stream) => stream,
+            None => match self.connect(call.connect_limit()).await {
                 Some(stream) => stream,
-                None => match self.connect(within.min(Duration::from_secs(1))).await {
-                    Some(stream) => stream,
-                    None => return CallResult::NotSent,
-                },
-            };
-            if too_late() {
-                return CallResult::NotSent;
-            }
-            let mut result = Self::exchange(stream.clone(), build()).await;
-            let mut stream = stream;
-            if result.is_none() && reused && method == Method::Get {
-                // A kept connection may have been closed by the other side; a
-                // read can be asked again without harm.
-                match self.connect(within.min(Duration::from_secs(1))).await {
-                    Some(_) if too_late() => return CallResult::NotSent,
-                    Some(fresh) => {
-                        stream = fresh;
-                        result = Self::exchange(stream.clone(), build()).await;
-                    }
-                    None => return CallResult::NotSent,
-                }
-            }
-            match result {
-                Some((status, body, keep)) => {
-                    if keep && self.idle.borrow().len() < self.keep {
-                        self.idle.borrow_mut().push(stream);
-                    }
-                    CallResult::Answer { status, body }
-                }
-                None => CallResult::NoAnswer,
-            }
+                None => return CallResult::NotSent,
+            },
         };
-        let late = async {
-            Timer::after(within).await;
-            CallResult::NoAnswer
+        if call.is_too_late() {
+            return CallResult::NotSent;
+        }
+        let mut result = Self::exchange(stream.clone(), call.request()).await;
+        if result.is_none() && is_reused && call.method == Method::Get {
+            // The other side may have closed the kept connection; a read can be repeated without
+            // harm.
+            stream = match self.connect(call.connect_limit()).await {
+                Some(fresh) if !call.is_too_late() => fresh,
+                _ => return CallResult::NotSent,
+            };
+            result = Self::exchange(stream.clone(), call.request()).await;
+        }
+        let Some(Exchange {
+            status,
+            body,
+            is_kept_alive,
+        }) = result
+        else {
+            return CallResult::NoAnswer;
         };
-        work.or(late).await
+        if is_kept_alive && self.idle.borrow().len() < self.max_idle {
+            self.idle.borrow_mut().push(stream);
+        }
+        CallResult::Answer { status, body }
     }
 
     /// Drops the kept connections, for an address that does not answer.
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -1,6 +1,11 @@
-//! Links between controllers: one outgoing connection to each, bitcode frames
-//! with a length in front.
+//! Links between controllers: one outgoing connection to each, bitcode messages in length-prefixed
+//! frames.
+//!
+//! The other side acknowledges every frame with a byte. Without that, a connection that the other
+//! side has given up, as it does when this process is paused for a while, would accept writes
+//! without an error for ever.
 
+use super::timeout::within;
 use crate::protocol::peer::{Link, PeerMessage};
 use crate::time::Micros;
 use async_channel::{Receiver, Sender};
@@ -8,133 +13,161 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use glenhaven_connectivity::Backoff;
 use std::collections::VecDeque;
+use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Above what a carried list of keys takes (512 KiB).
+/// The largest frame, in bytes: more than a forwarded list of keys takes (512 KiB).
 const FRAME_LIMIT: usize = 1024 * 1024;
-/// Pauses between tries to connect: a controller that comes back is not stormed.
-const PAUSES: (Micros, Micros) = (Micros::from_millis(200), Micros::from_millis(800));
-const CONNECT: Duration = Duration::from_millis(800);
-const WRITE: Duration = Duration::from_secs(2);
+/// The first and the longest pause between retries to connect: a controller that comes back is not
+/// overloaded.
+const FIRST_PAUSE: Micros = Micros::from_millis(200);
+const LONGEST_PAUSE: Micros = Micros::from_millis(800);
+const CONNECT_LIMIT: Duration = Duration::from_millis(800);
+const WRITE_LIMIT: Duration = Duration::from_secs(2);
 /// A frame that is not acknowledged by then was sent over a dead link.
-const ACKED: Duration = Duration::from_millis(1500);
-const QUIET: Duration = Duration::from_secs(10);
-
-async fn within<T>(limit: Duration, work: impl std::future::Future<Output = Option<T>>) -> Option<T> {
-    work.or(async {
-        Timer::after(limit).await;
-        None
-    })
-    .await
-}
+const ACK_LIMIT: Duration = Duration::from_millis(1500);
+/// A connection without a frame for this long is closed.
+const IDLE_LIMIT: Duration = Duration::from_secs(10);
 
 /// What happened on the sending side of a link.
-enum Turn {
+enum SendEvent {
+    /// A message is to be sent.
     Message(PeerMessage),
-    /// The other side has taken in this many frames more.
-    Taken(usize),
-    /// The link is dead, or nobody queues messages any more.
+    /// The other side has acknowledged this many more frames.
+    Acknowledged(usize),
+    /// The connection was closed, or nobody queues messages any more.
     Closed,
     /// Nothing for a while.
     Quiet,
 }
 
-/// Sends queued messages to one controller, for ever. Messages are lost while
-/// the link is down: every one of them is either repeated or has a time limit.
-///
-/// The other side acknowledges every frame with a byte. A connection that the
-/// other side has given up, as it does when this process stands still for a
-/// while, would take in writes without an error for ever.
-pub async fn send(addr: SocketAddr, queue: Receiver<PeerMessage>, told: impl Fn(Link)) {
-    let mut link: Option<Async<TcpStream>> = None;
-    let mut unacked: VecDeque<Instant> = VecDeque::new();
-    let mut pauses = Backoff::new(PAUSES.0, PAUSES.1);
-    loop {
-        let mut acks = [0u8; 256];
-        let turn = {
-            let next = async { queue.recv().await.map_or(Turn::Closed, Turn::Message) };
-            let quiet = async {
-                Timer::after(ACKED).await;
-                Turn::Quiet
-            };
-            match link.as_ref() {
-                Some(stream) => {
-                    let taken = async {
-                        match (&*stream).read(&mut acks).await {
-                            Ok(n) if n > 0 => Turn::Taken(n),
-                            _ => Turn::Closed,
-                        }
-                    };
-                    taken.or(next).or(quiet).await
-                }
-                None => next.await,
-            }
-        };
-        let message = match turn {
-            Turn::Message(message) => Some(message),
-            Turn::Taken(n) => {
-                told(Link::Up);
-                pauses.reset();
-                unacked.drain(..n.min(unacked.len()));
+/// The sending side of a link.
+struct Sending<F> {
+    address: SocketAddr,
+    queue: Receiver<PeerMessage>,
+    /// Told how the link is whenever something shows it.
+    on_state: F,
+    connection: Option<Async<TcpStream>>,
+    /// When each frame was sent that is not acknowledged.
+    unacknowledged: VecDeque<Instant>,
+    pauses: Backoff,
+}
+
+/// Sends queued messages to one controller, until the queue is closed. Messages are lost while the
+/// link is down: every one of them is either repeated or has a time limit.
+pub async fn send(address: SocketAddr, queue: Receiver<PeerMessage>, on_state: impl Fn(Link)) {
+    let mut sending = Sending {
+        address,
+        queue,
+        on_state,
+        connection: None,
+        unacknowledged: VecDeque::new(),
+        pauses: Backoff::new(FIRST_PAUSE, LONGEST_PAUSE),
+    };
+    while sending.step().await {}
+}
+
+impl<F: Fn(Link)> Sending<F> {
+    /// Waits for the next event and handles it; whether there is more to come.
+    async fn step(&mut self) -> bool {
+        let message = match self.next_event().await {
+            SendEvent::Message(message) => Some(message),
+            SendEvent::Acknowledged(frames) => {
+                (self.on_state)(Link::Up);
+                self.pauses.reset();
+                self.unacknowledged.drain(..frames.min(self.unacknowledged.len()));
                 None
             }
-            Turn::Closed if link.is_none() => return,
-            Turn::Closed => {
-                link = None;
+            SendEvent::Closed if self.connection.is_none() => return false,
+            SendEvent::Closed => {
+                self.connection = None;
                 None
             }
-            Turn::Quiet => None,
+            SendEvent::Quiet => None,
         };
-        if unacked.front().is_some_and(|at| at.elapsed() > ACKED) {
-            told(Link::Silent);
-            link = None;
+        if self.unacknowledged.front().is_some_and(|at| at.elapsed() > ACK_LIMIT) {
+            (self.on_state)(Link::Silent);
+            self.connection = None;
         }
-        let Some(message) = message else { continue };
-        if link.is_none() {
-            unacked.clear();
-            let tried = within(CONNECT, async { Some(Async::<TcpStream>::connect(addr).await) }).await;
-            match tried {
-                Some(Ok(s)) => {
-                    s.get_ref().set_nodelay(true).ok();
-                    link = Some(s);
-                }
-                failed => {
-                    let refused = |e: &std::io::Error| e.kind() == std::io::ErrorKind::ConnectionRefused;
-                    let refused = matches!(&failed, Some(Err(e)) if refused(e));
-                    told(if refused { Link::Refused } else { Link::Silent });
-                    // Whatever has queued up meanwhile is out of date.
-                    while queue.try_recv().is_ok() {}
-                    Timer::after(Duration::from_micros(pauses.next_pause(fastrand::f64()).0)).await;
-                    continue;
-                }
+        if let Some(message) = message {
+            if self.connection.is_some() || self.connect().await {
+                self.write(&message).await;
+            }
+        }
+        true
+    }
+
+    async fn next_event(&self) -> SendEvent {
+        let next = async { self.queue.recv().await.map_or(SendEvent::Closed, SendEvent::Message) };
+        let Some(connection) = self.connection.as_ref() else {
+            return next.await;
+        };
+        let mut acks = [0u8; 256];
+        let acknowledged = async {
+            match (&*connection).read(&mut acks).await {
+                Ok(frames) if frames > 0 => SendEvent::Acknowledged(frames),
+                _ => SendEvent::Closed,
+            }
+        };
+        let quiet = async {
+            Timer::after(ACK_LIMIT).await;
+            SendEvent::Quiet
+        };
+        acknowledged.or(next).or(quiet).await
+    }
+
+    /// Connects; on failure, pauses before the next try. Says whether it is connected.
+    async fn connect(&mut self) -> bool {
+        self.unacknowledged.clear();
+        let connect = async { Some(Async::<TcpStream>::connect(self.address).await) };
+        match within(CONNECT_LIMIT, connect).await {
+            Some(Ok(connection)) => {
+                connection.get_ref().set_nodelay(true).ok();
+                self.connection = Some(connection);
+                true
+            }
+            failed => {
+                let is_refused = matches!(failed, Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused);
+                (self.on_state)(if is_refused { Link::Refused } else { Link::Silent });
+                // Whatever has queued up meanwhile is out of date.
+                while self.queue.try_recv().is_ok() {}
+                let pause = self.pauses.next_pause(fastrand::f64());
+                Timer::after(Duration::from_micros(pause.0)).await;
+                false
             }
         }
-        let body = bitcode::encode(&message);
+    }
+
+    async fn write(&mut self, message: &PeerMessage) {
+        let body = bitcode::encode(message);
         let mut frame = (body.len() as u32).to_be_bytes().to_vec();
         frame.extend_from_slice(&body);
-        if let Some(s) = link.as_mut() {
-            if within(WRITE, async { s.write_all(&frame).await.ok() }).await.is_none() {
-                link = None;
-            } else {
-                unacked.push_back(Instant::now());
-            }
+        let Some(connection) = self.connection.as_mut() else {
+            return;
+        };
+        let written = within(WRITE_LIMIT, async { connection.write_all(&frame).await.ok() }).await;
+        if written.is_none() {
+            self.connection = None;
+        } else {
+            self.unacknowledged.push_back(Instant::now());
         }
     }
 }
 
+/// Receives messages over one connection until it is closed or idle for too long.
 async fn receive(stream: TcpStream, out: Sender<PeerMessage>) -> Option<()> {
     let mut stream = Async::new(stream).ok()?;
     stream.get_ref().set_nodelay(true).ok();
     loop {
         let mut length = [0u8; 4];
-        within(QUIET, async { stream.read_exact(&mut length).await.ok() }).await?;
+        within(IDLE_LIMIT, async { stream.read_exact(&mut length).await.ok() }).await?;
         let length = u32::from_be_bytes(length) as usize;
         if length > FRAME_LIMIT {
             return None;
         }
         let mut body = vec![0; length];
-        within(QUIET, async { stream.read_exact(&mut body).await.ok() }).await?;
+        within(IDLE_LIMIT, async { stream.read_exact(&mut body).await.ok() }).await?;
         match bitcode::decode(&body) {
             Ok(message) => out.send(message).await.ok()?,
             Err(error) => {
@@ -142,16 +175,20 @@
                 return None;
             }
         }
-        within(WRITE, async { stream.write_all(&[1]).await.ok() }).await?;
+        within(WRITE_LIMIT, async { stream.write_all(&[1]).await.ok() }).await?;
     }
 }
 
 /// Accepts links from other controllers, for ever.
-pub async fn listen<S>(addr: SocketAddr, out: Sender<PeerMessage>, spawn: S) -> std::io::Result<()>
+///
+/// # Errors
+///
+/// If the address can't be listened on.
+pub async fn listen<S>(address: SocketAddr, out: Sender<PeerMessage>, spawn: S) -> std::io::Result<()>
 where
     S: Fn(std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>),
 {
-    let listener = Async::<TcpListener>::bind(addr)?;
+    let listener = Async::<TcpListener>::bind(address)?;
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -162,6 +199,7 @@
                     }));
                 }
             }
+            // Out of sockets, most likely.
             Err(_) => {
                 Timer::after(Duration::from_millis(50)).await;
             }
--- a/src/transport/rate_limit.rs
+++ b/src/transport/rate_limit.rs
@@ -1,25 +1,29 @@
-//! Pacing of calls to a service that limits their rate.
+//! A rate limit for calls to a service, so that it refuses none of them.
 
 use crate::time::Micros;
 
 /// A token bucket that holds one second's worth.
 #[derive(Clone, Debug)]
 pub struct Bucket {
+    /// Calls a second.
     rate: f64,
-    cap: f64,
+    /// The most calls that it holds.
+    capacity: f64,
+    /// The calls that it holds; negative after a large one.
     level: f64,
-    at: Micros,
+    /// When the level was last brought up to date.
+    filled_at: Micros,
 }
 
 impl Bucket {
     /// A full bucket that allows `rate` calls a second.
     pub fn new(rate: f64, now: Micros) -> Bucket {
-        let cap = rate.max(1.0);
+        let capacity = rate.max(1.0);
         Bucket {
             rate,
-            cap,
-            level: cap,
-            at: now,
+            capacity,
+            level: capacity,
+            filled_at: now,
         }
     }
 
@@ -27,13 +31,13 @@
     pub fn set_rate(&mut self, rate: f64, now: Micros) {
         self.fill(now);
         self.rate = rate;
-        self.cap = rate.max(1.0);
-        self.level = self.level.min(self.cap);
+        self.capacity = rate.max(1.0);
+        self.level = self.level.min(self.capacity);
     }
 
     fn fill(&mut self, now: Micros) {
-        self.level = (self.level + now.since(self.at).secs() * self.rate).min(self.cap);
-        self.at = now;
+        self.level = (self.level + now.since(self.filled_at).secs() * self.rate).min(self.capacity);
+        self.filled_at = now;
     }
 
     /// Whether `cost` calls may go out while `reserve` of a full bucket's share
@@ -41,7 +45,7 @@
     pub fn allows(&mut self, cost: f64, reserve: f64, now: Micros) -> bool {
         self.fill(now);
         // A cost above the bucket's size goes out when the bucket is full.
-        self.level >= (cost + reserve * self.cap).min(self.cap)
+        self.level >= (cost + reserve * self.capacity).min(self.capacity)
     }
 
     /// Takes `cost` from the bucket; the level may go below zero.
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,8 +1,11 @@
-//! HTTP server for users, workers and the load balancer.
+//! HTTP server for users, agents and the load balancer.
+//!
+//! The runtime gives it a handler. Here requests are limited in size and time, so that slow or
+//! broken clients can't exhaust the process's sockets or memory.
 
 use async_h1::server::Encoder;
 use async_io::{Async, Timer};
-use futures_lite::{io, AsyncReadExt, FutureExt};
+use futures_lite::{io, AsyncReadExt};
 use http_types::{Method, Request, Response, StatusCode};
 use std::cell::Cell;
 use std::future::Future;
@@ -11,28 +14,35 @@
 use std::time::Duration;
 
 use super::stream::Stream;
+use super::timeout::within;
 use crate::protocol::BODY_LIMIT;
 
-/// A request, reduced to what the service looks at.
+/// A request, reduced to what is looked at.
 pub struct Incoming {
+    /// Its method.
     pub method: Method,
+    /// The path of its URL, without the query.
     pub path: String,
+    /// Its body.
     pub body: Vec<u8>,
 }
 
 /// An answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outgoing {
+    /// Its HTTP status.
     pub status: u16,
+    /// Its body.
     pub body: Vec<u8>,
+    /// After how many seconds the client may try again.
     pub retry_after_s: Option<u32>,
 }
 
-/// A connection with no request for this long is closed, so that half-sent
-/// requests and forgotten users give their sockets back.
-const IDLE: Duration = Duration::from_secs(75);
-/// A request has to be whole within this time of its first byte being due.
-const BODY: Duration = Duration::from_secs(5);
+/// A connection without a request for this long is closed, so that half-sent requests and forgotten
+/// clients free their sockets.
+const IDLE_LIMIT: Duration = Duration::from_secs(75);
+/// The body of a request has to be received, and an answer to be sent, within this time.
+const TRANSFER_LIMIT: Duration = Duration::from_secs(5);
 
 /// Reads a whole request, or says with which status it is refused.
 async fn read(request: Request) -> Result<Incoming, u16> {
@@ -51,13 +61,9 @@
     let mut body = Vec::new();
     let whole = async {
         let mut limited = request.take_body().take(BODY_LIMIT as u64 + 1);
-        limited.read_to_end(&mut body).await.map(|_| ()).map_err(|_| 400u16)
+        Some(limited.read_to_end(&mut body).await.map_err(|_| 400u16))
     };
-    let late = async {
-        Timer::after(BODY).await;
-        Err(408u16)
-    };
-    whole.or(late).await?;
+    within(TRANSFER_LIMIT, whole).await.unwrap_or(Err(408))?;
     if body.len() > BODY_LIMIT {
         return Err(413);
     }
@@ -68,6 +74,28 @@
     })
 }
 
+/// Whether the client asked to close the connection after the answer.
+fn asks_to_close(request: &Request) -> bool {
+    request
+        .header("connection")
+        .is_some_and(|v| v.last().as_str().eq_ignore_ascii_case("close"))
+}
+
+/// The HTTP response for an answer.
+fn response(answer: Outgoing, closes: bool) -> Response {
+    let status = StatusCode::try_from(answer.status).unwrap_or(StatusCode::InternalServerError);
+    let mut response = Response::new(status);
+    if let Some(seconds) = answer.retry_after_s {
+        response.insert_header("retry-after", seconds.to_string());
+    }
+    if closes {
+        response.insert_header("connection", "close");
+    }
+    response.set_body(answer.body);
+    response.insert_header("content-type", "application/cbor");
+    response
+}
+
 /// Serves one connection until either side closes it.
 async fn serve<H, F>(stream: TcpStream, handler: H)
 where
@@ -77,62 +105,46 @@
     let Ok(stream) = Async::new(stream) else { return };
     let mut stream = Stream::new(stream);
     loop {
-        // Decoded and encoded one by one: async-h1's own loop would start the
-        // timers, and the thread, of a second reactor.
-        let one = async { async_h1::server::decode(stream.clone()).await.ok().flatten() };
-        let late = async {
-            Timer::after(IDLE).await;
-            None
-        };
-        let Some((request, rest)) = one.or(late).await else {
+        // Decoded and encoded one by one: async-h1's own loop would start the timers, and the
+        // thread, of a second reactor.
+        let next = async { async_h1::server::decode(stream.clone()).await.ok().flatten() };
+        let Some((request, rest)) = within(IDLE_LIMIT, next).await else {
             return;
         };
         let method = request.method();
-        let asked_to_close = request
-            .header("connection")
-            .is_some_and(|v| v.last().as_str().eq_ignore_ascii_case("close"));
-        let (out, refused) = match read(request).await {
+        let is_last = asks_to_close(&request);
+        let (answer, is_refused) = match read(request).await {
             Ok(incoming) => (handler(incoming).await, false),
-            Err(status) => {
-                let out = Outgoing {
+            Err(status) => (
+                Outgoing {
                     status,
                     ..Outgoing::default()
-                };
-                (out, true)
-            }
+                },
+                true,
+            ),
         };
-        let close = refused || asked_to_close;
-        let status = StatusCode::try_from(out.status).unwrap_or(StatusCode::InternalServerError);
-        let mut response = Response::new(status);
-        if let Some(seconds) = out.retry_after_s {
-            response.insert_header("retry-after", seconds.to_string());
-        }
-        if close {
-            response.insert_header("connection", "close");
-        }
-        response.set_body(out.body);
-        response.insert_header("content-type", "application/cbor");
-        let mut encoder = Encoder::new(response, method);
+        let closes = is_refused || is_last;
+        let mut encoder = Encoder::new(response(answer, closes), method);
         let write = async { io::copy(&mut encoder, &mut stream).await.ok() };
-        let late = async {
-            Timer::after(BODY).await;
-            None
-        };
-        if write.or(late).await.is_none() || close {
+        if within(TRANSFER_LIMIT, write).await.is_none() || closes {
             return;
         }
         drop(rest);
     }
 }
 
-/// Accepts connections for ever; `spawn` runs each on the caller's executor.
-pub async fn listen<H, F, S>(addr: SocketAddr, limit: usize, handler: H, spawn: S) -> std::io::Result<()>
+/// Accepts connections for ever, up to `limit` at a time; `spawn` runs each on the caller's executor.
+///
+/// # Errors
+///
+/// If the address can't be listened on.
+pub async fn listen<H, F, S>(address: SocketAddr, limit: usize, handler: H, spawn: S) -> std::io::Result<()>
 where
     H: Fn(Incoming) -> F + Clone + 'static,
     F: Future<Output = Outgoing> + 'static,
     S: Fn(std::pin::Pin<Box<dyn Future<Output = ()>>>),
 {
-    let listener = Async::<TcpListener>::bind(addr)?;
+    let listener = Async::<TcpListener>::bind(address)?;
     let open = Rc::new(Cell::new(0usize));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -141,7 +153,7 @@
             continue;
         };
         if open.get() >= limit {
-            // Closed at once, so that the other side can try another node.
+            // Closed at once, so that the other side can try another controller.
             drop(stream);
             continue;
         }
--- /dev/null
+++ b/src/transport/timeout.rs
@@ -0,0 +1,15 @@
+//! A time limit for asynchronous work.
+
+use async_io::Timer;
+use futures_lite::FutureExt;
+use std::future::Future;
+use std::time::Duration;
+
+/// The result of `work`, or `None` if it gives none or takes longer than `limit`.
+pub async fn within<T>(limit: Duration, work: impl Future<Output = Option<T>>) -> Option<T> {
+    let timeout = async {
+        Timer::after(limit).await;
+        None
+    };
+    work.or(timeout).await
+}
