--- a/crates/objectives/src/lib.rs
+++ b/crates/objectives/src/lib.rs
@@ -1,86 +1,98 @@
-//! What each class and each team asked for, what it got and how long it waited,
-//! over the last minutes; and who is behind.
+//! SLO accounting: what each class and each team asked for, what it got, how long it waited and
+//! which objectives it missed, over the last minutes.
 //!
-//! Counts decay with a half life, so that an old burst is forgotten. The number of
-//! classes and teams that are told apart is bounded: names that users choose
-//! cannot use up memory; what is beyond it counts together.
+//! A scheduler reports arrivals, starts and settled objectives, and asks how urgent an objective is
+//! and how far estimates and projections can be trusted. The crate is pure: it does no I/O and reads
+//! no clock.
+//!
+//! Counts decay with a half life, so that an old burst is forgotten. The number of classes and teams
+//! that are told apart is bounded: names that users choose cannot use up memory; what exceeds the
+//! bound is counted together.
 //!
 //! ```
-//! use glenhaven_objectives::{SloAccounting, Aim};
+//! use glenhaven_objectives::{Objective, SloAccounting};
 //! use glenhaven_time::Micros;
 //!
-//! let mut account = SloAccounting::new(Micros::from_secs(120.0));
+//! let mut slo = SloAccounting::new(Micros::from_secs(120.0));
 //! let now = Micros::from_secs(10.0);
-//! account.arrived("scan", "blue", 40.0, 12.0, Micros::ZERO, now);
-//! account.judged("scan", 0, false, now);
-//! account.judged("scan", 0, true, now);
+//! slo.arrived("scan", "blue", 40.0, 12.0, Micros::ZERO, now);
+//! slo.settled("scan", 0, false, now);
+//! slo.settled("scan", 0, true, now);
 //! // Half were missed: nothing is more urgent.
-//! assert_eq!(account.urgency("scan", 0, 0.9, now), 4.0);
-//! let aims = [Aim { class: "scan".into(), number: 0, share: 0.9 }];
-//! assert_eq!(account.behind(&aims, now)[0].kept, 0.5);
+//! assert_eq!(slo.urgency("scan", 0, 0.9, now), 4.0);
+//! let objectives = [Objective { class: "scan".into(), number: 0, share: 0.9 }];
+//! assert_eq!(slo.missed_objectives(&objectives, now)[0].met_share, 0.5);
 //! ```
 #![forbid(unsafe_code)]
 
+mod account;
 mod decayed;
-mod row;
 
+pub use account::Summary;
 pub use decayed::Decayed;
-pub use row::Row;
 
+use account::{Account, Outcomes};
 use glenhaven_time::Micros;
-use row::Line;
 use std::collections::BTreeMap;
 
 /// Classes, and teams, that are told apart.
-const NAMES: usize = 64;
-/// What counts together beyond that.
+const MAX_NAMES: usize = 64;
+/// The name under which the others are counted.
 const OTHERS: &str = "(others)";
-/// Limits of [`SloAccounting::urgency`]: an aim that is kept is worth keeping, and one
-/// that is far behind must not outweigh everything else.
-const LEAST: f64 = 0.25;
-const MOST: f64 = 4.0;
-/// A class of which less than half is served is left behind: from here on it
-/// counts for more.
+/// Least [`SloAccounting::urgency`]: an objective that is met is still worth meeting.
+const MIN_URGENCY: f64 = 0.25;
+/// Greatest [`SloAccounting::urgency`]: one objective must not outweigh everything else.
+const MAX_URGENCY: f64 = 4.0;
+/// An objective that less than half of the jobs meet has failed: below this share its urgency rises.
 const NEAR_HALF: f64 = 0.7;
-/// Fewer jobs than this say nothing of a share.
-const FEW: f64 = 1.0;
+/// Fewer settled jobs than this say nothing about a share.
+const MIN_SETTLED: f64 = 1.0;
 
-/// An operators' aim: of a class's jobs, this share is to keep a time. `number`
-/// tells a class's aims apart.
+/// An operators' objective: this share of a class's jobs is to meet it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Aim {
+pub struct Objective {
+    /// The class.
     pub class: String,
+    /// Its number among the objectives of the class.
     pub number: usize,
+    /// The share of jobs that is to meet it, between 0 and 1.
     pub share: f64,
 }
 
-/// A class that keeps an aim less often than it should.
+/// An objective that fewer jobs meet than should.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Behind {
+pub struct MissedObjective {
+    /// The class.
     pub class: String,
+    /// Its number among the objectives of the class.
     pub number: usize,
-    pub kept: f64,
-    pub aim: f64,
+    /// The share of jobs that met it of late.
+    pub met_share: f64,
+    /// The share of jobs that is to meet it.
+    pub expected_share: f64,
 }
 
-/// What comes of a class.
+/// How much work of a class arrives.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Inflow {
+    /// Jobs that arrive in a second.
     pub jobs_per_s: f64,
+    /// Cores that their tasks take.
     pub cores_per_s: f64,
-    /// The mean run time of its tasks as estimated by their owners.
+    /// The mean run time of their tasks as estimated by their owners, in seconds.
     pub run_s: f64,
 }
 
-/// The account.
+/// The accounts of all classes and teams.
 #[derive(Clone, Debug)]
 pub struct SloAccounting {
     half_life: Micros,
-    classes: BTreeMap<String, Line>,
-    teams: BTreeMap<String, Line>,
+    classes: BTreeMap<String, Account>,
+    teams: BTreeMap<String, Account>,
 }
 
 impl SloAccounting {
+    /// No accounts yet; what is added counts half after `half_life`.
     pub fn new(half_life: Micros) -> SloAccounting {
         SloAccounting {
             half_life,
@@ -89,119 +101,131 @@
         }
     }
 
-    fn line<'a>(lines: &'a mut BTreeMap<String, Line>, name: &str) -> &'a mut Line {
-        let full = lines.len() >= NAMES && !lines.contains_key(name);
-        lines.entry(if full { OTHERS } else { name }.to_string()).or_default()
+    fn account<'a>(accounts: &'a mut BTreeMap<String, Account>, name: &str) -> &'a mut Account {
+        let is_full = accounts.len() >= MAX_NAMES && !accounts.contains_key(name);
+        let name = if is_full { OTHERS } else { name };
+        accounts.entry(name.to_string()).or_default()
+    }
+
+    /// The accounts of a class and of a team.
+    fn both(&mut self, class: &str, team: &str) -> [&mut Account; 2] {
+        [
+            Self::account(&mut self.classes, class),
+            Self::account(&mut self.teams, team),
+        ]
     }
 
-    /// A job has come, so long ago, whose tasks take so many cores in all and run
-    /// for so long.
+    /// A job arrived `age` ago, whose tasks take so many cores in all and are estimated to run for
+    /// so long.
     pub fn arrived(&mut self, class: &str, team: &str, cores: f64, run_s: f64, age: Micros, now: Micros) {
-        for line in [Self::line(&mut self.classes, class), Self::line(&mut self.teams, team)] {
-            line.arrived(cores, run_s, age, self.half_life, now);
+        let half_life = self.half_life;
+        for account in self.both(class, team) {
+            account.arrived(cores, run_s, age, half_life, now);
         }
     }
 
-    /// A task has started after waiting for so long; its job's cores got room.
+    /// A task that takes so many cores started after waiting for so long.
     pub fn started(&mut self, class: &str, team: &str, cores: f64, waited: Micros, now: Micros) {
-        for line in [Self::line(&mut self.classes, class), Self::line(&mut self.teams, team)] {
-            line.started(cores, waited, self.half_life, now);
+        let half_life = self.half_life;
+        for account in self.both(class, team) {
+            account.started(cores, waited, half_life, now);
         }
     }
 
-    /// A job has kept, or missed, one of its class's aims.
-    pub fn judged(&mut self, class: &str, number: usize, kept: bool, now: Micros) {
-        Self::line(&mut self.classes, class).judged(number, kept, self.half_life, now);
+    /// A job has met, or missed, one of its class's objectives.
+    pub fn settled(&mut self, class: &str, number: usize, met: bool, now: Micros) {
+        Self::account(&mut self.classes, class).settled(number, met, self.half_life, now);
     }
 
-    /// A job of which a projection said that it would keep a time has kept it, or not.
-    pub fn promised(&mut self, class: &str, kept: bool, now: Micros) {
-        Self::line(&mut self.classes, class).promised(kept, self.half_life, now);
+    /// A job has met, or missed, an objective that a projection said it would meet.
+    pub fn commitment_settled(&mut self, class: &str, met: bool, now: Micros) {
+        Self::account(&mut self.classes, class).commitment_settled(met, self.half_life, now);
     }
 
-    /// The share of what was promised to a class that came true lately; 1 before
-    /// anything was.
+    /// The share of the commitments to a class that were met of late; 1 before there were any.
     pub fn trust(&self, class: &str, now: Micros) -> f64 {
-        self.classes.get(class).map_or(1.0, |l| l.trust(self.half_life, now))
+        let account = self.classes.get(class);
+        account.map_or(1.0, |account| account.trust(self.half_life, now))
     }
 
     /// A task of this class, estimated to run for so long, ran for so long.
     pub fn ran(&mut self, class: &str, estimated_s: f64, ran_s: f64, now: Micros) {
-        Self::line(&mut self.classes, class).ran(estimated_s, ran_s, self.half_life, now);
+        Self::account(&mut self.classes, class).ran(estimated_s, ran_s, self.half_life, now);
     }
 
-    /// How many times as long as estimated tasks of the class run, within bounds.
+    /// How many times as long as estimated tasks of the class run, within bounds; 1 if too few ran.
     pub fn bias(&self, class: &str) -> f64 {
-        self.classes.get(class).map_or(1.0, Line::bias)
+        self.classes.get(class).map_or(1.0, Account::bias)
     }
 
-    /// What comes of each class, as far as it has come lately.
+    /// How much work of each class arrives, as far as any has of late.
     pub fn inflows(&self, now: Micros) -> impl Iterator<Item = (&str, Inflow)> {
         self.classes
             .iter()
-            .map(move |(name, line)| (name.as_str(), line.inflow(self.half_life, now)))
+            .map(move |(name, account)| (name.as_str(), account.inflow(self.half_life, now)))
     }
 
-    /// What comes of one class.
+    /// How much work of one class arrives.
     pub fn inflow(&self, class: &str, now: Micros) -> Inflow {
-        self.classes
-            .get(class)
-            .map_or(Inflow::default(), |line| line.inflow(self.half_life, now))
+        let account = self.classes.get(class);
+        account.map_or(Inflow::default(), |account| account.inflow(self.half_life, now))
     }
 
-    /// How many times as much as usual keeping an aim is worth: less where fewer
-    /// miss it than may, more where it comes near to being missed by half.
+    /// How many times as much as usual meeting an objective is worth: less where fewer jobs miss it
+    /// than may, more where nearly half of them do. `share`: the share that is to meet it.
     pub fn urgency(&self, class: &str, number: usize, share: f64, now: Micros) -> f64 {
-        let Some(kept) = self.kept(class, number, now) else {
+        let Some(met_share) = self.met_share(class, number, now) else {
             return 1.0;
         };
-        if kept < NEAR_HALF {
-            let behind = (NEAR_HALF - kept) / (NEAR_HALF - 0.5);
-            return (1.0 + behind * (MOST - 1.0)).min(MOST);
+        if met_share < NEAR_HALF {
+            let shortfall = (NEAR_HALF - met_share) / (NEAR_HALF - 0.5);
+            return (1.0 + shortfall * (MAX_URGENCY - 1.0)).min(MAX_URGENCY);
         }
-        let may = (1.0 - share).max(0.001);
-        ((1.0 - kept) / may).clamp(LEAST, 1.0)
+        let may_miss = (1.0 - share).max(0.001);
+        ((1.0 - met_share) / may_miss).clamp(MIN_URGENCY, 1.0)
     }
 
-    /// The share of a class's jobs that kept an aim lately.
-    pub fn kept(&self, class: &str, number: usize, now: Micros) -> Option<f64> {
-        let (kept, missed) = self.classes.get(class)?.judgement(number, self.half_life, now)?;
-        (kept + missed >= FEW).then(|| kept / (kept + missed))
+    /// The share of a class's jobs that met an objective of late; `None` if too few have settled it.
+    pub fn met_share(&self, class: &str, number: usize, now: Micros) -> Option<f64> {
+        let account = self.classes.get(class)?;
+        let Outcomes { met, missed } = account.outcomes(number, self.half_life, now)?;
+        (met + missed >= MIN_SETTLED).then(|| met / (met + missed))
     }
 
-    /// The classes that keep an aim less often than they should, the one farthest
-    /// behind first.
-    pub fn behind(&self, aims: &[Aim], now: Micros) -> Vec<Behind> {
-        let mut list: Vec<Behind> = aims
+    /// Those of the objectives that fewer jobs meet than should, the one with the greatest shortfall
+    /// first.
+    pub fn missed_objectives(&self, objectives: &[Objective], now: Micros) -> Vec<MissedObjective> {
+        let mut missed: Vec<MissedObjective> = objectives
             .iter()
-            .filter_map(|aim| {
-                let kept = self.kept(&aim.class, aim.number, now)?;
-                (kept < aim.share).then(|| Behind {
-                    class: aim.class.clone(),
-                    number: aim.number,
-                    kept,
-                    aim: aim.share,
+            .filter_map(|objective| {
+                let met_share = self.met_share(&objective.class, objective.number, now)?;
+                (met_share < objective.share).then(|| MissedObjective {
+                    class: objective.class.clone(),
+                    number: objective.number,
+                    met_share,
+                    expected_share: objective.share,
                 })
             })
             .collect();
-        list.sort_by(|a, b| (a.kept / a.aim).total_cmp(&(b.kept / b.aim)));
-        list
+        let met_of_expected = |m: &MissedObjective| m.met_share / m.expected_share;
+        missed.sort_by(|a, b| met_of_expected(a).total_cmp(&met_of_expected(b)));
+        missed
     }
 
-    /// What each class asked for, got and waited for.
-    pub fn classes(&self, now: Micros) -> Vec<Row> {
-        self.rows(&self.classes, now)
+    /// What each class asked for, got and waited for, in the order of their names.
+    pub fn classes(&self, now: Micros) -> Vec<Summary> {
+        self.summaries(&self.classes, now)
     }
 
     /// The same of each team.
-    pub fn teams(&self, now: Micros) -> Vec<Row> {
-        self.rows(&self.teams, now)
+    pub fn teams(&self, now: Micros) -> Vec<Summary> {
+        self.summaries(&self.teams, now)
     }
 
-    fn rows(&self, lines: &BTreeMap<String, Line>, now: Micros) -> Vec<Row> {
-        lines
+    fn summaries(&self, accounts: &BTreeMap<String, Account>, now: Micros) -> Vec<Summary> {
+        accounts
             .iter()
-            .map(|(name, line)| line.row(name, self.half_life, now))
+            .map(|(name, account)| account.summary(name, self.half_life, now))
             .collect()
     }
 }
--- a/crates/zone-health/src/evacuate.rs
+++ b/crates/zone-health/src/evacuate.rs
@@ -1,35 +1,34 @@
-//! Which machines of a cut-off zone are released in step with the room there is
-//! elsewhere.
+//! Which machines of a cut-off zone are released, in step with the capacity that is free elsewhere.
 
 use glenhaven_time::Micros;
 
-/// A machine on the far side, with arrays only. Services stay until their lease
-/// is about to end: they are of use until then, and a short cut leaves them as
-/// they are.
+/// A machine in a cut-off zone that runs arrays only. Machines with services stay until their lease
+/// is about to end: the services are of use until then, and a short cut leaves them as they are.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Far<K> {
+pub struct EvacuationCandidate<K> {
+    /// The machine.
     pub machine: K,
     /// Cores that its tasks hold.
     pub cores: f64,
-    /// When it was last heard.
-    pub heard: Micros,
+    /// When its last heartbeat was sent.
+    pub last_heartbeat_at: Micros,
 }
 
-/// The machines to release now: no more than there is room for elsewhere, those
-/// that hold nothing in any case, then the ones longest unheard, whose leases end
-/// first.
-pub fn in_step<K: Ord>(mut far: Vec<Far<K>>, mut room: f64) -> Vec<K> {
-    far.sort_by(|a, b| {
-        let empty = |f: &Far<K>| f.cores > 0.0;
-        (empty(a), a.heard, &a.machine).cmp(&(empty(b), b.heard, &b.machine))
+/// The machines to release now, for `free_cores` cores that are free elsewhere: those without
+/// tasks in any case, then the ones that have been silent for longest, whose leases end first.
+pub fn machines_to_release<K: Ord>(mut candidates: Vec<EvacuationCandidate<K>>, mut free_cores: f64) -> Vec<K> {
+    candidates.sort_by(|a, b| {
+        let has_tasks = |c: &EvacuationCandidate<K>| c.cores > 0.0;
+        let a_key = (has_tasks(a), a.last_heartbeat_at, &a.machine);
+        a_key.cmp(&(has_tasks(b), b.last_heartbeat_at, &b.machine))
     });
     let mut chosen = vec![];
-    for f in far {
-        if f.cores > 0.0 && f.cores > room {
+    for candidate in candidates {
+        if candidate.cores > 0.0 && candidate.cores > free_cores {
             break;
         }
-        room -= f.cores.max(0.0);
-        chosen.push(f.machine);
+        free_cores -= candidate.cores.max(0.0);
+        chosen.push(candidate.machine);
     }
     chosen
 }
--- a/crates/zone-health/src/lib.rs
+++ b/crates/zone-health/src/lib.rs
@@ -1,224 +1,263 @@
-//! Which zones are cut off, and what is to be moved out of them.
+//! Which zones are cut off by a network partition, and what is to be moved out of them.
 //!
-//! A scheduler's leader hears a zone by its machines' reports and by the
-//! controllers in it. When all of them fall silent at once while others are
-//! heard, the zone is cut off: its tasks most likely run on until their leases
-//! end. A machine that dies or hangs alone looks the same for itself, but not to
-//! its zone.
+//! A scheduler's leader hears a zone by the heartbeats of its machines and by the controllers in it.
+//! When all of them fall silent at once while other zones are heard, the zone is cut off: its tasks
+//! most likely run on until their leases end. A machine that dies or hangs alone looks the same for
+//! itself, but not for its zone.
 //!
-//! The crate is pure: signs and the time go in, decisions come out.
+//! The crate is pure: observations and the time go in, decisions come out.
 //!
 //! ```
 //! use glenhaven_time::Micros;
-//! use glenhaven_zone_health::{Move, Sign, Times, Zones};
+//! use glenhaven_zone_health::{Evacuation, ZoneMonitor, ZoneObservation, ZoneTimes};
 //!
-//! let times = Times::new(8.0, 36.0);
-//! let mut zones = Zones::default();
-//! let sign = |zone: &str, heard: f64| Sign {
+//! let times = ZoneTimes::new(8.0, 36.0);
+//! let mut zones = ZoneMonitor::default();
+//! let zone = |zone: &str, heard_s: f64| ZoneObservation {
 //!     zone: zone.into(),
 //!     machines: 100,
-//!     heard: Micros::from_secs(heard),
-//!     ..Sign::default()
+//!     last_heartbeat_at: Micros::from_secs(heard_s),
+//!     ..ZoneObservation::default()
 //! };
 //! let now = Micros::from_secs(110.0);
-//! zones.look(&[sign("north", 109.9), sign("south", 100.0)], &times, Micros::ZERO, now);
+//! zones.update(&[zone("north", 109.9), zone("south", 100.0)], &times, Micros::ZERO, now);
 //! assert!(zones.is_cut("south") && !zones.is_cut("north"));
-//! assert_eq!(zones.moves("south", &times, now), Move::Services);
+//! assert_eq!(zones.evacuation("south", &times, now), Evacuation::Services);
 //! ```
 #![forbid(unsafe_code)]
 
 mod evacuate;
 
-pub use evacuate::{in_step, Far};
+pub use evacuate::{machines_to_release, EvacuationCandidate};
 
 use glenhaven_time::Micros;
 use std::collections::BTreeMap;
 
-/// How long after a report is due the network may still hold it up, when all
-/// is well.
-const SLACK: Micros = Micros::from_millis(1500);
-/// Reports vary by a quarter of their period.
-const VARIES: f64 = 1.25;
-/// So many reports that should have come and did not make a silence that is no
-/// accident: their times are independent of each other.
-const MISSED: f64 = 8.0;
-/// A zone needs at least so many machines for their silence to tell of it.
-const LEAST: usize = 3;
-/// A controller tells that it is alive several times in this span.
-const CONTROLLER: Micros = Micros::from_millis(1600);
-/// What a controller on the far side keeps is said every two seconds.
-const KEPT: Micros = Micros::from_millis(5000);
+/// How long a heartbeat that is due may be held up by the network when all is well.
+const MAX_DELAY: Micros = Micros::from_millis(1500);
+/// Agents vary the interval of their heartbeats by a quarter.
+const MAX_INTERVAL_FACTOR: f64 = 1.25;
+/// So many heartbeats that should have come and did not make a silence that is no accident: their
+/// times are independent of each other.
+const MISSED_HEARTBEATS: f64 = 8.0;
+/// A zone with fewer machines is not taken to be cut off by their silence.
+const MIN_MACHINES: usize = 3;
+/// A controller sends several signs of life in this span.
+const CONTROLLER_SILENCE: Micros = Micros::from_millis(1600);
+/// A controller says every two seconds which machines it has contact with.
+const PROXIED_FOR: Micros = Micros::from_millis(5000);
 
 /// The times that decide, all of them from the platform's settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Times {
-    /// The workers' report period.
-    pub heartbeat: Micros,
-    /// The workers' lease.
+pub struct ZoneTimes {
+    /// The agents' heartbeat interval.
+    pub heartbeat_interval: Micros,
+    /// The agents' lease.
     pub lease: Micros,
-    /// A cut of less than this changes nothing but where new work goes.
-    pub short: Micros,
-    /// After this, arrays are moved as well as services.
-    pub long: Micros,
+    /// How long after a cut capacity for services is looked for elsewhere; a shorter cut changes
+    /// nothing but where new work starts.
+    pub services_after: Micros,
+    /// How long after a cut arrays are moved as well.
+    pub arrays_after: Micros,
 }
 
-impl Times {
-    /// From the report period and the lease in seconds. A machine that boots
-    /// takes longer than most leases, so room for services is looked for as soon
-    /// as a cut is no accident: half a report period, 3 s at least. Renting it
-    /// costs a minute of a few machines. Arrays are most of a fleet; giving them
-    /// up loses what they have done, so they get a third of the lease.
-    pub fn new(report_s: f64, lease_s: f64) -> Times {
-        let short = (report_s / 2.0).max(3.0);
-        Times {
-            heartbeat: Micros::from_secs(report_s),
+impl ZoneTimes {
+    /// From the heartbeat interval and the lease in seconds. A machine that boots takes longer than
+    /// most leases, so capacity for services is looked for as soon as a cut is no accident: half an
+    /// interval, 3 s at least. Renting it costs a minute of a few machines. Arrays are most of a
+    /// fleet; giving them up loses what they have done, so they get a third of the lease.
+    pub fn new(report_s: f64, lease_s: f64) -> ZoneTimes {
+        let services_s = (report_s / 2.0).max(3.0);
+        ZoneTimes {
+            heartbeat_interval: Micros::from_secs(report_s),
             lease: Micros::from_secs(lease_s),
-            short: Micros::from_secs(short),
-            long: Micros::from_secs((lease_s / 3.0).max(short + report_s / 2.0)),
+            services_after: Micros::from_secs(services_s),
+            arrays_after: Micros::from_secs((lease_s / 3.0).max(services_s + report_s / 2.0)),
         }
     }
 
     /// How long a zone of so many machines may be silent by accident.
-    fn quiet(&self, machines: usize) -> Micros {
-        let part = (MISSED / machines.max(1) as f64).min(1.0);
-        SLACK + Micros::from_secs(self.heartbeat.secs() * VARIES * part)
+    fn max_silence(&self, machines: usize) -> Micros {
+        let intervals = (MISSED_HEARTBEATS / machines.max(1) as f64).min(1.0);
+        MAX_DELAY + Micros::from_secs(self.heartbeat_interval.secs() * MAX_INTERVAL_FACTOR * intervals)
     }
 }
 
-/// What is heard of a zone.
+/// What the leader has heard of a zone.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sign {
+pub struct ZoneObservation {
+    /// Name of the zone.
     pub zone: String,
-    /// Machines there that report when all is well.
+    /// Machines there that send heartbeats when all is well.
     pub machines: usize,
-    /// When the latest of their reports was sent; zero: none is known.
-    pub heard: Micros,
-    /// When a controller on their side last said that it keeps some of them.
-    pub kept: Micros,
-    /// Controllers there, the one that looks aside.
+    /// When the latest of their heartbeats was sent; zero if none is known.
+    pub last_heartbeat_at: Micros,
+    /// When a controller on their side last said that it has contact with some of them; zero if
+    /// none did.
+    pub proxied_at: Micros,
+    /// Controllers there, the leader aside.
     pub controllers: usize,
-    /// When one of them was last heard; zero: never.
-    pub controller_heard: Micros,
-    /// Whether the one that looks is there itself.
-    pub own: bool,
+    /// When one of them was last heard; zero if none was.
+    pub controller_heard_at: Micros,
+    /// Whether the leader is there itself.
+    pub is_own: bool,
 }
 
-impl Sign {
-    fn latest(&self) -> Micros {
-        self.heard.max(self.controller_heard)
+impl ZoneObservation {
+    fn last_heard_at(&self) -> Micros {
+        self.last_heartbeat_at.max(self.controller_heard_at)
+    }
+
+    /// Whether nothing came from there for longer than by accident.
+    fn is_silent(&self, times: &ZoneTimes, listening_since: Micros, now: Micros) -> bool {
+        let controller_heard_at = self.controller_heard_at.max(listening_since);
+        let hears_controller = self.controllers > 0 && now.since(controller_heard_at) <= CONTROLLER_SILENCE;
+        let last_heard_at = self.last_heard_at().max(listening_since);
+        !hears_controller && now.since(last_heard_at) > times.max_silence(self.machines)
     }
 }
 
 /// What is to be moved out of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Move {
-    /// Nothing: it can be reached, or may be in a moment.
+pub enum Evacuation {
+    /// Nothing: the zone can be reached, or may be in a moment.
     Nothing,
-    /// Room is looked for elsewhere for its services.
+    /// Capacity is looked for elsewhere for its services.
     Services,
-    /// For everything.
+    /// Capacity is looked for elsewhere for all its work.
     All,
 }
 
-/// A change of what is known, for the log.
+/// A change in what is known of a zone, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// Nothing has been heard of the zone since then.
-    Cut { zone: String, since: Micros },
-    /// It is heard again, or is tried again, after so long.
-    Back { zone: String, after: Micros },
+pub enum ZoneChange {
+    /// The zone is cut off.
+    CutOff {
+        /// Name of the zone.
+        zone: String,
+        /// When it was last heard.
+        since: Micros,
+    },
+    /// The zone is heard again, or is tried again.
+    Recovered {
+        /// Name of the zone.
+        zone: String,
+        /// How long it was cut off.
+        after: Micros,
+    },
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Cut {
     since: Micros,
-    kept: Micros,
+    proxied_at: Micros,
 }
 
-/// What is known of the zones.
+/// Which zones are cut off.
 #[derive(Clone, Debug, Default)]
-pub struct Zones {
+pub struct ZoneMonitor {
     cuts: BTreeMap<String, Cut>,
 }
 
-impl Zones {
-    /// Looks at the signs of every zone anew. `listens` is since when the one
-    /// that looks has heard others without a break: silence before it says
-    /// nothing.
-    pub fn look(&mut self, signs: &[Sign], times: &Times, listens: Micros, now: Micros) -> Vec<Change> {
+impl ZoneMonitor {
+    /// Decides anew which zones are cut off, given what was heard of every zone. Silence before
+    /// `listening_since`, since when the leader has heard others without a break, says nothing.
+    pub fn update(
+        &mut self,
+        zones: &[ZoneObservation],
+        times: &ZoneTimes,
+        listening_since: Micros,
+        now: Micros,
+    ) -> Vec<ZoneChange> {
         let mut changes = vec![];
-        for sign in signs {
-            let silent = Self::is_silent(sign, times, listens, now);
-            // Where nobody else is heard either, it is the one that looks that
-            // is cut off. Its own zone it hears, or it would not be here.
-            let others = signs
-                .iter()
-                .any(|s| s.zone != sign.zone && s.latest() >= listens && !Self::is_silent(s, times, listens, now));
-            match self.cuts.get_mut(&sign.zone) {
-                None if silent && others && sign.machines >= LEAST && !sign.own => {
-                    let since = sign.latest().max(listens);
-                    let kept = sign.kept;
-                    self.cuts.insert(sign.zone.clone(), Cut { since, kept });
-                    let zone = sign.zone.clone();
-                    changes.push(Change::Cut { zone, since });
-                }
-                None => {}
-                Some(cut) => {
-                    cut.kept = cut.kept.max(sign.kept);
-                    let heard = sign.latest() > cut.since && !silent;
-                    // With no controller there and no machine left, nothing can
-                    // be heard: it is tried again once every lease is over.
-                    let mute = sign.machines == 0 && sign.controllers == 0;
-                    let tried = mute && now.since(cut.since) > times.lease + times.lease;
-                    if heard || tried || sign.own {
-                        let after = now.since(cut.since);
-                        self.cuts.remove(&sign.zone);
-                        let zone = sign.zone.clone();
-                        changes.push(Change::Back { zone, after });
-                    }
-                }
-            }
+        for zone in zones {
+            let is_silent = zone.is_silent(times, listening_since, now);
+            let change = if self.is_cut(&zone.zone) {
+                self.recovery(zone, is_silent, times, now)
+            } else {
+                // Where nobody else is heard either, it is the leader that is cut off. Its own zone
+                // it hears, or it would not be the leader.
+                let hears_others = zones.iter().any(|other| {
+                    other.zone != zone.zone
+                        && other.last_heard_at() >= listening_since
+                        && !other.is_silent(times, listening_since, now)
+                });
+                let is_cut = is_silent && hears_others && zone.machines >= MIN_MACHINES && !zone.is_own;
+                is_cut.then(|| self.cut(zone, listening_since))
+            };
+            changes.extend(change);
         }
         changes
     }
 
-    /// Whether nothing came from there for longer than by accident.
-    fn is_silent(sign: &Sign, times: &Times, listens: Micros, now: Micros) -> bool {
-        let controller = sign.controllers > 0 && now.since(sign.controller_heard.max(listens)) <= CONTROLLER;
-        !controller && now.since(sign.latest().max(listens)) > times.quiet(sign.machines)
+    /// Notes that a zone is cut off.
+    fn cut(&mut self, zone: &ZoneObservation, listening_since: Micros) -> ZoneChange {
+        let since = zone.last_heard_at().max(listening_since);
+        let proxied_at = zone.proxied_at;
+        self.cuts.insert(zone.zone.clone(), Cut { since, proxied_at });
+        ZoneChange::CutOff {
+            zone: zone.zone.clone(),
+            since,
+        }
+    }
+
+    /// Notes what was heard of a zone that is cut off, and whether it is so no longer.
+    fn recovery(
+        &mut self,
+        zone: &ZoneObservation,
+        is_silent: bool,
+        times: &ZoneTimes,
+        now: Micros,
+    ) -> Option<ZoneChange> {
+        let cut = self.cuts.get_mut(&zone.zone)?;
+        cut.proxied_at = cut.proxied_at.max(zone.proxied_at);
+        let is_heard = zone.last_heard_at() > cut.since && !is_silent;
+        // Without a controller and a machine there, nothing can be heard: the zone is tried again
+        // when every lease is over.
+        let is_empty = zone.machines == 0 && zone.controllers == 0;
+        let is_tried_again = is_empty && now.since(cut.since) > times.lease + times.lease;
+        if !(is_heard || is_tried_again || zone.is_own) {
+            return None;
+        }
+        let after = now.since(cut.since);
+        self.cuts.remove(&zone.zone);
+        Some(ZoneChange::Recovered {
+            zone: zone.zone.clone(),
+            after,
+        })
     }
 
-    /// Whether nothing new may go there.
+    /// Whether a zone is cut off, so that nothing new may start there.
     pub fn is_cut(&self, zone: &str) -> bool {
         self.cuts.contains_key(zone)
     }
 
     /// Whether any zone is cut off.
-    pub fn any(&self) -> bool {
+    pub fn any_cut(&self) -> bool {
         !self.cuts.is_empty()
     }
 
-    /// Since when a zone is cut off.
+    /// Since when a zone is cut off; `None` if it is not.
     pub fn cut_since(&self, zone: &str) -> Option<Micros> {
         self.cuts.get(zone).map(|c| c.since)
     }
 
-    /// What is to be moved out of a zone now. One that is kept by a controller on
-    /// its side runs on and is left alone.
-    pub fn moves(&self, zone: &str, times: &Times, now: Micros) -> Move {
+    /// What is to be moved out of a zone now. A zone that a controller on its side has contact with
+    /// runs on and is left alone.
+    pub fn evacuation(&self, zone: &str, times: &ZoneTimes, now: Micros) -> Evacuation {
         let Some(cut) = self.cuts.get(zone) else {
-            return Move::Nothing;
+            return Evacuation::Nothing;
         };
-        if cut.kept > Micros::ZERO && now.since(cut.kept) < KEPT {
-            return Move::Nothing;
+        if cut.proxied_at > Micros::ZERO && now.since(cut.proxied_at) < PROXIED_FOR {
+            return Evacuation::Nothing;
         }
         let age = now.since(cut.since);
-        if age < times.short {
-            Move::Nothing
-        } else if age < times.long {
-            Move::Services
+        if age < times.services_after {
+            Evacuation::Nothing
+        } else if age < times.arrays_after {
+            Evacuation::Services
         } else {
-            Move::All
+            Evacuation::All
         }
     }
 }
--- a/src/coordination/agents/heartbeat_status.rs
+++ b/src/coordination/agents/heartbeat_status.rs
@@ -92,7 +92,7 @@
         };
         let new_session = heartbeat.incarnation > machine.incarnation;
         if at == now {
-            machine.listens(via, now);
+            machine.note_heartbeat_route(via, now);
         }
         machine.heartbeats += 1;
         machine.incarnation = heartbeat.incarnation;
--- a/src/coordination/agents/machines.rs
+++ b/src/coordination/agents/machines.rs
@@ -38,7 +38,9 @@
         self.log_replicas(cluster, now);
         self.update_slo_accounting(cluster, now);
         let unheard = |m: &Machine| m.incarnation > 0 && now.since(m.last_heartbeat) > quiet;
-        if (self.failures.zones.any() || self.machines.values().any(unheard)) && now >= self.agents.next_proxied_read {
+        if (self.failures.zones.any_cut() || self.machines.values().any(unheard))
+            && now >= self.agents.next_proxied_read
+        {
             self.agents.next_proxied_read = now + PUBLISH;
             let request = StoreRequest::List {
                 prefix: keys::CARE.into(),
--- a/src/coordination/agents/push.rs
+++ b/src/coordination/agents/push.rs
@@ -92,7 +92,7 @@
         if let Some(machine) = self.machines.get_mut(&sent.machine) {
             machine.outbox.in_flight = None;
             match answer {
-                PushResult::Done(_) | PushResult::Rejected(_) => machine.hears(sent.at),
+                PushResult::Done(_) | PushResult::Rejected(_) => machine.note_delivery(sent.at),
                 PushResult::Unknown => machine.outbox.doubt(&sent.commands, sent.fencing_token),
                 PushResult::NotSent => {}
             }
--- a/src/coordination/failure_detection/stragglers.rs
+++ b/src/coordination/failure_detection/stragglers.rs
@@ -1,91 +1,127 @@
-//! Slow machines: noticed by tasks that take far longer than others of their
-//! job. They get nothing new for a while, and what would still be done sooner
-//! elsewhere is started again there.
+//! Stragglers: tasks that take far longer than others of their job, and the slow machines that they
+//! reveal.
+//!
+//! Called by the leader every second. A slow machine gets nothing new for a while, and what would
+//! still be done sooner elsewhere is stopped and starts again there.
 
-use crate::coordination::state::{LeaderState, MachineId, MachineState, Placement, PlacementPhase};
+use crate::coordination::state::{Job, LeaderState, MachineId, MachineState, Placement, PlacementPhase};
 use crate::coordination::{timing, ClusterConfig, JobId};
 use crate::protocol::agents::TaskPhase;
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
-/// A task that runs for this many times the mean of its job's completed ones is
-/// on a slow machine. The mean counts only when half of those that were started
-/// have completed: the short ones complete first.
+/// A task that runs for this many times the mean of its job's completed ones is a straggler.
 const OVERDUE: f64 = 1.9;
-const LEAST_RUNS: u32 = 6;
+/// Run times are known to heartbeats only: a straggler is late by at least this many seconds.
+const MIN_OVERDUE_S: f64 = 2.0;
+/// Tasks that must have completed for a mean. It counts only when half of those that were started
+/// have completed: the short ones complete first.
+const MIN_RUNS: u32 = 6;
 /// How much slower a slow machine is taken to be.
 const SLOWNESS: f64 = 3.0;
-/// Share of the machines that can be slow: beyond it, it is rather the
-/// comparison that is wrong.
-const MOST: f64 = 0.25;
+/// Share of the machines that can be slow: beyond it, it is rather the comparison that is wrong.
+const MAX_SLOW_SHARE: f64 = 0.25;
+/// Share of a task's work that is lost when it is moved, with checkpoints.
+const LOST_WITH_CHECKPOINTS: f64 = 0.5;
+/// What a move costs besides, as a share of the usual run time.
+const MOVE_COST: f64 = 0.3;
+/// Grace that a task gets to save its work, in multiples of what its job says it needs.
+const GRACE_FACTOR: f64 = 1.2;
+
+/// The mean run time of a job's tasks in seconds, if enough of them have completed.
+fn mean_run_s(job: &Job) -> Option<f64> {
+    let (sum_s, runs) = job.runs;
+    (runs >= MIN_RUNS && runs >= job.held).then(|| sum_s / f64::from(runs))
+}
+
+/// For how many seconds a task has been running; `None` if it does not run, or is to stop.
+fn running_s(placement: &Placement, now: Micros) -> Option<f64> {
+    let is_running = placement.phase == PlacementPhase::Seen(TaskPhase::Running) && placement.stop.is_none();
+    placement
+        .running_since
+        .filter(|_| is_running)
+        .map(|since| now.since(since).secs())
+}
+
+/// Whether a task that has run for so long on a slow machine would be done sooner elsewhere.
+fn is_worth_moving(job: &Job, ran_s: f64) -> bool {
+    let usual_s = mean_run_s(job).unwrap_or(job.spec.estimate_s);
+    let lost = if job.spec.checkpoint_s > 0.0 {
+        LOST_WITH_CHECKPOINTS
+    } else {
+        1.0
+    };
+    usual_s * SLOWNESS - ran_s > usual_s * (lost + MOVE_COST) + 1.0
+}
 
 impl LeaderState {
-    /// The time a task of the job runs, if enough of them have completed.
-    fn usual_s(job: &crate::coordination::state::Job) -> Option<f64> {
-        let (sum, n) = job.runs;
-        (n >= LEAST_RUNS && n >= job.held).then(|| sum / f64::from(n))
+    /// Looks for stragglers, and moves work off their machines.
+    pub fn detect_stragglers(&mut self, cluster: &ClusterConfig, now: Micros) {
+        let silence = Self::work_silence(cluster);
+        let suspects = self.machines_with_stragglers(now);
+        self.mark_slow(&suspects, silence, now);
+        for (id, task) in self.tasks_to_move(silence, now) {
+            tracing::debug!(job = %id, task, "task moved off a slow machine");
+            let grace_s = self.jobs.get(&id).map_or(0.0, |j| j.spec.save_s * GRACE_FACTOR);
+            self.stop(&id, task, grace_s, now);
+        }
     }
 
-    /// Looks for tasks that are overdue, and moves work off their machines.
-    pub fn detect_stragglers(&mut self, cluster: &ClusterConfig, now: Micros) {
-        let quiet = Self::work_silence(cluster);
-        let runs = |p: &Placement| {
-            let on = p.phase == PlacementPhase::Seen(TaskPhase::Running) && p.stop.is_none();
-            p.running_since.filter(|_| on).map(|since| now.since(since).secs())
-        };
-        let mut slow: BTreeSet<MachineId> = BTreeSet::new();
+    fn machines_with_stragglers(&self, now: Micros) -> BTreeSet<MachineId> {
+        let mut machines = BTreeSet::new();
         for job in self.jobs.values().filter(|j| j.is_live() && !j.is_service()) {
-            let Some(usual) = Self::usual_s(job) else { continue };
-            // Times are seen at reports, so the shortest tasks tell nothing.
-            let limit = (usual * OVERDUE).max(usual + 2.0);
-            for p in job.placements.values() {
-                if runs(p).is_some_and(|s| s > limit) {
-                    slow.insert(p.machine.clone());
+            let Some(mean_s) = mean_run_s(job) else { continue };
+            let max_s = (mean_s * OVERDUE).max(mean_s + MIN_OVERDUE_S);
+            for placement in job.placements.values() {
+                if running_s(placement, now).is_some_and(|ran_s| ran_s > max_s) {
+                    machines.insert(placement.machine.clone());
                 }
             }
         }
+        machines
+    }
+
+    /// Marks machines as slow for a while, as long as not too many are. Silent ones are left out:
+    /// what runs there may long be done.
+    fn mark_slow(&mut self, suspects: &BTreeSet<MachineId>, silence: Micros, now: Micros) {
         let up = self.machines.values().filter(|m| m.state == MachineState::Up).count();
-        let mut known = self.machines.values().filter(|m| now < m.slow_until).count();
-        for name in &slow {
-            let Some(m) = self.machines.get_mut(name) else { continue };
-            // Silence is another matter: what runs there may long be done.
-            if now.since(m.last_heartbeat) > quiet || m.state != MachineState::Up {
+        let mut slow = self.machines.values().filter(|m| now < m.slow_until).count();
+        for name in suspects {
+            let Some(machine) = self.machines.get_mut(name) else {
+                continue;
+            };
+            if now.since(machine.last_heartbeat) > silence || machine.state != MachineState::Up {
                 continue;
             }
-            if now >= m.slow_until {
-                if known as f64 >= (up as f64 * MOST).max(1.0) {
+            if now >= machine.slow_until {
+                if slow as f64 >= (up as f64 * MAX_SLOW_SHARE).max(1.0) {
                     continue;
                 }
-                known += 1;
-                tracing::info!(machine = %name, "machine doubted: tasks take long on it");
+                slow += 1;
+                tracing::info!(machine = %name, "machine suspected: tasks take long on it");
             }
-            m.slow_until = now + timing::SLOW;
+            machine.slow_until = now + timing::SLOW;
         }
-        // What would be done sooner elsewhere starts again there.
-        let mut moved: Vec<(JobId, u32)> = vec![];
-        for m in self.machines.values().filter(|m| now < m.slow_until) {
-            if now.since(m.last_heartbeat) > quiet || m.state != MachineState::Up {
+    }
+
+    /// Tasks on slow machines that would be done sooner elsewhere.
+    fn tasks_to_move(&self, silence: Micros, now: Micros) -> Vec<(JobId, u32)> {
+        let mut tasks = vec![];
+        for machine in self.machines.values().filter(|m| now < m.slow_until) {
+            if now.since(machine.last_heartbeat) > silence || machine.state != MachineState::Up {
                 continue;
             }
-            for (id, task) in &m.tasks {
+            for (id, task) in &machine.tasks {
                 let Some(job) = self.jobs.get(id).filter(|j| j.is_live() && !j.is_service()) else {
                     continue;
                 };
-                let usual = Self::usual_s(job).unwrap_or(job.spec.estimate_s);
-                let Some(ran) = job.placements.get(task).and_then(runs) else {
-                    continue;
-                };
-                // With checkpoints, what has run is not lost.
-                let lost = if job.spec.checkpoint_s > 0.0 { 0.5 } else { 1.0 };
-                if usual * SLOWNESS - ran > usual * (lost + 0.3) + 1.0 {
-                    moved.push((id.clone(), *task));
+                let placement = job.placements.get(task);
+                let ran_s = placement.and_then(|p| running_s(p, now));
+                if ran_s.is_some_and(|ran_s| is_worth_moving(job, ran_s)) {
+                    tasks.push((id.clone(), *task));
                 }
             }
         }
-        for (id, task) in moved {
-            tracing::debug!(job = %id, task, "moved off a slow machine");
-            let grace = self.jobs.get(&id).map_or(0.0, |j| j.spec.save_s * 1.2);
-            self.stop(&id, task, grace, now);
-        }
+        tasks
     }
 }
--- a/src/coordination/failure_detection/zone_partition.rs
+++ b/src/coordination/failure_detection/zone_partition.rs
@@ -1,102 +1,82 @@
-//! Zones that are cut off from the leader: what is heard of each, and what is
-//! moved out of them. The decisions are those of `glenhaven-zone-health`.
+//! Zones that are cut off from the leader by a network partition: what is heard of each, and what is
+//! to be moved out of them.
+//!
+//! Called on the leader's ticks and by provisioning. The decisions are those of
+//! `glenhaven-zone-health`; this module collects what they are made from and keeps their results.
 
-use crate::coordination::state::{LeaderState, Machine, MachineId, MachineState};
+use crate::coordination::state::{Job, LeaderState, Machine, MachineId, MachineState};
 use crate::coordination::timing::REHOME;
 use crate::coordination::ClusterConfig;
 use crate::time::Micros;
-use glenhaven_zone_health::{in_step, Change, Far, Move, Sign, Times};
+use glenhaven_zone_health::{
+    machines_to_release, Evacuation, EvacuationCandidate, ZoneChange, ZoneObservation, ZoneTimes,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What the leader knows of another controller.
 #[derive(Clone, Copy, Debug)]
 pub struct ControllerLiveness {
-    /// When it was last heard.
-    heard: Micros,
-    /// Since when it was last not heard any more, and whether that is so now.
-    lost: Option<Micros>,
+    last_heard_at: Micros,
+    /// When it was lost for the last time; stays set when it is heard again.
+    lost_at: Option<Micros>,
     is_lost: bool,
 }
 
 impl LeaderState {
-    /// Another controller was last heard then.
-    pub fn record_controller_contact(&mut self, name: &str, heard: Micros, limit: Micros, now: Micros) {
+    /// Notes when another controller was last heard; it is lost if that is longer ago than
+    /// `max_silence`.
+    pub fn record_controller_contact(&mut self, name: &str, last_heard_at: Micros, max_silence: Micros, now: Micros) {
         if !self.failures.controllers.contains_key(name) {
-            let sign = ControllerLiveness {
-                heard,
-                lost: None,
+            let liveness = ControllerLiveness {
+                last_heard_at,
+                lost_at: None,
                 is_lost: false,
             };
-            self.failures.controllers.insert(name.to_string(), sign);
+            self.failures.controllers.insert(name.to_string(), liveness);
         }
-        let Some(node) = self.failures.controllers.get_mut(name) else {
+        let Some(controller) = self.failures.controllers.get_mut(name) else {
             return;
         };
-        node.heard = heard;
-        let lost = now.since(heard) > limit;
-        if lost && !node.is_lost {
-            node.lost = Some(now);
+        controller.last_heard_at = last_heard_at;
+        let is_lost = now.since(last_heard_at) > max_silence;
+        if is_lost && !controller.is_lost {
+            controller.lost_at = Some(now);
         }
-        node.is_lost = lost;
+        controller.is_lost = is_lost;
     }
 
-    /// From when on the silence of a machine counts: the leader hears it from
-    /// then on, and its workers have found another controller if they lost theirs.
-    pub fn silence_counts_from(&self, m: &Machine, now: Micros) -> Micros {
-        let node = m.via.as_deref().and_then(|name| self.failures.controllers.get(name));
-        let found = node
-            .and_then(|n| n.lost)
+    /// From when on the silence of a machine counts: the leader hears it from then on, and its
+    /// agent has found another controller if it lost its own.
+    pub fn silence_counts_from(&self, machine: &Machine, now: Micros) -> Micros {
+        let controller = machine
+            .via
+            .as_deref()
+            .and_then(|name| self.failures.controllers.get(name));
+        let rehomed_at = controller
+            .and_then(|c| c.lost_at)
             .map_or(Micros::ZERO, |at| now.min(at + REHOME));
-        // A zone that is back has been heard by its controllers first, as a rule.
-        let back = self
-            .failures
-            .zones_recovered_at
-            .get(&m.zone)
-            .copied()
-            .unwrap_or(Micros::ZERO);
-        self.listens_since.max(found).max(back)
+        // A zone that recovers has been heard by its controllers first, as a rule.
+        let recovered_at = self.failures.zones_recovered_at.get(&machine.zone);
+        self.listens_since
+            .max(rehomed_at)
+            .max(recovered_at.copied().unwrap_or(Micros::ZERO))
     }
 
-    /// Looks at what is heard of every zone.
+    /// Decides anew which zones are cut off, and logs what changed.
     pub fn check_zones(&mut self, cluster: &ClusterConfig, now: Micros) {
-        let mut signs: BTreeMap<&str, Sign> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| !m.zone.is_empty()) {
-            let sign = signs.entry(&m.zone).or_default();
-            sign.heard = sign.heard.max(m.last_heartbeat);
-            sign.kept = sign.kept.max(m.proxied_at);
-            let heartbeats = m.incarnation > 0 || !m.tasks.is_empty();
-            sign.machines += usize::from(heartbeats && m.state != MachineState::Releasing);
-        }
-        for peer in &cluster.settings.peers {
-            let sign = signs.entry(&peer.zone).or_default();
-            sign.controllers += 1;
-            let heard = self
-                .failures
-                .controllers
-                .get(&peer.node)
-                .map_or(Micros::ZERO, |n| n.heard);
-            sign.controller_heard = sign.controller_heard.max(heard);
-        }
-        signs.entry(&cluster.settings.zone).or_default().own = true;
-        let signs: Vec<Sign> = signs
-            .into_iter()
-            .map(|(zone, sign)| Sign {
-                zone: zone.to_string(),
-                ..sign
-            })
-            .collect();
-        for change in self
+        let zones = self.zone_observations(cluster);
+        let changes = self
             .failures
             .zones
-            .look(&signs, &times(cluster), self.listens_since, now)
-        {
+            .update(&zones, &zone_times(cluster), self.listens_since, now);
+        for change in changes {
             self.dirty = true;
             match change {
-                Change::Cut { zone, since } => {
+                ZoneChange::CutOff { zone, since } => {
                     let silent_s = now.since(since).secs();
-                    tracing::info!(zone, silent_s, "zone cut off: nothing new goes there");
+                    tracing::info!(zone, silent_s, "zone cut off: nothing new starts there");
                 }
-                Change::Back { zone, after } => {
+                ZoneChange::Recovered { zone, after } => {
                     tracing::info!(zone, after_s = after.secs(), "zone heard again");
                     self.failures.zones_recovered_at.insert(zone, now);
                 }
@@ -104,55 +84,85 @@
         }
     }
 
-    /// What is to be moved out of this zone.
-    pub fn moves_out(&self, cluster: &ClusterConfig, zone: &str, now: Micros) -> Move {
-        self.failures.zones.moves(zone, &times(cluster), now)
+    /// What is heard of every zone that has a machine or a controller, in the order of their names.
+    fn zone_observations(&self, cluster: &ClusterConfig) -> Vec<ZoneObservation> {
+        let mut zones: BTreeMap<&str, ZoneObservation> = BTreeMap::new();
+        for machine in self.machines.values().filter(|m| !m.zone.is_empty()) {
+            let zone = zones.entry(&machine.zone).or_default();
+            zone.last_heartbeat_at = zone.last_heartbeat_at.max(machine.last_heartbeat);
+            zone.proxied_at = zone.proxied_at.max(machine.proxied_at);
+            let sends_heartbeats = machine.incarnation > 0 || !machine.tasks.is_empty();
+            zone.machines += usize::from(sends_heartbeats && machine.state != MachineState::Releasing);
+        }
+        for peer in &cluster.settings.peers {
+            let zone = zones.entry(&peer.zone).or_default();
+            zone.controllers += 1;
+            let controller = self.failures.controllers.get(&peer.node);
+            let last_heard_at = controller.map_or(Micros::ZERO, |c| c.last_heard_at);
+            zone.controller_heard_at = zone.controller_heard_at.max(last_heard_at);
+        }
+        zones.entry(&cluster.settings.zone).or_default().is_own = true;
+        let with_name = |(name, zone): (&str, ZoneObservation)| ZoneObservation {
+            zone: name.to_string(),
+            ..zone
+        };
+        zones.into_iter().map(with_name).collect()
+    }
+
+    /// What is to be moved out of a zone now.
+    pub fn evacuation(&self, cluster: &ClusterConfig, zone: &str, now: Micros) -> Evacuation {
+        self.failures.zones.evacuation(zone, &zone_times(cluster), now)
     }
 
-    /// Machines of cut-off zones whose arrays there is room for elsewhere by now.
+    /// Machines of cut-off zones that are released because their arrays fit elsewhere by now.
     pub fn machines_leaving_cut_zones(&self, cluster: &ClusterConfig, now: Micros) -> BTreeSet<MachineId> {
-        let mut far = vec![];
-        let mut room = 0.0;
-        let silent = Self::work_silence(cluster);
-        for m in self.machines.values() {
-            let cores = cluster.catalogue.get(&m.machine_type).map_or(0.0, |t| t.cpus);
-            if !self.failures.zones.is_cut(&m.zone) {
-                if m.takes_work(now, silent) {
-                    room += cores - m.used[0];
+        let mut candidates = vec![];
+        let mut free_cores = 0.0;
+        let silence = Self::work_silence(cluster);
+        for machine in self.machines.values() {
+            let machine_type = cluster.catalogue.get(&machine.machine_type);
+            let cores = machine_type.map_or(0.0, |t| t.cpus);
+            if !self.failures.zones.is_cut(&machine.zone) {
+                if machine.takes_work(now, silence) {
+                    free_cores += cores - machine.used[0];
                 }
-            } else if m.services == 0
-                && m.state == MachineState::Up
-                && self.moves_out(cluster, &m.zone, now) == Move::All
+            } else if machine.services == 0
+                && machine.state == MachineState::Up
+                && self.evacuation(cluster, &machine.zone, now) == Evacuation::All
             {
-                far.push(Far {
-                    machine: m.name.clone(),
-                    cores: m.used[0],
-                    heard: m.last_heartbeat,
+                candidates.push(EvacuationCandidate {
+                    machine: machine.name.clone(),
+                    cores: machine.used[0],
+                    last_heartbeat_at: machine.last_heartbeat,
                 });
             }
         }
-        if far.is_empty() {
+        if candidates.is_empty() {
             return BTreeSet::new();
         }
-        let waits = |j: &&crate::coordination::state::Job| j.may_run() && !j.is_suspect(now);
-        let waiting: f64 = self
-            .jobs
-            .values()
-            .filter(waits)
-            .map(|j| j.waiting.len() as f64 * j.spec.cpus)
-            .sum();
-        let services: f64 = self
-            .machines
-            .values()
+        let spare_cores = free_cores - self.waiting_cores(now) - self.cut_off_service_cores();
+        machines_to_release(candidates, spare_cores).into_iter().collect()
+    }
+
+    /// Cores that waiting tasks need.
+    fn waiting_cores(&self, now: Micros) -> f64 {
+        let waits = |j: &&Job| j.may_run() && !j.is_suspect(now);
+        let waiting = self.jobs.values().filter(waits);
+        waiting.map(|j| j.waiting.len() as f64 * j.spec.cpus).sum()
+    }
+
+    /// Cores held on machines of cut-off zones that run services.
+    fn cut_off_service_cores(&self) -> f64 {
+        let machines = self.machines.values();
+        machines
             .filter(|m| m.services > 0 && self.failures.zones.is_cut(&m.zone))
             .map(|m| m.used[0])
-            .sum();
-        in_step(far, room - waiting - services).into_iter().collect()
+            .sum()
     }
 }
 
 /// The times that decide about zones.
-fn times(cluster: &ClusterConfig) -> Times {
-    let w = &cluster.settings.params.workers;
-    Times::new(w.report_s, w.lease_s)
+fn zone_times(cluster: &ClusterConfig) -> ZoneTimes {
+    let workers = &cluster.settings.params.workers;
+    ZoneTimes::new(workers.report_s, workers.lease_s)
 }
--- a/src/coordination/objectives.rs
+++ b/src/coordination/objectives.rs
@@ -1,218 +1,282 @@
-//! What is expected of a job by its user and by the operators, and the account of
-//! what each class and team got of it.
+//! The objectives of jobs, by their users and the operators, and whether they are met.
+//!
+//! The leader's ticks and the completion of jobs settle objectives; `glenhaven-objectives` keeps the
+//! accounts, which the decision about on-demand machines and the log read. Nothing here decides what
+//! runs.
+//!
+//! Invariant: an objective of a job is settled at most once.
 
-use super::state::{Job, LeaderState, Placement, PlacementPhase};
+use super::scheduling::{team_use, TeamUsage};
+use super::state::{Job, LeaderState, MachineState, Placement, PlacementPhase};
 use super::ClusterConfig;
 use crate::protocol::agents::TaskPhase;
-use crate::protocol::users::JobSpec;
+use crate::protocol::users::{JobSpec, Shape};
 use crate::time::Micros;
-use glenhaven_objectives::Aim;
+use glenhaven_objectives::Objective;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 
-/// A share that is expected where nobody names one.
-const SHARE: f64 = 0.9;
-/// Work that nobody expects at any time is done in about this.
+/// The share of jobs that is to meet an objective which names none.
+const DEFAULT_SHARE: f64 = 0.9;
+/// Within how many seconds work without any objective is to be done.
 pub const NO_HURRY_S: f64 = 300.0;
 
-/// A time that a job is to keep.
+/// A time that a job is to meet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JobObjective {
-    /// Its number among those of its class.
+    /// Its number among those of the job's class.
     pub number: usize,
-    /// From the job's arrival on, in seconds.
+    /// Seconds from the job's arrival on.
     pub due_s: f64,
     /// Whether its tasks have to run by then, rather than to be done.
     pub starts: bool,
-    /// The share of the class's jobs that is to keep it.
+    /// The share of the class's jobs that is to meet it.
     pub share: f64,
-    /// Whether it is known to be kept or missed.
-    pub judged: bool,
-    /// Whether a rental was made on the promise that this is kept.
+    /// Whether it is known to be met or missed.
+    pub settled: bool,
+    /// Whether machines were rented because a projection said that it would be met.
     pub committed: bool,
 }
 
-/// What is expected of a job: the operators' objectives for its class, or else its
-/// user's deadline, or else that it does not wait for ever.
+impl JobObjective {
+    fn new(number: usize, due_s: f64, starts: bool, share: Option<f64>) -> JobObjective {
+        JobObjective {
+            number,
+            due_s,
+            starts,
+            share: share.unwrap_or(DEFAULT_SHARE),
+            settled: false,
+            committed: false,
+        }
+    }
+}
+
+/// An objective that has just been settled.
+struct Settled {
+    class: String,
+    number: usize,
+    met: bool,
+    committed: bool,
+}
+
+/// Why a class misses its objectives, as far as it shows at present.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum MissedReason {
+    NothingWaits,
+    FailsEverywhere,
+    ZoneCutOff,
+    MachinesBooting,
+    NoCapacity,
+}
+
+impl MissedReason {
+    fn as_str(self) -> &'static str {
+        match self {
+            MissedReason::NothingWaits => "nothing of it waits now",
+            MissedReason::FailsEverywhere => "what waits fails wherever it is tried",
+            MissedReason::ZoneCutOff => "a zone is cut off",
+            MissedReason::MachinesBooting => "machines are booting",
+            MissedReason::NoCapacity => "no capacity: no machine is worth renting for it, or none is available",
+        }
+    }
+}
+
+impl fmt::Display for MissedReason {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(self.as_str())
+    }
+}
+
+/// The objectives of a job: those of the operators for its class, or else its user's deadline, or
+/// else that an array does not wait for ever.
 ///
-/// `deadline_s`: how long after its arrival so many times its user's deadline is over.
+/// `deadline_s`: how many seconds after the job's arrival so many times its user's deadline is over.
 pub fn objectives_of(
     cluster: &ClusterConfig,
     spec: &JobSpec,
     deadline_s: impl Fn(f64) -> Option<f64>,
 ) -> Vec<JobObjective> {
-    let mut aims = vec![];
-    let mut push = |due_s: Option<f64>, starts: bool, share: Option<f64>| {
-        if let Some(due_s) = due_s {
-            aims.push(JobObjective {
-                number: aims.len(),
-                due_s,
-                starts,
-                share: share.unwrap_or(SHARE),
-                judged: false,
-                committed: false,
-            });
-        }
-    };
-    for o in cluster
-        .settings
-        .params
-        .objectives
-        .iter()
-        .filter(|o| o.class == spec.class)
-    {
-        match o.kind.as_str() {
-            "finished" => push(o.within_s, false, o.share),
-            "deadline" => push(deadline_s(o.times.unwrap_or(1.0)), false, o.share),
-            "wait" => push(o.within_s, true, o.share),
-            _ => {}
-        }
+    let mut objectives = vec![];
+    let of_class = cluster.settings.params.objectives.iter();
+    for objective in of_class.filter(|o| o.class == spec.class) {
+        let (due_s, starts) = match objective.kind.as_str() {
+            "finished" => (objective.within_s, false),
+            "deadline" => (deadline_s(objective.times.unwrap_or(1.0)), false),
+            "wait" => (objective.within_s, true),
+            _ => continue,
+        };
+        let number = objectives.len();
+        objectives.extend(due_s.map(|due_s| JobObjective::new(number, due_s, starts, objective.share)));
     }
-    if aims.is_empty() {
-        let service = spec.shape == crate::protocol::users::Shape::Service;
-        let patient = (!service).then(|| NO_HURRY_S.max(spec.estimate_s * 3.0));
-        let due_s = deadline_s(1.0).or(patient);
-        aims.extend(due_s.map(|due_s| JobObjective {
-            number: 0,
-            due_s,
-            starts: false,
-            share: SHARE,
-            judged: false,
-            committed: false,
-        }));
+    if objectives.is_empty() {
+        let is_service = spec.shape == Shape::Service;
+        let no_hurry_s = (!is_service).then(|| NO_HURRY_S.max(spec.estimate_s * 3.0));
+        let due_s = deadline_s(1.0).or(no_hurry_s);
+        objectives.extend(due_s.map(|due_s| JobObjective::new(0, due_s, false, None)));
     }
-    aims
+    objectives
 }
 
 impl Job {
     /// Whether every task of it runs or has run.
     fn all_started(&self) -> bool {
-        let runs =
+        let has_run =
             |p: &Placement| p.running_since.is_some() || matches!(p.phase, PlacementPhase::Seen(TaskPhase::Running));
-        self.waiting.is_empty() && self.placements.values().all(runs)
+        self.waiting.is_empty() && self.placements.values().all(has_run)
     }
-}
 
-impl LeaderState {
-    /// A job that came is counted, and those that kept or missed a time are judged.
-    pub fn update_slo_accounting(&mut self, cluster: &ClusterConfig, now: Micros) {
-        let mut judged = vec![];
-        let held = super::scheduling::team_use(&self.jobs);
-        for job in self.jobs.values_mut().filter(|j| !j.blocked) {
-            if job.objectives.is_none() {
-                job.objectives = Some(objectives_of(cluster, &job.spec, |times| job.deadline_s(times)));
-                let cores = f64::from(job.spec.tasks) * job.spec.cpus;
-                let s = &job.spec;
-                let age = if job.arrival_unknown {
-                    Micros::ZERO
-                } else {
-                    now.since(job.arrived)
-                };
-                self.slo.arrived(&s.class, &s.team, cores, s.estimate_s, age, now);
-            }
-            if !job.is_live() {
+    /// Settles the objectives that are met or missed by now. A miss that is not to be counted is
+    /// settled as well, but left out of the result.
+    fn settle_due_objectives(&mut self, counts_misses: bool, now: Micros) -> Vec<Settled> {
+        let age_s = now.since(self.arrived).secs();
+        let all_started = self.all_started();
+        let mut settled = vec![];
+        for objective in self.objectives.iter_mut().flatten().filter(|o| !o.settled) {
+            let is_decided = age_s > objective.due_s || (objective.starts && all_started);
+            if !is_decided {
                 continue;
             }
-            // What fails everywhere, or waits for its own team's limit, is not
-            // behind others; nobody knows when a job of an earlier leader came.
-            let (limit, _) = cluster.limits(&job.spec.team);
-            let of_team = held.get(&job.spec.team).map_or(0.0, |usage| usage.cpus);
-            let limited = !job.waiting.is_empty() && of_team + job.spec.cpus > limit;
-            let blameless = job.arrival_unknown || job.is_suspect(now) || limited;
-            let age = now.since(job.arrived).secs();
-            let started = job.all_started();
-            for aim in job.objectives.iter_mut().flatten().filter(|a| !a.judged) {
-                if (aim.starts && started) || age > aim.due_s {
-                    aim.judged = true;
-                    let kept = age <= aim.due_s;
-                    if kept || !blameless {
-                        judged.push((job.spec.class.clone(), aim.number, kept, aim.committed));
-                    }
-                }
+            objective.settled = true;
+            let met = age_s <= objective.due_s;
+            if met || counts_misses {
+                settled.push(Settled {
+                    class: self.spec.class.clone(),
+                    number: objective.number,
+                    met,
+                    committed: objective.committed,
+                });
             }
         }
-        for (class, number, kept, promised) in judged {
-            self.slo.judged(&class, number, kept, now);
-            if promised {
-                self.slo.promised(&class, kept, now);
-            }
+        settled
+    }
+}
+
+impl LeaderState {
+    /// Accounts for jobs that are new, and settles the objectives that are met or missed by now.
+    pub fn update_slo_accounting(&mut self, cluster: &ClusterConfig, now: Micros) {
+        self.account_for_new_jobs(cluster, now);
+        let usage = team_use(&self.jobs);
+        let mut settled = vec![];
+        for job in self.jobs.values_mut().filter(|j| !j.blocked && j.is_live()) {
+            // What fails everywhere, or waits for its own team's limit, does not miss its objectives
+            // because of others; nobody knows when a job of an earlier leader arrived.
+            let is_limited = waits_for_limit(cluster, job, &usage);
+            let counts_misses = !(job.arrival_unknown || job.is_suspect(now) || is_limited);
+            settled.extend(job.settle_due_objectives(counts_misses, now));
+        }
+        for objective in settled {
+            self.account_for_settled(&objective, now);
+        }
+    }
+
+    fn account_for_new_jobs(&mut self, cluster: &ClusterConfig, now: Micros) {
+        let new_jobs = self.jobs.values_mut();
+        for job in new_jobs.filter(|j| !j.blocked && j.objectives.is_none()) {
+            job.objectives = Some(objectives_of(cluster, &job.spec, |times| job.deadline_s(times)));
+            let spec = &job.spec;
+            let cores = f64::from(spec.tasks) * spec.cpus;
+            let age = if job.arrival_unknown {
+                Micros::ZERO
+            } else {
+                now.since(job.arrived)
+            };
+            self.slo
+                .arrived(&spec.class, &spec.team, cores, spec.estimate_s, age, now);
+        }
+    }
+
+    fn account_for_settled(&mut self, settled: &Settled, now: Micros) {
+        self.slo.settled(&settled.class, settled.number, settled.met, now);
+        if settled.committed {
+            self.slo.commitment_settled(&settled.class, settled.met, now);
         }
     }
 
-    /// Every task of an array has completed: it keeps what is not yet missed.
+    /// Every task of an array has completed: settles the objectives that are not settled yet.
     pub fn record_objectives_met(&mut self, id: &str, now: Micros) {
         let Some(job) = self.jobs.get_mut(id).filter(|j| !j.arrival_unknown) else {
             return;
         };
-        let age = now.since(job.arrived).secs();
-        for aim in job.objectives.iter_mut().flatten().filter(|a| !a.judged) {
-            aim.judged = true;
-            self.slo.judged(&job.spec.class, aim.number, age <= aim.due_s, now);
-            if aim.committed {
-                self.slo.promised(&job.spec.class, age <= aim.due_s, now);
-            }
+        let age_s = now.since(job.arrived).secs();
+        let mut settled = vec![];
+        for objective in job.objectives.iter_mut().flatten().filter(|o| !o.settled) {
+            objective.settled = true;
+            settled.push(Settled {
+                class: job.spec.class.clone(),
+                number: objective.number,
+                met: age_s <= objective.due_s,
+                committed: objective.committed,
+            });
+        }
+        for objective in settled {
+            self.account_for_settled(&objective, now);
         }
     }
 
-    /// Tells operators who is behind, and what each class and team asked for, got
+    /// Logs for operators which objectives are missed, and what each class and team asked for, got
     /// and waited for.
     pub fn log_slo_accounting(&self, cluster: &ClusterConfig, now: Micros) {
-        let mut aims: Vec<Aim> = vec![];
-        let mut seen = std::collections::BTreeSet::new();
-        for job in self.jobs.values().filter(|j| seen.insert(j.spec.class.as_str())) {
-            aims.extend(
-                objectives_of(cluster, &job.spec, |t| job.deadline_s(t))
-                    .into_iter()
-                    .map(|a| Aim {
-                        class: job.spec.class.clone(),
-                        number: a.number,
-                        share: a.share,
-                    }),
-            );
-        }
-        for b in self.slo.behind(&aims, now) {
-            let why = self.why_behind(&b.class, now);
+        for missed in self.slo.missed_objectives(&self.open_objectives(cluster), now) {
             tracing::info!(
-                class = b.class,
-                aim = b.number,
-                kept = b.kept,
-                expected = b.aim,
-                why,
-                "behind"
+                class = missed.class,
+                objective = missed.number,
+                met = missed.met_share,
+                expected = missed.expected_share,
+                reason = self.missed_reason(&missed.class, now).as_str(),
+                "objective missed"
             );
         }
-        let rows = self.slo.classes(now).into_iter().map(|r| ("class", r));
-        let teams = self.slo.teams(now).into_iter().map(|r| ("team", r));
-        for (of, row) in rows.chain(teams) {
+        let classes = self.slo.classes(now).into_iter().map(|summary| ("class", summary));
+        let teams = self.slo.teams(now).into_iter().map(|summary| ("team", summary));
+        for (of, summary) in classes.chain(teams) {
             tracing::debug!(
                 of,
-                name = row.name,
-                asked_cores_s = row.asked,
-                got_cores_s = row.got,
-                trust = self.slo.trust(&row.name, now),
-                wait_p50_s = row.wait_p50_s,
-                wait_p99_s = row.wait_p99_s,
+                name = summary.name,
+                requested_cores_s = summary.requested_cores_per_s,
+                started_cores_s = summary.started_cores_per_s,
+                trust = self.slo.trust(&summary.name, now),
+                wait_p50_s = summary.wait_p50_s,
+                wait_p99_s = summary.wait_p99_s,
                 "account"
             );
         }
     }
 
-    /// Why a class's work waits, as far as it shows now.
-    fn why_behind(&self, class: &str, now: Micros) -> &'static str {
+    /// The objectives of the classes of which a job is open; those of one job stand for its class.
+    fn open_objectives(&self, cluster: &ClusterConfig) -> Vec<Objective> {
+        let mut objectives = vec![];
+        let mut seen = BTreeSet::new();
+        for job in self.jobs.values().filter(|j| seen.insert(j.spec.class.as_str())) {
+            let of_class = objectives_of(cluster, &job.spec, |times| job.deadline_s(times));
+            objectives.extend(of_class.into_iter().map(|objective| Objective {
+                class: job.spec.class.clone(),
+                number: objective.number,
+                share: objective.share,
+            }));
+        }
+        objectives
+    }
+
+    fn missed_reason(&self, class: &str, now: Micros) -> MissedReason {
         let waits = |j: &&Job| j.spec.class == class && j.may_run() && !j.waiting.is_empty();
         let waiting: Vec<&Job> = self.jobs.values().filter(waits).collect();
-        let booting = self
-            .machines
-            .values()
-            .any(|m| m.state == super::state::MachineState::Booting);
         if waiting.is_empty() {
-            "nothing of it waits now"
+            MissedReason::NothingWaits
         } else if waiting.iter().all(|j| j.is_suspect(now)) {
-            "what waits fails wherever it is tried"
-        } else if self.failures.zones.any() {
-            "a zone is cut off"
-        } else if booting {
-            "machines are booting"
+            MissedReason::FailsEverywhere
+        } else if self.failures.zones.any_cut() {
+            MissedReason::ZoneCutOff
+        } else if self.machines.values().any(|m| m.state == MachineState::Booting) {
+            MissedReason::MachinesBooting
         } else {
-            "no room; no machine is worth renting for it, or none is to be had"
+            MissedReason::NoCapacity
         }
     }
 }
+
+/// Whether its team's limit stops a job.
+fn waits_for_limit(cluster: &ClusterConfig, job: &Job, usage: &BTreeMap<String, TeamUsage>) -> bool {
+    let (limit, _) = cluster.limits(&job.spec.team);
+    let used = usage.get(&job.spec.team).map_or(0.0, |usage| usage.cpus);
+    !job.waiting.is_empty() && used + job.spec.cpus > limit
+}
--- a/src/coordination/provisioning/demand.rs
+++ b/src/coordination/provisioning/demand.rs
@@ -9,7 +9,7 @@
 use super::super::ClusterConfig;
 use crate::protocol::users::{JobSpec, Priority};
 use crate::time::Micros;
-use glenhaven_zone_health::Move;
+use glenhaven_zone_health::Evacuation;
 use std::collections::BTreeMap;
 
 /// A backlog that may use spot machines gets on-demand ones in any case for this part of it:
@@ -175,15 +175,15 @@
 
     /// Cores held in zones that are cut off by work that is not to be moved yet.
     pub(super) fn cores_staying_in_cut_zones(&self, cluster: &ClusterConfig, now: Micros) -> CoresByRental {
-        let moves: BTreeMap<&str, Move> = self
+        let evacuations: BTreeMap<&str, Evacuation> = self
             .machines
             .values()
             .filter(|m| self.failures.zones.is_cut(&m.zone))
-            .map(|m| (&*m.zone, self.moves_out(cluster, &m.zone, now)))
+            .map(|m| (&*m.zone, self.evacuation(cluster, &m.zone, now)))
             .collect();
         let mut staying = CoresByRental::default();
         for machine in self.machines.values() {
-            let Some(moved) = moves.get(&*machine.zone) else {
+            let Some(evacuation) = evacuations.get(&*machine.zone) else {
                 continue;
             };
             for (id, task) in &machine.tasks {
@@ -192,10 +192,10 @@
                     .placements
                     .get(task)
                     .is_some_and(|p| !matches!(p.phase, PlacementPhase::Exited(_)));
-                let stays = match moved {
-                    Move::Nothing => true,
-                    Move::Services => job.spec.spot,
-                    Move::All => false,
+                let stays = match evacuation {
+                    Evacuation::Nothing => true,
+                    Evacuation::Services => job.spec.spot,
+                    Evacuation::All => false,
                 };
                 if holds && stays {
                     *staying.of_mut(job.spec.spot) += effective_cores(&job.spec, cluster);
