--- a/crates/provisioning/src/lib.rs
+++ b/crates/provisioning/src/lib.rs
@@ -1,75 +1,98 @@
-//! What machines that are rented now are expected to serve in time, and to cost.
+//! Cost-benefit of machines rented now: what they are expected to let jobs meet, and what they cost.
 //!
-//! Work waits in an order, each part of it with times by which it has to have
-//! started to be done as its users and the operators expect, and with what keeping
-//! each of these times is worth. Room falls free as tasks end and machines boot.
-//! The queue is played ahead as a fluid, with and without more room, and of some
-//! amounts of room the one is chosen whose rent exceeds what it saves the least,
-//! or is exceeded by it the most.
+//! Work waits in an order, each entry with times by which it has to have started for its objectives
+//! to be met, and with what meeting each of them is worth. Capacity becomes free as tasks end and
+//! machines boot. The queue is projected as a fluid, with and without more capacity; of several
+//! amounts of capacity, the one is advised whose benefit exceeds its rent the most.
 //!
-//! Sizes are cores, times seconds from now, worth and prices money.
+//! The crate is pure: it does no I/O and reads no clock. Amounts are cores, times are seconds from
+//! now, and worth and prices are money.
 //!
 //! ```
-//! use glenhaven_provisioning::{advise, Due, Offer, Supply, Work};
+//! use glenhaven_provisioning::{advise, Arrival, Due, Offer, Supply, Work};
 //!
-//! // Two hundred cores wait, a hundred fall free in a minute; half a minute from
-//! // now is early enough.
+//! // Two hundred cores wait, a hundred become free in a minute; half a minute from now is early
+//! // enough.
 //! let waiting = Work {
 //!     cores: 200.0,
 //!     run_s: 40.0,
 //!     dues: vec![Due { start_by_s: 45.0, worth: 5.0 }],
 //!     ..Work::default()
 //! };
-//! let supply = Supply { free: 0.0, coming: vec![(60.0, 100.0)] };
-//! let offer = Offer { ready_s: 30.0, price: 0.07 / 3600.0, idle_s: 10.0, most: 1000.0 };
+//! let supply = Supply { free_cores: 0.0, arrivals: vec![Arrival { at_s: 60.0, cores: 100.0 }] };
+//! let offer = Offer { ready_s: 30.0, price: 0.07 / 3600.0, idle_s: 10.0, max_cores: 1000.0 };
 //! let advice = advise(&[waiting], &supply, &offer);
 //! assert!(advice.cores >= 190.0 && advice.cores <= 200.0);
-//! assert!(advice.saves > advice.costs);
+//! assert!(advice.benefit > advice.cost);
 //! ```
 #![forbid(unsafe_code)]
 
-/// The fluid moves in steps of this length.
+/// Length of a step of the projection.
 const STEP_S: f64 = 2.0;
 /// Less than this of a core is nothing: sums of parts are not exact.
-const LITTLE: f64 = 1e-6;
-/// Parts of what is rented are ready after so many times the usual time.
-const BOOTS: [f64; 3] = [0.75, 1.0, 1.3];
-/// How far ahead the queue is played. What is decided beyond it can be decided
-/// later: a boot is much shorter.
-const AHEAD_S: f64 = 180.0;
-const STEPS: usize = (AHEAD_S / STEP_S) as usize;
-/// A machine is held until the last of its tasks ends: so many mean run times.
-const LAST: f64 = 2.0;
-/// Amounts of room that are compared, as parts of all that could be of use.
+const EPSILON: f64 = 1e-6;
+/// Equal parts of what is rented are ready after these multiples of the usual time.
+const BOOT_FACTORS: [f64; 3] = [0.75, 1.0, 1.3];
+/// How far ahead the queue is projected. What is decided beyond it can be decided later: a boot is
+/// much shorter.
+const HORIZON_S: f64 = 180.0;
+const STEPS: usize = (HORIZON_S / STEP_S) as usize;
+/// A machine is held until the last of its tasks ends: for so many mean run times.
+const HELD_RUNS: f64 = 2.0;
+/// Amounts of capacity that are compared, as parts of all that could be of use.
 const PARTS: [f64; 8] = [0.06, 0.12, 0.2, 0.3, 0.45, 0.6, 0.8, 1.0];
 
 /// A time by which the last task of some work has to have started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Due {
-    /// Seconds from now; negative: it is missed already.
+    /// Seconds from now; negative if it is missed already.
     pub start_by_s: f64,
-    /// What it is worth to be kept.
+    /// What meeting it is worth.
     pub worth: f64,
 }
 
-/// Some work that waits, or is expected.
+/// An entry of the queue: work that waits, or is expected.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Work {
     /// Cores that its tasks take in all.
     pub cores: f64,
-    /// How long a task runs, image included.
+    /// How long a task holds its cores, the fetch of its image included.
     pub run_s: f64,
-    /// When it begins to wait; zero or less: it does.
+    /// When it arrives; zero or less if it waits already.
     pub from_s: f64,
+    /// By when it has to have started.
     pub dues: Vec<Due>,
 }
 
-/// Room there is, and when more comes.
+impl Work {
+    /// How many of the times are missed by a start then.
+    fn missed_dues(&self, start_s: f64) -> usize {
+        self.dues.iter().filter(|d| d.start_by_s < start_s).count()
+    }
+
+    /// What the times are worth that are missed if the last task starts then.
+    fn missed_worth(&self, start_s: f64) -> f64 {
+        let missed = self.dues.iter().filter(|d| d.start_by_s < start_s);
+        missed.map(|d| d.worth).sum()
+    }
+}
+
+/// Cores that become free or have booted.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Arrival {
+    /// Seconds from now.
+    pub at_s: f64,
+    /// How many cores.
+    pub cores: f64,
+}
+
+/// The capacity that there is, and that comes without a rental.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Supply {
-    pub free: f64,
-    /// When so many cores fall free or have booted.
-    pub coming: Vec<(f64, f64)>,
+    /// Free now; negative if other work takes more.
+    pub free_cores: f64,
+    /// What becomes free later, in any order.
+    pub arrivals: Vec<Arrival>,
 }
 
 /// What can be rented.
@@ -77,165 +100,208 @@
 pub struct Offer {
     /// How long it takes until a task can start there.
     pub ready_s: f64,
-    /// Of a core for a second, from the rental on.
+    /// Price of a core for a second, from the rental on.
     pub price: f64,
     /// How long a machine stays idle before it is returned.
     pub idle_s: f64,
-    /// Cores there may be.
-    pub most: f64,
+    /// Cores that can be rented.
+    pub max_cores: f64,
+}
+
+/// One of the times of one entry of the queue.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MetDue {
+    /// Index of the entry.
+    pub work: usize,
+    /// Index of the time in [`Work::dues`].
+    pub due: usize,
 }
 
 /// What to rent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Advice {
+    /// Cores to rent; 0 if nothing is worth it.
     pub cores: f64,
-    /// Worth of the times kept that would be missed otherwise.
-    pub saves: f64,
+    /// What the times are worth that are met with the rental and would be missed without.
+    pub benefit: f64,
     /// What it is expected to cost beyond what the same work costs anyhow.
-    pub costs: f64,
-    /// The times that are expected to be kept by it: the numbers of the work and of its
-    /// due time.
-    pub saved: Vec<(usize, usize)>,
+    pub cost: f64,
+    /// The times that are expected to be met with the rental only.
+    pub met: Vec<MetDue>,
 }
 
-/// How a queue goes.
-struct Played {
-    /// Worth of the times that are missed.
-    missed: f64,
-    /// When nothing waits any more, once more room would have come.
+/// The outcome of a projection.
+struct Outcome {
+    /// What the missed times are worth.
+    missed_worth: f64,
+    /// When nothing waits any more, once rented capacity would be ready.
     clear_s: f64,
-    /// Cores that still wait when more room would have come.
-    left: f64,
-    /// When the last task of each work starts.
-    last_s: Vec<f64>,
+    /// Cores that still wait when rented capacity would be ready.
+    waiting_when_ready: f64,
+    /// When the last task of each entry starts.
+    last_start_s: Vec<f64>,
 }
 
-/// Plays the queue ahead, oldest first, except that what has missed more of its
-/// times lets the others pass.
-fn play(work: &[Work], supply: &Supply, extra: f64, ready_s: f64) -> Played {
-    let mut room = supply.free.max(0.0);
-    let mut coming = [0.0; STEPS + 1];
-    let step = |s: f64| ((s.max(0.0) / STEP_S).ceil() as usize).min(STEPS);
-    for (at, cores) in &supply.coming {
-        coming[step(*at)] += cores;
-    }
-    // Boots differ: some are ready sooner than most, and some later.
-    for times in BOOTS {
-        coming[step(ready_s * times)] += extra / BOOTS.len() as f64;
+/// The step in which a time lies.
+fn step_of(time_s: f64) -> usize {
+    ((time_s.max(0.0) / STEP_S).ceil() as usize).min(STEPS)
+}
+
+/// A projection of the queue as a fluid.
+struct Projection<'a> {
+    work: &'a [Work],
+    ready_s: f64,
+    /// Cores that are free.
+    free: f64,
+    /// Cores that become free in each step.
+    arriving: [f64; STEPS + 1],
+    /// Cores of each entry that have not started.
+    left: Vec<f64>,
+    is_clear: bool,
+    outcome: Outcome,
+}
+
+impl<'a> Projection<'a> {
+    /// With so many cores rented that are ready at about `ready_s`. Boots differ: some are ready
+    /// sooner than most, and some later.
+    fn new(work: &'a [Work], supply: &Supply, rented_cores: f64, ready_s: f64) -> Projection<'a> {
+        let mut arriving = [0.0; STEPS + 1];
+        for arrival in &supply.arrivals {
+            arriving[step_of(arrival.at_s)] += arrival.cores;
+        }
+        for factor in BOOT_FACTORS {
+            arriving[step_of(ready_s * factor)] += rented_cores / BOOT_FACTORS.len() as f64;
+        }
+        Projection {
+            work,
+            ready_s,
+            free: supply.free_cores.max(0.0),
+            arriving,
+            left: work.iter().map(|w| w.cores.max(0.0)).collect(),
+            is_clear: false,
+            outcome: Outcome {
+                missed_worth: 0.0,
+                clear_s: HORIZON_S,
+                waiting_when_ready: 0.0,
+                last_start_s: vec![HORIZON_S; work.len()],
+            },
+        }
     }
-    let most = work.iter().map(|w| w.dues.len()).max().unwrap_or(0);
-    let mut left: Vec<f64> = work.iter().map(|w| w.cores.max(0.0)).collect();
-    let mut played = Played {
-        missed: 0.0,
-        clear_s: AHEAD_S,
-        left: 0.0,
-        last_s: vec![AHEAD_S; work.len()],
-    };
-    let mut clear = false;
-    let mut i = 0;
-    while i <= STEPS {
-        let now = i as f64 * STEP_S;
-        room += coming[i];
-        for rank in 0..=most {
-            if room <= LITTLE {
-                break;
-            }
-            for ((w, left), last_s) in work.iter().zip(&mut left).zip(&mut played.last_s) {
-                if *left <= 0.0 || w.from_s > now {
-                    continue;
-                }
-                let missed = w.dues.iter().filter(|d| d.start_by_s < now).count();
-                if missed != rank {
-                    continue;
-                }
-                let starts = left.min(room);
-                *left -= starts;
-                room -= starts;
-                let ends = step(now + w.run_s);
-                if ends > i && ends < STEPS {
-                    coming[ends] += starts;
-                }
-                if *left <= LITTLE {
-                    *left = 0.0;
-                    *last_s = now;
-                    played.missed += missed_by(w, now);
-                }
-                if room <= LITTLE {
+
+    /// Projects the queue, the first entry first, except that work which has missed more of its
+    /// times lets the others go first.
+    fn run(mut self) -> Outcome {
+        let max_missed = self.work.iter().map(|w| w.dues.len()).max().unwrap_or(0);
+        for step in 0..=STEPS {
+            let now_s = step as f64 * STEP_S;
+            self.free += self.arriving[step];
+            for missed in 0..=max_missed {
+                if self.free <= EPSILON {
                     break;
                 }
+                self.start_entries(step, now_s, missed);
             }
-        }
-        if now >= ready_s {
-            let waits: f64 = left
-                .iter()
-                .zip(work)
-                .filter(|(_, w)| w.from_s <= now)
-                .map(|(l, _)| l)
-                .sum();
-            if now < ready_s + STEP_S {
-                played.left = waits;
+            if now_s >= self.ready_s {
+                self.note_waiting(now_s);
             }
-            if waits <= LITTLE && !clear {
-                clear = true;
-                played.clear_s = now;
-            } else if waits > LITTLE {
-                clear = false;
-                played.clear_s = AHEAD_S;
+        }
+        // What still waits misses what is due by then.
+        for (work, left) in self.work.iter().zip(&self.left) {
+            if *left > 0.0 {
+                self.outcome.missed_worth += work.missed_worth(HORIZON_S);
             }
         }
-        i += 1;
+        self.outcome
     }
-    // What still waits misses what is due by then.
-    for (w, left) in work.iter().zip(&left) {
-        if *left > 0.0 {
-            played.missed += missed_by(w, AHEAD_S);
+
+    /// Starts what has missed so many of its times, as far as cores are free.
+    fn start_entries(&mut self, step: usize, now_s: f64, missed: usize) {
+        for (index, work) in self.work.iter().enumerate() {
+            let left = &mut self.left[index];
+            if *left <= 0.0 || work.from_s > now_s || work.missed_dues(now_s) != missed {
+                continue;
+            }
+            let starting = left.min(self.free);
+            *left -= starting;
+            self.free -= starting;
+            let end = step_of(now_s + work.run_s);
+            if end > step && end < STEPS {
+                self.arriving[end] += starting;
+            }
+            if *left <= EPSILON {
+                *left = 0.0;
+                self.outcome.last_start_s[index] = now_s;
+                self.outcome.missed_worth += work.missed_worth(now_s);
+            }
+            if self.free <= EPSILON {
+                break;
+            }
         }
     }
-    played
-}
 
-/// Worth of the times that are missed if the last task starts then.
-fn missed_by(w: &Work, start_s: f64) -> f64 {
-    w.dues.iter().filter(|d| d.start_by_s < start_s).map(|d| d.worth).sum()
+    /// Notes what still waits, once rented capacity would be ready.
+    fn note_waiting(&mut self, now_s: f64) {
+        let entries = self.left.iter().zip(self.work);
+        let waiting: f64 = entries
+            .filter(|(_, work)| work.from_s <= now_s)
+            .map(|(left, _)| left)
+            .sum();
+        if now_s < self.ready_s + STEP_S {
+            self.outcome.waiting_when_ready = waiting;
+        }
+        if waiting <= EPSILON && !self.is_clear {
+            self.is_clear = true;
+            self.outcome.clear_s = now_s;
+        } else if waiting > EPSILON {
+            self.is_clear = false;
+            self.outcome.clear_s = HORIZON_S;
+        }
+    }
 }
 
-/// The times that are kept with more room and missed without.
-fn saved(work: &[Work], without: &Played, with: &Played) -> Vec<(usize, usize)> {
-    let mut saved = vec![];
-    for (i, w) in work.iter().enumerate() {
-        let (late, early) = (without.last_s[i], with.last_s[i]);
-        let by_it = |d: &Due| d.start_by_s < late && d.start_by_s >= early;
-        saved.extend((0..w.dues.len()).filter(|n| by_it(&w.dues[*n])).map(|n| (i, n)));
+/// The times that are met with more capacity and missed without.
+fn met_dues(work: &[Work], without: &Outcome, with: &Outcome) -> Vec<MetDue> {
+    let mut met = vec![];
+    for (index, entry) in work.iter().enumerate() {
+        let (late_s, early_s) = (without.last_start_s[index], with.last_start_s[index]);
+        for (due_index, due) in entry.dues.iter().enumerate() {
+            if due.start_by_s < late_s && due.start_by_s >= early_s {
+                met.push(MetDue {
+                    work: index,
+                    due: due_index,
+                });
+            }
+        }
     }
-    saved
+    met
 }
 
 /// How much to rent now for work in the order of its queue.
 pub fn advise(work: &[Work], supply: &Supply, offer: &Offer) -> Advice {
-    if work.is_empty() || offer.most <= 0.0 || offer.ready_s >= AHEAD_S {
+    if work.is_empty() || offer.max_cores <= 0.0 || offer.ready_s >= HORIZON_S {
         return Advice::default();
     }
-    let without = play(work, supply, 0.0, offer.ready_s);
+    let without = Projection::new(work, supply, 0.0, offer.ready_s).run();
     // More than what waits when it would be ready is of no use.
-    let useful = without.left.min(offer.most);
-    if useful <= 0.0 || without.missed <= 0.0 {
+    let useful_cores = without.waiting_when_ready.min(offer.max_cores);
+    if useful_cores <= 0.0 || without.missed_worth <= 0.0 {
         return Advice::default();
     }
-    let total: f64 = work.iter().map(|w| w.cores).sum();
-    let run_s = work.iter().map(|w| w.cores * w.run_s).sum::<f64>() / total.max(1e-9);
+    let total_cores: f64 = work.iter().map(|w| w.cores).sum();
+    let mean_run_s = work.iter().map(|w| w.cores * w.run_s).sum::<f64>() / total_cores.max(1e-9);
     let mut best = Advice::default();
     for part in PARTS {
-        let cores = useful * part;
-        let with = play(work, supply, cores, offer.ready_s);
-        let held_s = with.clear_s.max(offer.ready_s) + run_s * LAST + offer.idle_s;
-        let costs = cores * offer.price * held_s;
-        let saves = without.missed - with.missed;
-        if saves - costs > best.saves - best.costs {
+        let cores = useful_cores * part;
+        let with = Projection::new(work, supply, cores, offer.ready_s).run();
+        let held_s = with.clear_s.max(offer.ready_s) + mean_run_s * HELD_RUNS + offer.idle_s;
+        let cost = cores * offer.price * held_s;
+        let benefit = without.missed_worth - with.missed_worth;
+        if benefit - cost > best.benefit - best.cost {
             best = Advice {
                 cores,
-                saves,
-                costs,
-                saved: saved(work, &without, &with),
+                benefit,
+                cost,
+                met: met_dues(work, &without, &with),
             };
         }
     }
--- a/crates/provisioning/tests/provisioning.rs
+++ b/crates/provisioning/tests/provisioning.rs
@@ -1,6 +1,6 @@
 //! What is rented serves something in time and is worth its price.
 
-use glenhaven_provisioning::{advise, Due, Offer, Supply, Work};
+use glenhaven_provisioning::{advise, Arrival, Due, Offer, Supply, Work};
 use proptest::prelude::*;
 
 fn work(cores: f64, run_s: f64, start_by_s: f64, worth: f64) -> Work {
@@ -16,7 +16,7 @@
     ready_s: 30.0,
     price: 0.07 / 3600.0,
     idle_s: 10.0,
-    most: 10_000.0,
+    max_cores: 10_000.0,
 };
 
 #[test]
@@ -26,10 +26,13 @@
 }
 
 #[test]
-fn nothing_is_rented_where_room_comes_in_time() {
+fn nothing_is_rented_where_capacity_comes_in_time() {
     let supply = Supply {
-        free: 0.0,
-        coming: vec![(25.0, 500.0)],
+        free_cores: 0.0,
+        arrivals: vec![Arrival {
+            at_s: 25.0,
+            cores: 500.0,
+        }],
     };
     let advice = advise(&[work(500.0, 40.0, 60.0, 100.0)], &supply, &OFFER);
     assert_eq!(advice.cores, 0.0);
@@ -44,21 +47,20 @@
     assert!(dear.cores > 400.0, "{dear:?}");
 }
 
-/// The first half of a queue fits into what ends in time; only the rest needs
-/// machines of its own.
+/// The first half of a queue fits into what ends in time; only the rest needs machines of its own.
 #[test]
 fn only_what_is_missing_is_rented() {
     let queue = [work(300.0, 70.0, 45.0, 50.0), work(300.0, 70.0, 45.0, 50.0)];
     let supply = Supply {
-        free: 300.0,
-        coming: vec![],
+        free_cores: 300.0,
+        arrivals: vec![],
     };
     let advice = advise(&queue, &supply, &OFFER);
     assert!(advice.cores > 200.0 && advice.cores <= 300.0, "{advice:?}");
 }
 
 /// Old work that has missed its time lets what is in time go first, so that
-/// little room keeps what comes in time.
+/// little capacity is enough for what comes in time.
 #[test]
 fn a_late_backlog_does_not_rent_for_itself() {
     let mut queue = vec![work(5000.0, 40.0, -10.0, 50.0)];
@@ -67,8 +69,13 @@
         ..work(50.0, 40.0, f64::from(i) * 10.0 + 40.0, 50.0)
     }));
     let supply = Supply {
-        free: 100.0,
-        coming: (0..50).map(|i| (f64::from(i) * 3.0, 10.0)).collect(),
+        free_cores: 100.0,
+        arrivals: (0..50)
+            .map(|i| Arrival {
+                at_s: f64::from(i) * 3.0,
+                cores: 10.0,
+            })
+            .collect(),
     };
     let advice = advise(&queue, &supply, &OFFER);
     assert_eq!(advice.cores, 0.0, "{advice:?}");
@@ -82,16 +89,17 @@
     #[test]
     fn advice_is_sound(
         jobs in proptest::collection::vec((0.0f64..400.0, 0.0f64..200.0, -50.0f64..150.0, 0.0f64..9.0), 0..30),
-        free in -10.0f64..300.0,
-        coming in proptest::collection::vec((-5.0f64..400.0, 0.0f64..200.0), 0..10),
-        most in 0.0f64..2000.0,
+        free_cores in -10.0f64..300.0,
+        arrivals in proptest::collection::vec((-5.0f64..400.0, 0.0f64..200.0), 0..10),
+        max_cores in 0.0f64..2000.0,
     ) {
-        let queue: Vec<Work> = jobs.iter().map(|(c, r, d, w)| work(*c, *r, *d, *w)).collect();
-        let offer = Offer { most, ..OFFER };
-        let advice = advise(&queue, &Supply { free, coming }, &offer);
+        let queue: Vec<Work> = jobs.iter().map(|(cores, run_s, start_by_s, worth)| work(*cores, *run_s, *start_by_s, *worth)).collect();
+        let offer = Offer { max_cores, ..OFFER };
+        let arrivals = arrivals.iter().map(|(at_s, cores)| Arrival { at_s: *at_s, cores: *cores }).collect();
+        let advice = advise(&queue, &Supply { free_cores, arrivals }, &offer);
         let total: f64 = queue.iter().map(|w| w.cores).sum();
-        prop_assert!(advice.cores >= 0.0 && advice.cores <= most.min(total) + 1e-6);
-        prop_assert!(advice.saves >= advice.costs);
-        prop_assert!(advice.cores.is_finite() && advice.saves.is_finite() && advice.costs.is_finite());
+        prop_assert!(advice.cores >= 0.0 && advice.cores <= max_cores.min(total) + 1e-6);
+        prop_assert!(advice.benefit >= advice.cost);
+        prop_assert!(advice.cores.is_finite() && advice.benefit.is_finite() && advice.cost.is_finite());
     }
 }
--- a/crates/reservation/src/lib.rs
+++ b/crates/reservation/src/lib.rs
@@ -1,104 +1,137 @@
-//! Room for tasks that nearly fill a machine. Small tasks take every core that falls idle, so
-//! that a large one would be passed for ever: for those that have waited for long, machines
-//! are held, one for each task, until what runs there has ended. Nothing is stopped.
+//! Reservation of machines for tasks that nearly fill one.
 //!
-//! Oldest first, the machine that empties soonest, and never more than a part of all: what is
-//! held earns nothing meanwhile.
+//! Small tasks take every core that becomes idle, so that a large one would be passed over for ever.
+//! For large tasks that have waited for long, machines are reserved, one for each task, until what
+//! runs there has ended. Nothing is preempted.
+//!
+//! The oldest job comes first, and the machine that is expected to be empty soonest. Never more than
+//! a part of all machines is reserved: a reserved machine earns nothing meanwhile.
+//!
+//! The crate is pure: it does no I/O and reads no clock.
 //!
 //! ```
-//! use glenhaven_reservation::{ReservationPolicy, Waits};
+//! use glenhaven_reservation::{ReservableMachine, ReservationPolicy, WaitingJob};
 //! use glenhaven_time::Micros;
 //!
-//! let mut gather = ReservationPolicy::new();
-//! let machines = [("n-1", Micros::from_millis(9000)), ("n-2", Micros::from_millis(4000))];
-//! gather.decide(&[Waits { job: "large", tasks: 3 }], &machines, |_, _| true, 1);
-//! assert_eq!(gather.holds(&"n-2"), Some(&"large"), "it is empty sooner");
-//! assert_eq!(gather.holds(&"n-1"), None, "one at the most");
+//! let mut policy = ReservationPolicy::new();
+//! let machine = |machine, ms| ReservableMachine { machine, empty_at: Micros::from_millis(ms) };
+//! let machines = [machine("n-1", 9000), machine("n-2", 4000)];
+//! policy.decide(&[WaitingJob { job: "large", tasks: 3 }], &machines, |_, _| true, 1);
+//! assert_eq!(policy.reserved_for(&"n-2"), Some(&"large"), "it is empty sooner");
+//! assert_eq!(policy.reserved_for(&"n-1"), None, "one at most");
 //! ```
 #![forbid(unsafe_code)]
 
 use glenhaven_time::Micros;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// A job with large tasks that has waited for long.
 #[derive(Clone, Copy, Debug)]
-pub struct Waits<J> {
+pub struct WaitingJob<J> {
+    /// The job.
     pub job: J,
     /// How many of its tasks wait.
     pub tasks: usize,
 }
 
-/// Which machine is held for which job.
+/// A machine that may be reserved.
+#[derive(Clone, Copy, Debug)]
+pub struct ReservableMachine<M> {
+    /// The machine.
+    pub machine: M,
+    /// When its last task is expected to end.
+    pub empty_at: Micros,
+}
+
+/// Which machine is reserved for which job.
 #[derive(Clone, Debug)]
 pub struct ReservationPolicy<M, J> {
-    held: BTreeMap<M, J>,
+    reserved: BTreeMap<M, J>,
 }
 
 impl<M: Ord, J> Default for ReservationPolicy<M, J> {
     fn default() -> Self {
-        ReservationPolicy { held: BTreeMap::new() }
+        ReservationPolicy {
+            reserved: BTreeMap::new(),
+        }
     }
 }
 
 impl<M: Ord + Clone, J: PartialEq + Clone> ReservationPolicy<M, J> {
-    /// Nothing is held.
+    /// Nothing is reserved.
     pub fn new() -> ReservationPolicy<M, J> {
         ReservationPolicy::default()
     }
 
-    /// Decides anew: for these jobs, in the order of the queue, among these machines, each with
-    /// when it is expected to be empty. What is held stays held as long as its job waits and
-    /// the machine suits it: a machine that changes hands would empty for nobody.
+    /// Decides anew, for these jobs in the order of the queue, which of these machines are reserved,
+    /// at most `max` of them. A machine stays reserved as long as its job waits and it suits the
+    /// job: a machine that changes from job to job would become empty for nobody.
     pub fn decide(
         &mut self,
-        waits: &[Waits<J>],
-        machines: &[(M, Micros)],
+        jobs: &[WaitingJob<J>],
+        machines: &[ReservableMachine<M>],
         suits: impl Fn(&M, &J) -> bool,
-        most: usize,
+        max: usize,
     ) {
-        let mut wanted: Vec<usize> = waits.iter().map(|w| w.tasks).collect();
-        let place = |job: &J| waits.iter().position(|w| w.job == *job);
-        let mut kept = 0;
-        let there: std::collections::BTreeSet<&M> = machines.iter().map(|m| &m.0).collect();
-        self.held.retain(|machine, job| {
-            let Some(i) = place(job).filter(|_| there.contains(machine)) else {
-                return false;
-            };
-            let stays = kept < most && wanted[i] > 0 && suits(machine, job);
-            if stays {
-                wanted[i] -= 1;
-                kept += 1;
-            }
-            stays
-        });
-        let mut soonest: Vec<&(M, Micros)> = machines.iter().filter(|m| !self.held.contains_key(&m.0)).collect();
-        soonest.sort_by(|a, b| (a.1, &a.0).cmp(&(b.1, &b.0)));
-        for (w, left) in waits.iter().zip(wanted) {
-            for _ in 0..left {
-                if self.held.len() >= most {
+        let unserved = self.retain_suitable(jobs, machines, &suits, max);
+        let mut soonest: Vec<&ReservableMachine<M>> = machines
+            .iter()
+            .filter(|m| !self.reserved.contains_key(&m.machine))
+            .collect();
+        soonest.sort_by(|a, b| (a.empty_at, &a.machine).cmp(&(b.empty_at, &b.machine)));
+        for (waiting, tasks) in jobs.iter().zip(unserved) {
+            for _ in 0..tasks {
+                if self.reserved.len() >= max {
                     return;
                 }
-                let Some(at) = soonest.iter().position(|m| suits(&m.0, &w.job)) else {
+                let Some(index) = soonest.iter().position(|m| suits(&m.machine, &waiting.job)) else {
                     break;
                 };
-                let (machine, _) = soonest.remove(at);
-                self.held.insert(machine.clone(), w.job.clone());
+                let chosen = soonest.remove(index);
+                self.reserved.insert(chosen.machine.clone(), waiting.job.clone());
             }
         }
     }
 
-    /// For whom a machine is held.
-    pub fn holds(&self, machine: &M) -> Option<&J> {
-        self.held.get(machine)
+    /// Drops the reservations that no longer hold, and returns for how many tasks of each job no
+    /// machine is reserved.
+    fn retain_suitable(
+        &mut self,
+        jobs: &[WaitingJob<J>],
+        machines: &[ReservableMachine<M>],
+        suits: impl Fn(&M, &J) -> bool,
+        max: usize,
+    ) -> Vec<usize> {
+        let mut unserved: Vec<usize> = jobs.iter().map(|w| w.tasks).collect();
+        let present: BTreeSet<&M> = machines.iter().map(|m| &m.machine).collect();
+        let mut retained = 0;
+        self.reserved.retain(|machine, job| {
+            let index = jobs.iter().position(|w| w.job == *job);
+            let Some(index) = index.filter(|_| present.contains(machine)) else {
+                return false;
+            };
+            let stays = retained < max && unserved[index] > 0 && suits(machine, job);
+            if stays {
+                unserved[index] -= 1;
+                retained += 1;
+            }
+            stays
+        });
+        unserved
+    }
+
+    /// The job for which a machine is reserved.
+    pub fn reserved_for(&self, machine: &M) -> Option<&J> {
+        self.reserved.get(machine)
     }
 
-    /// How many machines are held.
+    /// How many machines are reserved.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.reserved.len()
     }
 
-    /// Whether none is.
+    /// Whether no machine is reserved.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.reserved.is_empty()
     }
 }
--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -14,7 +14,7 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::Priority;
 use crate::time::Micros;
-use glenhaven_provisioning::{advise, Due, Offer, Supply, Work};
+use glenhaven_provisioning::{advise, Arrival, Due, MetDue, Offer, Supply, Work};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
@@ -189,20 +189,20 @@
             ready_s: self.market.boot_s,
             price: self.market.on_demand_price,
             idle_s: self.cluster.settings.operator.idle_s,
-            most: 1e9,
+            max_cores: 1e9,
         };
         let advice = advise(&queue.entries, &self.supply(reserved_cores), &offer);
         if advice.cores > 0.0 {
             tracing::debug!(
                 cores = advice.cores,
-                saves = advice.saves,
-                costs = advice.costs,
+                benefit = advice.benefit,
+                cost = advice.cost,
                 "on-demand machines are worth their cost"
             );
         }
         OnDemandAdvice {
             cores: advice.cores,
-            commitments: queue.commitments(&advice.saved),
+            commitments: queue.commitments(&advice.met),
         }
     }
 
@@ -359,8 +359,8 @@
     /// Cores that are free or become so, less `reserved_cores`.
     fn supply(&self, reserved_cores: f64) -> Supply {
         let mut supply = Supply {
-            free: -reserved_cores,
-            coming: vec![],
+            free_cores: -reserved_cores,
+            arrivals: vec![],
         };
         let zones = &self.leader.failures.zones;
         let silence = LeaderState::work_silence(self.cluster);
@@ -369,9 +369,9 @@
                 continue;
             };
             if machine.state == MachineState::Booting {
-                supply.coming.push(self.booting_cores(machine, machine_type));
+                supply.arrivals.push(self.booting_cores(machine, machine_type));
             } else if machine.takes_work(self.now, silence) {
-                supply.free += machine_type.cpus - machine.used[0];
+                supply.free_cores += machine_type.cpus - machine.used[0];
                 self.add_cores_of_running_tasks(&mut supply, machine);
             }
         }
@@ -379,19 +379,22 @@
         for claim in claims.filter(|c| !zones.is_cut(&c.zone)) {
             if let Some(machine_type) = self.cluster.catalogue.get(&claim.machine_type) {
                 let cores = machine_type.cpus * f64::from(claim.count);
-                supply.coming.push((machine_type.boot_s * BOOT_FACTOR, cores));
+                let at_s = machine_type.boot_s * BOOT_FACTOR;
+                supply.arrivals.push(Arrival { at_s, cores });
             }
         }
         supply
     }
 
-    /// In how many seconds a booting machine is ready, and with how many cores it is counted.
-    fn booting_cores(&self, machine: &Machine, machine_type: &MachineType) -> (f64, f64) {
+    /// When a booting machine is ready, and with how many cores it is counted.
+    fn booting_cores(&self, machine: &Machine, machine_type: &MachineType) -> Arrival {
         let age = self.now.since(machine.since);
         let profile = self.leader.provisioning.boot_times.profile(machine);
         let counted = profile.counted_share(age, machine_type.boot_s);
-        let ready_s = (machine_type.boot_s * BOOT_FACTOR - age.secs()).max(1.0);
-        (ready_s, machine_type.cpus * counted)
+        Arrival {
+            at_s: (machine_type.boot_s * BOOT_FACTOR - age.secs()).max(1.0),
+            cores: machine_type.cpus * counted,
+        }
     }
 
     /// Adds the cores that the tasks of arrays on a machine give back when they end.
@@ -405,7 +408,10 @@
             };
             let ran_s = self.now.since(placement.since).secs();
             let remaining_s = (self.hold_s(job) - ran_s).max(MIN_REMAINING_S);
-            supply.coming.push((remaining_s, job.spec.cpus));
+            supply.arrivals.push(Arrival {
+                at_s: remaining_s,
+                cores: job.spec.cpus,
+            });
         }
     }
 }
@@ -488,11 +494,11 @@
         self.entries.push(work);
     }
 
-    /// The objectives behind these times: pairs of an entry's index and its time's.
-    fn commitments(&self, saved: &[(usize, usize)]) -> Vec<Commitment> {
+    /// The objectives behind these times.
+    fn commitments(&self, met: &[MetDue]) -> Vec<Commitment> {
         let mut commitments = vec![];
-        for (entry, due) in saved {
-            for member in self.members.get(*entry).into_iter().flatten() {
+        for MetDue { work, due } in met {
+            for member in self.members.get(*work).into_iter().flatten() {
                 commitments.extend(member.objectives.get(*due).map(|objective| Commitment {
                     job: member.job.clone(),
                     objective: *objective,
--- a/src/coordination/reservation.rs
+++ b/src/coordination/reservation.rs
@@ -1,104 +1,123 @@
-//! Room for tasks that nearly fill a machine, in the spirit of the helpers: oldest first. Which
-//! machines are held for them `glenhaven-reservation` decides.
+//! Machines that are left to become empty for tasks that nearly fill one.
+//!
+//! Called at the start of a scheduling pass, which starts nothing else on a reserved machine. Which
+//! machines are reserved is decided by `glenhaven-reservation`; this module says which jobs and
+//! machines come into question. Nothing is preempted for a reservation.
 
 use super::scheduling::allowed;
 use super::state::{Job, LeaderState, Machine, MachineId};
 use super::{ClusterConfig, JobId};
 use crate::protocol::cloud::MachineType;
 use crate::time::Micros;
-use glenhaven_reservation::{ReservationPolicy, Waits};
+use glenhaven_reservation::{ReservableMachine, ReservationPolicy, WaitingJob};
+use std::cmp::Reverse;
 
-/// A task is large if it takes so much of the largest machine that it may run on.
-const LARGE: f64 = 0.5;
-/// Large tasks wait this long for room before any is held for them: most find some, and a boot
-/// is over by then.
-const AFTER: Micros = Micros::from_millis(30_000);
-/// Part of all machines that is held at the most.
-const MOST: f64 = 0.1;
-const EVERY: Micros = Micros::from_millis(500);
+/// A task is large if it takes this share of the largest machine that it may run on.
+const LARGE_SHARE: f64 = 0.5;
+/// Large tasks wait this long before a machine is reserved for any: most find one, and a boot is
+/// over by then.
+const PATIENCE: Micros = Micros::from_millis(30_000);
+/// Share of all machines that is reserved at most.
+const MAX_SHARE: f64 = 0.1;
+/// The time between two decisions.
+const INTERVAL: Micros = Micros::from_millis(500);
 
-/// Machines that are held.
+/// The machines that are reserved.
 #[derive(Default)]
 pub struct Reservations {
-    held: ReservationPolicy<MachineId, JobId>,
-    next: Micros,
+    policy: ReservationPolicy<MachineId, JobId>,
+    next_decision_at: Micros,
 }
 
 impl Reservations {
-    /// Whether a machine is held for another job.
+    /// Whether a machine is reserved for another job.
     pub fn is_reserved_against(&self, machine: &MachineId, job: &JobId) -> bool {
-        self.held.holds(machine).is_some_and(|j| j != job)
+        self.policy.reserved_for(machine).is_some_and(|j| j != job)
     }
 }
 
-/// Whether a machine of this type can ever hold a task of the job.
-fn could_hold(job: &Job, t: &MachineType) -> bool {
-    t.cpus >= job.spec.cpus && t.gpus >= job.spec.gpus && t.memory >= job.spec.memory
+/// Whether an empty machine of this type fits a task of the job.
+fn fits(job: &Job, machine_type: &MachineType) -> bool {
+    machine_type.cpus >= job.spec.cpus && machine_type.gpus >= job.spec.gpus && machine_type.memory >= job.spec.memory
+}
+
+/// Whether a task of the job nearly fills even the largest machine that it fits on.
+fn is_large(cluster: &ClusterConfig, job: &Job) -> bool {
+    let share = |t: &MachineType| (job.spec.cpus / t.cpus.max(0.1)).max(job.spec.memory / t.memory.max(0.1));
+    let types = cluster.catalogue.values().filter(|t| fits(job, t));
+    types
+        .map(share)
+        .reduce(f64::min)
+        .is_some_and(|least| least >= LARGE_SHARE)
+}
+
+/// Whether no machine has had capacity for a job for so long that one is reserved.
+fn is_stuck(job: &Job, now: Micros) -> bool {
+    job.may_run()
+        && !job.waiting.is_empty()
+        && job.stuck_since.is_some_and(|at| now.since(at) > PATIENCE)
+        && !job.is_suspect(now)
 }
 
 impl LeaderState {
-    /// Decides which machines are left to empty, and for whom.
+    /// Decides which machines are reserved, and for whom, if it is time.
     pub fn reserve_machines(&mut self, cluster: &ClusterConfig, now: Micros) {
-        if now < self.reservations.next {
+        if now < self.reservations.next_decision_at {
             return;
         }
-        self.reservations.next = now + EVERY;
-        let stuck = |j: &&Job| {
-            j.may_run()
-                && !j.waiting.is_empty()
-                && j.stuck_since.is_some_and(|at| now.since(at) > AFTER)
-                && !j.is_suspect(now)
-        };
-        let mut large: Vec<&Job> = self
-            .jobs
-            .values()
-            .filter(stuck)
-            .filter(|j| {
-                let types = cluster.catalogue.values().filter(|t| could_hold(j, t));
-                let share = |t: &MachineType| (j.spec.cpus / t.cpus.max(0.1)).max(j.spec.memory / t.memory.max(0.1));
-                types.map(share).reduce(f64::min).is_some_and(|s| s >= LARGE)
-            })
-            .collect();
-        if large.is_empty() && self.reservations.held.is_empty() {
+        self.reservations.next_decision_at = now + INTERVAL;
+        let waiting = self.stuck_large_jobs(cluster, now);
+        if waiting.is_empty() && self.reservations.policy.is_empty() {
             return;
         }
-        large.sort_by_key(|j| (std::cmp::Reverse(j.priority), j.order));
-        let waits: Vec<Waits<JobId>> = large
-            .iter()
-            .map(|j| Waits {
-                job: j.id.clone(),
-                tasks: j.waiting.len(),
-            })
-            .collect();
-        let quiet = Self::work_silence(cluster);
-        // A machine with services doesn't empty.
-        let empties = |m: &&Machine| m.takes_work(now, quiet) && m.services == 0;
-        let machines: Vec<(MachineId, Micros)> = self
-            .machines
-            .values()
-            .filter(empties)
-            .map(|m| (m.name.clone(), m.until))
-            .collect();
+        let machines = self.reservable_machines(cluster, now);
         let (all, jobs) = (&self.machines, &self.jobs);
-        let suits = |name: &MachineId, job: &JobId| {
-            let (Some(m), Some(job)) = (all.get(name), jobs.get(job)) else {
+        let suits = |name: &MachineId, id: &JobId| {
+            let (Some(machine), Some(job)) = (all.get(name), jobs.get(id)) else {
                 return false;
             };
-            let holds = cluster
-                .catalogue
-                .get(&m.machine_type)
-                .is_some_and(|t| could_hold(job, t));
-            holds && allowed(&job.spec, &m.machine_type, &m.zone, m.spot) && !job.failed_on.contains(name)
+            let machine_type = cluster.catalogue.get(&machine.machine_type);
+            machine_type.is_some_and(|t| fits(job, t))
+                && allowed(&job.spec, &machine.machine_type, &machine.zone, machine.spot)
+                && !job.failed_on.contains(name)
         };
-        let most = ((machines.len() as f64 * MOST) as usize).max(1);
-        let before = self.reservations.held.len();
-        self.reservations.held.decide(&waits, &machines, suits, most);
-        if self.reservations.held.len() > before {
+        let max = ((machines.len() as f64 * MAX_SHARE) as usize).max(1);
+        let policy = &mut self.reservations.policy;
+        let before = policy.len();
+        policy.decide(&waiting, &machines, suits, max);
+        if policy.len() > before {
             tracing::info!(
-                machines = self.reservations.held.len(),
-                jobs = waits.len(),
-                "machines are left to empty for tasks that nearly fill one"
+                machines = policy.len(),
+                jobs = waiting.len(),
+                "machines reserved for tasks that nearly fill one"
             );
         }
     }
+
+    /// The jobs with large tasks that have waited for long, in the order of the queue.
+    fn stuck_large_jobs(&self, cluster: &ClusterConfig, now: Micros) -> Vec<WaitingJob<JobId>> {
+        let stuck = self.jobs.values().filter(|j| is_stuck(j, now));
+        let mut large: Vec<&Job> = stuck.filter(|j| is_large(cluster, j)).collect();
+        large.sort_by_key(|j| (Reverse(j.priority), j.order));
+        large
+            .iter()
+            .map(|j| WaitingJob {
+                job: j.id.clone(),
+                tasks: j.waiting.len(),
+            })
+            .collect()
+    }
+
+    /// Machines that become empty in time: not those with services.
+    fn reservable_machines(&self, cluster: &ClusterConfig, now: Micros) -> Vec<ReservableMachine<MachineId>> {
+        let silence = Self::work_silence(cluster);
+        let becomes_empty = |m: &&Machine| m.takes_work(now, silence) && m.services == 0;
+        let machines = self.machines.values().filter(becomes_empty);
+        machines
+            .map(|m| ReservableMachine {
+                machine: m.name.clone(),
+                empty_at: m.until,
+            })
+            .collect()
+    }
 }
