--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -201,7 +201,7 @@
 
     fn on_store_answer(&mut self, continuation: Continuation, answer: StoreResponse) {
         match continuation {
-            Continuation::Election(continuation) => self.on_lead(continuation, answer),
+            Continuation::Election(continuation) => self.on_election_answer(continuation, answer),
             Continuation::Api(continuation) => {
                 self.api
                     .on_store(&mut self.context, &self.cluster, continuation, answer)
@@ -235,10 +235,10 @@
     /// In an outage of the state service all controllers are alike and stay ready; one that alone
     /// has lost the service is not, so that the balancer sends users to the others.
     fn is_ready(&self) -> bool {
-        if self.cluster.catalogue.is_empty() || !self.election.is_known() || !self.api.is_ready() {
+        if self.cluster.catalogue.is_empty() || !self.election.is_initialized() || !self.api.is_ready() {
             return false;
         }
-        let has_lost_store = self.context.now.since(self.election.fresh()) > STORE_LOST;
+        let has_lost_store = self.context.now.since(self.election.verified_at()) > STORE_LOST;
         let a_peer_has_store = self.recent_peers().any(|peer| peer.store_is_current);
         // A controller without contact to any other can't know whether they are alike: it has lost
         // more than the service, and users should ask the others.
--- a/src/coordination/forwarding.rs
+++ b/src/coordination/forwarding.rs
@@ -10,7 +10,7 @@
 //! Invariant: at most one hop. A request or message that came through another controller is never
 //! passed on.
 
-use super::election::Role;
+use super::election::{Role, StepDownReason};
 use super::{CloudRequest, CloudResponse, Controller, Effect, Event};
 use crate::protocol::peer::{ForwardedBody, PeerMessage};
 use crate::protocol::store::{StoreRequest, StoreResponse};
@@ -354,7 +354,7 @@
         let was_down = links.own_link(&service.host(), now) == LinkState::Down;
         links.record_answer(service.host(), round_trip, now);
         if was_down && service == Service::State {
-            self.election.renew_soon(now);
+            self.election.renew_now(now);
         }
     }
 
@@ -588,7 +588,7 @@
         let now = self.context.now;
         let is_leader = self.election.role() == Role::Leader;
         let leads = is_leader && self.leader.as_ref().is_some_and(|l| l.is_loaded());
-        if !leads || self.election.is_taking() || self.election.in_doubt() {
+        if !leads || self.election.is_writing_term() || self.election.is_lease_unverified() {
             if !is_leader {
                 self.forwarder.led_since = None;
             }
@@ -611,7 +611,7 @@
         if let Some(Handover { to, reason }) = handover {
             let why = reason.as_str();
             tracing::warn!(term = self.election.term(), to, why, "giving up the lead");
-            self.give_up_lead(to, why);
+            self.give_up_lead(to, StepDownReason::HandsOver(reason));
         }
     }
 
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -4,6 +4,7 @@
 //! passes everything else to the part it is for. What a peer says is a hint: it proves neither who
 //! leads nor that anything was executed.
 
+use super::election::StepDownReason;
 use super::{Controller, Effect};
 use crate::protocol::peer::PeerMessage;
 use crate::time::Micros;
@@ -82,7 +83,7 @@
             PeerMessage::TransferLeadership { node, term, to } => {
                 if term == self.election.term() {
                     tracing::info!(node, to, "the leader transfers the leadership");
-                    self.election.prefer(to, self.context.now);
+                    self.election.prefer_successor(to, self.context.now);
                 }
             }
         }
@@ -122,7 +123,7 @@
         if leads && term > self.election.term() && self.leader.is_some() {
             // The state service, which alone could say otherwise, does not answer this controller.
             // A leader that stayed would keep agents here that the new leader takes for dead.
-            self.step_down("a peer leads a later term");
+            self.step_down(StepDownReason::LaterTermAtPeer);
         }
     }
 
--- a/src/coordination/tick.rs
+++ b/src/coordination/tick.rs
@@ -58,7 +58,7 @@
         let message = PeerMessage::Alive {
             node: self.cluster.settings.node.clone(),
             term: self.election.term(),
-            fresh: now.since(self.election.fresh()) < CURRENT,
+            fresh: now.since(self.election.verified_at()) < CURRENT,
             leads,
             wants: (self.update_change_share() * 1000.0).min(4e9) as u32,
             serves: self.heartbeat_proxy.serves(now, leads),
@@ -127,11 +127,11 @@
             return;
         }
         // After a pause of the process, another controller may lead by now.
-        if self.election.in_doubt() {
+        if self.election.is_lease_unverified() {
             return;
         }
         let now = self.context.now;
-        let holds_lease = self.election.is_sure(now);
+        let holds_lease = self.election.holds_lease(now);
         for (name, peer) in &self.peers {
             leader.record_controller_contact(name, peer.last_contact, CONTACT_TIMEOUT, now);
         }
