--- a/src/coordination/agents/machines.rs
+++ b/src/coordination/agents/machines.rs
@@ -38,13 +38,15 @@
         self.log_replicas(cluster, now);
         self.update_slo_accounting(cluster, now);
         let unheard = |m: &Machine| m.incarnation > 0 && now.since(m.last_heartbeat) > quiet;
-        if (self.failures.zones.any() || self.machines.values().any(unheard)) && now >= self.agents.next_proxied_read {
+        if (self.failures.zones.any_cut() || self.machines.values().any(unheard))
+            && now >= self.agents.next_proxied_read
+        {
             self.agents.next_proxied_read = now + PUBLISH;
             let request = StoreRequest::List {
-                prefix: keys::CARE.into(),
+                prefix: keys::PROXIED_MACHINES.into(),
                 after: String::new(),
             };
-            let continuation = Continuation::Log(self.incarnation, LogContinuation::Care);
+            let continuation = Continuation::Log(self.incarnation, LogContinuation::ProxiedMachines);
             context
                 .store
                 .push(Urgency::Start, request, continuation, Micros::from_millis(700));
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -20,7 +20,7 @@
 
 use super::api::JobApi;
 use super::election::{Election, Role};
-use super::state::{LeaderState, MachineId, PlacementPhase};
+use super::state::{LeaderState, MachineId, NewTermReason, PlacementPhase};
 use super::{ClusterConfig, Controller, Effect};
 use crate::protocol::agents::{AgentCommand, Heartbeat, HeartbeatResponse, TaskPhase};
 use crate::protocol::peer::PeerMessage;
@@ -64,14 +64,14 @@
     /// The instant K: every cancellation that was confirmed before it is known here.
     pub fn cancellation_watermark(&self, election: &Election) -> Micros {
         match election.role() {
-            Role::Leader => election.fresh().max(self.cancellation_watermark),
-            Role::Follower => election.fresh(),
+            Role::Leader => election.verified_at().max(self.cancellation_watermark),
+            Role::Follower => election.verified_at(),
         }
     }
 
     /// Whether a lease that is renewed now ends by K + `cancel_s`.
     pub fn may_renew(&self, election: &Election, cluster: &ClusterConfig, now: Micros) -> bool {
-        election.is_known() && now.since(self.cancellation_watermark(election)) < cluster.knowledge_limit()
+        election.is_initialized() && now.since(self.cancellation_watermark(election)) < cluster.knowledge_limit()
     }
 
     /// An answer that renews the lease of a worker which reported this, if one may be given.
@@ -145,16 +145,20 @@
     /// that only another controller hears: with a higher term, answers of whoever answers
     /// the machine raise its fence.
     pub fn check_unsettled(&mut self, now: Micros) {
-        self.unsettled.clear();
+        self.unsettled_machines.clear();
         let mut flies = false;
-        for job in self.jobs.values().filter(|j| j.cancelled.is_some()) {
-            for p in job.placements.values().filter(|p| now.since(p.stop_at) > SETTLES) {
+        for job in self.jobs.values().filter(|j| j.cancelled_at.is_some()) {
+            for p in job
+                .placements
+                .values()
+                .filter(|p| now.since(p.stop_requested_at) > SETTLES)
+            {
                 flies |= p.sent && p.phase == PlacementPhase::Sent && p.fencing_token >= self.term;
-                self.unsettled.insert(p.machine.clone());
+                self.unsettled_machines.insert(p.machine.clone());
             }
         }
         if flies {
-            self.new_term = Some("a start of a cancelled job may still be on its way");
+            self.new_term_reason = Some(NewTermReason::StartOfCancelledJob);
         }
     }
 
@@ -163,7 +167,7 @@
     /// lease would outlast the time in which the task must be gone.
     pub fn must_lapse(&self, cluster: &ClusterConfig, heartbeat: &Heartbeat, now: Micros) -> bool {
         let name: MachineId = heartbeat.machine.as_str().into();
-        if !self.unsettled.contains(&name) {
+        if !self.unsettled_machines.contains(&name) {
             return false;
         }
         let Some(machine) = self.machines.get(&name) else {
@@ -174,7 +178,7 @@
         let too_long =
             |cancel_unconfirmed_until: Micros| now.since(cancel_unconfirmed_until) >= cluster.knowledge_limit();
         machine.tasks.iter().any(|(id, task)| {
-            let Some(job) = self.jobs.get(id).filter(|j| j.cancelled.is_some()) else {
+            let Some(job) = self.jobs.get(id).filter(|j| j.cancelled_at.is_some()) else {
                 return false;
             };
             let Some(p) = job.placements.get(task) else {
@@ -197,8 +201,8 @@
         let now = self.context.now;
         if self.election.role() != Role::Leader
             || now < self.attestations.next
-            || !self.election.is_known()
-            || now.since(self.election.fresh()) < ASK_AFTER
+            || !self.election.is_initialized()
+            || now.since(self.election.verified_at()) < ASK_AFTER
         {
             return;
         }
@@ -219,7 +223,7 @@
                 round,
                 seen: self.election.jobs_seen(),
             };
-            self.context.out.push(Effect::Peer {
+            self.context.effects.push(Effect::Peer {
                 to: peer.node.clone(),
                 message,
             });
@@ -230,7 +234,7 @@
     /// An earlier life of this process may have confirmed what was made before this one
     /// began to read: of that it can say nothing.
     pub(super) fn on_inquire(&mut self, node: String, round: u64, seen: u64) {
-        if self.election.read_from().is_none_or(|from| seen < from) {
+        if self.election.first_read_revision().is_none_or(|from| seen < from) {
             return;
         }
         let Some(cancelled) = self.api.cancelled_after(seen).filter(|c| c.len() <= MAX_ATTESTED) else {
@@ -242,7 +246,7 @@
             term: self.election.term(),
             cancelled,
         };
-        self.context.out.push(Effect::Peer { to: node, message });
+        self.context.effects.push(Effect::Peer { to: node, message });
     }
 
     /// What another controller knows to be cancelled: made by the state service, as it read.
--- a/src/coordination/log/outcome.rs
+++ b/src/coordination/log/outcome.rs
@@ -1,52 +1,54 @@
-//! What follows once it is known whether the transaction in flight was executed: its facts
-//! stand in the log and starts go out, or all of it is to be written anew.
+//! Applies or undoes the transaction in flight once its outcome is known.
+//!
+//! If it was executed, its facts are durable and the starts that it records are sent; otherwise
+//! every change in it is queued again for a later transaction. `answers` determines the outcome.
 
 use super::super::state::{LeaderState, PlacementPhase, TaskState};
 use super::super::{Context, JobId};
 use super::queues::{QueuedStarts, Undescribed};
-use super::replay::{FreeSlot, LivePage};
+use super::replay::{FreeSlot, LiveSegment};
 use super::transaction::{PendingTransaction, WrittenStart, WrittenTaskRange};
-use super::{Ends, LogWriter, MAX_PAGES};
+use super::{LogWriter, RecordedEnds, MAX_SEGMENTS};
 use crate::coordination::state::void_proof::VoidProof;
 use crate::storage::keys;
 use crate::time::Micros;
 
 impl LogWriter {
-    /// The pages of an executed transaction stand in the log; older ones may say nothing any
-    /// more.
-    fn pages_written(&mut self, pending: &PendingTransaction, revision: u64) {
-        for page in &pending.pages {
-            self.last_seq = self.last_seq.max(page.seq);
-            self.pages.push_back(LivePage {
-                slot: page.slot,
-                seq: page.seq,
+    /// Adds the segments of an executed transaction to the log and frees those that it makes
+    /// obsolete.
+    fn segments_written(&mut self, pending: &PendingTransaction, revision: u64) {
+        for segment in &pending.segments {
+            self.last_seq = self.last_seq.max(segment.seq);
+            self.segments.push_back(LiveSegment {
+                slot: segment.slot,
+                seq: segment.seq,
                 version: revision,
             });
         }
         let oldest = pending.oldest;
-        while let Some(page) = self.pages.front().copied().filter(|p| p.seq < oldest) {
-            self.pages.pop_front();
+        while let Some(segment) = self.segments.front().copied().filter(|p| p.seq < oldest) {
+            self.segments.pop_front();
             self.free.push(FreeSlot {
-                slot: page.slot,
-                version: page.version,
+                slot: segment.slot,
+                version: segment.version,
             });
         }
-        self.seen = pending.seen;
-        self.page_budget = (self.page_budget + 1).min(MAX_PAGES);
+        self.seen_revision = pending.seen_revision;
+        self.segment_budget = (self.segment_budget + 1).min(MAX_SEGMENTS);
     }
 
-    /// The slots of a transaction that was not executed are free again.
+    /// Frees the slots of a transaction that was not executed.
     fn give_back_slots(&mut self, pending: &PendingTransaction) {
-        for page in &pending.pages {
-            let slot = page.slot;
-            let version = pending.expected_version(&keys::page(slot));
+        for segment in &pending.segments {
+            let slot = segment.slot;
+            let version = pending.expected_version(&keys::segment(slot));
             self.free.push(FreeSlot { slot, version });
         }
     }
 }
 
 impl LeaderState {
-    /// Nothing of the transaction in flight was executed: all of it is to be written anew.
+    /// Queues all changes of the transaction in flight again: it was not executed.
     pub(super) fn undo(&mut self, now: Micros) {
         let Some(pending) = self.log_writer.in_flight.take() else {
             return;
@@ -56,22 +58,23 @@
         for description in pending.descriptions {
             let job = self.jobs.get(&description.job);
             if let (true, Some(job)) = (description.was_due, job) {
-                let entry = Undescribed::new(job.version, description.job);
+                let entry = Undescribed::new(job.acceptance_revision, description.job);
                 self.log_writer.undescribed.insert(entry);
             }
         }
-        for part in pending.parts {
-            self.undo_part(part, now);
+        for written in pending.task_ranges {
+            self.undo_task_range(written, now);
         }
     }
 
+    /// Queues the ends of jobs again that a transaction was to record.
     fn undo_ends(&mut self, pending: &PendingTransaction) {
         for id in &pending.completed {
             let Some(job) = self.jobs.get_mut(id) else { continue };
             job.closing = false;
             self.log_writer.complete.insert(id.clone());
-            if job.base == 0 {
-                let entry = Undescribed::new(job.version, id.clone());
+            if job.described_in.is_none() {
+                let entry = Undescribed::new(job.acceptance_revision, id.clone());
                 self.log_writer.undescribed.insert(entry);
             }
         }
@@ -82,62 +85,61 @@
         }
         for id in &pending.ended {
             if let Some(job) = self.jobs.get(id) {
-                let entry = Undescribed::new(job.version, id.clone());
+                let entry = Undescribed::new(job.acceptance_revision, id.clone());
                 self.log_writer.undescribed.insert(entry);
             }
             self.log_writer.ended.insert(id.clone());
         }
     }
 
-    fn undo_part(&mut self, part: WrittenTaskRange, now: Micros) {
-        let from = part.part * self.tasks_per_range;
+    /// Queues a task range again that a transaction was to record.
+    fn undo_task_range(&mut self, written: WrittenTaskRange, now: Micros) {
+        let from = written.range_index * self.tasks_per_range;
         let tasks = from..from + self.tasks_per_range;
-        let Some(job) = self.jobs.get_mut(&part.job) else {
+        let Some(job) = self.jobs.get_mut(&written.job) else {
             return;
         };
         let starts = job
             .placements
             .range(tasks)
             .any(|(_, p)| p.phase == PlacementPhase::Committing);
-        let Some(chunk) = job.task_ranges.get_mut(&part.part) else {
+        let Some(task_range) = job.task_ranges.get_mut(&written.range_index) else {
             return;
         };
-        chunk.done.extend(part.done);
-        chunk.void.extend(part.void);
+        task_range.completed.extend(written.done);
+        task_range.voided.extend(written.void);
         if starts {
-            let priority = *chunk.queued.get_or_insert(job.priority);
-            let entry = QueuedStarts::new(priority, job.version, part.job.clone(), part.part);
+            let priority = *task_range.queued_priority.get_or_insert(job.priority);
+            let entry = QueuedStarts::new(
+                priority,
+                job.acceptance_revision,
+                written.job.clone(),
+                written.range_index,
+            );
             self.log_writer.starting.insert(entry);
         }
-        self.touch(&part.job, part.part, now);
-        self.drop_unrecorded(&part.job, now);
+        self.mark_task_range_changed(&written.job, written.range_index, now);
+        self.drop_unrecorded(&written.job, now);
     }
 
-    /// The transaction in flight was executed at this revision.
-    pub(super) fn apply(&mut self, context: &mut Context, revision: u64) -> Ends {
+    /// Applies the transaction in flight, which was executed at this revision, and returns the
+    /// ends of jobs that it has recorded.
+    pub(super) fn apply(&mut self, context: &mut Context, revision: u64) -> RecordedEnds {
         let Some(pending) = self.log_writer.in_flight.take() else {
-            return Ends::default();
+            return RecordedEnds::default();
         };
         let now = context.now;
-        self.log_writer.pages_written(&pending, revision);
+        self.log_writer.segments_written(&pending, revision);
         for description in pending.descriptions {
             if let Some(job) = self.jobs.get_mut(&description.job) {
-                job.base = description.page;
+                job.described_in = Some(description.segment);
             }
         }
-        for part in pending.parts {
-            self.apply_part(part);
+        for written in pending.task_ranges {
+            self.apply_task_range(written);
         }
         for start in pending.starts {
-            tracing::debug!(
-                job = %start.job,
-                task = start.task,
-                attempt = start.attempt,
-                term = self.term,
-                revision,
-                "start recorded"
-            );
-            self.apply_start(start, now);
+            self.apply_start(start, revision, now);
         }
         for id in &pending.completed {
             self.close_completed(id, now);
@@ -147,42 +149,45 @@
             self.log_writer.remember_closed(id);
         }
         for claim in pending.claims {
-            self.provisioning.claim_recorded(&claim.claim, claim.page);
+            self.provisioning.claim_recorded(&claim.claim, claim.segment);
         }
         self.provisioning.claims_dropped(&pending.settled);
-        Ends {
+        RecordedEnds {
             done: pending.completed,
             withdrawn: pending.withdrawn,
         }
     }
 
-    /// A part stands in the log, and with it that tasks have completed.
-    fn apply_part(&mut self, part: WrittenTaskRange) {
-        let Some(job) = self.jobs.get_mut(&part.job) else {
+    /// Applies the record of a task range: its completed tasks are durable and their placements
+    /// are removed.
+    fn apply_task_range(&mut self, written: WrittenTaskRange) {
+        let Some(job) = self.jobs.get_mut(&written.job) else {
             return;
         };
-        if let (Some(page), Some(chunk)) = (part.page, job.task_ranges.get_mut(&part.part)) {
-            chunk.base = page;
+        if let (Some(segment), Some(task_range)) = (written.segment, job.task_ranges.get_mut(&written.range_index)) {
+            task_range.recorded_in = Some(segment);
         }
-        for task in part.done {
+        for task in written.done {
             if job.states[task as usize] != TaskState::Finished {
                 continue;
             }
             job.states[task as usize] = TaskState::Recorded;
-            // The exited task may be forgotten now; its report will show it without a record.
+            // The agent may forget the exited task now; until it has, its heartbeats list the
+            // task without a record here.
             let Some(placed) = job.placements.remove(&task) else {
                 continue;
             };
             if let Some(machine) = self.machines.get_mut(&placed.machine) {
-                machine.tasks.remove(&(part.job.clone(), task));
-                machine.to_forget = true;
+                machine.tasks.remove(&(written.job.clone(), task));
+                machine.has_forgettable_exits = true;
             }
         }
     }
 
-    /// The record of a start stands in the log: the start goes out, unless its reason is gone.
-    fn apply_start(&mut self, start: WrittenStart, now: Micros) {
+    /// Sends a start whose record is durable, unless it is no longer wanted.
+    fn apply_start(&mut self, start: WrittenStart, revision: u64, now: Micros) {
         let WrittenStart { job: id, task, attempt } = start;
+        tracing::debug!(job = %id, task, attempt, term = self.term, revision, "start recorded");
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let live = job.is_live();
         let Some(placement) = job.placements.get_mut(&task) else {
@@ -192,31 +197,29 @@
             return;
         }
         placement.phase = PlacementPhase::Sent;
-        placement.since = now;
+        placement.placed_at = now;
         let machine = self.machines.get(&placement.machine);
-        let stays = machine.is_some_and(|m| m.incarnation == placement.incarnation && m.release_sent.is_none());
-        if !live || placement.stop.is_some() || !stays {
-            // Nothing was ever sent for this record, and only this leader could have: it is
-            // void without a word from the machine.
+        let is_kept =
+            machine.is_some_and(|m| m.incarnation == placement.incarnation && m.release_requested_at.is_none());
+        if !live || placement.stop_grace_s.is_some() || !is_kept {
+            // Only this leader could have sent the start, and it has not: the record is void
+            // without a heartbeat that proves it.
             self.free(&id, task, VoidProof::NeverSent, now);
             return;
         }
         self.queue_start(&id, task);
     }
 
-    /// An array is recorded as done; its machines may forget its tasks.
+    /// Removes an array that is recorded as done; its machines may forget its tasks.
     fn close_completed(&mut self, id: &JobId, now: Micros) {
         if let Some(job) = self.jobs.remove(id) {
-            tracing::debug!(job = %id, took_s = now.since(job.arrived).secs(), "job done");
+            tracing::debug!(job = %id, took_s = now.since(job.arrived_at).secs(), "job done");
             for (task, placement) in &job.placements {
                 let Some(machine) = self.machines.get_mut(&placement.machine) else {
                     continue;
                 };
-                machine.tasks.remove(&(id.clone(), *task));
-                machine.to_forget = true;
-                if !matches!(placement.phase, PlacementPhase::Exited(_)) {
-                    machine.take(&job.spec, -1.0);
-                }
+                machine.has_forgettable_exits = true;
+                machine.remove_task(id, *task, &job.spec, placement);
             }
         }
         self.log_writer.remember_closed(id.clone());
--- a/src/coordination/log/restore.rs
+++ b/src/coordination/log/restore.rs
@@ -1,5 +1,7 @@
-//! Restoring the leader's state at a takeover from what was read: jobs with their placements,
-//! rental requests, and what happened to jobs since the log was last written.
+//! Restores the leader's state at a takeover: jobs with their placements and rental requests
+//! from the replayed log, then the changes of jobs since it was last written.
+//!
+//! Invariant: nothing is decided and nothing is sent before `LogWriter::loaded` is set here.
 
 use super::super::decision_log::Decided;
 use super::super::fault_injection::{is_injected, InjectedFault};
@@ -7,7 +9,7 @@
 use super::super::store_queue::Urgency;
 use super::super::{Context, Continuation};
 use super::queues::Undescribed;
-use super::read_log::JobNews;
+use super::read_log::JobChange;
 use super::replay::{Replay, ReplayedJob, ReplayedTaskRange};
 use super::LogContinuation;
 use crate::protocol::store::StoreResponse;
@@ -17,18 +19,18 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How long a request of the reading may take.
+/// How long the answer to a read is awaited.
 const READ_TIMEOUT: Micros = Micros::from_millis(1500);
-/// Times in pages beyond this one are not believed.
+/// Later times in segments are taken to be wrong and are lowered to this one.
 const LATEST_TIME_MS: u64 = 1 << 50;
 
 impl LeaderState {
-    /// Whether the log is read, and the leader may decide.
+    /// Whether the log has been read, so that the leader may decide.
     pub fn is_loaded(&self) -> bool {
         self.log_writer.loaded
     }
 
-    /// Reads the log, and what happened to jobs since it was last written.
+    /// Sends the next read of the log, or of the changes of jobs since, unless one is in flight.
     pub fn load(&mut self, context: &mut Context) {
         let reader = self.log_writer.reader.get_or_insert_with(Box::default);
         let Some((request, continuation)) = reader.next_request() else {
@@ -38,7 +40,7 @@
         context.store.push(Urgency::Lead, request, continuation, READ_TIMEOUT);
     }
 
-    /// An answer for the reading has come; whether everything is read.
+    /// Takes the answer to a read and returns whether everything has been read.
     pub(super) fn take_log_answer(&mut self, continuation: &LogContinuation, answer: StoreResponse) -> bool {
         let Some(reader) = self.log_writer.reader.as_mut() else {
             return false;
@@ -46,27 +48,28 @@
         reader.on_answer(continuation, answer)
     }
 
-    /// Takes over what was read. `gap`: about how long nobody led.
+    /// Restores the state from all that was read. `gap` is about how long there was no leader.
     pub(super) fn finish_loading(&mut self, context: &mut Context, gap: Micros) {
         let Some(reader) = self.log_writer.reader.take() else {
             return;
         };
         let now = context.now;
         let contents = reader.into_contents();
-        let mut replay = Replay::of(contents.pages);
-        self.log_writer.adopt(&mut replay, contents.after_unreadable, gap, now);
+        let mut replay = Replay::of(contents.segments);
+        self.log_writer
+            .adopt(&mut replay, contents.first_slot_after_unreadable, gap, now);
         for (id, job) in replay.jobs {
-            let parts = replay.parts.remove(&id).unwrap_or_default();
-            self.restore_job(&id, job, parts, now);
+            let task_ranges = replay.task_ranges.remove(&id).unwrap_or_default();
+            self.restore_job(&id, job, task_ranges, now);
         }
         self.provisioning.adopt_claims(replay.claims, now);
         self.log_writer.loaded = true;
-        self.dirty = true;
-        for (id, news) in contents.news {
-            self.take_news(&id, news, now);
+        self.needs_scheduling = true;
+        for (id, changes) in contents.changes {
+            self.apply_job_change(&id, changes, now);
         }
-        for (id, version, key_version, value) in std::mem::take(&mut self.early_events) {
-            self.on_job_event(&id, version, key_version, value, now);
+        for event in std::mem::take(&mut self.early_events) {
+            self.on_job_event(&event.id, event.version, event.key_version, event.value, now);
         }
         self.log_restored(now);
     }
@@ -74,25 +77,31 @@
     fn log_restored(&self, now: Micros) {
         tracing::info!(
             term = self.term,
-            jobs_seen = self.log_writer.seen,
-            pages = self.log_writer.pages.len(),
+            jobs_seen = self.log_writer.seen_revision,
+            segments = self.log_writer.segments.len(),
             jobs = self.jobs.len(),
             placements = self.jobs.values().map(|j| j.placements.len()).sum::<usize>(),
-            took_ms = now.since(self.began).0 / 1000,
-            "book read"
+            took_ms = now.since(self.started_at).0 / 1000,
+            "write-ahead log read"
         );
     }
 
-    /// Puts an open job back, with its parts.
-    fn restore_job(&mut self, id: &str, replayed: ReplayedJob, parts: BTreeMap<u32, ReplayedTaskRange>, now: Micros) {
+    /// Restores an open job with its task ranges.
+    fn restore_job(
+        &mut self,
+        id: &str,
+        replayed: ReplayedJob,
+        task_ranges: BTreeMap<u32, ReplayedTaskRange>,
+        now: Micros,
+    ) {
         let (version, cancelled) = (replayed.version, replayed.cancelled);
-        self.last_version = self.last_version.max(version);
+        self.last_acceptance_revision = self.last_acceptance_revision.max(version);
         let mut job = self.restored_job(id, replayed, now);
-        for (n, part) in parts {
-            self.restore_part(&mut job, n, part, now);
+        for (range_index, task_range) in task_ranges {
+            self.restore_task_range(&mut job, range_index, task_range, now);
         }
         let key = job.id.clone();
-        let complete = !job.is_service() && job.finished == job.spec.tasks;
+        let complete = !job.is_service() && job.finished_tasks == job.spec.tasks;
         self.jobs.insert(key.clone(), job);
         if cancelled {
             self.cancel(id, now);
@@ -104,9 +113,9 @@
         }
     }
 
-    /// The job itself, without its placements.
+    /// The job as it is described, without its placements.
     fn restored_job(&self, id: &str, replayed: ReplayedJob, now: Micros) -> Job {
-        // Until it is known where it stands among the jobs that it names.
+        // A job that needs others is blocked until the dependencies have been evaluated.
         let (spec, blocked) = match records::restored(replayed.spec.clone()) {
             Some((spec, _)) => {
                 let blocked = !spec.needs.is_empty();
@@ -116,30 +125,30 @@
         };
         let mut job = Job::new(id, spec, replayed.version, replayed.key_version, now);
         job.blocked = blocked;
-        job.base = replayed.page;
+        job.described_in = Some(replayed.segment);
         job.restored = true;
-        job.arrival_unknown = replayed.arrived_ms == 0;
-        if !job.arrival_unknown {
-            job.arrived = self.log_writer.on_own_clock(replayed.arrived_ms).min(now);
-            job.submitted_at = job.arrived;
+        job.arrival_unknown = replayed.submitted_log_ms.is_none();
+        if let Some(ms) = replayed.submitted_log_ms {
+            job.arrived_at = self.log_writer.local_time(ms).min(now);
+            job.submitted_at = job.arrived_at;
         }
         job
     }
 
-    /// Puts a part's records back into a job.
-    fn restore_part(&mut self, job: &mut Job, n: u32, part: ReplayedTaskRange, now: Micros) {
-        for &(from, to) in &part.done {
+    /// Restores a task range of a job.
+    fn restore_task_range(&mut self, job: &mut Job, range_index: u32, replayed: ReplayedTaskRange, now: Micros) {
+        for &(from, to) in &replayed.done {
             restore_completed(job, from, to);
         }
-        for row in part.placements.into_values() {
+        for row in replayed.placements.into_values() {
             self.restore_placement(job, row, now);
         }
-        let chunk = TaskRange {
-            last_attempt: part.last_attempt,
-            base: part.page,
+        let task_range = TaskRange {
+            last_attempt: replayed.last_attempt,
+            recorded_in: replayed.full_segment,
             ..TaskRange::default()
         };
-        job.task_ranges.insert(n, chunk);
+        job.task_ranges.insert(range_index, task_range);
     }
 
     fn restore_placement(&mut self, job: &mut Job, row: PlacementRow, now: Micros) {
@@ -155,14 +164,14 @@
             machine: name.clone(),
             incarnation,
             // An earlier leader may have sent starts under any term before this one: only a
-            // fence of this term proves.
+            // fencing token of this term proves that they can't be executed any more.
             fencing_token: fencing_token.max(self.term.saturating_sub(1)),
             phase: PlacementPhase::Sent,
             sent: true,
-            stop: None,
-            stop_at: now,
-            helper: false,
-            since: now,
+            stop_grace_s: None,
+            stop_requested_at: now,
+            on_helper_machine: false,
+            placed_at: now,
             running_since: None,
             restored: true,
         };
@@ -170,39 +179,37 @@
             .decisions
             .note(job.decision(task, &placement, Decided::Inherited, now));
         job.placements.insert(task, placement);
-        job.held += u32::from(!is_injected(InjectedFault::ForgetsChargeAtTakeover));
+        job.held_tasks += u32::from(!is_injected(InjectedFault::ForgetsChargeAtTakeover));
         let machine = self
             .machines
             .entry(name.clone())
             .or_insert_with(|| Machine::unknown(name, now));
-        machine.named = true;
-        machine.take(&job.spec, 1.0);
-        machine.tasks.insert((job.id.clone(), task));
+        machine.confirmed = true;
+        machine.add_task(&job.id, task, &job.spec);
     }
 
-    /// What happened to a job since the log was last written.
-    fn take_news(&mut self, id: &str, news: JobNews, now: Micros) {
-        if news.phase == Phase::Done {
-            self.take_end(id);
+    /// Applies a change of a job since the log was last written.
+    fn apply_job_change(&mut self, id: &str, changes: JobChange, now: Micros) {
+        if changes.phase == Phase::Done {
+            self.remove_finished_job(id);
             return;
         }
         let value = JobValue {
-            phase: news.phase,
-            spec: news.spec,
+            phase: changes.phase,
+            spec: changes.spec,
         };
-        self.on_job_event(id, news.version, news.key_version, value, now);
+        self.on_job_event(id, changes.version, changes.key_version, value, now);
     }
 
-    /// An earlier leader closed the job, or it was over before the log ever named it.
-    fn take_end(&mut self, id: &str) {
+    /// Removes a job that an earlier leader closed, or that ended before the log named it.
+    fn remove_finished_job(&mut self, id: &str) {
         if let Some(job) = self.jobs.remove(id) {
-            tracing::warn!(job = id, "done, though the book has it open");
+            tracing::warn!(job = id, "job is done although the write-ahead log has it open");
             for (task, placement) in &job.placements {
                 let Some(machine) = self.machines.get_mut(&placement.machine) else {
                     continue;
                 };
-                machine.tasks.remove(&(job.id.clone(), *task));
-                machine.take(&job.spec, -1.0);
+                machine.remove_task(&job.id, *task, &job.spec, placement);
             }
         }
         self.log_writer.complete.remove(id);
@@ -210,7 +217,7 @@
     }
 }
 
-/// These tasks, from one to the other, are recorded as completed.
+/// Marks the tasks of an inclusive range as recorded to be completed.
 fn restore_completed(job: &mut Job, from: u32, to: u32) {
     let last = to.min(job.spec.tasks.saturating_sub(1));
     for task in from..=last {
@@ -219,21 +226,21 @@
         }
         job.states[task as usize] = TaskState::Recorded;
         job.waiting.remove(&task);
-        job.finished += 1;
+        job.finished_tasks += 1;
     }
 }
 
 impl super::LogWriter {
-    /// Goes on where the pages end.
-    fn adopt(&mut self, replay: &mut Replay, after_unreadable: u32, gap: Micros, now: Micros) {
-        if replay.written_ms > 0 {
-            let log_ms = replay.written_ms.min(LATEST_TIME_MS) + gap.0 / 1000;
-            self.ahead_ms = log_ms as i64 - (now.0 / 1000) as i64;
+    /// Continues the log where the replayed segments end.
+    fn adopt(&mut self, replay: &mut Replay, first_slot_after_unreadable: u32, gap: Micros, now: Micros) {
+        if let Some(written_log_ms) = replay.written_log_ms {
+            let now_log_ms = written_log_ms.min(LATEST_TIME_MS) + gap.0 / 1000;
+            self.clock_offset_ms = now_log_ms as i64 - (now.0 / 1000) as i64;
         }
         self.last_seq = replay.last_seq;
-        self.seen = replay.seen;
-        self.slots = replay.slots.max(after_unreadable);
-        self.pages = std::mem::take(&mut replay.live_pages);
+        self.seen_revision = replay.seen_revision;
+        self.slots = replay.slots.max(first_slot_after_unreadable);
+        self.segments = std::mem::take(&mut replay.live_segments);
         self.free = std::mem::take(&mut replay.free_slots);
     }
 }
