--- a/crates/group-commit/src/lib.rs
+++ b/crates/group-commit/src/lib.rs
@@ -176,7 +176,7 @@
     }
 
     /// The next page to be written, if one should go out now. It is on its way until
-    /// [`committed`](Intake::committed) or [`failed`](Intake::failed) is said of it.
+    /// [`committed`](GroupCommit::committed) or [`failed`](GroupCommit::failed) is said of it.
     pub fn next(&mut self, room: PageCapacity, now: Micros) -> Option<Batch<J>> {
         let first = self.waiting.front()?;
         if self.flying.len() >= FLYING {
