--- a/crates/provisioning/src/lib.rs
+++ b/crates/provisioning/src/lib.rs
@@ -1,12 +1,12 @@
 //! Cost-benefit of machines rented now: what they are expected to let jobs meet, and what they cost.
 //!
 //! Work waits in an order, each entry with times by which it has to have started for its objectives
-//! to be met, and with what meeting each of them is worth. Capacity becomes free as tasks end and
+//! to be met, and with the value of meeting each of them. Capacity becomes free as tasks end and
 //! machines boot. The queue is projected as a fluid, with and without more capacity; of several
 //! amounts of capacity, the one is advised whose benefit exceeds its rent the most.
 //!
 //! The crate is pure: it does no I/O and reads no clock. Amounts are cores, times are seconds from
-//! now, and worth and prices are money.
+//! now, and values and prices are money.
 //!
 //! ```
 //! use glenhaven_provisioning::{advise, Arrival, Due, Offer, Supply, Work};
@@ -16,7 +16,7 @@
 //! let waiting = Work {
 //!     cores: 200.0,
 //!     run_s: 40.0,
-//!     dues: vec![Due { start_by_s: 45.0, worth: 5.0 }],
+//!     dues: vec![Due { start_by_s: 45.0, value: 5.0 }],
 //!     ..Work::default()
 //! };
 //! let supply = Supply { free_cores: 0.0, arrivals: vec![Arrival { at_s: 60.0, cores: 100.0 }] };
@@ -47,8 +47,8 @@
 pub struct Due {
     /// Seconds from now; negative if it is missed already.
     pub start_by_s: f64,
-    /// What meeting it is worth.
-    pub worth: f64,
+    /// Value of meeting it.
+    pub value: f64,
 }
 
 /// An entry of the queue: work that waits, or is expected.
@@ -70,10 +70,10 @@
         self.dues.iter().filter(|d| d.start_by_s < start_s).count()
     }
 
-    /// What the times are worth that are missed if the last task starts then.
-    fn missed_worth(&self, start_s: f64) -> f64 {
+    /// Value of the times that are missed if the last task starts then.
+    fn missed_value(&self, start_s: f64) -> f64 {
         let missed = self.dues.iter().filter(|d| d.start_by_s < start_s);
-        missed.map(|d| d.worth).sum()
+        missed.map(|d| d.value).sum()
     }
 }
 
@@ -120,9 +120,9 @@
 /// What to rent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Advice {
-    /// Cores to rent; 0 if nothing is worth it.
+    /// Cores to rent; 0 if no rental pays.
     pub cores: f64,
-    /// What the times are worth that are met with the rental and would be missed without.
+    /// Value of the times that are met with the rental and would be missed without.
     pub benefit: f64,
     /// What it is expected to cost beyond what the same work costs anyhow.
     pub cost: f64,
@@ -132,8 +132,8 @@
 
 /// The outcome of a projection.
 struct Outcome {
-    /// What the missed times are worth.
-    missed_worth: f64,
+    /// Value of the missed times.
+    missed_value: f64,
     /// When nothing waits any more, once rented capacity would be ready.
     clear_s: f64,
     /// Cores that still wait when rented capacity would be ready.
@@ -180,7 +180,7 @@
             left: work.iter().map(|w| w.cores.max(0.0)).collect(),
             is_clear: false,
             outcome: Outcome {
-                missed_worth: 0.0,
+                missed_value: 0.0,
                 clear_s: HORIZON_S,
                 waiting_when_ready: 0.0,
                 last_start_s: vec![HORIZON_S; work.len()],
@@ -208,7 +208,7 @@
         // What still waits misses what is due by then.
         for (work, left) in self.work.iter().zip(&self.left) {
             if *left > 0.0 {
-                self.outcome.missed_worth += work.missed_worth(HORIZON_S);
+                self.outcome.missed_value += work.missed_value(HORIZON_S);
             }
         }
         self.outcome
@@ -231,7 +231,7 @@
             if *left <= EPSILON {
                 *left = 0.0;
                 self.outcome.last_start_s[index] = now_s;
-                self.outcome.missed_worth += work.missed_worth(now_s);
+                self.outcome.missed_value += work.missed_value(now_s);
             }
             if self.free <= EPSILON {
                 break;
@@ -284,7 +284,7 @@
     let without = Projection::new(work, supply, 0.0, offer.ready_s).run();
     // More than what waits when it would be ready is of no use.
     let useful_cores = without.waiting_when_ready.min(offer.max_cores);
-    if useful_cores <= 0.0 || without.missed_worth <= 0.0 {
+    if useful_cores <= 0.0 || without.missed_value <= 0.0 {
         return Advice::default();
     }
     let total_cores: f64 = work.iter().map(|w| w.cores).sum();
@@ -295,7 +295,7 @@
         let with = Projection::new(work, supply, cores, offer.ready_s).run();
         let held_s = with.clear_s.max(offer.ready_s) + mean_run_s * HELD_RUNS + offer.idle_s;
         let cost = cores * offer.price * held_s;
-        let benefit = without.missed_worth - with.missed_worth;
+        let benefit = without.missed_value - with.missed_value;
         if benefit - cost > best.benefit - best.cost {
             best = Advice {
                 cores,
--- a/crates/provisioning/tests/provisioning.rs
+++ b/crates/provisioning/tests/provisioning.rs
@@ -3,12 +3,12 @@
 use glenhaven_provisioning::{advise, Arrival, Due, Offer, Supply, Work};
 use proptest::prelude::*;
 
-fn work(cores: f64, run_s: f64, start_by_s: f64, worth: f64) -> Work {
+fn work(cores: f64, run_s: f64, start_by_s: f64, value: f64) -> Work {
     Work {
         cores,
         run_s,
         from_s: 0.0,
-        dues: vec![Due { start_by_s, worth }],
+        dues: vec![Due { start_by_s, value }],
     }
 }
 
@@ -93,7 +93,7 @@
         arrivals in proptest::collection::vec((-5.0f64..400.0, 0.0f64..200.0), 0..10),
         max_cores in 0.0f64..2000.0,
     ) {
-        let queue: Vec<Work> = jobs.iter().map(|(cores, run_s, start_by_s, worth)| work(*cores, *run_s, *start_by_s, *worth)).collect();
+        let queue: Vec<Work> = jobs.iter().map(|(cores, run_s, start_by_s, value)| work(*cores, *run_s, *start_by_s, *value)).collect();
         let offer = Offer { max_cores, ..OFFER };
         let arrivals = arrivals.iter().map(|(at_s, cores)| Arrival { at_s: *at_s, cores: *cores }).collect();
         let advice = advise(&queue, &Supply { free_cores, arrivals }, &offer);
--- a/crates/zone-health/src/lib.rs
+++ b/crates/zone-health/src/lib.rs
@@ -98,22 +98,22 @@
     /// Controllers there, the leader aside.
     pub controllers: usize,
     /// When one of them was last heard; zero if none was.
-    pub controller_heard_at: Micros,
+    pub controller_contact_at: Micros,
     /// Whether the leader is there itself.
     pub is_own: bool,
 }
 
 impl ZoneObservation {
-    fn last_heard_at(&self) -> Micros {
-        self.last_heartbeat_at.max(self.controller_heard_at)
+    fn last_contact_at(&self) -> Micros {
+        self.last_heartbeat_at.max(self.controller_contact_at)
     }
 
     /// Whether nothing came from there for longer than by accident.
     fn is_silent(&self, times: &ZoneTimes, listening_since: Micros, now: Micros) -> bool {
-        let controller_heard_at = self.controller_heard_at.max(listening_since);
-        let hears_controller = self.controllers > 0 && now.since(controller_heard_at) <= CONTROLLER_SILENCE;
-        let last_heard_at = self.last_heard_at().max(listening_since);
-        !hears_controller && now.since(last_heard_at) > times.max_silence(self.machines)
+        let controller_contact_at = self.controller_contact_at.max(listening_since);
+        let has_controller_contact = self.controllers > 0 && now.since(controller_contact_at) <= CONTROLLER_SILENCE;
+        let last_contact_at = self.last_contact_at().max(listening_since);
+        !has_controller_contact && now.since(last_contact_at) > times.max_silence(self.machines)
     }
 }
 
@@ -177,12 +177,12 @@
             } else {
                 // Where nobody else is heard either, it is the leader that is cut off. Its own zone
                 // it hears, or it would not be the leader.
-                let hears_others = zones.iter().any(|other| {
+                let has_other_contact = zones.iter().any(|other| {
                     other.zone != zone.zone
-                        && other.last_heard_at() >= listening_since
+                        && other.last_contact_at() >= listening_since
                         && !other.is_silent(times, listening_since, now)
                 });
-                let is_cut = is_silent && hears_others && zone.machines >= MIN_MACHINES && !zone.is_own;
+                let is_cut = is_silent && has_other_contact && zone.machines >= MIN_MACHINES && !zone.is_own;
                 is_cut.then(|| self.cut(zone, listening_since))
             };
             changes.extend(change);
@@ -192,7 +192,7 @@
 
     /// Notes that a zone is cut off.
     fn cut(&mut self, zone: &ZoneObservation, listening_since: Micros) -> ZoneChange {
-        let since = zone.last_heard_at().max(listening_since);
+        let since = zone.last_contact_at().max(listening_since);
         let proxied_at = zone.proxied_at;
         self.cuts.insert(zone.zone.clone(), Cut { since, proxied_at });
         ZoneChange::CutOff {
@@ -211,12 +211,12 @@
     ) -> Option<ZoneChange> {
         let cut = self.cuts.get_mut(&zone.zone)?;
         cut.proxied_at = cut.proxied_at.max(zone.proxied_at);
-        let is_heard = zone.last_heard_at() > cut.since && !is_silent;
+        let has_contact = zone.last_contact_at() > cut.since && !is_silent;
         // Without a controller and a machine there, nothing can be heard: the zone is tried again
         // when every lease is over.
         let is_empty = zone.machines == 0 && zone.controllers == 0;
         let is_tried_again = is_empty && now.since(cut.since) > times.lease + times.lease;
-        if !(is_heard || is_tried_again || zone.is_own) {
+        if !(has_contact || is_tried_again || zone.is_own) {
             return None;
         }
         let after = now.since(cut.since);
--- a/crates/zone-health/tests/zone_health.rs
+++ b/crates/zone-health/tests/zone_health.rs
@@ -47,7 +47,7 @@
     let mut zones = ZoneMonitor::default();
     let observations = [zone("north", 200, 111.0), zone("south", 4, 100.0)];
     zones.update(&observations, &times, Micros::ZERO, at(111.0));
-    assert!(!zones.is_cut("south"), "its next report may be on its way");
+    assert!(!zones.is_cut("south"), "its next heartbeat may be on its way");
     zones.update(&observations, &times, Micros::ZERO, at(111.6));
     assert!(zones.is_cut("south"));
 }
@@ -67,7 +67,7 @@
     let mut zones = ZoneMonitor::default();
     let mut south = zone("south", 50, 100.0);
     south.controllers = 2;
-    south.controller_heard_at = at(107.5);
+    south.controller_contact_at = at(107.5);
     zones.update(&[zone("north", 50, 108.0), south], &times, Micros::ZERO, at(108.0));
     assert!(
         !zones.any_cut(),
@@ -123,7 +123,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(256) })]
 
-    /// Reports that come at their period, give or take a quarter, are never
+    /// Heartbeats that come at their interval, give or take a quarter, are never
     /// taken for a cut, however many machines there are and whenever they began.
     #[test]
     fn a_zone_that_reports_is_not_cut(
--- a/src/coordination/failure_detection/stragglers.rs
+++ b/src/coordination/failure_detection/stragglers.rs
@@ -44,7 +44,7 @@
 }
 
 /// Whether a task that has run for so long on a slow machine would be done sooner elsewhere.
-fn is_worth_moving(job: &Job, ran_s: f64) -> bool {
+fn is_sooner_elsewhere(job: &Job, ran_s: f64) -> bool {
     let usual_s = mean_run_s(job).unwrap_or(job.spec.estimate_s);
     let lost = if job.spec.checkpoint_s > 0.0 {
         LOST_WITH_CHECKPOINTS
@@ -117,7 +117,7 @@
                 };
                 let placement = job.placements.get(task);
                 let ran_s = placement.and_then(|p| running_s(p, now));
-                if ran_s.is_some_and(|ran_s| is_worth_moving(job, ran_s)) {
+                if ran_s.is_some_and(|ran_s| is_sooner_elsewhere(job, ran_s)) {
                     tasks.push((id.clone(), *task));
                 }
             }
--- a/src/coordination/failure_detection/zone_partition.rs
+++ b/src/coordination/failure_detection/zone_partition.rs
@@ -16,7 +16,7 @@
 /// What the leader knows of another controller.
 #[derive(Clone, Copy, Debug)]
 pub struct ControllerLiveness {
-    last_heard_at: Micros,
+    last_contact_at: Micros,
     /// When it was lost for the last time; stays set when it is heard again.
     lost_at: Option<Micros>,
     is_lost: bool,
@@ -25,10 +25,10 @@
 impl LeaderState {
     /// Notes when another controller was last heard; it is lost if that is longer ago than
     /// `max_silence`.
-    pub fn record_controller_contact(&mut self, name: &str, last_heard_at: Micros, max_silence: Micros, now: Micros) {
+    pub fn record_controller_contact(&mut self, name: &str, last_contact_at: Micros, max_silence: Micros, now: Micros) {
         if !self.failures.controllers.contains_key(name) {
             let liveness = ControllerLiveness {
-                last_heard_at,
+                last_contact_at,
                 lost_at: None,
                 is_lost: false,
             };
@@ -37,8 +37,8 @@
         let Some(controller) = self.failures.controllers.get_mut(name) else {
             return;
         };
-        controller.last_heard_at = last_heard_at;
-        let is_lost = now.since(last_heard_at) > max_silence;
+        controller.last_contact_at = last_contact_at;
+        let is_lost = now.since(last_contact_at) > max_silence;
         if is_lost && !controller.is_lost {
             controller.lost_at = Some(now);
         }
@@ -98,8 +98,8 @@
             let zone = zones.entry(&peer.zone).or_default();
             zone.controllers += 1;
             let controller = self.failures.controllers.get(&peer.node);
-            let last_heard_at = controller.map_or(Micros::ZERO, |c| c.last_heard_at);
-            zone.controller_heard_at = zone.controller_heard_at.max(last_heard_at);
+            let last_contact_at = controller.map_or(Micros::ZERO, |c| c.last_contact_at);
+            zone.controller_contact_at = zone.controller_contact_at.max(last_contact_at);
         }
         zones.entry(&cluster.settings.zone).or_default().is_own = true;
         let with_name = |(name, zone): (&str, ZoneObservation)| ZoneObservation {
--- a/src/coordination/objectives.rs
+++ b/src/coordination/objectives.rs
@@ -242,7 +242,7 @@
         }
     }
 
-    /// The objectives of the classes of which a job is open; those of one job stand for its class.
+    /// The objectives of the classes of which a job is open; those of one of its jobs are taken for each class.
     fn open_objectives(&self, cluster: &ClusterConfig) -> Vec<Objective> {
         let mut objectives = vec![];
         let mut seen = BTreeSet::new();
--- a/src/coordination/provisioning/boot_times.rs
+++ b/src/coordination/provisioning/boot_times.rs
@@ -74,7 +74,7 @@
 
 /// A boot that has ended.
 struct Boot {
-    came_up_at: Micros,
+    ended_at: Micros,
     /// How many times its nominal time it took.
     times_nominal: f64,
 }
@@ -98,7 +98,7 @@
     pub fn record_boot(&mut self, kind: BootKind, took: Micros, boot_s: f64, now: Micros) {
         let recent = self.recent.entry(kind).or_default();
         recent.push_back(Boot {
-            came_up_at: now,
+            ended_at: now,
             times_nominal: took.secs() / boot_s.max(1.0),
         });
         if recent.len() > MAX_BOOTS {
@@ -114,10 +114,10 @@
 
     /// Learns the profiles anew from recent boots and from the machines that are booting.
     pub fn update(&mut self, cluster: &ClusterConfig, machines: &BTreeMap<MachineId, Machine>, now: Micros) {
-        let mut lateness = late_boots(cluster, machines, now);
+        let mut lateness = overdue_by_kind(cluster, machines, now);
         self.profiles.clear();
         for (kind, recent) in &mut self.recent {
-            recent.retain(|boot| now.since(boot.came_up_at) < RECENT);
+            recent.retain(|boot| now.since(boot.ended_at) < RECENT);
             if let Some(lateness) = lateness.get_mut(kind) {
                 lateness.on_time = recent.iter().filter(|boot| boot.times_nominal <= LATE).count();
             }
@@ -134,7 +134,7 @@
 }
 
 /// Machines that are still booting though they should be up, by kind.
-fn late_boots(
+fn overdue_by_kind(
     cluster: &ClusterConfig,
     machines: &BTreeMap<MachineId, Machine>,
     now: Micros,
--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -28,7 +28,7 @@
 const MERGED_ARRIVALS_S: f64 = 4.0;
 /// A job that has missed all of its objectives is to start within this: it must not wait for ever.
 const ALL_MISSED_START_S: f64 = 60.0;
-/// What that is worth in relation to an objective that can still be met.
+/// The value of that in relation to an objective that can still be met.
 const ALL_MISSED_WORTH: f64 = 0.25;
 /// Arrivals that are expected are merged into entries of so many seconds.
 const EXPECTED_STEP_S: f64 = 10.0;
@@ -52,7 +52,7 @@
 /// How many cores of on-demand machines to rent, and what for.
 #[derive(Clone, Debug, Default)]
 pub struct OnDemandAdvice {
-    /// Cores to rent; 0 if nothing is worth it.
+    /// Cores to rent; 0 if no rental pays.
     pub cores: f64,
     /// What the rental is expected to achieve.
     pub commitments: Vec<Commitment>,
@@ -96,7 +96,7 @@
         Projection::new(self, cluster, now).map_or_else(OnDemandAdvice::default, |p| p.advise(reserved_cores))
     }
 
-    /// Marks the objectives that a rental is expected to let jobs meet: whether they are met tells
+    /// Marks the objectives that a rental is expected to let jobs meet: whether they are met shows
     /// how far such projections can be trusted.
     pub fn record_commitments(&mut self, commitments: Vec<Commitment>) {
         for Commitment { job, objective } in commitments {
@@ -148,8 +148,8 @@
     market: Market,
     /// Classes that have work waiting which may use spot machines, and whether they must not wait.
     must_not_wait: BTreeMap<&'a str, bool>,
-    /// What meeting objectives is worth in all, for a second.
-    worth_per_s: f64,
+    /// Value of meeting objectives in all, for a second.
+    value_per_s: f64,
 }
 
 impl<'a> Projection<'a> {
@@ -166,14 +166,14 @@
         if !must_not_wait.values().any(|must_not_wait| *must_not_wait) {
             return None;
         }
-        let worth_per_s = worth_per_s(leader, cluster, &market);
+        let value_per_s = value_per_s(leader, cluster, &market);
         Some(Projection {
             leader,
             cluster,
             now,
             market,
             must_not_wait,
-            worth_per_s,
+            value_per_s,
         })
     }
 
@@ -215,14 +215,14 @@
         self.leader.expected_run_s(job) + self.fetch_s(job)
     }
 
-    /// What it is worth that one job of the class meets the objective.
-    fn worth(&self, class: &str, objective: &JobObjective) -> f64 {
+    /// Value of one job of the class meeting the objective.
+    fn value(&self, class: &str, objective: &JobObjective) -> f64 {
         if !self.must_not_wait.get(class).copied().unwrap_or(false) {
             return 0.0;
         }
         let jobs_per_s = self.leader.slo.inflow(class, self.now).jobs_per_s;
-        // A class of which a job comes every few minutes is not worth all.
-        let per_job = self.worth_per_s / jobs_per_s.max(1.0 / MAX_ARRIVAL_INTERVAL_S);
+        // One job of a class that comes every few minutes does not have the value of the whole class.
+        let per_job = self.value_per_s / jobs_per_s.max(1.0 / MAX_ARRIVAL_INTERVAL_S);
         let urgency = self
             .leader
             .slo
@@ -299,32 +299,32 @@
     }
 
     /// By when the job's last task has to start for each objective that it can still meet, and the
-    /// numbers of these objectives. If it can meet none, one time that stands for all.
+    /// numbers of these objectives. If it can meet none, one time in place of all.
     fn start_times(&self, job: &Job, hold_s: f64, age_s: f64) -> (Vec<Due>, Vec<usize>) {
         let mut dues: Vec<Due> = vec![];
         let mut numbers = vec![];
-        let mut max_worth: f64 = 0.0;
+        let mut max_value: f64 = 0.0;
         for objective in job.objectives.iter().flatten() {
-            let worth = self.worth(&job.spec.class, objective);
-            max_worth = max_worth.max(worth);
+            let value = self.value(&job.spec.class, objective);
+            max_value = max_value.max(value);
             let before_s = if objective.starts { self.fetch_s(job) } else { hold_s };
             let start_by_s = objective.due_s - age_s - before_s;
             if start_by_s >= 0.0 {
-                dues.push(Due { start_by_s, worth });
+                dues.push(Due { start_by_s, value });
                 numbers.push(objective.number);
             }
         }
         if dues.is_empty() {
             dues.push(Due {
                 start_by_s: ALL_MISSED_START_S,
-                worth: max_worth * ALL_MISSED_WORTH,
+                value: max_value * ALL_MISSED_WORTH,
             });
         }
         (dues, numbers)
     }
 
     /// Adds the arrivals that are expected meanwhile, which take their part of the capacity; the
-    /// youngest waiting job of a class stands for those to come.
+    /// youngest waiting job of a class is the model of those to come.
     fn add_expected_arrivals(&self, queue: &mut Queue, waiting: &[WaitingJob<'a>]) {
         let mut youngest: BTreeMap<&str, &Job> = BTreeMap::new();
         for WaitingJob { job, .. } in waiting {
@@ -342,7 +342,7 @@
                     let before_s = if objective.starts { self.fetch_s(job) } else { run_s };
                     Due {
                         start_by_s: from_s + objective.due_s - before_s,
-                        worth: self.worth(class, objective) * inflow.jobs_per_s * EXPECTED_STEP_S,
+                        value: self.value(class, objective) * inflow.jobs_per_s * EXPECTED_STEP_S,
                     }
                 });
                 queue.entries.push(Work {
@@ -416,9 +416,9 @@
     }
 }
 
-/// What meeting objectives is worth in all, for a second: a part of what everything costs. Each
-/// objective of a class is taken to be worth the same, and each job its share of that.
-fn worth_per_s(leader: &LeaderState, cluster: &ClusterConfig, market: &Market) -> f64 {
+/// Value of meeting objectives in all, for a second: a part of what everything costs. Each
+/// objective of a class is taken to have the same value, and each job its share of that.
+fn value_per_s(leader: &LeaderState, cluster: &ClusterConfig, market: &Market) -> f64 {
     let (mut rent, mut demanded_cores) = (0.0, 0.0);
     let rented = leader.machines.values();
     for machine in rented.filter(|m| m.state != MachineState::Releasing) {
@@ -482,7 +482,7 @@
             let entry = &mut self.entries[index];
             entry.cores += work.cores;
             for (sum, due) in entry.dues.iter_mut().zip(&work.dues) {
-                sum.worth += due.worth;
+                sum.value += due.value;
             }
             self.members[index].push(member);
             return;
--- a/src/coordination/provisioning/demand.rs
+++ b/src/coordination/provisioning/demand.rs
@@ -90,7 +90,7 @@
         let mut by_team: BTreeMap<&str, TeamDemand> = BTreeMap::new();
         for job in self.jobs.values() {
             let cores = effective_cores(&job.spec, cluster);
-            let waiting = waiting_worth_renting(cluster, job, now);
+            let waiting = waiting_demand(cluster, job, now);
             let team = by_team.entry(&job.spec.team).or_default();
             *team.held.of_mut(job.spec.spot) += f64::from(job.held) * cores;
             *team.waiting.of_mut(job.spec.spot) += waiting * cores;
@@ -106,15 +106,20 @@
     }
 
     /// Cores that machines give new work, with those that are booting or asked for.
-    /// `heard_agents`: whether agents have had time to send this leader a heartbeat; before, all
+    /// `had_agent_contact`: whether agents have had time to send this leader a heartbeat; before, all
     /// machines look as if they were booting.
-    pub(super) fn supplied_cores(&self, cluster: &ClusterConfig, heard_agents: bool, now: Micros) -> CoresByRental {
+    pub(super) fn supplied_cores(
+        &self,
+        cluster: &ClusterConfig,
+        had_agent_contact: bool,
+        now: Micros,
+    ) -> CoresByRental {
         let mut supply = CoresByRental::default();
         for machine in self.machines.values() {
             let Some(machine_type) = cluster.catalogue.get(&machine.machine_type) else {
                 continue;
             };
-            let counted = if machine.state == MachineState::Booting && heard_agents {
+            let counted = if machine.state == MachineState::Booting && had_agent_contact {
                 let age = now.since(machine.since);
                 let profile = self.provisioning.boot_times.profile(machine);
                 profile.counted_share(age, machine_type.boot_s)
@@ -137,14 +142,14 @@
     /// Whether a machine is, or will be, of use to new work.
     fn is_usable(&self, cluster: &ClusterConfig, machine: &Machine, now: Micros) -> bool {
         // Only another controller still has contact with it: it runs on, but takes no new work.
-        let heard_by_others_only = machine.proxied_at > machine.last_heartbeat
+        let is_proxied_only = machine.proxied_at > machine.last_heartbeat
             && now.since(machine.last_heartbeat) > Self::work_silence(cluster);
         machine.state != MachineState::Releasing
             && machine.interruption_at.is_none()
             && now >= machine.quarantined_until
             && now >= machine.slow_until
             && !machine.is_asymmetrically_partitioned()
-            && !heard_by_others_only
+            && !is_proxied_only
             && !self.failures.zones.is_cut(&machine.zone)
     }
 
@@ -153,8 +158,8 @@
     /// a part of all else, so that a backlog does not grow without end. Negative if there are more
     /// than enough. `available_cores`: cores that there are for all work that may use spot machines.
     pub(super) fn backlog_shortfall(&self, cluster: &ClusterConfig, available_cores: f64, now: Micros) -> f64 {
-        let boots_s: Vec<f64> = cluster.catalogue.values().map(|t| t.boot_s).collect();
-        let mean_boot_s = boots_s.iter().sum::<f64>() / boots_s.len().max(1) as f64;
+        let boot_times_s: Vec<f64> = cluster.catalogue.values().map(|t| t.boot_s).collect();
+        let mean_boot_s = boot_times_s.iter().sum::<f64>() / boot_times_s.len().max(1) as f64;
         let mut backlog = Backlog::default();
         let mut must_not_wait: BTreeMap<&str, bool> = BTreeMap::new();
         for job in self.jobs.values().filter(|j| j.spec.spot) {
@@ -165,7 +170,7 @@
             if is_urgent {
                 let cores = effective_cores(&job.spec, cluster);
                 let held = f64::from(job.held) * cores;
-                backlog.urgent += held + waiting_worth_renting(cluster, job, now) * cores;
+                backlog.urgent += held + waiting_demand(cluster, job, now) * cores;
             } else {
                 add_to_backlog(&mut backlog, cluster, job, mean_boot_s, now);
             }
@@ -210,7 +215,7 @@
 fn add_to_backlog(backlog: &mut Backlog, cluster: &ClusterConfig, job: &Job, mean_boot_s: f64, now: Micros) {
     let cores = effective_cores(&job.spec, cluster);
     let held = f64::from(job.held) * cores;
-    backlog.total += held + waiting_worth_renting(cluster, job, now) * cores;
+    backlog.total += held + waiting_demand(cluster, job, now) * cores;
     backlog.held += held;
     backlog.freed += held * (mean_boot_s / job.spec.estimate_s.max(1.0)).min(1.0) * FREED_SHARE;
     let fetch_s = cluster
@@ -222,17 +227,17 @@
     let is_in_time = latest_start(cluster, job).is_none_or(|at| ready_at <= at);
     // Best-effort work waits for spot machines.
     if job.may_run() && is_in_time && !is_best_effort(cluster, job, now) {
-        backlog.in_time += tasks_worth_renting(cluster, job, now) * cores;
+        backlog.in_time += task_demand(cluster, job, now) * cores;
     }
     if job.priority == Priority::Low {
-        backlog.low += held + tasks_worth_renting(cluster, job, now) * cores;
+        backlog.low += held + task_demand(cluster, job, now) * cores;
     }
 }
 
 /// For how many of a job's waiting tasks machines are worth renting; none if it may not run.
-fn waiting_worth_renting(cluster: &ClusterConfig, job: &Job, now: Micros) -> f64 {
+fn waiting_demand(cluster: &ClusterConfig, job: &Job, now: Micros) -> f64 {
     if job.may_run() {
-        tasks_worth_renting(cluster, job, now)
+        task_demand(cluster, job, now)
     } else {
         0.0
     }
@@ -241,7 +246,7 @@
 /// For how many of a job's waiting tasks machines would be worth renting if it may run. A job that
 /// fails everywhere gets none. Low-priority work runs when others leave capacity: tasks that can
 /// follow each other on the same cores in time need no cores of their own.
-fn tasks_worth_renting(cluster: &ClusterConfig, job: &Job, now: Micros) -> f64 {
+fn task_demand(cluster: &ClusterConfig, job: &Job, now: Micros) -> f64 {
     if job.is_suspect(now) {
         return 0.0;
     }
--- a/src/coordination/provisioning/failed_machines.rs
+++ b/src/coordination/provisioning/failed_machines.rs
@@ -15,7 +15,7 @@
 
 /// Nominal boot time of a machine whose type is not known, in seconds.
 const UNKNOWN_BOOT_S: f64 = 60.0;
-/// Silent machines from which on a controller that hears most of its machines silent is doubted.
+/// Silent machines from which on a controller with mostly silent machines is taken to be unreliable.
 const MIN_SILENT: usize = 3;
 
 /// Why a machine is given up.
@@ -26,7 +26,7 @@
     ServicesFitElsewhere,
     Silent,
     Interrupted,
-    KeepsCancelledTask,
+    CancelledTaskNotStopped,
 }
 
 impl GiveUpReason {
@@ -37,7 +37,7 @@
             GiveUpReason::ServicesFitElsewhere => "it is silent, and its services fit elsewhere",
             GiveUpReason::Silent => "it is silent",
             GiveUpReason::Interrupted => "the cloud took it back",
-            GiveUpReason::KeepsCancelledTask => "it keeps a cancelled task",
+            GiveUpReason::CancelledTaskNotStopped => "it keeps a cancelled task",
         }
     }
 }
@@ -109,7 +109,7 @@
     }
 
     /// Machines on which tasks of cancelled jobs have not stopped though they should have.
-    fn machines_keeping_cancelled_tasks(&self, cluster: &ClusterConfig, now: Micros) -> BTreeSet<MachineId> {
+    fn machines_with_unstopped_tasks(&self, cluster: &ClusterConfig, now: Micros) -> BTreeSet<MachineId> {
         let patience = Micros::from_secs(cluster.settings.params.workers.cancel_s * 0.5);
         self.jobs
             .values()
@@ -120,28 +120,28 @@
             .collect()
     }
 
-    /// Controllers that hear more than half of their machines silent at once: that says more about
+    /// Controllers for which more than half of their machines are silent at once: that says more about
     /// the controller than about the machines. `None` in the set is this controller.
-    fn doubted_controllers(&self, silent: Micros, now: Micros) -> BTreeSet<Option<Rc<str>>> {
+    fn unreliable_controllers(&self, silent: Micros, now: Micros) -> BTreeSet<Option<Rc<str>>> {
         #[derive(Default)]
-        struct Heard {
+        struct ControllerView {
             machines: usize,
             silent: usize,
         }
-        let mut heard_by: BTreeMap<Option<Rc<str>>, Heard> = BTreeMap::new();
-        // A zone that is cut off says nothing about the controller that heard it.
+        let mut by_controller: BTreeMap<Option<Rc<str>>, ControllerView> = BTreeMap::new();
+        // A zone that is cut off says nothing about the controller that was in contact with it.
         let is_cut = |m: &Machine| self.failures.zones.is_cut(&m.zone);
         let up = self.machines.values().filter(|m| m.state == MachineState::Up);
         for machine in up.filter(|m| !is_cut(m)) {
             let counts_from = self.silence_counts_from(machine, now);
             let last_contact = machine.last_heartbeat.max(machine.proxied_at).max(counts_from);
-            let heard = heard_by.entry(machine.via.clone()).or_default();
-            heard.machines += 1;
-            heard.silent += usize::from(now.since(last_contact) > silent);
+            let view = by_controller.entry(machine.via.clone()).or_default();
+            view.machines += 1;
+            view.silent += usize::from(now.since(last_contact) > silent);
         }
-        heard_by
+        by_controller
             .into_iter()
-            .filter(|(_, heard)| heard.silent >= MIN_SILENT && heard.silent * 2 > heard.machines)
+            .filter(|(_, view)| view.silent >= MIN_SILENT && view.silent * 2 > view.machines)
             .map(|(controller, _)| controller)
             .collect()
     }
@@ -154,8 +154,8 @@
     now: Micros,
     /// How long without a heartbeat a machine counts as silent.
     silent: Micros,
-    doubted_controllers: BTreeSet<Option<Rc<str>>>,
-    keeping_cancelled_tasks: BTreeSet<MachineId>,
+    unreliable_controllers: BTreeSet<Option<Rc<str>>>,
+    with_unstopped_tasks: BTreeSet<MachineId>,
     /// Machines of cut-off zones whose work fits elsewhere.
     leaving_cut_zones: BTreeSet<MachineId>,
     /// Silent machines whose services fit elsewhere.
@@ -170,8 +170,8 @@
             cluster,
             now,
             silent,
-            doubted_controllers: leader.doubted_controllers(silent, now),
-            keeping_cancelled_tasks: leader.machines_keeping_cancelled_tasks(cluster, now),
+            unreliable_controllers: leader.unreliable_controllers(silent, now),
+            with_unstopped_tasks: leader.machines_with_unstopped_tasks(cluster, now),
             leaving_cut_zones: leader.machines_leaving_cut_zones(cluster, now),
             early_failures: BTreeSet::new(),
         };
@@ -183,8 +183,8 @@
         self.leader.failures.zones.is_cut(&machine.zone)
     }
 
-    fn is_heard_by_doubted(&self, machine: &Machine) -> bool {
-        self.doubted_controllers.contains(&machine.via)
+    fn has_unreliable_controller(&self, machine: &Machine) -> bool {
+        self.unreliable_controllers.contains(&machine.via)
     }
 
     /// Whether another controller has said lately that it has contact with the machine.
@@ -194,7 +194,7 @@
 
     /// How long a machine has been silent, if its silence says something about it alone.
     fn silence_by_itself(&self, machine: &Machine) -> Option<Micros> {
-        let is_alone = !self.is_cut(machine) && !self.is_heard_by_doubted(machine) && !self.is_proxied(machine);
+        let is_alone = !self.is_cut(machine) && !self.has_unreliable_controller(machine) && !self.is_proxied(machine);
         let counts_from = self.leader.silence_counts_from(machine, self.now);
         is_alone.then(|| self.now.since(machine.last_heartbeat.max(counts_from)))
     }
@@ -219,7 +219,7 @@
     /// the log only, without a heartbeat and not listed, is most likely gone as well.
     fn max_silence(&self, machine: &Machine) -> Micros {
         let workers = &self.cluster.settings.params.workers;
-        if self.may_be_served_in_cut_zone(machine) {
+        if self.may_have_contact_in_cut_zone(machine) {
             self.cluster.knowledge_limit() + timing::lease_ends(workers)
         } else if machine.spot || machine.machine_type.is_empty() {
             self.silent
@@ -231,7 +231,7 @@
     /// Inside a zone that is cut off, its controllers go on answering for as long as their knowledge
     /// is fresh enough, and services run on until the leases renewed by them end. If they were dead
     /// instead, the cloud's list would show it.
-    fn may_be_served_in_cut_zone(&self, machine: &Machine) -> bool {
+    fn may_have_contact_in_cut_zone(&self, machine: &Machine) -> bool {
         let mut peers = self.cluster.settings.peers.iter();
         machine.services > 0 && self.is_cut(machine) && peers.any(|p| p.zone == machine.zone)
     }
@@ -244,9 +244,9 @@
             _ => self.failure_of_booted(machine),
         };
         // A controller that has contact with a machine stops cancelled tasks there itself.
-        let is_served_elsewhere = self.now.since(machine.proxied_at) < timing::KEPT_TOLD;
-        let keeps_cancelled = !is_served_elsewhere && self.keeping_cancelled_tasks.contains(&machine.name);
-        reason.or(keeps_cancelled.then_some(GiveUpReason::KeepsCancelledTask))
+        let is_proxied_now = self.now.since(machine.proxied_at) < timing::KEPT_TOLD;
+        let has_unstopped_task = !is_proxied_now && self.with_unstopped_tasks.contains(&machine.name);
+        reason.or(has_unstopped_task.then_some(GiveUpReason::CancelledTaskNotStopped))
     }
 
     fn has_never_booted(&self, machine: &Machine) -> bool {
@@ -254,8 +254,8 @@
         let boot_s = machine_type.map_or(UNKNOWN_BOOT_S, |t| t.boot_s);
         let profile = self.leader.provisioning.boot_times.profile(machine);
         // To a new leader all machines are booting until their first heartbeat.
-        let heard_agents = self.now.since(self.leader.listens_since) > self.silent;
-        profile.is_dead(self.now.since(machine.since), boot_s) && heard_agents
+        let had_agent_contact = self.now.since(self.leader.listens_since) > self.silent;
+        profile.is_dead(self.now.since(machine.since), boot_s) && had_agent_contact
     }
 
     fn failure_of_booted(&self, machine: &Machine) -> Option<GiveUpReason> {
@@ -263,7 +263,7 @@
         let silence = self.silence(machine);
         let max_silence = self.max_silence(machine);
         let is_believed = self.is_cut(machine)
-            || !self.is_heard_by_doubted(machine)
+            || !self.has_unreliable_controller(machine)
             || silence > max_silence + Micros::from_secs(workers.lease_s);
         let is_interrupted = machine.interruption_at.is_some_and(|at| self.now > at);
         if self.leaving_cut_zones.contains(&machine.name) {
--- a/src/coordination/provisioning/scaling.rs
+++ b/src/coordination/provisioning/scaling.rs
@@ -35,12 +35,12 @@
         // A new leader knows from the log only the names of machines with tasks. Before the list
         // or heartbeats describe the machines, it would rent all that is there a second time.
         let patience = Micros::from_secs(cluster.settings.params.workers.report_s * 1.5 + 2.0);
-        let heard_agents = now.since(self.began) > patience;
-        if !self.provisioning.has_listed && !heard_agents {
+        let had_agent_contact = now.since(self.began) > patience;
+        if !self.provisioning.has_listed && !had_agent_contact {
             return;
         }
         let wanted = self.wanted_cores(cluster, demand, now);
-        let supply = self.supplied_cores(cluster, heard_agents, now);
+        let supply = self.supplied_cores(cluster, had_agent_contact, now);
         self.scale_out(cluster, now, wanted, supply);
         let is_enough_in_all = supply.total() >= demand.total();
         self.rent_for_stuck_jobs(cluster, now, is_enough_in_all);
@@ -82,13 +82,13 @@
             .any(|j| j.may_run() && j.spec.spot && !j.waiting.is_empty());
         let has_rented = self.rent(cluster, now, true, missing_spot);
         if !has_rented && is_waiting && now >= self.provisioning.next_cost_benefit_at {
-            self.rent_on_demand_if_worth_it(cluster, now, missing_on_demand.max(0.0), spare_on_demand + supply.spot);
+            self.rent_on_demand_if_beneficial(cluster, now, missing_on_demand.max(0.0), spare_on_demand + supply.spot);
         }
     }
 
     /// Rents on-demand machines for work that may use spot machines. `reserved_cores` of those free
     /// or on their way are for other work, `available_cores` are there for this work.
-    fn rent_on_demand_if_worth_it(
+    fn rent_on_demand_if_beneficial(
         &mut self,
         cluster: &ClusterConfig,
         now: Micros,
--- a/src/coordination/scheduling/queue.rs
+++ b/src/coordination/scheduling/queue.rs
@@ -20,7 +20,7 @@
     pub(super) guaranteed: BTreeSet<JobId>,
 }
 
-/// A job's place in the queue. The fields are compared one after another, as they stand here.
+/// A job's place in the queue. The fields are compared one after another, in this order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     /// Whether the job fails everywhere.
