--- a/src/coordination/api/acceptance.rs
+++ b/src/coordination/api/acceptance.rs
@@ -1,10 +1,13 @@
-//! Acceptances: which jobs this node writes into its pages, what came of it, and what the
-//! pages of all nodes say. What goes into which page, and when, `glenhaven-group-commit` decides.
+//! The pages of acceptances: those that this node writes, and those of all nodes as they are read.
+//!
+//! `glenhaven-group-commit` decides which jobs go into which page and when; this module sends the
+//! writes and tells it their outcomes.
 
 use super::super::store_queue::Urgency;
 use super::super::{ClusterConfig, Context, Continuation};
-use super::read_proof::{ReadProof, RequestSequence, Source};
-use super::{refuse, ApiContinuation, CachedStatus, JobApi, PAGE_FRAME, PAGE_LIMIT};
+use super::read_proof::{ProofSource, ReadProof, RequestSequence};
+use super::status::JobStatus;
+use super::{ApiContinuation, JobApi, Refusal, PAGE_FRAME_BYTES, PAGE_WRITE_TIMEOUT};
 use crate::protocol::store::{Change, Condition, StoreRequest, StoreResponse, Transaction, WatchEvent};
 use crate::protocol::users::{JobSpec, Phase, Shape};
 use crate::storage::keys;
@@ -12,15 +15,29 @@
 use crate::time::Micros;
 use glenhaven_group_commit::{Batch, PageCapacity};
 
-/// Room in a transaction, below the service's 64 KiB.
-const TXN_BYTES: usize = 62 * 1024;
-/// Jobs in a page at most, and what a condition takes: ids have up to 64 bytes.
-const MOST_JOBS: usize = 256;
-const CONDITION: usize = 100;
+/// The most bytes in a transaction, below the service's limit of 64 KiB.
+const TRANSACTION_BYTES: usize = 62 * 1024;
+/// The most jobs in a page.
+const MAX_JOBS_IN_PAGE: usize = 256;
+/// The size of a condition on a job's key: ids have up to 64 bytes.
+const CONDITION_BYTES: usize = 100;
+
+/// How long the answer to the read of a page of this node is awaited.
+const PAGE_READ_TIMEOUT: Micros = Micros::from_millis(300);
+
+/// A write of a page of acceptances by this node.
+pub(super) struct PageWrite {
+    /// The last request that had come when it was sent.
+    pub covers: RequestSequence,
+    /// The number of the batch.
+    pub number: u64,
+    /// The slot of the page.
+    pub slot: u32,
+}
 
 impl JobApi {
-    /// News of jobs, in the order in which they were made. Older ones never replace newer.
-    fn learn_news(&mut self, events: &[WatchEvent]) {
+    /// Takes changes of jobs' keys and of pages, in the order of their revisions.
+    fn learn_changes(&mut self, events: &[WatchEvent]) {
         for event in events {
             let WatchEvent::Put { key, value, version } = event else {
                 continue;
@@ -36,8 +53,8 @@
         }
     }
 
-    /// A page of acceptances was seen. `new`: when it was written, so that none of its
-    /// jobs was over then.
+    /// Takes a page of acceptances. `new` says that it was just written, so that none of its jobs
+    /// had ended at its version.
     pub(super) fn learn_page(&mut self, key: &str, value: &ciborium::Value, version: u64, new: bool) {
         let Some((node, slot)) = keys::parse_accepted(key) else {
             return tracing::error!(key, "malformed key of a page of acceptances");
@@ -45,15 +62,15 @@
         let Some(page) = from_value::<Accepted>(value) else {
             tracing::error!(key, "malformed page of acceptances");
             if node == self.node {
-                // It is let alone for ever: a page that is written there would fail on its
-                // version, and with it all that waits. No job has this name.
+                // Its slot is never used again, because a write there would always fail on its
+                // version: the page counts as naming an open job that can't exist.
                 self.group_commit.saw(slot, version, &[key.to_string()], |_| false);
             }
             return;
         };
         let jobs: Vec<String> = page.jobs.iter().map(|spec| spec.id.clone()).collect();
         if node == self.node {
-            let known = &self.known;
+            let known = &self.statuses;
             let is_over = |id: &str| known.get(id).is_some_and(|k| k.phase.is_final());
             self.group_commit.saw(slot, version, &jobs, is_over);
         }
@@ -62,19 +79,19 @@
         }
     }
 
-    /// A job stands in a page that was written at this revision. `checked`: it was not over
-    /// then, and what has happened since will be seen.
+    /// Takes a job of a page that was written at this revision. `checked` says that the job had not
+    /// ended then, and that all changes since will be seen.
     fn learn_accepted(&mut self, spec: JobSpec, version: u64, checked: bool) {
         let (job, service) = (spec.id.clone(), spec.shape == Shape::Service);
-        self.learn_named(spec, version);
-        if let Some(known) = self.known.get_mut(&job) {
-            known.checked |= checked;
-            known.service |= service;
-            if known.page == 0 {
-                known.page = version;
+        self.learn_dependencies(spec, version);
+        if let Some(status) = self.statuses.get_mut(&job) {
+            status.checked |= checked;
+            status.service |= service;
+            if status.page == 0 {
+                status.page = version;
             }
-            known.repeated |= known.page != version;
-            if known.checked && !known.phase.is_final() {
+            status.repeated |= status.page != version;
+            if status.checked && !status.phase.is_final() {
                 self.dependency_graph.open(&job);
             }
             return;
@@ -82,12 +99,12 @@
         if checked {
             self.dependency_graph.open(&job);
         } else {
-            // Whether it is over is asked for with the next compare.
-            self.to_verify.entry(job.clone()).or_default();
+            // The next compare finds out whether it has ended.
+            self.awaiting_compare.entry(job.clone()).or_default();
         }
         self.remember(
             job,
-            CachedStatus {
+            JobStatus {
                 version: 0,
                 phase: Phase::Pending,
                 checked,
@@ -98,32 +115,38 @@
         );
     }
 
-    /// Writes the pages that can go out now. They are made up only then, so that nothing
-    /// is written for users who have given up meanwhile.
-    pub(super) fn accept(&mut self, context: &mut Context, cluster: &ClusterConfig) {
+    /// Writes the pages that may be sent now. They are filled only at this point, so that no job is
+    /// written for users who have given up meanwhile.
+    pub(super) fn write_pages(&mut self, context: &mut Context, cluster: &ClusterConfig) {
         if !self.is_ready() {
             return;
         }
-        // The transaction holds the page and a condition for each job: with large values,
-        // its own limit is met before that of the value.
-        let jobs = cluster.limits.conditions().saturating_sub(1).clamp(1, MOST_JOBS);
-        let bytes = cluster.limits.value_bytes().min(TXN_BYTES - jobs * CONDITION);
-        let room = PageCapacity {
-            bytes: bytes.saturating_sub(PAGE_FRAME),
+        // The transaction contains the page and a condition for each job: with large values, its
+        // limit is lower than that of the value.
+        let jobs = cluster.limits.conditions().saturating_sub(1).clamp(1, MAX_JOBS_IN_PAGE);
+        let bytes = cluster
+            .limits
+            .value_bytes()
+            .min(TRANSACTION_BYTES - jobs * CONDITION_BYTES);
+        let capacity = PageCapacity {
+            bytes: bytes.saturating_sub(PAGE_FRAME_BYTES),
             jobs,
         };
         let mut sent = 0.0;
         while context.store.write_allowed(sent + 1.0, Urgency::User, context.now) {
-            let Some(batch) = self.group_commit.next(room, context.now) else {
+            let Some(batch) = self.group_commit.next(capacity, context.now) else {
                 break;
             };
             sent += 1.0;
-            self.send_page(context, batch);
+            self.write_page(context, batch);
         }
-        context.store.held_back(self.group_commit.pages_waiting(room) as f64);
+        context
+            .store
+            .held_back(self.group_commit.pages_waiting(capacity) as f64);
     }
 
-    fn send_page(&self, context: &mut Context, batch: Batch<Box<JobSpec>>) {
+    /// Sends the write of a page, on condition that none of its jobs has a key of its own.
+    fn write_page(&self, context: &mut Context, batch: Batch<Box<JobSpec>>) {
         let key = keys::accepted(&self.node, batch.slot);
         let mut conditions = vec![Condition {
             key: key.clone(),
@@ -134,7 +157,13 @@
             version: 0,
         }));
         let (number, slot, version) = (batch.number, batch.slot, batch.version);
-        tracing::debug!(number, slot, version, jobs = batch.jobs.len(), "acceptances");
+        tracing::debug!(
+            number,
+            slot,
+            version,
+            jobs = batch.jobs.len(),
+            "page of acceptances sent"
+        );
         let page = Accepted {
             jobs: batch.jobs.into_iter().map(|(_, spec)| *spec).collect(),
         };
@@ -146,120 +175,125 @@
                 lease: None,
             }],
         };
-        // Requests that come from here on may be younger than the commit.
-        let covers = self.arrived;
-        let continuation = Continuation::Api(ApiContinuation::Accept { covers, number, slot });
+        // Requests that come after this may come after the commit.
+        let covers = self.last_sequence;
+        let continuation = Continuation::Api(ApiContinuation::WritePage { covers, number, slot });
+        let request = StoreRequest::Transaction(txn);
         context
             .store
-            .push(Urgency::User, StoreRequest::Transaction(txn), continuation, PAGE_LIMIT);
+            .push(Urgency::User, request, continuation, PAGE_WRITE_TIMEOUT);
     }
 
-    /// The page's jobs are accepted: it was committed at this revision. Requests that came after
-    /// it had left go on with what is known now.
-    fn accepted(&mut self, context: &mut Context, number: u64, evidence: &ReadProof) {
-        let known = &self.known;
+    /// Answers the submissions of a page that was committed. Requests that came after it had been
+    /// sent continue with what is known now.
+    fn on_page_committed(&mut self, context: &mut Context, number: u64, proof: &ReadProof) {
+        let known = &self.statuses;
         let is_over = |id: &str| known.get(id).is_some_and(|k| k.phase.is_final());
-        for (job, spec) in self.group_commit.committed(number, evidence.revision, is_over) {
-            self.learn_accepted(*spec, evidence.revision, true);
-            let phase = self.known.get(&job).map_or(Phase::Pending, |k| k.phase);
+        for (job, spec) in self.group_commit.committed(number, proof.revision, is_over) {
+            self.learn_accepted(*spec, proof.revision, true);
+            let phase = self.statuses.get(&job).map_or(Phase::Pending, |k| k.phase);
             let phase = self.final_phase(&job).unwrap_or(phase);
-            // Another node may have accepted it before, and told its user since that it is
-            // withdrawn with one before it: the news up to now tell.
-            let waits = !phase.is_final() && self.waits(&job);
-            for id in self.submits.remove(&job).unwrap_or_default() {
+            // Another node may have accepted it before, and answered a user since that it is
+            // cancelled with a dependency: a read of all changes shows that.
+            let waits = !phase.is_final() && self.waits_for_dependencies(&job);
+            for id in self.submissions.remove(&job).unwrap_or_default() {
                 if waits {
-                    self.await_news(id, evidence);
+                    self.await_job_changes(id, proof);
                 } else {
-                    self.answer_by(context, id, phase, 201, evidence);
+                    self.answer_if_fresh(context, id, phase, 201, proof);
                 }
             }
         }
     }
 
-    /// A submission of a job that waits for others, and that a page of this node accepts, is
-    /// answered after all news up to now were read.
-    fn await_news(&mut self, id: u64, page: &ReadProof) {
+    /// Queues the submission of a job with dependencies, which a page of this node accepts, for a
+    /// read of all changes, after which it is answered.
+    fn await_job_changes(&mut self, id: u64, page: &ReadProof) {
         if let Some(pending) = self.pending.get_mut(&id) {
-            pending.accepted_here = page.covers(pending.arrival);
-            self.to_sync.push(id);
+            pending.accepted_by_own_page = page.covers(pending.sequence);
+            self.awaiting_job_changes.push(id);
         }
     }
 
-    /// Requests that wait for the acceptance of a job that was accepted by another page, or
-    /// is over, go on with that.
-    pub(super) fn settle_submits(&mut self, context: &mut Context, cluster: &ClusterConfig) {
-        let settled: Vec<String> = self
-            .submits
+    /// Advances submissions whose job was accepted by another page, or has ended.
+    pub(super) fn resolve_submissions(&mut self, context: &mut Context, cluster: &ClusterConfig) {
+        let resolved: Vec<String> = self
+            .submissions
             .keys()
-            .filter(|job| self.known.contains_key(*job) && !self.group_commit.is_flying(job))
+            .filter(|job| self.statuses.contains_key(*job) && !self.group_commit.is_flying(job))
             .cloned()
             .collect();
-        for job in settled {
+        for job in resolved {
             self.group_commit.withdraw(&job);
-            for id in self.submits.remove(&job).unwrap_or_default() {
+            for id in self.submissions.remove(&job).unwrap_or_default() {
                 self.advance(context, cluster, id);
             }
         }
     }
 
-    /// The answer to a page of this node that left when `covers` was the last request.
-    pub(super) fn on_accept(
+    /// Handles the answer to the write of a page by this node.
+    pub(super) fn on_page_written(
         &mut self,
         context: &mut Context,
         cluster: &ClusterConfig,
-        covers: RequestSequence,
-        (number, slot): (u64, u32),
+        write: PageWrite,
         answer: StoreResponse,
     ) {
         match answer {
             StoreResponse::Committed { revision } => {
-                let evidence = ReadProof::new(Source::Page, covers, revision);
-                self.accepted(context, number, &evidence);
-            }
-            StoreResponse::Conflict { failed, .. } => {
-                let over: Vec<String> = failed
-                    .iter()
-                    .filter(|key| keys::parse_accepted(key).is_none())
-                    .filter_map(|key| key.strip_prefix(keys::JOBS))
-                    .map(str::to_string)
-                    .collect();
-                self.group_commit.failed(number, &over);
-                for job in over {
-                    let ids = self.submits.remove(&job).unwrap_or_default();
-                    self.send_read(context, &job, ids, Micros::ZERO);
-                }
-                let key = keys::accepted(&self.node, slot);
-                if failed.contains(&key) {
-                    // An earlier try, or an earlier life of this process, has written it.
-                    let continuation = Continuation::Api(ApiContinuation::Page(slot));
-                    context.store.push(
-                        Urgency::User,
-                        StoreRequest::Get { key },
-                        continuation,
-                        Micros::from_millis(300),
-                    );
-                }
+                let proof = ReadProof::new(ProofSource::PageCommit, write.covers, revision);
+                self.on_page_committed(context, write.number, &proof);
             }
-            StoreResponse::Malformed => {
-                let jobs = self.group_commit.abandon(number);
-                for id in jobs.iter().filter_map(|job| self.submits.remove(job)).flatten() {
-                    if self.pending.remove(&id).is_some() {
-                        refuse(context, id, 503, "the state service refuses the job");
-                    }
-                }
+            StoreResponse::Conflict { failed, .. } => self.on_page_conflict(context, &write, &failed),
+            StoreResponse::Malformed => self.on_page_rejected(context, write.number),
+            // Not executed, or unknown: what is still wanted is written again, on condition of the
+            // same version, so that at most one of the two writes succeeds.
+            _ => self.group_commit.failed(write.number, &[]),
+        }
+        self.resolve_submissions(context, cluster);
+    }
+
+    /// Handles that conditions on these keys failed: jobs of the page have ended, which are read,
+    /// or the page is not as expected.
+    fn on_page_conflict(&mut self, context: &mut Context, write: &PageWrite, failed: &[String]) {
+        let ended: Vec<String> = failed
+            .iter()
+            .filter(|key| keys::parse_accepted(key).is_none())
+            .filter_map(|key| key.strip_prefix(keys::JOBS))
+            .map(str::to_string)
+            .collect();
+        self.group_commit.failed(write.number, &ended);
+        for job in ended {
+            let ids = self.submissions.remove(&job).unwrap_or_default();
+            self.send_read(context, &job, ids, Micros::ZERO);
+        }
+        let key = keys::accepted(&self.node, write.slot);
+        if failed.contains(&key) {
+            // An earlier copy of the write, or an earlier incarnation of this process, has written
+            // the page.
+            let continuation = Continuation::Api(ApiContinuation::ReadOwnPage(write.slot));
+            let request = StoreRequest::Get { key };
+            context
+                .store
+                .push(Urgency::User, request, continuation, PAGE_READ_TIMEOUT);
+        }
+    }
+
+    /// Refuses the submissions of a page that the state service rejects as malformed.
+    fn on_page_rejected(&mut self, context: &mut Context, number: u64) {
+        let jobs = self.group_commit.abandon(number);
+        for id in jobs.iter().filter_map(|job| self.submissions.remove(job)).flatten() {
+            if self.pending.remove(&id).is_some() {
+                Refusal::RejectedByStore.send(context, id);
             }
-            // Not executed, or nobody knows: what is still wanted is written again, on
-            // condition of the same version, so that one of the two fails.
-            _ => self.group_commit.failed(number, &[]),
         }
-        self.settle_submits(context, cluster);
     }
 
-    /// News of jobs were seen.
-    pub fn on_news(&mut self, context: &mut Context, cluster: &ClusterConfig, events: &[WatchEvent]) {
-        self.learn_news(events);
-        if !self.submits.is_empty() {
-            self.settle_submits(context, cluster);
+    /// Takes changes of jobs that a watch or a read has brought.
+    pub fn on_job_changes(&mut self, context: &mut Context, cluster: &ClusterConfig, events: &[WatchEvent]) {
+        self.learn_changes(events);
+        if !self.submissions.is_empty() {
+            self.resolve_submissions(context, cluster);
         }
     }
 }
--- a/src/coordination/api/answers.rs
+++ b/src/coordination/api/answers.rs
@@ -1,10 +1,15 @@
-//! Answers of the state service to what the desk asked, and what each one means for the
-//! requests that wait for it.
+//! Handles the answers of the state service to requests of the job API, and determines what each
+//! one means for the user requests that wait for it.
+//!
+//! Invariant: a user request is only answered through `answer_if_fresh` and `refuse_if_fresh`, which
+//! check the proof, or by a final phase.
 
 use super::super::store_queue::Urgency;
 use super::super::{ClusterConfig, Context, Continuation};
-use super::read_proof::{ReadProof, RequestSequence, Source};
-use super::{refuse, ApiContinuation, Ask, Compared, JobApi, Pages};
+use super::acceptance::PageWrite;
+use super::read_proof::{ProofSource, ReadProof, RequestSequence};
+use super::request::RequestKind;
+use super::{ApiContinuation, ComparedJob, JobApi, PageScan, Refusal};
 use crate::protocol::store::{StoreRequest, StoreResponse};
 use crate::protocol::to_cbor;
 use crate::protocol::users::{JobState, Phase};
@@ -13,11 +18,11 @@
 use crate::time::Micros;
 use glenhaven_dependencies::Stand;
 
-/// A read that is not answered by then is made again.
-const READ_LIMIT: Micros = Micros::from_millis(300);
+/// How long the answer to a read of a job's key is awaited before it is repeated.
+const READ_TIMEOUT: Micros = Micros::from_millis(300);
 
 impl JobApi {
-    /// An answer of the state service for the users' desk has come.
+    /// Handles an answer of the state service to a request of the job API.
     pub fn on_store(
         &mut self,
         context: &mut Context,
@@ -26,88 +31,93 @@
         answer: StoreResponse,
     ) {
         match continuation {
-            ApiContinuation::Verify { covers, jobs } => self.on_verify(context, cluster, covers, jobs, answer),
-            ApiContinuation::Read { covers, job, requests } => {
-                self.on_read(context, cluster, covers, job, requests, answer)
+            ApiContinuation::CompareKeys { covers, jobs } => {
+                self.on_keys_compared(context, cluster, covers, jobs, answer)
             }
-            ApiContinuation::Accept { covers, number, slot } => {
-                self.on_accept(context, cluster, covers, (number, slot), answer)
+            ApiContinuation::ReadKey { covers, job, requests } => {
+                self.on_key_read(context, cluster, covers, job, requests, answer)
             }
-            ApiContinuation::Page(slot) => self.on_own_page(context, cluster, slot, answer),
-            ApiContinuation::Pages(of) if of != self.reading_of => {}
-            ApiContinuation::Pages(_) => self.on_pages(context, cluster, answer),
-            ApiContinuation::Sync { covers, requests } => self.on_sync(context, cluster, covers, requests, answer),
-            ApiContinuation::Abort(id) => self.on_abort(context, cluster, id, answer),
+            ApiContinuation::WritePage { covers, number, slot } => {
+                let write = PageWrite { covers, number, slot };
+                self.on_page_written(context, cluster, write, answer)
+            }
+            ApiContinuation::ReadOwnPage(slot) => self.on_own_page(context, cluster, slot, answer),
+            ApiContinuation::ScanPages(scan) if scan != self.scan_generation => {}
+            ApiContinuation::ScanPages(_) => self.on_pages_scanned(context, cluster, answer),
+            ApiContinuation::ReadJobChanges { covers, requests } => {
+                self.on_job_changes_read(context, cluster, covers, requests, answer)
+            }
+            ApiContinuation::Cancel(id) => self.on_cancelled(context, cluster, id, answer),
         }
     }
 
-    /// The answer to one compare for many jobs.
-    fn on_verify(
+    /// Handles the answer to a compare of many keys.
+    fn on_keys_compared(
         &mut self,
         context: &mut Context,
         cluster: &ClusterConfig,
         covers: RequestSequence,
-        jobs: Vec<Compared>,
+        jobs: Vec<ComparedJob>,
         answer: StoreResponse,
     ) {
-        self.verifying = self.verifying.saturating_sub(1);
+        self.compares_in_flight = self.compares_in_flight.saturating_sub(1);
         let (failed, revision) = match answer {
             StoreResponse::Committed { revision } => (vec![], revision),
             StoreResponse::Conflict { failed, revision } => (failed, revision),
-            _ => return self.compare_again(jobs),
+            _ => return self.repeat_compare(jobs),
         };
-        let evidence = ReadProof::new(Source::Compare, covers, revision);
-        for Compared { job, version, requests } in jobs {
+        let proof = ReadProof::new(ProofSource::KeyCompare, covers, revision);
+        for ComparedJob { job, version, requests } in jobs {
             if failed.contains(&keys::job(&job)) {
-                self.differs(context, &job, requests);
+                self.on_key_differs(context, &job, requests);
             } else {
-                self.verified(context, cluster, &job, version, requests, &evidence);
+                self.on_key_known(context, cluster, &job, version, requests, &proof);
             }
         }
     }
 
-    /// A compare was not executed: it is made again for those who still wait.
-    fn compare_again(&mut self, jobs: Vec<Compared>) {
-        for Compared { job, requests, .. } in jobs {
-            let unchecked = self.known.get(&job).is_some_and(|k| !k.checked);
+    /// Queues the jobs of a compare that was not executed again, if they are still waited for.
+    fn repeat_compare(&mut self, jobs: Vec<ComparedJob>) {
+        for ComparedJob { job, requests, .. } in jobs {
+            let unchecked = self.statuses.get(&job).is_some_and(|k| !k.checked);
             if unchecked || requests.iter().any(|id| self.pending.contains_key(id)) {
-                self.to_verify.entry(job).or_default().extend(requests);
+                self.awaiting_compare.entry(job).or_default().extend(requests);
             }
         }
     }
 
-    /// A job's own key is not as it is known here.
-    fn differs(&mut self, context: &mut Context, job: &str, requests: Vec<u64>) {
-        let unchecked = self.known.get(job).is_some_and(|k| !k.checked);
+    /// Handles that a job's own key is not as it is known here: it is read, if anybody waits for it.
+    fn on_key_differs(&mut self, context: &mut Context, job: &str, requests: Vec<u64>) {
+        let unchecked = self.statuses.get(job).is_some_and(|k| !k.checked);
         let needed = self.dependency_graph.is_needed(job) || self.dependency_graph.job(job).is_some();
         if unchecked && requests.is_empty() && !needed {
-            // Over: how is read when somebody asks.
-            self.known.remove(job);
+            // The job has ended; its final phase is read when it is asked for.
+            self.statuses.remove(job);
             self.group_commit.over(job);
             return;
         }
         self.send_read(context, job, requests, Micros::ZERO);
     }
 
-    /// Reads a job's own key on behalf of these requests.
+    /// Reads a job's own key for these requests, after a pause.
     pub(super) fn send_read(&self, context: &mut Context, job: &str, requests: Vec<u64>, pause: Micros) {
         let request = StoreRequest::Get { key: keys::job(job) };
-        let continuation = Continuation::Api(ApiContinuation::Read {
-            covers: self.arrived,
+        let continuation = Continuation::Api(ApiContinuation::ReadKey {
+            covers: self.last_sequence,
             job: job.to_string(),
             requests,
         });
         if pause == Micros::ZERO {
-            context.store.push(Urgency::User, request, continuation, READ_LIMIT);
+            context.store.push(Urgency::User, request, continuation, READ_TIMEOUT);
         } else {
             context
                 .store
-                .push_at(context.now + pause, Urgency::User, request, continuation, READ_LIMIT);
+                .push_at(context.now + pause, Urgency::User, request, continuation, READ_TIMEOUT);
         }
     }
 
-    /// A job's own key was read for these requests.
-    fn on_read(
+    /// Handles the answer to a read of a job's own key for these requests.
+    fn on_key_read(
         &mut self,
         context: &mut Context,
         cluster: &ClusterConfig,
@@ -118,24 +128,24 @@
     ) {
         match answer {
             StoreResponse::Row(row) => {
-                let evidence = ReadProof::new(Source::Read, covers, row.version);
-                self.reading.remove(&job);
+                let proof = ReadProof::new(ProofSource::KeyRead, covers, row.version);
+                self.reads_in_flight.remove(&job);
                 match from_value::<JobValue>(&row.value) {
                     Some(value) => self.learn(&job, row.version, value.phase),
                     None => tracing::error!(job, "malformed job value"),
                 }
-                if let Some(known) = self.known.get(&job).copied() {
-                    self.verified(context, cluster, &job, known.version, ids, &evidence);
+                if let Some(known) = self.statuses.get(&job).copied() {
+                    self.on_key_known(context, cluster, &job, known.version, ids, &proof);
                 }
             }
             StoreResponse::Missing { revision } => {
-                self.reading.remove(&job);
-                let evidence = ReadProof::new(Source::Read, covers, revision);
-                self.verified(context, cluster, &job, 0, ids, &evidence);
+                self.reads_in_flight.remove(&job);
+                let proof = ReadProof::new(ProofSource::KeyRead, covers, revision);
+                self.on_key_known(context, cluster, &job, 0, ids, &proof);
             }
             _ => {
-                self.reading.remove(&job);
-                let unchecked = self.known.get(&job).is_some_and(|k| !k.checked);
+                self.reads_in_flight.remove(&job);
+                let unchecked = self.statuses.get(&job).is_some_and(|k| !k.checked);
                 if unchecked || ids.iter().any(|id| self.pending.contains_key(id)) {
                     let pause = context.jitter(Micros::from_millis(80));
                     self.send_read(context, &job, ids, pause);
@@ -144,40 +154,42 @@
         }
     }
 
-    /// A page of this node was read, whose version was not as expected.
+    /// Handles the answer to a read of a page of this node, whose version was not as expected.
     fn on_own_page(&mut self, context: &mut Context, cluster: &ClusterConfig, slot: u32, answer: StoreResponse) {
-        // If this is not answered either, the next try on the page asks again.
+        // If the read fails, the next conflict on the page repeats it.
         if let StoreResponse::Row(row) = answer {
             self.learn_page(&row.key, &row.value, row.version, true);
-            self.settle_submits(context, cluster);
+            self.resolve_submissions(context, cluster);
         }
-        tracing::debug!(slot, "a page of this node was written unseen");
+        tracing::debug!(slot, "a page of this node was written without an answer");
     }
 
-    /// Pages of acceptances were read, to begin with.
-    fn on_pages(&mut self, context: &mut Context, cluster: &ClusterConfig, answer: StoreResponse) {
-        let Pages::Asked(after) = &self.pages else { return };
+    /// Handles the answer to a part of the scan of all pages of acceptances.
+    fn on_pages_scanned(&mut self, context: &mut Context, cluster: &ClusterConfig, answer: StoreResponse) {
+        let PageScan::InFlight(after) = &self.page_scan else {
+            return;
+        };
         let after = after.clone();
-        self.pages = match answer {
+        self.page_scan = match answer {
             StoreResponse::Rows(rows) => {
                 for row in &rows.items {
                     self.learn_page(&row.key, &row.value, row.version, false);
                 }
                 match rows.items.last() {
-                    Some(last) if rows.more => Pages::From(last.key.clone()),
-                    _ => Pages::Complete,
+                    Some(last) if rows.more => PageScan::From(last.key.clone()),
+                    _ => PageScan::Complete,
                 }
             }
             _ => {
-                self.next_pages = context.now + context.jitter(Micros::from_millis(150));
-                Pages::From(after)
+                self.next_scan_at = context.now + context.jitter(Micros::from_millis(150));
+                PageScan::From(after)
             }
         };
-        self.settle_submits(context, cluster);
+        self.resolve_submissions(context, cluster);
     }
 
-    /// All news of jobs up to now were read for these requests.
-    fn on_sync(
+    /// Handles the answer to a read of all changes of jobs for these requests.
+    fn on_job_changes_read(
         &mut self,
         context: &mut Context,
         cluster: &ClusterConfig,
@@ -185,21 +197,21 @@
         ids: Vec<u64>,
         answer: StoreResponse,
     ) {
-        self.syncing = false;
+        self.reading_job_changes = false;
         let StoreResponse::Events(events) = answer else {
-            self.to_sync
+            self.awaiting_job_changes
                 .extend(ids.into_iter().filter(|id| self.pending.contains_key(id)));
             return;
         };
-        self.on_news(context, cluster, &events.events);
-        let evidence = ReadProof::new(Source::News, covers, events.revision);
+        self.on_job_changes(context, cluster, &events.events);
+        let proof = ReadProof::new(ProofSource::JobChanges, covers, events.revision);
         for id in ids {
-            self.synced(context, cluster, id, &evidence);
+            self.on_changes_known(context, cluster, id, &proof);
         }
     }
 
-    /// The answer to a cancellation.
-    fn on_abort(&mut self, context: &mut Context, cluster: &ClusterConfig, id: u64, answer: StoreResponse) {
+    /// Handles the answer to a cancellation.
+    fn on_cancelled(&mut self, context: &mut Context, cluster: &ClusterConfig, id: u64, answer: StoreResponse) {
         let Some(pending) = self.pending.get(&id) else { return };
         let job = pending.job.clone();
         match answer {
@@ -207,147 +219,150 @@
                 tracing::debug!(job, revision, "cancelled by its user");
                 self.learn(&job, revision, Phase::Cancelled);
                 self.pending.remove(&id);
-                let evidence = ReadProof::of_final_phase(revision);
-                self.answer(context, id, &job, Phase::Cancelled, 200, &evidence);
+                let proof = ReadProof::of_final_phase(revision);
+                self.answer(context, id, &job, Phase::Cancelled, 200, &proof);
             }
             StoreResponse::Conflict { .. } => self.send_read(context, &job, vec![id], Micros::ZERO),
-            _ => self.again(context, cluster, id, &answer),
+            _ => self.retry_request(context, cluster, id, &answer),
         }
     }
 
-    /// Repeats a transaction that was refused or not answered. Both kinds are
-    /// conditional, so that a second execution cannot do harm.
-    fn again(&mut self, context: &mut Context, cluster: &ClusterConfig, id: u64, answer: &StoreResponse) {
+    /// Repeats a cancellation that was refused or not answered. It is conditional: a second
+    /// execution does no harm.
+    fn retry_request(&mut self, context: &mut Context, cluster: &ClusterConfig, id: u64, answer: &StoreResponse) {
         if matches!(answer, StoreResponse::Unknown) {
             return self.advance(context, cluster, id);
         }
         let Some(job) = self.pending.get(&id).map(|p| p.job.clone()) else {
             return;
         };
-        // A read in between costs a request but tells whether the job is known
-        // by now; the pause keeps refused nodes from retrying in step.
+        // A read in between costs a request, but shows whether the job is known by now. The
+        // pause keeps refused nodes from retrying in step.
         let pause = context.jitter(Micros::from_millis(60));
         self.send_read(context, &job, vec![id], pause);
     }
 
-    /// A compare or read of the job's own key proved this version (0: there is none), in
-    /// a request that was made after these came.
-    fn verified(
+    /// Advances these requests with the version of a job's own key (0 if there is none), which a
+    /// compare or read has proven. The job is that of the request or one of its dependencies.
+    fn on_key_known(
         &mut self,
         context: &mut Context,
         cluster: &ClusterConfig,
         job: &str,
         version: u64,
         ids: Vec<u64>,
-        evidence: &ReadProof,
+        proof: &ReadProof,
     ) {
-        if let Some(known) = self.known.get_mut(job) {
-            // An end learnt meanwhile is newer than a read that missed it.
+        if let Some(known) = self.statuses.get_mut(job) {
+            // A final phase that was learned meanwhile is newer than a read without it.
             known.checked |= version <= known.version;
         }
-        if version == 0 && self.known.get(job).is_none_or(|k| !k.phase.is_final()) {
-            // Its own key was not there: it is not over, whoever accepted it. Nothing waits
-            // for ever for a word about it.
+        if version == 0 && self.statuses.get(job).is_none_or(|k| !k.phase.is_final()) {
+            // Without a key of its own it has not ended, whoever accepted it.
             self.dependency_graph.open(job);
         }
         for id in ids {
-            let named = self.pending.get_mut(&id).filter(|p| p.job != job);
-            if let Some(pending) = named {
-                if !self.known.contains_key(job) {
-                    pending.missing.insert(job.to_string());
+            let dependent = self.pending.get_mut(&id).filter(|p| p.job != job);
+            if let Some(pending) = dependent {
+                if !self.statuses.contains_key(job) {
+                    pending.missing_dependencies.insert(job.to_string());
                 }
                 self.advance(context, cluster, id);
                 continue;
             }
             let Some(pending) = self.pending.get(&id) else { continue };
-            let phase = self.final_phase(job).or(self.known.get(job).map(|k| k.phase));
-            match (&pending.ask, phase) {
-                (Ask::Submit(_), None) | (Ask::Abort, Some(_)) => self.advance(context, cluster, id),
-                // Not over; whether it was accepted by another node, unseen here yet, is
-                // read in this request too.
-                (_, None) => self.to_sync.push(id),
-                (_, Some(phase)) if !phase.is_final() && self.waits(job) => self.to_sync.push(id),
-                (_, Some(phase)) => self.answer_by(context, id, phase, 200, evidence),
+            let phase = self.final_phase(job).or(self.statuses.get(job).map(|k| k.phase));
+            match (&pending.kind, phase) {
+                (RequestKind::Submit(_), None) | (RequestKind::Cancel, Some(_)) => self.advance(context, cluster, id),
+                // It has not ended; whether another node has accepted it is read too.
+                (_, None) => self.awaiting_job_changes.push(id),
+                (_, Some(phase)) if !phase.is_final() && self.waits_for_dependencies(job) => {
+                    self.awaiting_job_changes.push(id)
+                }
+                (_, Some(phase)) => self.answer_if_fresh(context, id, phase, 200, proof),
             }
         }
     }
 
-    /// All news up to a moment after the request came were seen, and its job's own key was
-    /// read in it: a job that is still not known was never accepted.
-    fn synced(&mut self, context: &mut Context, cluster: &ClusterConfig, id: u64, evidence: &ReadProof) {
+    /// Advances a request after all changes of jobs were read for it, and before that its job's own
+    /// key: a job that is still not known was never accepted.
+    fn on_changes_known(&mut self, context: &mut Context, cluster: &ClusterConfig, id: u64, proof: &ReadProof) {
         if let Some(pending) = self.pending.get_mut(&id) {
-            pending.synced = true;
+            pending.changes_read = true;
         }
         let Some(pending) = self.pending.get(&id) else { return };
         let job = pending.job.clone();
-        let phase = self.final_phase(&job).or(self.known.get(&job).map(|k| k.phase));
-        let repeated = self.known.get(&job).is_none_or(|k| k.repeated);
-        if let (true, false, Some(phase)) = (pending.accepted_here, repeated, phase) {
-            // No page accepted it before this node's: nobody was told anything of it before the
+        let phase = self.final_phase(&job).or(self.statuses.get(&job).map(|k| k.phase));
+        let repeated = self.statuses.get(&job).is_none_or(|k| k.repeated);
+        if let (true, false, Some(phase)) = (pending.accepted_by_own_page, repeated, phase) {
+            // No page had accepted it before this node's: no user was answered about it before the
             // request came.
-            return self.answer_by(context, id, phase, 201, evidence);
+            return self.answer_if_fresh(context, id, phase, 201, proof);
         }
-        match (&pending.ask, phase) {
-            // Something before it has yet to be read.
+        match (&pending.kind, phase) {
+            // One of its dependencies has yet to be read.
             (_, Some(phase)) if !phase.is_final() && self.dependency_graph.stand(&job) == Some(Stand::Unsettled) => {
-                self.to_sync.push(id);
+                self.awaiting_job_changes.push(id);
+            }
+            (RequestKind::Poll | RequestKind::Cancel, None) => {
+                self.refuse_if_fresh(context, id, &Refusal::NoSuchJob, proof);
             }
-            (Ask::Poll | Ask::Abort, None) => self.refuse_by(context, id, 404, "no such job", evidence),
-            (Ask::Refusable(status, why), None) => {
-                let (status, why) = (*status, why.clone());
-                self.refuse_by(context, id, status, &why, evidence);
+            (RequestKind::Refusable(refusal), None) => {
+                let refusal = refusal.clone();
+                self.refuse_if_fresh(context, id, &refusal, proof);
             }
-            (Ask::Submit(_), None) | (Ask::Abort, Some(_)) => self.advance(context, cluster, id),
-            (_, Some(_)) if self.known.get(&job).is_some_and(|k| !k.checked) => self.advance(context, cluster, id),
-            (_, Some(phase)) => self.answer_by(context, id, phase, 200, evidence),
+            (RequestKind::Submit(_), None) | (RequestKind::Cancel, Some(_)) => self.advance(context, cluster, id),
+            (_, Some(_)) if self.statuses.get(&job).is_some_and(|k| !k.checked) => self.advance(context, cluster, id),
+            (_, Some(phase)) => self.answer_if_fresh(context, id, phase, 200, proof),
         }
     }
 
-    /// Answers a request by what the state service said of its job. Evidence that was asked for
-    /// before the request came may be older than what another node told in between: the job's
-    /// own key is compared for it then.
-    pub(super) fn answer_by(
+    /// Answers a request by the phase of its job, if the proof is new enough. A proof from a read
+    /// that was sent before the request came may be older than what another node has answered
+    /// since: then the job's own key is compared again for this request.
+    pub(super) fn answer_if_fresh(
         &mut self,
         context: &mut Context,
         id: u64,
         phase: Phase,
         status: u16,
-        evidence: &ReadProof,
+        proof: &ReadProof,
     ) {
         let Some(pending) = self.pending.get(&id) else { return };
-        if !evidence.allows(pending.arrival, phase) {
-            return self.ask_anew(id);
+        if !proof.allows(pending.sequence, phase) {
+            return self.request_fresh_proof(id);
         }
         let Some(pending) = self.pending.remove(&id) else {
             return;
         };
         if status == 201 {
-            self.waits.record(context.now.since(pending.at));
+            self.waits.record(context.now.since(pending.received_at));
         }
-        self.answer(context, id, &pending.job, phase, status, evidence);
+        self.answer(context, id, &pending.job, phase, status, proof);
     }
 
-    /// The same of a job that was never accepted.
-    fn refuse_by(&mut self, context: &mut Context, id: u64, status: u16, why: &str, evidence: &ReadProof) {
+    /// Refuses a request for a job that was never accepted, if the proof is new enough.
+    fn refuse_if_fresh(&mut self, context: &mut Context, id: u64, refusal: &Refusal, proof: &ReadProof) {
         let Some(pending) = self.pending.get(&id) else { return };
-        if !evidence.covers(pending.arrival) {
-            return self.ask_anew(id);
+        if !proof.covers(pending.sequence) {
+            return self.request_fresh_proof(id);
         }
-        let ReadProof { source, revision, .. } = evidence;
+        let ReadProof { source, revision, .. } = proof;
+        let (status, why) = (refusal.status(), refusal.to_string());
         tracing::debug!(job = pending.job, status, why, ?source, revision, "refused");
         self.pending.remove(&id);
-        refuse(context, id, status, why);
+        refusal.send(context, id);
     }
 
-    /// The evidence at hand is older than the request: its job is compared for it.
-    fn ask_anew(&mut self, id: u64) {
+    /// Queues a compare of the job's own key, because the proof is older than the request.
+    fn request_fresh_proof(&mut self, id: u64) {
         let Some(pending) = self.pending.get(&id) else { return };
-        tracing::debug!(job = pending.job, "the evidence is older than the request: asked anew");
-        self.asked_anew += 1;
-        self.to_verify.entry(pending.job.clone()).or_default().push(id);
+        tracing::debug!(job = pending.job, "the proof is older than the request: compared again");
+        self.stale_proofs += 1;
+        self.awaiting_compare.entry(pending.job.clone()).or_default().push(id);
     }
 
-    /// Tells a user how the job is. Whether the evidence is new enough was looked at.
+    /// Answers a user with the state of a job; the caller has checked the proof.
     pub(super) fn answer(
         &mut self,
         context: &mut Context,
@@ -355,11 +370,11 @@
         job: &str,
         phase: Phase,
         status: u16,
-        evidence: &ReadProof,
+        proof: &ReadProof,
     ) {
-        let ReadProof { source, revision, .. } = evidence;
+        let ReadProof { source, revision, .. } = proof;
         tracing::debug!(job, status, ?phase, ?source, revision, "answered");
-        *self.answered.entry(*source).or_default() += 1;
+        *self.answers_by_source.entry(*source).or_default() += 1;
         let (done, running) = self.counts.get(job).copied().unwrap_or((0, 0));
         let state = JobState {
             id: job.to_string(),
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -1,541 +1,362 @@
-//! The users' desk, on every node: acceptances in pages of this node, cancels by
-//! compare-and-set, answers only after the commit or a read in this request.
+//! The job API of every controller: submissions, polls and cancellations of users.
 //!
-//! This room owns what users wait for and what is known of jobs' phases. An open job is
-//! known from a page of acceptances; its own key exists once it is over, for ever. What an
-//! answer may rest on, `evidence` decides.
+//! It owns the requests that wait for the state service, and what this node knows of the phases of
+//! jobs. Jobs are accepted in pages of this node, and cancelled by a compare-and-set on the job's
+//! own key. An open job is known from a page of acceptances; its own key exists once it has a final
+//! phase, for ever. The controller hands in requests and the answers of the state service; the
+//! leader only reads phases here.
+//!
+//! Invariant: a user is answered only after the commit, or by a read that was sent after the
+//! request had come; `read_proof` checks this for every answer.
+//!
+//! - `request` and `refusal`: requests as they wait, and why one is refused;
+//! - `request_flow`: the steps of a request until its answer;
+//! - `status`: what is known of jobs;
+//! - `acceptance`: the pages of acceptances;
+//! - `answers`: the answers of the state service and what each means for the requests;
+//! - `dependencies`: jobs with dependencies;
+//! - `cancellations`: the latest cancellations, for attestations;
+//! - `read_proof`: whether an answer rests on a read that is new enough.
 
 mod acceptance;
 mod answers;
 mod cancellations;
 mod dependencies;
 mod read_proof;
+mod refusal;
 mod request;
+mod request_flow;
+mod status;
 
-pub use dependencies::Held;
-pub use read_proof::{RequestSequence, Source};
+pub use dependencies::DependentJob;
+pub use read_proof::{ProofSource, RequestSequence};
+pub use refusal::Refusal;
 
 use super::store_queue::Urgency;
-use super::{ClusterConfig, Context, Continuation, UserRequest};
-use crate::protocol::peer::Progress;
-use crate::protocol::store::{Change, Condition, StoreRequest, StoreResponse, Transaction};
-use crate::protocol::users::{id_in, is_job_id, ErrorBody, JobSpec, Phase};
-use crate::protocol::{json_size, to_cbor};
+use super::{ClusterConfig, Context, Continuation};
+use crate::protocol::store::{Condition, StoreRequest, StoreResponse, Transaction};
+use crate::protocol::users::JobSpec;
 use crate::storage::keys;
-use crate::storage::records::{kept, to_value, JobValue};
 use crate::time::Micros;
 use glenhaven_dependencies::DependencyGraph;
 use glenhaven_group_commit::{GroupCommit, Waited, Waits};
-use request::{Ask, Pending};
+use request::PendingRequest;
+use status::JobStatus;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A job whose own key is compared, and the requests that the compare is to answer.
+/// A job whose own key is compared, and the requests that wait for the result.
 #[derive(Clone, Debug)]
-pub struct Compared {
+pub struct ComparedJob {
     job: String,
     version: u64,
     requests: Vec<u64>,
 }
 
-/// What an answer of the state service is for. `covers`: the last request that had come when the
-/// question left, and so the last that its answer may decide.
+/// What a request to the state service was sent for. `covers` is the last user request that had
+/// come when it was sent, and so the last one that its answer may decide.
 #[derive(Clone, Debug)]
 pub enum ApiContinuation {
-    /// One compare for many jobs.
-    Verify {
+    /// A compare of the keys of many jobs.
+    CompareKeys {
+        /// The last request that the answer may decide.
         covers: RequestSequence,
-        jobs: Vec<Compared>,
+        /// The jobs that are compared.
+        jobs: Vec<ComparedJob>,
     },
-    /// The job's own key.
-    Read {
+    /// A read of a job's own key.
+    ReadKey {
+        /// The last request that the answer may decide.
         covers: RequestSequence,
+        /// The job.
         job: String,
+        /// The requests that wait for it.
         requests: Vec<u64>,
     },
-    /// A page of this node with this number and slot was written.
-    Accept {
+    /// The write of a page of acceptances of this node.
+    WritePage {
+        /// The last request that the answer may decide.
         covers: RequestSequence,
+        /// The number of the batch.
         number: u64,
+        /// The slot of the page.
         slot: u32,
     },
-    /// A page of this node, whose version was not as expected.
-    Page(u32),
-    /// All pages of acceptances, to begin with: which reading of them this is part of.
-    Pages(u64),
-    /// All news of jobs up to now, for requests about jobs that are not known here.
-    Sync {
+    /// A read of the page in this slot of this node, whose version was not as expected.
+    ReadOwnPage(u32),
+    /// A part of the scan of all pages of acceptances; the number is that of the scan.
+    ScanPages(u64),
+    /// A read of all changes of jobs, for requests about jobs that are not known here.
+    ReadJobChanges {
+        /// The last request that the answer may decide.
         covers: RequestSequence,
+        /// The requests that wait for it.
         requests: Vec<u64>,
     },
-    /// A cancellation, for this request.
-    Abort(u64),
+    /// The cancellation that this request asks for.
+    Cancel(u64),
 }
 
-/// A refusal tells users to come back after this long.
-const RETRY_S: u32 = 1;
-/// A request is refused when the state service has not decided it by then; the
-/// user waits longer, but a retry may reach a node that is better off.
-const SUBMIT_LIMIT: Micros = Micros::from_millis(2500);
-const POLL_LIMIT: Micros = Micros::from_millis(1700);
-/// The service is taken to be out when it has refused for this long.
-const OUT_AFTER: Micros = Micros::from_millis(600);
-/// Jobs remembered; older final ones are read again when asked about.
-const CACHE: usize = 20_000;
-const BACKLOG: usize = 400;
-/// How long questions are gathered before one compare answers them.
-const GATHER: Micros = Micros::from_millis(100);
-
-/// What a page holds beside its jobs.
-const PAGE_FRAME: usize = 60;
-/// A request about a page that is not answered by then is made again.
-const PAGE_LIMIT: Micros = Micros::from_millis(150);
-
-/// What is known of a job.
-#[derive(Clone, Copy, Debug)]
-struct CachedStatus {
-    /// Of its own key; 0: there is none as far as known here.
-    version: u64,
-    phase: Phase,
-    /// Its own key is known, or was missing after its page was seen. A page alone, found
-    /// at the start, does not tell whether the job is over.
-    checked: bool,
-    /// It runs until it is cancelled, as far as its description was seen.
-    service: bool,
-    /// The revision of the page that was seen to accept it; 0: none was.
-    page: u64,
-    /// Another page accepts it as well: its user may have been told of it before.
-    repeated: bool,
-}
-
-/// How far the pages of acceptances are read.
+/// Users are told to retry a refused request after this many seconds.
+const RETRY_AFTER_S: u32 = 1;
+/// A submission or cancellation is refused when it is not decided by then. The user would wait
+/// longer, but a retry may reach a node with a better connection.
+const SUBMIT_TIMEOUT: Micros = Micros::from_millis(2500);
+/// A poll is refused when it is not decided by then.
+const POLL_TIMEOUT: Micros = Micros::from_millis(1700);
+/// The state service is taken to be out when it has refused for this long.
+const OUTAGE_AFTER: Micros = Micros::from_millis(600);
+/// Jobs whose status is remembered; older ones with a final phase are read again when asked about.
+const MAX_STATUSES: usize = 20_000;
+/// Requests to the state service that may wait before users are refused.
+const MAX_BACKLOG: usize = 400;
+/// Pause between two compares, and between two reads of changes: requests of users are batched.
+const BATCH_DELAY: Micros = Micros::from_millis(100);
+/// The most compares in flight, so that a slow one doesn't hold up the next.
+const MAX_COMPARES: usize = 2;
+
+/// Size of a page of acceptances without its jobs, in bytes.
+const PAGE_FRAME_BYTES: usize = 60;
+/// How long the answer to the write of a page is awaited before it is written again.
+const PAGE_WRITE_TIMEOUT: Micros = Micros::from_millis(150);
+/// How long the answer to a part of the scan of pages is awaited.
+const SCAN_TIMEOUT: Micros = Micros::from_millis(1000);
+/// How long the answer to a read of changes is awaited.
+const CHANGES_TIMEOUT: Micros = Micros::from_millis(400);
+/// How long the answer to a compare is awaited.
+const COMPARE_TIMEOUT: Micros = Micros::from_millis(300);
+
+/// How far the scan of all pages of acceptances has come.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Pages {
-    /// To be read from this key on.
+enum PageScan {
+    /// The pages after this key are to be read.
     From(String),
-    /// On their way.
-    Asked(String),
+    /// The pages after this key are being read.
+    InFlight(String),
+    /// All pages have been read.
     Complete,
 }
 
+/// The job API of one controller.
 pub struct JobApi {
     node: String,
-    pages: Pages,
-    /// How often the pages were forgotten: an answer to an earlier reading tells nothing of
-    /// the present one, which would take itself to be complete.
-    reading_of: u64,
-    next_pages: Micros,
+    page_scan: PageScan,
+    /// The number of the present scan: answers to an earlier one are ignored.
+    scan_generation: u64,
+    next_scan_at: Micros,
     group_commit: GroupCommit<Box<JobSpec>>,
     /// The requests that wait for a job's acceptance, by job.
-    submits: BTreeMap<String, Vec<u64>>,
-    /// Requests about jobs that are not known here: whether one was accepted elsewhere a
-    /// moment ago is read for them.
-    to_sync: Vec<u64>,
-    syncing: bool,
-    next_sync: Micros,
-    known: BTreeMap<String, CachedStatus>,
-    /// Open jobs that name others, and those that they name.
-    dependency_graph: DependencyGraph<Held>,
+    submissions: BTreeMap<String, Vec<u64>>,
+    /// Requests that wait for a read of all changes of jobs: their jobs may have been accepted or
+    /// cancelled by another node a moment ago.
+    awaiting_job_changes: Vec<u64>,
+    /// Whether such a read is in flight.
+    reading_job_changes: bool,
+    next_job_changes_at: Micros,
+    statuses: BTreeMap<String, JobStatus>,
+    /// The jobs with a status, in the order in which they may be forgotten.
+    status_order: VecDeque<String>,
+    /// Open jobs with dependencies, and the jobs that they depend on.
+    dependency_graph: DependencyGraph<DependentJob>,
+    next_dependency_read_at: Micros,
     /// The latest cancelled jobs that are known here.
     cancelled: BTreeSet<String>,
-    /// By version; those up to this one are no longer among them.
-    cancelled_order: BTreeMap<u64, Vec<String>>,
-    cancelled_before: u64,
-    next_named: Micros,
-    order: VecDeque<String>,
-    pending: BTreeMap<u64, Pending>,
-    /// The last request that came.
-    arrived: RequestSequence,
-    /// Requests whose job has to be compared or read, by job.
-    to_verify: BTreeMap<String, Vec<u64>>,
-    verifying: usize,
-    /// When the next compare may go out.
-    next_verify: Micros,
-    /// Jobs being read for the sake of a worker's report.
-    reading: BTreeSet<String>,
+    /// The same, by the version of their key.
+    cancelled_by_version: BTreeMap<u64, Vec<String>>,
+    /// Cancellations up to this version may have been forgotten.
+    cancelled_forgotten_up_to: u64,
+    /// Requests without an answer, by their id.
+    pending: BTreeMap<u64, PendingRequest>,
+    /// The number of the last request that has come.
+    last_sequence: RequestSequence,
+    /// Requests whose job's own key has to be compared or read, by job.
+    awaiting_compare: BTreeMap<String, Vec<u64>>,
+    compares_in_flight: usize,
+    next_compare_at: Micros,
+    /// Jobs whose key is being read because an agent reports a task of them.
+    reads_in_flight: BTreeSet<String>,
+    /// Progress of open jobs as the leader last told it: tasks done and running.
     counts: BTreeMap<String, (u32, u32)>,
+    /// Since when the state service has refused every request.
     refused_since: Option<Micros>,
-    /// Requests answered 503 since the last log, by reason.
-    refusals: BTreeMap<&'static str, u32>,
-    /// How long the accepted waited at this node since the last log.
+    /// Requests refused with 503 since the last log, by reason.
+    refusals: BTreeMap<Refusal, u32>,
+    /// How long accepted submissions waited since the last log.
     waits: Waits,
-    /// Answers since the last log, by what they rested on.
-    answered: BTreeMap<Source, u32>,
-    /// Requests since the last log that came after the evidence at hand had been asked for.
-    asked_anew: u32,
+    /// Answers since the last log, by the source of their proof.
+    answers_by_source: BTreeMap<ProofSource, u32>,
+    /// Requests since the last log that came after the read had been sent that would have answered
+    /// them.
+    stale_proofs: u32,
 }
 
 impl JobApi {
-    /// The desk of this node.
+    /// The job API of this node, which knows of no job yet.
     pub fn new(node: &str) -> JobApi {
         JobApi {
             node: node.to_string(),
-            pages: Pages::From(String::new()),
-            reading_of: 0,
-            next_pages: Micros::ZERO,
+            page_scan: PageScan::From(String::new()),
+            scan_generation: 0,
+            next_scan_at: Micros::ZERO,
             group_commit: GroupCommit::new(),
-            submits: BTreeMap::new(),
-            to_sync: vec![],
-            syncing: false,
-            next_sync: Micros::ZERO,
-            known: BTreeMap::new(),
+            submissions: BTreeMap::new(),
+            awaiting_job_changes: vec![],
+            reading_job_changes: false,
+            next_job_changes_at: Micros::ZERO,
+            statuses: BTreeMap::new(),
+            status_order: VecDeque::new(),
             dependency_graph: DependencyGraph::new(),
+            next_dependency_read_at: Micros::ZERO,
             cancelled: BTreeSet::new(),
-            cancelled_order: BTreeMap::new(),
-            cancelled_before: 0,
-            next_named: Micros::ZERO,
-            order: VecDeque::new(),
+            cancelled_by_version: BTreeMap::new(),
+            cancelled_forgotten_up_to: 0,
             pending: BTreeMap::new(),
-            arrived: RequestSequence::default(),
-            to_verify: BTreeMap::new(),
-            verifying: 0,
-            next_verify: Micros::ZERO,
-            reading: BTreeSet::new(),
+            last_sequence: RequestSequence::default(),
+            awaiting_compare: BTreeMap::new(),
+            compares_in_flight: 0,
+            next_compare_at: Micros::ZERO,
+            reads_in_flight: BTreeSet::new(),
             counts: BTreeMap::new(),
             refused_since: None,
             refusals: BTreeMap::new(),
             waits: Waits::default(),
-            answered: BTreeMap::new(),
-            asked_anew: 0,
+            answers_by_source: BTreeMap::new(),
+            stale_proofs: 0,
         }
     }
 
-    /// Whether requests about any job can be decided here.
+    /// Whether all pages of acceptances have been read, so that requests about any job can be
+    /// decided here.
     pub fn is_ready(&self) -> bool {
-        self.pages == Pages::Complete
-    }
-
-    fn remember(&mut self, job: String, known: CachedStatus) {
-        self.known.insert(job.clone(), known);
-        self.order.push_back(job);
-        let mut tries = self.order.len();
-        while self.known.len() > CACHE && tries > 0 {
-            tries -= 1;
-            let Some(old) = self.order.pop_front() else { break };
-            if self.known.get(&old).is_some_and(|k| k.phase.is_final()) {
-                self.known.remove(&old);
-            } else {
-                self.order.push_back(old);
-            }
-        }
-    }
-
-    /// The version and phase of a job's own key were seen; older news never replace newer.
-    pub fn learn(&mut self, job: &str, version: u64, phase: Phase) {
-        let new = CachedStatus {
-            version,
-            phase,
-            checked: true,
-            service: false,
-            page: 0,
-            repeated: false,
-        };
-        match self.known.get_mut(job) {
-            Some(known) if known.version >= version => {}
-            Some(known) => *known = new,
-            None => self.remember(job.to_string(), new),
-        }
-        if phase == Phase::Cancelled {
-            self.note_cancelled(job, version);
-        }
-        if phase.is_final() {
-            self.counts.remove(job);
-            self.group_commit.over(job);
-            self.dependency_graph.ended(job, phase == Phase::Done);
-        } else {
-            self.dependency_graph.open(job);
-        }
+        self.page_scan == PageScan::Complete
     }
 
-    /// The phase of a job as last seen; open phases may be out of date.
-    pub fn phase(&self, job: &str) -> Option<Phase> {
-        self.known.get(job).filter(|k| k.checked).map(|k| k.phase)
-    }
-
-    /// Jobs that are open, as far as known here.
-    pub fn open_jobs(&self) -> impl Iterator<Item = &str> {
-        let open = |k: &CachedStatus| k.checked && !k.phase.is_final();
-        self.known
-            .iter()
-            .filter(move |(_, k)| open(k))
-            .map(|(id, _)| id.as_str())
-    }
-
-    /// Drops what may have changed unseen. Final phases stay.
-    pub fn forget_open(&mut self) {
-        self.known.retain(|_, k| k.phase.is_final());
-        self.counts.clear();
-        self.dependency_graph.forget();
-        self.group_commit.forget_pages();
-        self.pages = Pages::From(String::new());
-        self.reading_of += 1;
-    }
-
-    /// Pages, and those of them that name open jobs, for a log.
+    /// The number of pages, and of those that name open jobs, for the periodic log message.
     pub fn pages(&self) -> (usize, usize) {
         self.group_commit.pages()
     }
 
-    pub fn on_progress(&mut self, list: Vec<Progress>) {
-        for p in list {
-            if !self.phase(&p.id).is_some_and(Phase::is_final) {
-                self.counts.insert(p.id, (p.done, p.running));
-            }
-        }
-        while self.counts.len() > CACHE {
-            self.counts.pop_first();
-        }
-    }
-
-    /// Has a job read that a worker reports and that is not known here. A node that has
-    /// just begun knows open jobs from their pages, and compares whether they are over
-    /// many at a time: reading each job that every worker reports would take all nodes'
-    /// requests for half a minute.
-    pub fn read_job(&mut self, context: &mut Context, job: &str) {
-        let known = !self.is_ready() || self.known.contains_key(job);
-        if !known && is_job_id(job) && self.reading.insert(job.to_string()) {
-            self.send_read(context, job, vec![], Micros::ZERO);
-        }
+    /// Refuses requests that have waited too long, and sends the requests to the state service that
+    /// are due. `seen` is the revision up to which all changes of jobs are known here, if any is.
+    pub fn tick(&mut self, context: &mut Context, cluster: &ClusterConfig, seen: Option<u64>) {
+        self.refuse_late(context);
+        let Some(seen) = seen else { return };
+        self.scan_pages(context);
+        self.write_pages(context, cluster);
+        self.read_unknown_dependencies(context);
+        self.read_job_changes(context, seen);
+        self.compare_keys(context, cluster);
     }
 
-    pub fn on_user(
-        &mut self,
-        context: &mut Context,
-        cluster: &ClusterConfig,
-        id: u64,
-        request: UserRequest,
-        counts: impl Fn(&str) -> Option<(u32, u32)>,
-    ) {
-        let (job, ask) = match request {
-            UserRequest::Submit(body) => match JobSpec::parse(&body) {
-                Ok(spec) => (spec.id.clone(), Ask::submission(cluster, spec)),
-                Err(why) => {
-                    tracing::warn!(%why, "malformed submission");
-                    match id_in(&body) {
-                        Some(job) => (job, Ask::Refusable(400, why.to_string())),
-                        None => return refuse(context, id, 400, &why.to_string()),
-                    }
-                }
-            },
-            UserRequest::Poll(job) => (job, Ask::Poll),
-            UserRequest::Abort(job) => (job, Ask::Abort),
-            UserRequest::Ready => return,
-        };
-        if !is_job_id(&job) {
-            // Never accepted: a submission in this form is malformed.
-            return refuse(context, id, 404, "no such job");
-        }
-        if let Some(c) = counts(&job) {
-            self.counts.insert(job.clone(), c);
-        }
-        if let Some(phase) = self.final_phase(&job) {
-            let evidence = self.final_evidence(&job);
-            return self.answer(context, id, &job, phase, 200, &evidence);
-        }
-        let out = self.refused_since.is_some_and(|at| context.now.since(at) > OUT_AFTER);
-        if out {
-            return self.refuse_now(context, id, "the state service does not answer");
-        }
-        if context.store.user_backlog() > BACKLOG || self.pending.len() > 2 * BACKLOG {
-            return self.refuse_now(context, id, "too much waits here");
+    /// Reads the next part of the pages of acceptances.
+    fn scan_pages(&mut self, context: &mut Context) {
+        let PageScan::From(after) = &self.page_scan else { return };
+        if context.now < self.next_scan_at {
+            return;
         }
-        self.arrived = self.arrived.next();
-        let pending = Pending {
-            id,
-            job: job.clone(),
-            ask,
-            at: context.now,
-            arrival: self.arrived,
-            missing: BTreeSet::new(),
-            synced: false,
-            accepted_here: false,
+        let after = after.clone();
+        let request = StoreRequest::List {
+            prefix: keys::ACCEPTED.into(),
+            after: after.clone(),
         };
-        self.pending.insert(id, pending);
-        self.advance(context, cluster, id);
+        self.page_scan = PageScan::InFlight(after);
+        let continuation = Continuation::Api(ApiContinuation::ScanPages(self.scan_generation));
+        context.store.push(Urgency::Lead, request, continuation, SCAN_TIMEOUT);
     }
 
-    /// Takes a request's next step.
-    fn advance(&mut self, context: &mut Context, cluster: &ClusterConfig, id: u64) {
-        let Some(pending) = self.pending.get(&id) else { return };
-        let job = pending.job.clone();
-        let known = self.known.get(&job).copied();
-        let names = matches!(&pending.ask, Ask::Submit(spec) if !spec.needs.is_empty());
-        if let Some(phase) = self.final_phase(&job) {
-            self.pending.remove(&id);
-            let evidence = self.final_evidence(&job);
-            return self.answer(context, id, &job, phase, 200, &evidence);
-        }
-        if names && known.is_none() && !self.all_named_known(id) {
+    /// Reads all changes of jobs after the revision `seen` for the requests that wait for it.
+    fn read_job_changes(&mut self, context: &mut Context, seen: u64) {
+        let now = context.now;
+        let due = !self.awaiting_job_changes.is_empty() && now >= self.next_job_changes_at;
+        if self.reading_job_changes || !due || !self.is_ready() {
             return;
         }
-        let Some(pending) = self.pending.get(&id) else { return };
-        match (&pending.ask, known) {
-            (Ask::Submit(spec), None) => {
-                let Some(spec) = kept(spec, context.time_of_day(pending.at), room_for_one(cluster)) else {
-                    return;
-                };
-                let spec = Box::new(spec);
-                // A comma or bracket stands beside each.
-                let size = json_size(&spec) + 1;
-                self.group_commit.offer(&job, size, spec, context.now);
-                self.submits.entry(job).or_default().push(id);
-            }
-            (Ask::Abort, Some(known)) => {
-                let value = JobValue {
-                    phase: Phase::Cancelled,
-                    spec: None,
-                };
-                let txn = Transaction {
-                    conditions: vec![Condition {
-                        key: keys::job(&job),
-                        version: known.version,
-                    }],
-                    changes: vec![Change::Put {
-                        key: keys::job(&job),
-                        value: to_value(&value),
-                        lease: None,
-                    }],
-                };
-                context.store.push(
-                    Urgency::Start,
-                    StoreRequest::Transaction(txn),
-                    Continuation::Api(ApiContinuation::Abort(id)),
-                    Micros::from_millis(400),
-                );
-            }
-            // All news tell of every job before it at once; its own key is among them.
-            (_, Some(known)) if known.checked && self.waits(&job) => self.to_sync.push(id),
-            _ => {
-                self.to_verify.entry(job).or_default().push(id);
-            }
-        }
+        self.next_job_changes_at = now + BATCH_DELAY;
+        self.reading_job_changes = true;
+        let request = StoreRequest::Watch {
+            prefix: keys::JOBS.into(),
+            after: seen,
+            wait_ms: 0,
+        };
+        let continuation = Continuation::Api(ApiContinuation::ReadJobChanges {
+            covers: self.last_sequence,
+            requests: std::mem::take(&mut self.awaiting_job_changes),
+        });
+        context
+            .store
+            .push(Urgency::User, request, continuation, CHANGES_TIMEOUT);
     }
 
-    /// `seen`: every change of a job up to this revision was seen here.
-    pub fn tick(&mut self, context: &mut Context, cluster: &ClusterConfig, seen: Option<u64>) {
+    /// Compares the keys of jobs that requests wait for, many in one transaction. The pause between
+    /// two of them bounds this node's load on the state service, however many users ask, and leaves
+    /// its requests to submissions and starts.
+    fn compare_keys(&mut self, context: &mut Context, cluster: &ClusterConfig) {
         let now = context.now;
-        let late: Vec<u64> = self
-            .pending
-            .values()
-            .filter(|p| {
-                let limit = match p.ask {
-                    Ask::Poll => POLL_LIMIT,
-                    _ => SUBMIT_LIMIT,
-                };
-                now.since(p.at) > limit
-            })
-            .map(|p| p.id)
-            .collect();
-        for id in late {
-            self.give_up(id);
-            self.refuse_now(context, id, "not decided in time");
-        }
-        let Some(seen) = seen else { return };
-        if let (Pages::From(after), true) = (&self.pages, now >= self.next_pages) {
-            let after = after.clone();
-            let prefix = keys::ACCEPTED.into();
-            let request = StoreRequest::List {
-                prefix,
-                after: after.clone(),
-            };
-            self.pages = Pages::Asked(after);
-            let continuation = Continuation::Api(ApiContinuation::Pages(self.reading_of));
-            context
-                .store
-                .push(Urgency::Lead, request, continuation, Micros::from_millis(1000));
-        }
-        self.accept(context, cluster);
-        self.read_named(context);
-        if !self.syncing && !self.to_sync.is_empty() && now >= self.next_sync && self.is_ready() {
-            self.next_sync = now + GATHER;
-            self.syncing = true;
-            let request = StoreRequest::Watch {
-                prefix: keys::JOBS.into(),
-                after: seen,
-                wait_ms: 0,
+        while self.compares_in_flight < MAX_COMPARES && !self.awaiting_compare.is_empty() && now >= self.next_compare_at
+        {
+            self.next_compare_at = now + BATCH_DELAY;
+            let jobs = self.take_jobs_to_compare(cluster.limits.conditions());
+            let condition = |compared: &ComparedJob| Condition {
+                key: keys::job(&compared.job),
+                version: compared.version,
             };
-            let continuation = Continuation::Api(ApiContinuation::Sync {
-                covers: self.arrived,
-                requests: std::mem::take(&mut self.to_sync),
-            });
-            context
-                .store
-                .push(Urgency::User, request, continuation, Micros::from_millis(400));
-        }
-        // One compare answers many polls; two in flight keep a slow one from
-        // holding up the rest. Questions are gathered for a moment: a node's
-        // compares are bounded however many users ask, and leave the service's
-        // requests to submissions and starts.
-        while self.verifying < 2 && !self.to_verify.is_empty() && now >= self.next_verify {
-            self.next_verify = now + GATHER;
-            let limit = cluster.limits.conditions();
-            let mut jobs = vec![];
-            while jobs.len() < limit {
-                let Some((job, requests)) = self.to_verify.pop_first() else {
-                    break;
-                };
-                let version = self.known.get(&job).map_or(0, |k| k.version);
-                jobs.push(Compared { job, version, requests });
-            }
             let txn = Transaction {
-                conditions: jobs
-                    .iter()
-                    .map(|compared| Condition {
-                        key: keys::job(&compared.job),
-                        version: compared.version,
-                    })
-                    .collect(),
+                conditions: jobs.iter().map(condition).collect(),
                 changes: vec![],
             };
-            self.verifying += 1;
-            let covers = self.arrived;
-            let continuation = Continuation::Api(ApiContinuation::Verify { covers, jobs });
-            context.store.push(
-                Urgency::User,
-                StoreRequest::Transaction(txn),
-                continuation,
-                Micros::from_millis(300),
-            );
+            self.compares_in_flight += 1;
+            let covers = self.last_sequence;
+            let continuation = Continuation::Api(ApiContinuation::CompareKeys { covers, jobs });
+            let request = StoreRequest::Transaction(txn);
+            context
+                .store
+                .push(Urgency::User, request, continuation, COMPARE_TIMEOUT);
         }
     }
 
-    /// Refuses a request with 503, and counts why.
-    fn refuse_now(&mut self, context: &mut Context, id: u64, why: &'static str) {
-        *self.refusals.entry(why).or_default() += 1;
-        refuse(context, id, 503, why);
+    fn take_jobs_to_compare(&mut self, max_jobs: usize) -> Vec<ComparedJob> {
+        let mut jobs = vec![];
+        while jobs.len() < max_jobs {
+            let Some((job, requests)) = self.awaiting_compare.pop_first() else {
+                break;
+            };
+            let version = self.statuses.get(&job).map_or(0, |status| status.version);
+            jobs.push(ComparedJob { job, version, requests });
+        }
+        jobs
     }
 
-    /// How many were accepted since the last call, and how long they waited here.
+    /// How many submissions were accepted since the last call, and how long they waited here.
     pub fn take_waits(&mut self) -> Option<Waited> {
         self.waits.take()
     }
 
-    /// How many requests were refused since the last call, by reason.
-    pub fn take_refusals(&mut self) -> BTreeMap<&'static str, u32> {
-        std::mem::take(&mut self.refusals)
+    /// How many requests were refused with 503 since the last call, by reason.
+    pub fn take_refusals(&mut self) -> BTreeMap<String, u32> {
+        let refusals = std::mem::take(&mut self.refusals);
+        refusals
+            .into_iter()
+            .map(|(refusal, count)| (refusal.to_string(), count))
+            .collect()
     }
 
-    /// Nobody waits for this request any more; nothing is written for it that was not sent.
-    fn give_up(&mut self, id: u64) {
-        let Some(pending) = self.pending.remove(&id) else {
-            return;
-        };
-        if let Some(ids) = self.submits.get_mut(&pending.job) {
-            ids.retain(|other| *other != id);
-            if ids.is_empty() {
-                self.submits.remove(&pending.job);
-                self.group_commit.withdraw(&pending.job);
-            }
-        }
+    /// How many requests were answered since the last call, by the source of the proof, and how
+    /// many came after the read had been sent that would have answered them.
+    pub fn take_answered(&mut self) -> (BTreeMap<ProofSource, u32>, u32) {
+        (
+            std::mem::take(&mut self.answers_by_source),
+            std::mem::take(&mut self.stale_proofs),
+        )
     }
 
-    /// The state service is asked by way of another controller from here on.
-    pub fn served_again(&mut self) {
+    /// Forgets that the state service refused requests, because it is reached through another
+    /// controller from now on.
+    pub fn reset_outage(&mut self) {
         self.refused_since = None;
     }
 
-    /// Every answer of the state service tells whether it is out, those to
-    /// watches and renewals too: while users are refused at once, no request of
-    /// theirs would ever tell that it is back.
+    /// Notes from an answer to any request whether the state service is out. Watches and renewals
+    /// count too: while users are refused at once, none of their requests would show that it is
+    /// back.
     pub fn note_health(&mut self, now: Micros, answer: &StoreResponse) {
         match answer {
             StoreResponse::Refused | StoreResponse::Unknown => {
@@ -544,22 +365,10 @@
             _ => self.refused_since = None,
         }
     }
-
-    /// How many requests were answered since the last call, by what the answers rested on, and
-    /// how many came too late for the evidence at hand.
-    pub fn take_answered(&mut self) -> (BTreeMap<Source, u32>, u32) {
-        (std::mem::take(&mut self.answered), std::mem::take(&mut self.asked_anew))
-    }
 }
 
-/// What a job's description may take, so that a page of acceptances and one of the book
-/// hold it with what they say beside it.
-fn room_for_one(cluster: &ClusterConfig) -> usize {
+/// The most bytes of a job's description, so that a page of acceptances and a segment of the
+/// write-ahead log can hold it with what they store beside it.
+fn max_description_bytes(cluster: &ClusterConfig) -> usize {
     cluster.limits.value_bytes().saturating_sub(300)
 }
-
-/// Refuses a request at once; 503 says when to come back.
-fn refuse(context: &mut Context, id: u64, status: u16, why: &str) {
-    let body = to_cbor(&ErrorBody { error: why.to_string() });
-    context.reply(id, status, body, (status == 503).then_some(RETRY_S));
-}
--- a/src/coordination/api/read_proof.rs
+++ b/src/coordination/api/read_proof.rs
@@ -1,17 +1,17 @@
-//! What the answers to users rest on, and whether it is new enough.
+//! Proofs that an answer to a user is new enough.
 //!
 //! Invariant (safety core 2): an answer that calls a job open, or says that it was never accepted,
-//! rests on state that the state service read or wrote after the request had come. Only a final
-//! phase may be told from memory, because it is kept for ever.
+//! rests on a read or write that the state service executed after the user's request had come. Only
+//! a final phase may be answered from memory, because it never changes.
 //!
-//! Requests are numbered as they come. A message to the state service notes the last request that
-//! was here when it left: it is executed later than that, so that its answer is evidence for every
-//! request up to this number and for none after it, however long the answer takes.
+//! Requests are numbered as they come. A request to the state service notes the number of the last
+//! user request that had come when it was sent. It is executed later than that: its answer is a
+//! proof for every user request up to this number and for none after it, however late it comes.
 
 use super::JobApi;
 use crate::protocol::users::Phase;
 
-/// The number of a user's request, in the order in which this process took them in.
+/// The number of a user's request, in the order in which this process received them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestSequence(u64);
 
@@ -22,35 +22,35 @@
     }
 }
 
-/// Where the state comes from that an answer rests on.
+/// The kind of read or write that a proof comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Source {
-    /// The commit of a page of acceptances of this node.
-    Page,
+pub enum ProofSource {
+    /// The commit of a page of acceptances by this node.
+    PageCommit,
     /// A compare of the versions of jobs' own keys.
-    Compare,
+    KeyCompare,
     /// A read of the job's own key.
-    Read,
-    /// All news of jobs up to a moment.
-    News,
-    /// A final phase, which is kept for ever.
-    Final,
+    KeyRead,
+    /// A read of all changes of jobs.
+    JobChanges,
+    /// A final phase that was known already, which never changes.
+    FinalPhase,
 }
 
-/// Evidence for an answer to a user.
+/// The proof for an answer to a user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadProof {
-    pub(super) source: Source,
-    /// The last request that had come when the message left that brought the evidence.
+    pub(super) source: ProofSource,
+    /// The last user request that had come when the request to the state service was sent.
     covers: RequestSequence,
-    /// The revision of the state service that it shows, as far as the answer says.
+    /// The revision of the state service that it shows.
     pub(super) revision: u64,
 }
 
 impl ReadProof {
-    /// What the state service answered to a message that left when `covers` was the last request
+    /// The proof by an answer to a request that was sent when `covers` was the last user request
     /// that had come.
-    pub(super) fn new(source: Source, covers: RequestSequence, revision: u64) -> ReadProof {
+    pub(super) fn new(source: ProofSource, covers: RequestSequence, revision: u64) -> ReadProof {
         ReadProof {
             source,
             covers,
@@ -58,25 +58,25 @@
         }
     }
 
-    /// A final phase that is known here: good for any request.
+    /// The proof by a final phase that is known here, which is valid for any request.
     pub(super) fn of_final_phase(revision: u64) -> ReadProof {
-        ReadProof::new(Source::Final, RequestSequence(u64::MAX), revision)
+        ReadProof::new(ProofSource::FinalPhase, RequestSequence(u64::MAX), revision)
     }
 
-    /// Whether a request with this number may be answered by it.
+    /// Whether it is new enough for a request with this number.
     pub(super) fn covers(&self, request: RequestSequence) -> bool {
         request <= self.covers
     }
 
-    /// Whether a request with this number may be told this phase by it.
+    /// Whether it allows to answer a request with this number by this phase.
     pub(super) fn allows(&self, request: RequestSequence, phase: Phase) -> bool {
         phase.is_final() || self.covers(request)
     }
 }
 
 impl JobApi {
-    /// The evidence that a final phase known here is.
-    pub(super) fn final_evidence(&self, job: &str) -> ReadProof {
-        ReadProof::of_final_phase(self.known.get(job).map_or(0, |known| known.version))
+    /// The proof by the final phase of a job that is known here.
+    pub(super) fn final_proof(&self, job: &str) -> ReadProof {
+        ReadProof::of_final_phase(self.statuses.get(job).map_or(0, |status| status.version))
     }
 }
--- a/src/coordination/api/request.rs
+++ b/src/coordination/api/request.rs
@@ -1,75 +1,99 @@
-//! Users' requests as the desk holds them: what is asked, since when, and which submissions are
-//! refused whatever the state service says.
+//! Users' requests as they wait for the state service, and which submissions are refused whatever
+//! it answers.
 
 use super::read_proof::RequestSequence;
-use super::room_for_one;
+use super::{max_description_bytes, Refusal};
 use crate::coordination::ClusterConfig;
 use crate::protocol::users::{JobSpec, Shape};
 use crate::storage::records::kept;
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
-/// What a user asks.
+/// A limit that is exceeded by no more than this counts as kept, against rounding.
+const ROUNDING: f64 = 1e-9;
+
+/// What a user asks for.
 #[derive(Clone, Debug)]
-pub(super) enum Ask {
+pub(super) enum RequestKind {
     /// A valid submission.
     Submit(Box<JobSpec>),
-    /// A submission that gets this status unless its job was accepted before.
-    Refusable(u16, String),
+    /// A submission that is refused unless its job was accepted before.
+    Refusable(Refusal),
+    /// The state of a job.
     Poll,
-    Abort,
+    /// The cancellation of a job.
+    Cancel,
 }
 
-impl Ask {
-    /// A submission as it is, or what it would be refused with.
-    pub(super) fn submission(cluster: &ClusterConfig, spec: JobSpec) -> Ask {
+impl RequestKind {
+    /// The submission of a job, or the reason to refuse it.
+    pub(super) fn submission(cluster: &ClusterConfig, spec: JobSpec) -> RequestKind {
         match refusal(cluster, &spec) {
-            Some((status, why)) => Ask::Refusable(status, why),
-            None => Ask::Submit(Box::new(spec)),
+            Some(refusal) => RequestKind::Refusable(refusal),
+            None => RequestKind::Submit(Box::new(spec)),
         }
     }
 }
 
 /// A request that waits for the state service.
-pub(super) struct Pending {
+pub(super) struct PendingRequest {
+    /// The number under which it is answered.
     pub id: u64,
+    /// The job that it is about.
     pub job: String,
-    pub ask: Ask,
-    pub at: Micros,
-    /// Its place among all requests: only evidence that is newer may answer it.
-    pub arrival: RequestSequence,
-    /// Of a submission that names jobs: those whose own keys were missing when they were
-    /// read for it, and whether all news were read for it.
-    pub missing: BTreeSet<String>,
-    pub synced: bool,
-    /// A page of this node, which left after the request had come, accepts its job; whether
-    /// another one did before is being read.
-    pub accepted_here: bool,
+    pub kind: RequestKind,
+    pub received_at: Micros,
+    /// Its place among all requests: only a read that was sent later may answer it.
+    pub sequence: RequestSequence,
+    /// Of a submission with dependencies: those whose own keys were missing when they were read
+    /// for it.
+    pub missing_dependencies: BTreeSet<String>,
+    /// Whether all changes of jobs were read for it.
+    pub changes_read: bool,
+    /// Whether a page of this node that was written after the request had come accepts its job.
+    /// Whether another page did before is being read.
+    pub accepted_by_own_page: bool,
+}
+
+impl PendingRequest {
+    /// A request that has just come.
+    pub(super) fn new(id: u64, job: String, kind: RequestKind, sequence: RequestSequence, now: Micros) -> Self {
+        PendingRequest {
+            id,
+            job,
+            kind,
+            received_at: now,
+            sequence,
+            missing_dependencies: BTreeSet::new(),
+            changes_read: false,
+            accepted_by_own_page: false,
+        }
+    }
 }
 
-/// The status and reason for which a submission is refused unless its job was accepted before.
-fn refusal(cluster: &ClusterConfig, spec: &JobSpec) -> Option<(u16, String)> {
+/// Why a submission is refused unless its job was accepted before; `None` for a valid one.
+fn refusal(cluster: &ClusterConfig, spec: &JobSpec) -> Option<Refusal> {
     if !cluster.settings.params.teams.iter().any(|t| t.name == spec.team) {
-        return Some((422, "unknown team".into()));
+        return Some(Refusal::UnknownTeam);
     }
     if spec.needs.contains(&spec.id) {
-        return Some((422, "the job waits for itself".into()));
+        return Some(Refusal::NeedsItself);
     }
     if cluster.catalogue.is_empty() {
-        return Some((503, "the machine types are not known yet".into()));
+        return Some(Refusal::CatalogueUnknown);
     }
-    // The version before chains would start the job at once.
+    // A release without job dependencies would start the job at once.
     if let (false, Some(node)) = (spec.needs.is_empty(), &cluster.lagging) {
-        return Some((503, format!("{node} has yet to get this version")));
+        return Some(Refusal::LaggingController(node.clone()));
     }
     if is_over_limit(cluster, spec) {
-        return Some((422, "over the team's limit".into()));
+        return Some(Refusal::OverTeamLimit);
     }
-    // Its description has to fit into one value, packed if need be, with room for a frame.
-    if kept(spec, u64::MAX >> 16, room_for_one(cluster)).is_none() {
-        return Some((503, "the state service cannot hold the description".into()));
+    // The description has to fit into one value, compressed if need be.
+    if kept(spec, u64::MAX >> 16, max_description_bytes(cluster)).is_none() {
+        return Some(Refusal::DescriptionTooLarge);
     }
-    (!fits_some_machine(cluster, spec)).then(|| (422, "a task fits no allowed machine type".into()))
+    (!fits_some_machine(cluster, spec)).then_some(Refusal::NoFittingMachineType)
 }
 
 /// Whether the job can't run within its team's limit: an array with one task, a service with all.
@@ -79,7 +103,7 @@
         Shape::Array => 1.0,
         Shape::Service => f64::from(spec.tasks),
     };
-    spec.cpus * at_once > cpus + 1e-9 || spec.gpus * at_once > gpus + 1e-9
+    spec.cpus * at_once > cpus + ROUNDING || spec.gpus * at_once > gpus + ROUNDING
 }
 
 /// Whether a task of the job fits a machine type that it allows.
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -6,7 +6,7 @@
 //! committed alone. Such a job is not described in the book before it may begin: the pages
 //! of acceptances have it, every node reads them, and a new leader takes it from there.
 
-use super::api::{Held, JobApi};
+use super::api::{DependentJob, JobApi};
 use super::log::queues::Undescribed;
 use super::state::{Job, LeaderState};
 use super::{ClusterConfig, Controller, JobId};
@@ -26,7 +26,7 @@
 /// Jobs that name others, as far as the leader has to look at them.
 #[derive(Default)]
 pub struct BlockedJobs {
-    /// Held back; where they stand has to be looked at.
+    /// Blocked; where they stand has to be looked at.
     fresh: BTreeSet<JobId>,
     /// What the desk knows of open jobs was taken over.
     adopted: bool,
@@ -74,11 +74,11 @@
     /// book does not describe, and the names that an older version left out there.
     fn adopt(&mut self, api: &JobApi, now: Micros) {
         self.blocked_jobs.adopted = true;
-        for (id, held) in api.chains().jobs() {
+        for (id, held) in api.dependency_graph().jobs() {
             if self.log_writer.is_closed(id) {
                 continue;
             }
-            let Held {
+            let DependentJob {
                 spec,
                 version,
                 submitted_ms,
@@ -154,7 +154,7 @@
     /// Jobs before others get the priority and the time of those, or lose them again.
     fn lend(&mut self, api: &JobApi, cluster: &ClusterConfig) {
         let due = |spec: &JobSpec, submitted_at: Micros| spec.deadline_s.map(|d| submitted_at + Micros::from_secs(d));
-        let lent: BTreeMap<&str, Lent<Priority>> = api.chains().lend(
+        let lent: BTreeMap<&str, Lent<Priority>> = api.dependency_graph().lend(
             |id, held| Lent {
                 priority: held.spec.priority,
                 due: self.jobs.get(id).and_then(|j| due(&j.spec, j.submitted_at)),
@@ -185,7 +185,7 @@
 impl Controller {
     /// Jobs that name others: what became true of them is acted on by the leader.
     pub(super) fn run_dependencies(&mut self) {
-        let news = self.api.take_chain_news();
+        let news = self.api.take_dependency_changes();
         let now = self.context.now;
         let Some(leader) = self.leader.as_mut().filter(|l| l.is_loaded()) else {
             return;
@@ -203,7 +203,7 @@
             leader.blocked_jobs.fresh.insert(id.as_str().into());
         }
         for id in std::mem::take(&mut leader.blocked_jobs.fresh) {
-            match self.api.chains().stand(&id) {
+            match self.api.dependency_graph().stand(&id) {
                 Some(Stand::Free) => leader.release(&id, now),
                 Some(Stand::Withdrawn) => leader.withdraw(&id),
                 // It is told when that changes.
--- a/src/coordination/election/watches.rs
+++ b/src/coordination/election/watches.rs
@@ -118,7 +118,8 @@
                         "job changes"
                     );
                 }
-                self.api.on_news(&mut self.context, &self.cluster, &events.events);
+                self.api
+                    .on_job_changes(&mut self.context, &self.cluster, &events.events);
                 if let Some(leader) = self.leader.as_mut() {
                     leader.on_job_news(events.events, now);
                 }
--- a/src/coordination/forwarding.rs
+++ b/src/coordination/forwarding.rs
@@ -454,7 +454,7 @@
                 let way = self.forwarder.link_table.way(&host, now);
                 tracing::info!(?host, down, ?way, "a link has changed");
                 if service == Service::State && matches!(way, Route::By(_)) {
-                    self.api.served_again();
+                    self.api.reset_outage();
                 }
             }
             let (pause, limit) = if down {
