--- a/src/coordination/agents/heartbeat_proxy.rs
+++ b/src/coordination/agents/heartbeat_proxy.rs
@@ -1,4 +1,9 @@
-//! What a controller that does not lead remembers of workers, and how it answers alone.
+//! The heartbeat proxy of every controller: it remembers the last heartbeat of each agent that
+//! reports here, and answers agents without the leader while that can't be reached.
+//!
+//! It starts no task and decides nothing: it only renews leases, and stops tasks of cancelled jobs.
+//! Invariant: a lease is renewed only if every job that the agent reports is known here, so that no
+//! task of a cancelled job is kept running.
 
 use super::outbox::starts_cancelled;
 use super::parse_task;
@@ -16,50 +21,118 @@
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
-/// A report passed on to the leader.
+/// A heartbeat that was forwarded to the leader.
 pub(super) struct Forwarded {
+    /// The request of the agent that waits for the response.
     pub(super) reply: u64,
     pub(super) heartbeat: Heartbeat,
+    /// When it was forwarded.
     pub(super) at: Micros,
 }
 
-/// What a node that does not lead remembers of workers.
+/// A heartbeat that came to this controller.
+pub(super) struct ReceivedHeartbeat {
+    /// When it came.
+    pub(super) at: Micros,
+    pub(super) heartbeat: Heartbeat,
+}
+
+impl ReceivedHeartbeat {
+    pub(super) fn new(at: Micros, heartbeat: &Heartbeat) -> ReceivedHeartbeat {
+        ReceivedHeartbeat {
+            at,
+            heartbeat: heartbeat.clone(),
+        }
+    }
+}
+
+/// A redirect that an agent was sent.
+pub(super) struct SentRedirect {
+    /// When it was sent.
+    pub(super) at: Micros,
+    /// The controller that it names.
+    pub(super) to: String,
+}
+
+/// The place of a heartbeat among those of its machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct HeartbeatNumber {
+    incarnation: u64,
+    sequence: u64,
+}
+
+impl HeartbeatNumber {
+    pub(super) fn of(heartbeat: &Heartbeat) -> HeartbeatNumber {
+        HeartbeatNumber {
+            incarnation: heartbeat.incarnation,
+            sequence: heartbeat.sequence,
+        }
+    }
+}
+
+/// What decides whether this controller may renew a lease without the leader.
+pub struct LeaseRenewer<'a> {
+    /// This node's knowledge of the term.
+    pub election: &'a Election,
+    /// Up to when cancellations are known.
+    pub attestations: &'a CancellationAttestations,
+    /// The phases of jobs that are known here.
+    pub api: &'a JobApi,
+    /// Settings and limits.
+    pub cluster: &'a ClusterConfig,
+}
+
+/// What a controller remembers of the agents that report to it.
 #[derive(Default)]
 pub struct HeartbeatProxy {
-    /// Workers sent to another node: when, and to which.
-    pub(super) sent_away: BTreeMap<String, (Micros, String)>,
+    /// The last redirect of each agent, by machine.
+    pub(super) redirects: BTreeMap<String, SentRedirect>,
+    /// Heartbeats that the leader has not answered yet, by the number of the message.
     pub(super) forwarded: BTreeMap<u64, Forwarded>,
-    /// The last report of each worker that reports here, and when it came.
-    pub(super) served: BTreeMap<String, (Micros, Heartbeat)>,
-    /// Nodes that workers could not reach, until when they are not named.
-    pub(super) unreached: BTreeMap<String, Micros>,
-    pub(super) unreached_for: Micros,
-    /// Machines kept without the leader, and when each last reported.
-    pub(super) kept: BTreeMap<String, Micros>,
-    /// The last report of each that the state service was told of.
-    pub(super) told: BTreeMap<String, (u64, u64)>,
-    pub(super) next_publish: Micros,
-    /// When the next worker may be sent on.
-    pub(super) next_sent_on: Micros,
+    /// The last heartbeat of each agent that reports here, by machine.
+    pub(super) last_heartbeats: BTreeMap<String, ReceivedHeartbeat>,
+    /// Controllers that agents could not reach, until when no agent is redirected to them.
+    pub(super) unreachable: BTreeMap<String, Micros>,
+    /// How long such a controller is avoided.
+    pub(super) unreachable_for: Micros,
+    /// Machines that were answered without the leader, and when that last happened.
+    pub(super) proxied: BTreeMap<String, Micros>,
+    /// The last heartbeat of each of them that was published.
+    pub(super) published: BTreeMap<String, HeartbeatNumber>,
+    /// When the proxied machines may be published next.
+    pub(super) next_publication_at: Micros,
+    /// When the next agent may be redirected from an isolated controller.
+    pub(super) next_redirect_at: Micros,
 }
 
-/// Kept machines that are named at the most.
-const KEPT: usize = 400;
-/// How often a node says which machines it keeps.
-pub(super) const PUBLISH: Micros = Micros::from_millis(2000);
+/// The most proxied machines that are published.
+const MAX_PUBLISHED: usize = 400;
+/// The most redirects that are remembered.
+const MAX_REDIRECTS: usize = 10_000;
+/// A machine that was not answered without the leader for this long is no longer proxied.
+const PROXIED_FOR_S: f64 = 5.0;
+/// An agent without a heartbeat for this long is forgotten.
+const REMEMBERED_FOR_S: f64 = 60.0;
+/// An agent without a heartbeat for this long doesn't count as load.
+const COUNTED_FOR_S: f64 = 15.0;
+/// How long the answer to a publication is awaited.
+const PUBLISH_TIMEOUT: Micros = Micros::from_millis(700);
+/// Pause between two publications of the proxied machines.
+pub(super) const PUBLISH_INTERVAL: Micros = Micros::from_millis(2000);
 
 impl HeartbeatProxy {
+    /// A proxy to which no agent has reported yet.
     pub fn new(workers: &Workers) -> HeartbeatProxy {
         HeartbeatProxy {
-            unreached_for: timing::unreached(workers),
+            unreachable_for: timing::unreached(workers),
             ..HeartbeatProxy::default()
         }
     }
 
-    /// The leader's answer to a report that was passed on.
-    /// What this node knows to be cancelled, and the leader may not, is stopped with it and not
-    /// started. Of a leader that was deposed meanwhile nothing is started.
-    pub fn answered(
+    /// Passes the leader's response to a forwarded heartbeat on to the agent. Tasks of jobs that are
+    /// known here to be cancelled are stopped and not started, because the leader may not know it
+    /// yet; and no start of a leader that was replaced meanwhile is passed on.
+    pub fn on_leader_response(
         &mut self,
         context: &mut Context,
         election: &Election,
@@ -72,101 +145,112 @@
         let void = |command: &AgentCommand| starts_cancelled(api, command) || (deposed && starts(command));
         commands.commands.retain(|command| !void(command));
         if let Some(f) = self.forwarded.remove(&id) {
-            self.kept.remove(&f.heartbeat.machine);
-            lease_renewal::add_stops(api, &f.heartbeat, &mut commands.commands);
+            self.proxied.remove(&f.heartbeat.machine);
+            lease_renewal::add_stops_of_cancelled(api, &f.heartbeat, &mut commands.commands);
             context.reply(f.reply, 200, to_cbor(&commands), None);
         }
     }
 
-    /// The zones of the workers that report here, and when each last did.
-    pub fn reporting(&self) -> impl Iterator<Item = (&str, Micros)> {
-        self.served
+    /// The zone and the time of the last heartbeat of each agent that reports here.
+    pub fn agent_zones(&self) -> impl Iterator<Item = (&str, Micros)> {
+        self.last_heartbeats
             .values()
-            .map(|(at, heartbeat)| (heartbeat.zone.as_str(), *at))
+            .map(|received| (received.heartbeat.zone.as_str(), received.at))
     }
 
-    /// How many workers report here. The leader, which has more to do, counts
-    /// them twice.
-    pub fn serves(&mut self, now: Micros, leads: bool) -> u32 {
-        self.served
-            .retain(|_, (at, _)| now.since(*at) < Micros::from_secs(60.0));
-        let recent = |at: Micros| now.since(at) < Micros::from_secs(15.0);
-        let n = self.served.values().filter(|(at, _)| recent(*at)).count() as u32;
+    /// How many agents report here. The leader, which has more work for each, counts them twice.
+    pub fn agent_count(&mut self, now: Micros, leads: bool) -> u32 {
+        self.last_heartbeats
+            .retain(|_, received| now.since(received.at) < Micros::from_secs(REMEMBERED_FOR_S));
+        let counts = |received: &&ReceivedHeartbeat| now.since(received.at) < Micros::from_secs(COUNTED_FOR_S);
+        let count = self.last_heartbeats.values().filter(counts).count() as u32;
         if leads {
-            n * 2
+            count * 2
         } else {
-            n
+            count
         }
     }
 
-    /// The worker was sent to another node lately and came back: it could not
-    /// reach that one.
-    pub(super) fn came_back(&mut self, machine: &str, now: Micros) -> bool {
-        let Some((at, to)) = self.sent_away.get(machine) else {
+    /// Whether the agent has come back from a redirect a moment ago, because it could not reach the
+    /// controller that the redirect named; that one is avoided for a while then.
+    pub(super) fn returned_from_redirect(&mut self, machine: &str, now: Micros) -> bool {
+        let Some(redirect) = self.redirects.get(machine) else {
             return false;
         };
-        let back = now.since(*at) < timing::COMES_BACK;
-        if back {
-            self.unreached.insert(to.clone(), now + self.unreached_for);
+        let returned = now.since(redirect.at) < timing::COMES_BACK;
+        if returned {
+            self.unreachable.insert(redirect.to.clone(), now + self.unreachable_for);
         }
-        back
+        returned
     }
 
-    /// What this node says of the machines that it keeps: their names, and of as many as
-    /// fit the reports that tell of tasks that ended, those first that were not told.
-    /// The leader, which can't hear these workers, records the outcomes meanwhile.
+    /// The lists of proxied machines to be published: their names, and the last heartbeats with
+    /// ended tasks, as many as fit, those first that were not published yet. From these the leader,
+    /// which can't receive the heartbeats, records outcomes meanwhile.
     ///
-    /// As many values as it takes: the names alone may exceed one.
-    fn care_values(&mut self, cluster: &ClusterConfig) -> Vec<ProxiedMachines> {
-        self.told.retain(|machine, _| self.kept.contains_key(machine));
-        let names: Vec<String> = self.kept.keys().take(KEPT).cloned().collect();
+    /// There are several lists if the names alone exceed one value.
+    fn proxied_machine_lists(&mut self, cluster: &ClusterConfig) -> Vec<ProxiedMachines> {
+        self.published.retain(|machine, _| self.proxied.contains_key(machine));
+        let names: Vec<String> = self.proxied.keys().take(MAX_PUBLISHED).cloned().collect();
         let half = cluster.limits.value_bytes() / 2;
-        let (mut parts, mut size) = (vec![], half);
+        let (mut lists, mut size) = (vec![], half);
         for name in names {
-            let takes = name.len() + 3;
-            if size + takes > half {
-                parts.push(vec![]);
+            let bytes = name.len() + 3;
+            if size + bytes > half {
+                lists.push(vec![]);
                 size = 0;
             }
-            size += takes;
-            if let Some(part) = parts.last_mut() {
-                part.push(name);
+            size += bytes;
+            if let Some(list) = lists.last_mut() {
+                list.push(name);
             }
         }
-        parts.truncate(cluster.limits.changes());
-        parts.into_iter().map(|kept| self.care_value(cluster, kept)).collect()
+        lists.truncate(cluster.limits.changes());
+        let with_heartbeats = |machines| self.proxied_machine_list(cluster, machines);
+        lists.into_iter().map(with_heartbeats).collect()
     }
 
-    fn care_value(&mut self, cluster: &ClusterConfig, kept: Vec<String>) -> ProxiedMachines {
-        let ended = |r: &&Heartbeat| r.tasks.iter().any(|t| t.phase == TaskPhase::Exited);
-        let heartbeats = kept.iter().filter_map(|name| self.served.get(name));
-        let mut heartbeats: Vec<&Heartbeat> = heartbeats.map(|(_, r)| r).filter(ended).collect();
-        let number = |r: &Heartbeat| (r.incarnation, r.sequence);
-        heartbeats.sort_by_key(|r| self.told.get(&r.machine) == Some(&number(r)));
-        let value = cluster.limits.value_bytes();
-        let room = value.saturating_sub(json_size(&kept) + 300);
+    /// One list: these machines, with their heartbeats as far as they fit.
+    fn proxied_machine_list(&mut self, cluster: &ClusterConfig, machines: Vec<String>) -> ProxiedMachines {
+        let has_ended_tasks = |h: &&Heartbeat| h.tasks.iter().any(|t| t.phase == TaskPhase::Exited);
+        let received = machines.iter().filter_map(|name| self.last_heartbeats.get(name));
+        let mut heartbeats: Vec<&Heartbeat> = received.map(|r| &r.heartbeat).filter(has_ended_tasks).collect();
+        heartbeats.sort_by_key(|h| self.published.get(&h.machine) == Some(&HeartbeatNumber::of(h)));
+        let value_bytes = cluster.limits.value_bytes();
+        let free_bytes = value_bytes.saturating_sub(json_size(&machines) + 300);
         let heartbeats: Vec<Heartbeat> = heartbeats.into_iter().cloned().collect();
-        let (told, taken) = glenhaven_compression::pack(&heartbeats, room);
-        for r in &heartbeats[..taken] {
-            self.told.insert(r.machine.clone(), number(r));
+        let (packed, packed_count) = glenhaven_compression::pack(&heartbeats, free_bytes);
+        for heartbeat in &heartbeats[..packed_count] {
+            self.published
+                .insert(heartbeat.machine.clone(), HeartbeatNumber::of(heartbeat));
         }
-        // Even nothing takes a few bytes.
-        let told = if taken == 0 { String::new() } else { told };
+        // An empty list takes a few bytes when it is packed.
+        let last_heartbeats = if packed_count == 0 { String::new() } else { packed };
         ProxiedMachines {
-            machines: kept,
-            last_heartbeats: told,
+            machines,
+            last_heartbeats,
         }
     }
 
-    /// Answers reports that the leader has not answered in time.
-    pub fn tick(
-        &mut self,
-        context: &mut Context,
-        election: &Election,
-        attestations: &CancellationAttestations,
-        api: &JobApi,
-        cluster: &ClusterConfig,
-    ) {
+    /// Answers heartbeats that the leader has not answered in time, and publishes the proxied
+    /// machines.
+    pub fn tick(&mut self, context: &mut Context, renewer: &LeaseRenewer) {
+        self.answer_late(context, renewer);
+        let now = context.now;
+        self.proxied
+            .retain(|_, at| now.since(*at) < Micros::from_secs(PROXIED_FOR_S));
+        let is_leader = renewer.election.role() == Role::Leader;
+        if !self.proxied.is_empty() && now >= self.next_publication_at && !is_leader {
+            self.next_publication_at = now + PUBLISH_INTERVAL;
+            self.publish(context, renewer);
+        }
+        while self.redirects.len() > MAX_REDIRECTS {
+            self.redirects.pop_first();
+        }
+    }
+
+    /// Answers forwarded heartbeats without the leader that it has not answered in time.
+    fn answer_late(&mut self, context: &mut Context, renewer: &LeaseRenewer) {
         let now = context.now;
         let late: Vec<u64> = self
             .forwarded
@@ -176,62 +260,60 @@
             .collect();
         for id in late {
             if let Some(f) = self.forwarded.remove(&id) {
-                if answer_alone(context, election, attestations, api, cluster, f.reply, &f.heartbeat) {
-                    self.kept.insert(f.heartbeat.machine.clone(), now);
+                if answer_without_leader(context, renewer, f.reply, &f.heartbeat) {
+                    self.proxied.insert(f.heartbeat.machine.clone(), now);
                 }
             }
         }
-        // The leader, cut off from these machines, would take them for dead
-        // and release them with everything that runs there.
-        self.kept.retain(|_, at| now.since(*at) < Micros::from_secs(5.0));
-        if !self.kept.is_empty() && now >= self.next_publish && election.role() != Role::Leader {
-            self.next_publish = now + PUBLISH;
-            let mut changes = vec![];
-            for (n, care) in self.care_values(cluster).into_iter().enumerate() {
-                let key = match n {
-                    0 => format!("{}{}", keys::PROXIED_MACHINES, cluster.settings.node),
-                    n => format!("{}{}.{n}", keys::PROXIED_MACHINES, cluster.settings.node),
-                };
-                changes.push(Change::Put {
-                    key,
-                    value: to_value(&care),
-                    lease: None,
-                });
-            }
-            let txn = Transaction {
-                conditions: vec![election.condition()],
-                changes,
+    }
+
+    /// Publishes the proxied machines in the state service. Otherwise the leader, which receives no
+    /// heartbeats of them, would take them to be lost and release them with all their tasks.
+    fn publish(&mut self, context: &mut Context, renewer: &LeaseRenewer) {
+        let node = &renewer.cluster.settings.node;
+        let mut changes = vec![];
+        for (index, list) in self.proxied_machine_lists(renewer.cluster).into_iter().enumerate() {
+            let key = match index {
+                0 => format!("{}{node}", keys::PROXIED_MACHINES),
+                _ => format!("{}{node}.{index}", keys::PROXIED_MACHINES),
             };
-            let continuation = Continuation::Election(ElectionContinuation::Unacknowledged);
-            context.store.push(
-                Urgency::Start,
-                StoreRequest::Transaction(txn),
-                continuation,
-                Micros::from_millis(700),
-            );
-        }
-        while self.sent_away.len() > 10_000 {
-            self.sent_away.pop_first();
+            changes.push(Change::Put {
+                key,
+                value: to_value(&list),
+                lease: None,
+            });
         }
+        let txn = Transaction {
+            conditions: vec![renewer.election.condition()],
+            changes,
+        };
+        let continuation = Continuation::Election(ElectionContinuation::Unacknowledged);
+        let request = StoreRequest::Transaction(txn);
+        context
+            .store
+            .push(Urgency::Start, request, continuation, PUBLISH_TIMEOUT);
     }
 }
 
-/// Keeps a worker's lease alive without the leader: only while this node knows the state of
-/// every job in the report, so that no cancelled task is kept.
-pub(super) fn answer_alone(
+/// Answers a heartbeat without the leader, and returns whether its lease was renewed: only if this
+/// node knows every job in it, so that no task of a cancelled job is kept running.
+pub(super) fn answer_without_leader(
     context: &mut Context,
-    election: &Election,
-    attestations: &CancellationAttestations,
-    api: &JobApi,
-    cluster: &ClusterConfig,
+    renewer: &LeaseRenewer,
     reply: u64,
     heartbeat: &Heartbeat,
 ) -> bool {
-    let mut runs = heartbeat.tasks.iter().filter(|t| t.phase != TaskPhase::Exited);
-    let all_known = runs.all(|t| parse_task(&t.task).is_some_and(|(job, _)| api.phase(job).is_some()));
-    let commands = all_known.then(|| attestations.renewal(election, api, cluster, heartbeat, vec![], context.now));
-    match commands.flatten() {
-        Some(commands) => context.reply(reply, 200, to_cbor(&commands), None),
+    let LeaseRenewer {
+        election,
+        attestations,
+        api,
+        cluster,
+    } = renewer;
+    let mut running = heartbeat.tasks.iter().filter(|t| t.phase != TaskPhase::Exited);
+    let all_known = running.all(|t| parse_task(&t.task).is_some_and(|(job, _)| api.phase(job).is_some()));
+    let response = all_known.then(|| attestations.renewal(election, api, cluster, heartbeat, vec![], context.now));
+    match response.flatten() {
+        Some(response) => context.reply(reply, 200, to_cbor(&response), None),
         None => {
             context.reply(reply, 503, vec![], Some(1));
             return false;
--- a/src/coordination/agents/heartbeat_status.rs
+++ b/src/coordination/agents/heartbeat_status.rs
@@ -1,6 +1,10 @@
-//! What a worker's report says of the tasks that the leader has records of.
+//! Applies a heartbeat to the leader's state: what it says of the machine, and of the tasks that
+//! have a record on it.
+//!
+//! A heartbeat is applied only if it is newer than the last one. Invariant: a record is freed only
+//! by a `VoidProof`, that no start of it can be executed any more or that its task has exited.
 
-use super::outbox::{Attempt, Due, TaskRef};
+use super::outbox::{Attempt, CommandReasons, TaskRef};
 use super::parse_task;
 use crate::coordination::state::void_proof::VoidProof;
 use crate::coordination::state::{LeaderState, Machine, MachineId, MachineState, PlacementPhase, TaskState};
@@ -10,75 +14,97 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A stopped task whose start was never seen is waited for so long before the term is raised.
-const UNSEEN_STOP: Micros = Micros::from_millis(3000);
+/// How long a stopped task whose start was never seen is waited for before the term is raised.
+const MAX_UNSEEN_STOP: Micros = Micros::from_millis(3000);
+/// Failures of one job on a machine that count against the machine if the job does well elsewhere.
+const MIN_FAULTS_OF_JOB: u32 = 2;
+/// Jobs with failures on a machine that count against it in any case.
+const MIN_FAULTY_JOBS: usize = 3;
+
+/// A heartbeat that is compared with the records of its machine.
+struct AppliedHeartbeat<'a> {
+    cluster: &'a ClusterConfig,
+    machine: &'a MachineId,
+    heartbeat: &'a Heartbeat,
+    now: Micros,
+}
 
 impl LeaderState {
-    /// Takes in a heartbeat: a report that a worker sent by itself at about `at`, here or to
-    /// another controller. Says what its answer should command.
-    pub fn take_heartbeat(
+    /// Applies a heartbeat that an agent sent at about `at`, here or to the controller `via`, and
+    /// returns the reasons for commands in its response.
+    pub fn apply_heartbeat(
         &mut self,
         cluster: &ClusterConfig,
         heartbeat: &Heartbeat,
         via: Option<&str>,
         at: Micros,
         now: Micros,
-    ) -> Due {
-        // A worker has one report on its way at a time: its next one says that the answer to
-        // the last has come, or never will.
-        let newer = |m: &Machine| (heartbeat.incarnation, heartbeat.sequence) > (m.incarnation, m.sequence);
-        if let Some(machine) = self.machines.get_mut(heartbeat.machine.as_str()).filter(|m| newer(m)) {
-            machine.outbox.answer_arrived();
-        }
-        self.take_report(cluster, heartbeat, via, at, now)
+    ) -> CommandReasons {
+        // An agent has one heartbeat in flight at a time: the next one shows that the response to
+        // the last one has arrived, or never will.
+        let is_newer = |m: &Machine| (heartbeat.incarnation, heartbeat.sequence) > (m.incarnation, m.sequence);
+        if let Some(machine) = self
+            .machines
+            .get_mut(heartbeat.machine.as_str())
+            .filter(|m| is_newer(m))
+        {
+            machine.outbox.on_next_heartbeat();
+        }
+        self.apply_heartbeat_content(cluster, heartbeat, via, at, now)
     }
 
-    /// The same of a report that is not a heartbeat: it came with the answer to a direct message,
-    /// and says nothing of the answers to heartbeats.
-    pub fn take_report(
+    /// Applies the content of a heartbeat, also of one that came as the answer to a push, which
+    /// shows nothing of the responses to earlier heartbeats.
+    pub fn apply_heartbeat_content(
         &mut self,
         cluster: &ClusterConfig,
         heartbeat: &Heartbeat,
         via: Option<&str>,
         at: Micros,
         now: Micros,
-    ) -> Due {
+    ) -> CommandReasons {
         let name: MachineId = heartbeat.machine.as_str().into();
-        if !self.is_news(&name, heartbeat, now) {
-            return Due::default();
-        }
-        self.take_machine_state(cluster, &name, heartbeat, via, at, now);
-        self.take_notice(&name, heartbeat, now);
-        let mut due = Due::default();
-        self.match_records(cluster, &name, heartbeat, now, &mut due);
-        self.note_orphans(&name, heartbeat, &mut due);
-        due
+        if !self.accepts_heartbeat(&name, heartbeat, now) {
+            return CommandReasons::default();
+        }
+        self.apply_machine_state(cluster, &name, heartbeat, via, at, now);
+        self.apply_interruption_notice(&name, heartbeat, now);
+        let mut reasons = CommandReasons::default();
+        let applied = AppliedHeartbeat {
+            cluster,
+            machine: &name,
+            heartbeat,
+            now,
+        };
+        self.compare_records(&applied, &mut reasons);
+        self.update_orphans(&name, heartbeat, &mut reasons);
+        reasons
     }
 
-    /// Whether a report says something new of a machine that may still be there. One from a
-    /// machine that nobody expected makes it known.
-    fn is_news(&mut self, name: &MachineId, heartbeat: &Heartbeat, now: Micros) -> bool {
+    /// Whether a heartbeat is newer than the last one of its machine, which was not released. The
+    /// heartbeat of an unknown machine adds it to the state.
+    fn accepts_heartbeat(&mut self, name: &MachineId, heartbeat: &Heartbeat, now: Micros) -> bool {
         if self.released.contains(name) {
             return false;
         }
         if heartbeat.fencing_token > self.term {
-            // A token that this leader never gave out: another one leads by now, or nobody ever
-            // gave it. As a proof that starts are refused it would be worth nothing.
+            // This leader never gave out the token: another one leads by now, or it is wrong. It
+            // would prove nothing about the starts that this leader has sent.
             return false;
         }
         let machine = self.machines.entry(name.clone()).or_insert_with(|| {
-            tracing::info!(machine = %name, "a machine that was not expected reports");
+            tracing::info!(machine = %name, "heartbeat of an unknown machine");
             Machine::unknown(name.clone(), now)
         });
         if heartbeat.incarnation < machine.incarnation {
-            tracing::warn!(machine = %name, incarnation = heartbeat.incarnation, last = machine.incarnation, "report dropped: of an earlier session");
+            tracing::warn!(machine = %name, incarnation = heartbeat.incarnation, last = machine.incarnation, "heartbeat dropped: it is of an earlier incarnation");
         }
-        // The task list of a late message is older than what is known.
+        // The task list of a late heartbeat is older than what is known.
         (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence)
     }
 
-    /// What a report says of the machine itself.
-    fn take_machine_state(
+    /// Applies what a heartbeat says of the machine itself.
+    fn apply_machine_state(
         &mut self,
         cluster: &ClusterConfig,
         name: &MachineId,
@@ -90,14 +116,14 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let new_session = heartbeat.incarnation > machine.incarnation;
+        let is_new_incarnation = heartbeat.incarnation > machine.incarnation;
         if at == now {
             machine.listens(via, now);
         }
         machine.heartbeats += 1;
         machine.incarnation = heartbeat.incarnation;
         machine.sequence = heartbeat.sequence;
-        machine.last_heartbeat = if new_session || machine.state == MachineState::Booting {
+        machine.last_heartbeat = if is_new_incarnation || machine.state == MachineState::Booting {
             at
         } else {
             machine.last_heartbeat.max(at)
@@ -108,49 +134,44 @@
         machine.addr.clone_from(&heartbeat.addr);
         machine.describe(&heartbeat.machine_type, &heartbeat.zone, heartbeat.spot);
         machine.fencing_token = machine.fencing_token.max(heartbeat.fencing_token);
-        machine.outbox.refuses_below(machine.fencing_token);
+        machine.outbox.drop_starts_below(machine.fencing_token);
         if machine.state == MachineState::Booting {
             machine.state = MachineState::Up;
-            if let (Some(rented), Some(t)) = (machine.rented_at, cluster.catalogue.get(&heartbeat.machine_type)) {
+            let machine_type = cluster.catalogue.get(&heartbeat.machine_type);
+            if let (Some(rented_at), Some(machine_type)) = (machine.rented_at, machine_type) {
                 let kind = (heartbeat.machine_type.clone(), heartbeat.zone.clone(), heartbeat.spot);
                 self.provisioning
                     .boot_times
-                    .came_up(kind, at.since(rented), t.boot_s, now);
+                    .came_up(kind, at.since(rented_at), machine_type.boot_s, now);
             }
             self.dirty = true;
             let boot_s = now.since(machine.since).secs();
             tracing::debug!(machine = %name, boot_s, "machine up");
         }
-        if new_session {
-            machine.outbox.session_ended();
+        if is_new_incarnation {
+            machine.outbox.on_new_incarnation();
             self.drop_images(name);
             self.dirty = true;
         }
     }
 
-    /// The cloud takes the machine back.
-    fn take_notice(&mut self, name: &MachineId, heartbeat: &Heartbeat, now: Micros) {
+    /// Notes the time at which the cloud takes a spot machine back, if the heartbeat says so.
+    fn apply_interruption_notice(&mut self, name: &MachineId, heartbeat: &Heartbeat, now: Micros) {
         let Some(notice) = heartbeat.notice_s else { return };
         let Some(machine) = self.machines.get_mut(name).filter(|m| m.interruption_at.is_none()) else {
             return;
         };
-        tracing::debug!(machine = %name, notice, "the cloud takes a machine back");
+        tracing::debug!(machine = %name, notice, "spot interruption notice");
         machine.interruption_at = Some(now + Micros::from_secs(notice));
         self.dirty = true;
     }
 
-    /// Compares the records of a machine's tasks with what it lists.
-    fn match_records(
-        &mut self,
-        cluster: &ClusterConfig,
-        name: &MachineId,
-        heartbeat: &Heartbeat,
-        now: Micros,
-        due: &mut Due,
-    ) {
-        let unnamed = heartbeat.tasks.iter().filter(|t| parse_task(&t.task).is_none()).count();
-        if unnamed > 0 {
-            tracing::warn!(machine = %name, unnamed, "a report lists tasks whose names don't parse");
+    /// Compares the records of a machine's tasks with those that the heartbeat lists.
+    fn compare_records(&mut self, applied: &AppliedHeartbeat, reasons: &mut CommandReasons) {
+        let (name, heartbeat) = (applied.machine, applied.heartbeat);
+        let malformed = heartbeat.tasks.iter().filter(|t| parse_task(&t.task).is_none()).count();
+        if malformed > 0 {
+            tracing::warn!(machine = %name, malformed, "a heartbeat lists tasks with malformed names");
         }
         // A machine may list several attempts at one task.
         let listed: BTreeMap<(&str, u32, u64), &TaskStatus> = heartbeat
@@ -165,14 +186,15 @@
             let Some(attempt) = placement.map(|p| p.attempt) else {
                 continue;
             };
-            let entry = listed.get(&(&*id, task, attempt)).copied();
+            let status = listed.get(&(&*id, task, attempt)).copied();
             let record = TaskRef { job: id, task };
-            self.match_record(cluster, name, &record, entry, heartbeat, now, due);
+            self.compare_record(applied, &record, status, reasons);
         }
     }
 
-    /// What is listed without a record: what runs is stopped, what has ended is forgotten.
-    fn note_orphans(&mut self, name: &MachineId, heartbeat: &Heartbeat, due: &mut Due) {
+    /// Notes attempts that are listed without a record: those that run are to be stopped, those that
+    /// have exited are to be forgotten.
+    fn update_orphans(&mut self, name: &MachineId, heartbeat: &Heartbeat, reasons: &mut CommandReasons) {
         let mut orphaned_attempts = vec![];
         for listed in &heartbeat.tasks {
             let attempt = Attempt {
@@ -183,10 +205,10 @@
                 continue;
             }
             if listed.phase == TaskPhase::Exited {
-                due.forgets.insert(attempt);
+                reasons.forgets.insert(attempt);
             } else {
                 orphaned_attempts.push(attempt.clone());
-                due.orphaned_attempts.insert(attempt);
+                reasons.orphaned_attempts.insert(attempt);
             }
         }
         let Some(machine) = self.machines.get_mut(name) else {
@@ -198,34 +220,30 @@
         }
     }
 
-    /// What workers reported to a node that this one can't hear, by way of the state
-    /// service. Good for what it says, as any late report; it does not tell that the
-    /// machines are reached, and nobody waits for orders.
-    pub fn take_proxied_heartbeat(&mut self, cluster: &ClusterConfig, heartbeats: &[Heartbeat], now: Micros) {
+    /// Applies heartbeats that another controller has published in the state service because it
+    /// can't reach this one. They are as valid as any late heartbeat, but don't prove that the
+    /// machines are reachable now, and no agent waits for a response.
+    pub fn apply_proxied_heartbeats(&mut self, cluster: &ClusterConfig, heartbeats: &[Heartbeat], now: Micros) {
         for heartbeat in heartbeats {
             let Some(m) = self.machines.get(heartbeat.machine.as_str()) else {
                 continue;
             };
             let (via, at) = (m.via.clone(), m.last_heartbeat);
-            self.take_heartbeat(cluster, heartbeat, via.as_deref(), at, now);
+            self.apply_heartbeat(cluster, heartbeat, via.as_deref(), at, now);
         }
     }
 
-    /// Compares one record with what the report lists of its attempt.
-    #[allow(clippy::too_many_arguments)]
-    fn match_record(
+    /// Compares one record with the status of its attempt in the heartbeat, if that lists it.
+    fn compare_record(
         &mut self,
-        cluster: &ClusterConfig,
-        name: &MachineId,
+        applied: &AppliedHeartbeat,
         record: &TaskRef,
-        entry: Option<&TaskStatus>,
-        heartbeat: &Heartbeat,
-        now: Micros,
-        due: &mut Due,
+        status: Option<&TaskStatus>,
+        reasons: &mut CommandReasons,
     ) {
+        let (name, heartbeat, now) = (applied.machine, applied.heartbeat, applied.now);
         let (id, task) = (&record.job, record.task);
         let Some(job) = self.jobs.get(id) else { return };
-        let live = job.is_live();
         let Some(placement) = job.placements.get(&task) else {
             return;
         };
@@ -233,45 +251,57 @@
             return;
         }
         if heartbeat.incarnation > placement.incarnation {
-            // The session that the record was made for is over, and everything of it was killed.
+            // The incarnation that the record was made for has ended, with all of its tasks.
             let (incarnation, recorded) = (heartbeat.incarnation, placement.incarnation);
             let attempt = placement.attempt;
-            tracing::debug!(job = %id, task, attempt, machine = %name, incarnation, recorded, "lost with its session");
+            tracing::debug!(job = %id, task, attempt, machine = %name, incarnation, recorded, "task lost with its agent's incarnation");
             let proof = VoidProof::LaterSession { reported: incarnation };
             return self.free(id, task, proof, now);
         }
-        match entry {
-            Some(entry) if entry.phase == TaskPhase::Exited => {
-                self.record_exit(cluster, name, record, entry.cause.unwrap_or(Cause::Other), now);
-            }
-            Some(entry) => self.record_seen(cluster, name, record, entry.phase, heartbeat, now, due),
-            None if placement.sent && heartbeat.fencing_token > placement.fencing_token => {
-                // Every start of it left under a lower token, and is refused from here on; the
-                // machine does not have the task.
-                let (attempt, sent_under, fencing_token) =
-                    (placement.attempt, placement.fencing_token, heartbeat.fencing_token);
-                tracing::debug!(job = %id, task, attempt, machine = %name, sent_under, fencing_token, "not on its machine");
-                let proof = VoidProof::RefusedByToken {
-                    reported: fencing_token,
-                };
-                self.free(id, task, proof, now);
+        match status {
+            Some(status) if status.phase == TaskPhase::Exited => {
+                self.record_exit(applied, record, status.cause.unwrap_or(Cause::Other));
             }
-            None if placement.stop.is_some() || !live => {
-                if placement.sent && now.since(placement.stop_at) > UNSEEN_STOP {
-                    self.new_term = Some("a start that is no longer wanted may still be on its way");
-                }
-            }
-            None if placement.may_be_sent() => {
-                due.starts.insert(record.clone());
+            Some(status) => self.record_seen(applied, record, status.phase, reasons),
+            None => self.record_unlisted(applied, record, reasons),
+        }
+    }
+
+    /// Handles that the heartbeat does not list the recorded attempt: its start may not have
+    /// arrived yet, or never will.
+    fn record_unlisted(&mut self, applied: &AppliedHeartbeat, record: &TaskRef, reasons: &mut CommandReasons) {
+        let (name, heartbeat, now) = (applied.machine, applied.heartbeat, applied.now);
+        let (id, task) = (&record.job, record.task);
+        let Some(job) = self.jobs.get(id) else { return };
+        let Some(placement) = job.placements.get(&task) else {
+            return;
+        };
+        if placement.sent && heartbeat.fencing_token > placement.fencing_token {
+            // Every start of it was sent under a lower token, which the agent refuses from now on,
+            // and the agent does not have the task.
+            let (attempt, sent_under, fencing_token) =
+                (placement.attempt, placement.fencing_token, heartbeat.fencing_token);
+            tracing::debug!(job = %id, task, attempt, machine = %name, sent_under, fencing_token, "task is not on its machine");
+            let proof = VoidProof::RefusedByToken {
+                reported: fencing_token,
+            };
+            self.free(id, task, proof, now);
+        } else if placement.stop.is_some() || !job.is_live() {
+            if placement.sent && now.since(placement.stop_at) > MAX_UNSEEN_STOP {
+                self.new_term = Some("a start that is no longer wanted may still be on its way");
             }
-            // A record of an earlier leader: a report under the present token says whether it is void.
-            None if placement.phase == PlacementPhase::Sent => due.asks_for_report = true,
-            None => {}
+        } else if placement.may_be_sent() {
+            reasons.starts.insert(record.clone());
+        } else if placement.phase == PlacementPhase::Sent {
+            // The record of an earlier leader: a heartbeat with the present token shows whether it
+            // is void.
+            reasons.wants_heartbeat = true;
         }
     }
 
-    /// The machine has reported that the task exited.
-    fn record_exit(&mut self, cluster: &ClusterConfig, name: &MachineId, record: &TaskRef, cause: Cause, now: Micros) {
+    /// Handles that the machine lists the task as exited.
+    fn record_exit(&mut self, applied: &AppliedHeartbeat, record: &TaskRef, cause: Cause) {
+        let (cluster, name, now) = (applied.cluster, applied.machine, applied.now);
         let (id, task) = (&record.job, record.task);
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(placement) = job.placements.get_mut(&task) else {
@@ -286,128 +316,101 @@
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.take(&job.spec, -1.0);
             }
-            self.exited(cluster, name, id, task, cause, now);
+            self.apply_exit(cluster, name, id, task, cause, now);
         }
-        // A completion stays on the machine until it is recorded.
+        // The placement of a completed task is kept until its outcome is recorded.
         if cause != Cause::Done || cancelled {
             self.free(id, task, VoidProof::Exited(cause), now);
         }
     }
 
-    /// The machine has the task.
-    #[allow(clippy::too_many_arguments)]
+    /// Handles that the machine lists the task in this phase.
     fn record_seen(
         &mut self,
-        cluster: &ClusterConfig,
-        name: &MachineId,
+        applied: &AppliedHeartbeat,
         record: &TaskRef,
         phase: TaskPhase,
-        heartbeat: &Heartbeat,
-        now: Micros,
-        due: &mut Due,
+        reasons: &mut CommandReasons,
     ) {
+        let (name, now) = (applied.machine, applied.now);
+        if phase == TaskPhase::Running {
+            self.record_running(name, record, now);
+        }
         let (id, task) = (&record.job, record.task);
         let Some(job) = self.jobs.get_mut(id) else { return };
         let (image, image_gb) = (job.spec.image.clone(), job.spec.image_gb);
         let Some(placement) = job.placements.get_mut(&task) else {
             return;
         };
-        if phase == TaskPhase::Running && placement.running_since.is_none() {
-            placement.running_since = Some(now);
-            let waited = now.since(job.arrived);
-            if !placement.restored && !job.arrival_unknown {
-                let spec = &job.spec;
-                self.slo.started(&spec.class, &spec.team, spec.cpus, waited, now);
-            }
-            if !placement.restored && !job.spec.needs.is_empty() {
-                self.blocked_jobs.began(waited);
-            }
-            tracing::debug!(
-                job = %id,
-                task,
-                class = job.spec.class,
-                machine = %name,
-                try_ = placement.attempt,
-                waited_s = waited.secs(),
-                placed_s = now.since(placement.since).secs(),
-                "task runs"
-            );
-        }
         if !matches!(placement.phase, PlacementPhase::Exited(_)) {
             placement.phase = PlacementPhase::Seen(phase);
         }
         if placement.stop.is_some() {
-            due.stops.insert(record.clone());
+            reasons.stops.insert(record.clone());
         }
         if phase == TaskPhase::Running {
-            let machine_type = cluster.catalogue.get(&heartbeat.machine_type);
+            let machine_type = applied.cluster.catalogue.get(&applied.heartbeat.machine_type);
             let cache_gb = machine_type.map_or(f64::INFINITY, |t| t.cache_gb);
             self.use_image(name, &image, image_gb, cache_gb);
         }
     }
 
-    /// A task exited; what it means for its job and its machine.
-    fn exited(&mut self, cluster: &ClusterConfig, name: &MachineId, id: &JobId, task: u32, cause: Cause, now: Micros) {
-        let tasks_per_range = self.tasks_per_range;
+    /// Notes that a task has begun to run, the first time that its machine lists it as running.
+    fn record_running(&mut self, name: &MachineId, record: &TaskRef, now: Micros) {
+        let (id, task) = (&record.job, record.task);
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(placement) = job.placements.get_mut(&task) else {
+            return;
+        };
+        if placement.running_since.is_some() {
+            return;
+        }
+        placement.running_since = Some(now);
+        let waited = now.since(job.arrived);
+        if !placement.restored && !job.arrival_unknown {
+            let spec = &job.spec;
+            self.slo.started(&spec.class, &spec.team, spec.cpus, waited, now);
+        }
+        if !placement.restored && !job.spec.needs.is_empty() {
+            self.blocked_jobs.began(waited);
+        }
+        tracing::debug!(
+            job = %id,
+            task,
+            class = job.spec.class,
+            machine = %name,
+            attempt = placement.attempt,
+            waited_s = waited.secs(),
+            placed_s = now.since(placement.since).secs(),
+            "task runs"
+        );
+    }
+
+    /// Applies the exit of a task to its job and its machine.
+    fn apply_exit(
+        &mut self,
+        cluster: &ClusterConfig,
+        name: &MachineId,
+        id: &JobId,
+        task: u32,
+        cause: Cause,
+        now: Micros,
+    ) {
         self.dirty = true;
         let Some(job) = self.jobs.get_mut(id) else { return };
         match cause {
-            Cause::Done if job.is_live() => {
-                let seen = job.placements.get(&task).filter(|p| !p.restored);
-                if let Some(since) = seen.and_then(|p| p.running_since) {
-                    let ran_s = now.since(since).secs();
-                    tracing::debug!(job = %id, task, machine = %name, ran_s, "task done");
-                    job.runs.0 += ran_s;
-                    job.runs.1 += 1;
-                    self.slo.ran(&job.spec.class, job.spec.estimate_s, ran_s, now);
-                }
-                if job.states[task as usize] == TaskState::Placed {
-                    job.states[task as usize] = TaskState::Finished;
-                    job.finished += 1;
-                    job.failures = 0;
-                    job.failed_on.clear();
-                    job.task_ranges
-                        .entry(task / tasks_per_range)
-                        .or_default()
-                        .done
-                        .insert(task);
-                    if !job.is_service() && job.finished == job.spec.tasks {
-                        self.log_writer.complete.insert(id.clone());
-                        self.record_objectives_met(id, now);
-                    }
-                    self.mark_task_range_changed(id, task / tasks_per_range, now);
-                }
-                if let Some(m) = self.machines.get_mut(name) {
-                    m.faults.pop_first();
-                }
-            }
-            Cause::Error => {
-                tracing::debug!(job = %id, task, machine = %name, "task failed");
-                job.failed_on.insert(name.clone());
-                job.failures += 1;
-                if job.is_suspect(now) {
-                    // Tries follow each other ever more slowly.
-                    let tries = job.failed_on.len().max(2) - 2 + job.failures as usize / job.spec.tasks.max(1) as usize;
-                    let pause = Micros::from_secs((2u64 << tries.min(5)) as f64);
-                    job.not_before = now + pause;
-                    let machines = job.failed_on.clone();
-                    for machine in machines {
-                        self.exonerate(&machine, id);
-                    }
-                } else {
-                    self.blame(name, id, now);
-                }
-            }
+            Cause::Done if job.is_live() => self.apply_completion(name, id, task, now),
+            Cause::Error => self.apply_failure(name, id, task, now),
             Cause::NoRoom | Cause::Busy => {
-                // What the machine holds differs from what we count; give its
-                // next report time to tell.
+                // The machine's resources differ from what is recorded here: its next heartbeat
+                // will show how.
                 let pause = Micros::from_secs(cluster.settings.params.workers.report_s);
-                if let Some(m) = self.machines.get_mut(name) {
-                    m.quarantined_until = m.quarantined_until.max(now + pause);
+                if let Some(machine) = self.machines.get_mut(name) {
+                    machine.quarantined_until = machine.quarantined_until.max(now + pause);
                 }
             }
             Cause::Unknown => {
-                // The job's description is not uploaded yet.
+                // The job's description has not been uploaded yet.
                 job.failures += 1;
                 job.not_before = now + Micros::from_secs(f64::from(job.failures.min(10)));
             }
@@ -415,31 +418,86 @@
         }
     }
 
-    /// Tasks of this job, which is not known to fail everywhere, failed there.
-    /// Failures of one job tell of the machine only if the job does well
-    /// elsewhere: a job submitted with a mistake fails on good machines too.
-    fn blame(&mut self, name: &MachineId, id: &JobId, now: Micros) {
+    /// Applies that a task has completed.
+    fn apply_completion(&mut self, name: &MachineId, id: &JobId, task: u32, now: Micros) {
+        let range_index = task / self.tasks_per_range;
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let seen = job.placements.get(&task).filter(|p| !p.restored);
+        if let Some(since) = seen.and_then(|p| p.running_since) {
+            let ran_s = now.since(since).secs();
+            tracing::debug!(job = %id, task, machine = %name, ran_s, "task done");
+            job.runs.0 += ran_s;
+            job.runs.1 += 1;
+            self.slo.ran(&job.spec.class, job.spec.estimate_s, ran_s, now);
+        }
+        if job.states[task as usize] == TaskState::Placed {
+            job.states[task as usize] = TaskState::Finished;
+            job.finished += 1;
+            job.failures = 0;
+            job.failed_on.clear();
+            job.task_ranges.entry(range_index).or_default().done.insert(task);
+            if !job.is_service() && job.finished == job.spec.tasks {
+                self.log_writer.complete.insert(id.clone());
+                self.record_objectives_met(id, now);
+            }
+            self.mark_task_range_changed(id, range_index, now);
+        }
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.faults.pop_first();
+        }
+    }
+
+    /// Applies that a task has failed: it counts against the machine, or against the job if that
+    /// fails everywhere.
+    fn apply_failure(&mut self, name: &MachineId, id: &JobId, task: u32, now: Micros) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        tracing::debug!(job = %id, task, machine = %name, "task failed");
+        job.failed_on.insert(name.clone());
+        job.failures += 1;
+        if !job.is_suspect(now) {
+            return self.count_fault(name, id, now);
+        }
+        // Exponential backoff.
+        let tries = job.failed_on.len().max(2) - 2 + job.failures as usize / job.spec.tasks.max(1) as usize;
+        let pause = Micros::from_secs((2u64 << tries.min(5)) as f64);
+        job.not_before = now + pause;
+        let machines = job.failed_on.clone();
+        for machine in machines {
+            self.clear_fault(&machine, id);
+        }
+    }
+
+    /// Counts the failure of a task of this job against the machine, and quarantines it if there
+    /// are enough. Failures of one job alone count only if the job does well elsewhere: a job that
+    /// was submitted with a mistake fails on good machines too.
+    fn count_fault(&mut self, name: &MachineId, id: &JobId, now: Micros) {
         let jobs = &self.jobs;
-        let Some(m) = self.machines.get_mut(name) else { return };
-        *m.faults.entry(id.clone()).or_default() += 1;
-        m.faults.retain(|job, _| jobs.contains_key(job));
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        *machine.faults.entry(id.clone()).or_default() += 1;
+        machine.faults.retain(|job, _| jobs.contains_key(job));
         let does_well = |job: &JobId| jobs.get(job).is_some_and(|j| j.finished > 0);
-        let told = m.faults.iter().any(|(job, n)| *n >= 2 && does_well(job));
-        if told || m.faults.len() >= 3 {
-            if m.quarantined_since.is_none() {
-                tracing::info!(machine = %name, jobs = m.faults.len(), "machine doubted: tasks fail on it");
+        let mut faults = machine.faults.iter();
+        let fails_good_job = faults.any(|(job, count)| *count >= MIN_FAULTS_OF_JOB && does_well(job));
+        if fails_good_job || machine.faults.len() >= MIN_FAULTY_JOBS {
+            if machine.quarantined_since.is_none() {
+                tracing::info!(machine = %name, jobs = machine.faults.len(), "machine quarantined: tasks fail on it");
             }
-            m.quarantined_since.get_or_insert(now);
-            m.quarantined_until = now + timing::QUARANTINED;
+            machine.quarantined_since.get_or_insert(now);
+            machine.quarantined_until = now + timing::QUARANTINED;
         }
     }
 
-    /// The job fails wherever it is tried: its failures say nothing of a machine.
-    fn exonerate(&mut self, name: &MachineId, id: &JobId) {
-        let Some(m) = self.machines.get_mut(name) else { return };
-        if m.faults.remove(id).is_some() && m.faults.len() < 3 && m.quarantined_since.take().is_some() {
-            tracing::info!(machine = %name, job = %id, "machine no longer doubted: the job fails everywhere");
-            m.quarantined_until = Micros::ZERO;
+    /// Removes the failures of a job that fails everywhere from a machine's faults.
+    fn clear_fault(&mut self, name: &MachineId, id: &JobId) {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        let had_faults = machine.faults.remove(id).is_some() && machine.faults.len() < MIN_FAULTY_JOBS;
+        if had_faults && machine.quarantined_since.take().is_some() {
+            tracing::info!(machine = %name, job = %id, "machine no longer quarantined: the job fails everywhere");
+            machine.quarantined_until = Micros::ZERO;
             self.dirty = true;
         }
     }
--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -1,11 +1,16 @@
-//! Ways of a worker's report: here, to the leader, and to a new leader from memory.
+//! The path of a heartbeat: from the agent to any controller, from there to the leader, and the
+//! response back; and the last heartbeats that a new leader requests from all controllers.
+//!
+//! An agent is redirected to another controller if this one has far more agents or is cut off.
 
-use super::heartbeat_proxy::{answer_alone, Forwarded};
-use super::outbox::{starts_cancelled, Leave};
+use super::heartbeat_proxy::{
+    answer_without_leader, Forwarded, HeartbeatNumber, LeaseRenewer, ReceivedHeartbeat, SentRedirect,
+};
+use super::outbox::{starts_cancelled, SendContext};
 use super::parse_task;
-use super::push::DIRECT_TIMEOUT;
+use super::push::PUSH_TIMEOUT;
 use crate::coordination::election::Role;
-use crate::coordination::lease_renewal::{self};
+use crate::coordination::lease_renewal;
 use crate::coordination::state::EarlyHeartbeat;
 use crate::coordination::{timing, Controller, Effect, PushResult};
 use crate::protocol::agents::{AgentCommand, Heartbeat, HeartbeatResponse, PushedCommands, Redirect, TaskPhase};
@@ -14,51 +19,54 @@
 use crate::time::Micros;
 use glenhaven_connectivity::{Host, LinkState};
 
-/// Reports that wait until a new leader can answer them.
-const EARLY: usize = 4000;
-/// Reports in one message to a new leader, well under the limit of a frame.
-const RECALLED: usize = 30;
-/// A node takes this many workers more than a third beyond the one with the
-/// fewest before it sends new ones there.
-const UNEVEN: u32 = 16;
-/// Share of its workers that a node which hears no other one sends on in a second.
-const SENT_ON: f64 = 0.25;
+/// The most heartbeats that wait until a new leader can answer them.
+const MAX_EARLY_HEARTBEATS: usize = 4000;
+/// Heartbeats in one message to a new leader, well under the limit of a frame.
+const HEARTBEATS_PER_MESSAGE: usize = 30;
+/// A controller redirects new agents to the peer with the fewest if it has this many more than four
+/// thirds of those.
+const MIN_IMBALANCE: u32 = 16;
+/// The share of its agents that an isolated controller redirects in a second.
+const REDIRECTED_SHARE_PER_S: f64 = 0.25;
 
 impl Controller {
-    /// Whether messages reach this node and come back, directly or by way of another.
+    /// Whether messages to this node arrive and its messages arrive here, directly or relayed.
     fn reaches_node(&self, node: &str) -> bool {
         self.forwarder.reaches(node, self.context.now)
     }
 
-    /// A node with far fewer workers, for one that reports here for the first
-    /// time.
-    fn less_busy(&mut self, machine: &str) -> Option<String> {
+    /// A peer with far fewer agents, for an agent whose first heartbeat comes here.
+    fn less_loaded_peer(&mut self, machine: &str) -> Option<String> {
         let now = self.context.now;
-        let known = self.heartbeat_proxy.served.get(machine);
+        let known = self.heartbeat_proxy.last_heartbeats.get(machine);
         let lease = Micros::from_secs(self.cluster.settings.params.workers.lease_s);
-        if known.is_some_and(|(at, _)| now.since(*at) < lease) || self.heartbeat_proxy.came_back(machine, now) {
+        if known.is_some_and(|received| now.since(received.at) < lease)
+            || self.heartbeat_proxy.returned_from_redirect(machine, now)
+        {
             return None;
         }
-        self.heartbeat_proxy.unreached.retain(|_, until| now < *until);
-        let own = self.heartbeat_proxy.serves(now, self.election.role() == Role::Leader);
+        self.heartbeat_proxy.unreachable.retain(|_, until| now < *until);
+        let own = self
+            .heartbeat_proxy
+            .agent_count(now, self.election.role() == Role::Leader);
         let (node, least) = self
             .peers
             .iter()
             .filter(|(name, p)| {
-                p.fresh && self.reaches_node(name) && !self.heartbeat_proxy.unreached.contains_key(*name)
+                p.fresh && self.reaches_node(name) && !self.heartbeat_proxy.unreachable.contains_key(*name)
             })
-            // One that keeps ending has few workers every time that it is back.
+            // A process that keeps ending has few agents after each start.
             .filter(|(_, p)| now.since(p.since) > timing::SETTLED)
             .map(|(name, p)| (name.clone(), p.serves))
             .min_by_key(|(_, serves)| *serves)?;
-        (own > least + least / 3 + UNEVEN).then_some(node)
+        (own > least + least / 3 + MIN_IMBALANCE).then_some(node)
     }
 
-    /// Another node for a worker that this one can do little for: it exchanges nothing
-    /// with any other controller, not even in its own zone. Then its own links fail, not
-    /// those of the zone, and the worker most likely reaches its neighbours. They are sent on a few at a time: each is lost to this
-    /// node's answers, and spends some of its lease, if the guess is wrong.
-    fn better_placed(&mut self, machine: &str) -> Option<String> {
+    /// A peer in this zone for an agent, if this node is isolated: it exchanges messages with no
+    /// other controller, not even in its own zone. Then most likely its own links fail and the
+    /// agent reaches the peer. Agents are redirected a few at a time, because each loses some of
+    /// its lease if that is wrong.
+    fn better_connected_peer(&mut self, machine: &str) -> Option<String> {
         let now = self.context.now;
         let link_table = &self.forwarder.link_table;
         let alone = self
@@ -67,245 +75,266 @@
             .peers
             .iter()
             .all(|p| link_table.own(&Host::Node(p.node.clone()), now) < LinkState::Slow);
-        if !alone || now < self.heartbeat_proxy.next_sent_on {
+        if !alone || now < self.heartbeat_proxy.next_redirect_at {
             return None;
         }
-        if self.heartbeat_proxy.came_back(machine, now) {
+        if self.heartbeat_proxy.returned_from_redirect(machine, now) {
             return None;
         }
-        self.heartbeat_proxy.unreached.retain(|_, until| now < *until);
+        self.heartbeat_proxy.unreachable.retain(|_, until| now < *until);
         let near: Vec<&String> = self
             .cluster
             .settings
             .peers
             .iter()
-            .filter(|p| p.zone == self.cluster.settings.zone && !self.heartbeat_proxy.unreached.contains_key(&p.node))
+            .filter(|p| p.zone == self.cluster.settings.zone && !self.heartbeat_proxy.unreachable.contains_key(&p.node))
             .map(|p| &p.node)
             .collect();
         let node = (*near.get(self.context.rng.usize(0..near.len().max(1)))?).clone();
-        let rate = (self.heartbeat_proxy.served.len() as f64 * SENT_ON).max(1.0);
-        self.heartbeat_proxy.next_sent_on = now + Micros::from_secs(1.0 / rate);
+        let rate = (self.heartbeat_proxy.last_heartbeats.len() as f64 * REDIRECTED_SHARE_PER_S).max(1.0);
+        self.heartbeat_proxy.next_redirect_at = now + Micros::from_secs(1.0 / rate);
         Some(node)
     }
 
-    fn send_away(&mut self, id: u64, machine: &str, to: String) {
-        let now = self.context.now;
-        self.heartbeat_proxy
-            .sent_away
-            .insert(machine.to_string(), (now, to.clone()));
-        self.heartbeat_proxy.served.remove(machine);
+    /// Answers a heartbeat by a redirect to another controller.
+    fn redirect(&mut self, id: u64, machine: &str, to: String) {
+        let redirect = SentRedirect {
+            at: self.context.now,
+            to: to.clone(),
+        };
+        self.heartbeat_proxy.redirects.insert(machine.to_string(), redirect);
+        self.heartbeat_proxy.last_heartbeats.remove(machine);
         let body = to_cbor(&Redirect { report_to: Some(to) });
         self.context.reply(id, 421, body, None);
     }
 
-    /// A worker reports to this node. Every node takes reports, so that none
-    /// needs a connection to every worker; they are passed on to the leader.
-    pub(in crate::coordination) fn on_report(&mut self, id: u64, heartbeat: Heartbeat) {
+    /// Receives a heartbeat of an agent. Every controller receives them, so that none needs a
+    /// connection to each agent, and forwards them to the leader.
+    pub(in crate::coordination) fn on_heartbeat(&mut self, id: u64, heartbeat: Heartbeat) {
         let now = self.context.now;
-        if let Some((_, last)) = self.heartbeat_proxy.served.get(&heartbeat.machine) {
-            if (last.incarnation, last.sequence) >= (heartbeat.incarnation, heartbeat.sequence) {
+        if let Some(received) = self.heartbeat_proxy.last_heartbeats.get(&heartbeat.machine) {
+            let last = &received.heartbeat;
+            if HeartbeatNumber::of(last) >= HeartbeatNumber::of(&heartbeat) {
                 if heartbeat.incarnation < last.incarnation {
                     tracing::warn!(
                         machine = heartbeat.machine,
                         incarnation = heartbeat.incarnation,
                         last = last.incarnation,
-                        "a report of an earlier session"
+                        "a heartbeat of an earlier incarnation"
                     );
                 }
-                // A copy of a report that was taken in: nobody waits for the answer, and it must
-                // move neither the worker nor what is known of it.
+                // A copy of a heartbeat that was received before: nobody waits for the response, and
+                // the agent must neither be redirected nor its state be replaced.
                 return self.context.reply(id, 503, vec![], Some(1));
             }
         }
-        if let Some(node) = self.less_busy(&heartbeat.machine) {
-            return self.send_away(id, &heartbeat.machine, node);
+        if let Some(node) = self.less_loaded_peer(&heartbeat.machine) {
+            return self.redirect(id, &heartbeat.machine, node);
         }
         self.heartbeat_proxy
-            .served
-            .insert(heartbeat.machine.clone(), (now, heartbeat.clone()));
-        self.answer_report(id, heartbeat);
+            .last_heartbeats
+            .insert(heartbeat.machine.clone(), ReceivedHeartbeat::new(now, &heartbeat));
+        self.answer_heartbeat(id, heartbeat);
     }
 
-    /// Answers a worker's report, now or when the leader has.
-    pub(in crate::coordination) fn answer_report(&mut self, id: u64, heartbeat: Heartbeat) {
-        let now = self.context.now;
+    /// Answers an agent's heartbeat: as the leader, with the leader's response once it has come, or
+    /// as a proxy.
+    pub(in crate::coordination) fn answer_heartbeat(&mut self, id: u64, heartbeat: Heartbeat) {
         if self.election.role() == Role::Leader {
-            if !self.attestations.may_renew(&self.election, &self.cluster, now) || self.is_foreign(&heartbeat) {
-                return self.context.reply(id, 503, vec![], Some(1));
-            }
-            // A leader that can't know any more whether it leads, and hears nobody, would
-            // hold workers that another one takes for dead.
-            if !self.election.holds_lease(now) && !self.forwarder.hears_state(now) {
-                if let Some(node) = self.better_placed(&heartbeat.machine) {
-                    return self.send_away(id, &heartbeat.machine, node);
-                }
-            }
-            let Some(leader) = self.leader.as_mut() else {
-                return self.context.reply(id, 503, vec![], Some(1));
-            };
-            if !leader.is_loaded() || self.election.is_lease_unverified() {
-                // Answered as soon as the book is read, or the lease confirmed,
-                // which takes moments.
-                if leader.early_heartbeats.len() < EARLY {
-                    leader
-                        .early_heartbeats
-                        .push((EarlyHeartbeat::Worker(id), heartbeat, now));
-                } else {
-                    self.context.reply(id, 503, vec![], Some(1));
-                }
-                return;
-            }
-            let body = to_cbor(&self.leaders_answer(&heartbeat, None));
-            return self.context.reply(id, 200, body, None);
+            return self.answer_as_leader(id, heartbeat);
         }
-        for t in &heartbeat.tasks {
-            if let Some((job, _)) = parse_task(&t.task) {
-                if t.phase != TaskPhase::Exited && self.api.phase(job).is_none() {
-                    self.api.read_job(&mut self.context, job);
-                }
+        self.read_unknown_jobs(&heartbeat);
+        let known = self.election.leader().map(str::to_string);
+        match self.later_leader().or(known) {
+            Some(leader) if self.reaches_node(&leader) => self.forward_heartbeat(id, leader, heartbeat),
+            Some(leader) => self.answer_cut_off(id, leader, &heartbeat),
+            // Nobody leads at present; a new leader will soon.
+            None => self.answer_as_proxy(id, &heartbeat),
+        }
+    }
+
+    /// Answers a heartbeat as the leader, or queues it until the leader is able to.
+    fn answer_as_leader(&mut self, id: u64, heartbeat: Heartbeat) {
+        let now = self.context.now;
+        if !self.attestations.may_renew(&self.election, &self.cluster, now) || self.has_unknown_token(&heartbeat) {
+            return self.context.reply(id, 503, vec![], Some(1));
+        }
+        // A leader whose lease may have ended and that is isolated would hold agents that a new
+        // leader takes to be lost.
+        if !self.election.holds_lease(now) && !self.forwarder.hears_state(now) {
+            if let Some(node) = self.better_connected_peer(&heartbeat.machine) {
+                return self.redirect(id, &heartbeat.machine, node);
             }
         }
-        let known = self.election.leader().map(str::to_string);
-        let Some(leader) = self.later_leader().or(known) else {
-            // Nobody leads just now; a new leader is moments away.
-            return self.keep(id, &heartbeat);
+        let Some(leader) = self.leader.as_mut() else {
+            return self.context.reply(id, 503, vec![], Some(1));
         };
-        if !self.reaches_node(&leader) {
-            // Connections to the leader are refused, but its host is there: the
-            // worker may get through where this node does not. Where nothing
-            // comes back, it would most likely wait in vain while its lease
-            // runs out.
-            let refused = self.links.get(&leader) == Some(&Link::Refused);
-            // A leader that had the state service by way of others only, and is not
-            // heard by now, most likely leads no more.
-            let lost = self.forwarder.link_table.last_told(&leader, &Host::State) == LinkState::Down;
-            if refused && !lost && !self.heartbeat_proxy.came_back(&heartbeat.machine, now) {
-                return self.send_away(id, &heartbeat.machine, leader);
+        if !leader.is_loaded() || self.election.is_lease_unverified() {
+            // Answered as soon as the write-ahead log is read or the lease is confirmed.
+            if leader.early_heartbeats.len() < MAX_EARLY_HEARTBEATS {
+                leader
+                    .early_heartbeats
+                    .push((EarlyHeartbeat::Worker(id), heartbeat, now));
+            } else {
+                self.context.reply(id, 503, vec![], Some(1));
             }
-            if let Some(node) = self.better_placed(&heartbeat.machine) {
-                return self.send_away(id, &heartbeat.machine, node);
+            return;
+        }
+        let body = to_cbor(&self.leader_response(&heartbeat, None));
+        self.context.reply(id, 200, body, None);
+    }
+
+    /// Reads the jobs of the heartbeat's tasks that are not known here: without them this node
+    /// can't answer the next heartbeat as a proxy.
+    fn read_unknown_jobs(&mut self, heartbeat: &Heartbeat) {
+        for status in &heartbeat.tasks {
+            if let Some((job, _)) = parse_task(&status.task) {
+                if status.phase != TaskPhase::Exited && self.api.phase(job).is_none() {
+                    self.api.read_job(&mut self.context, job);
+                }
             }
-            return self.keep(id, &heartbeat);
         }
+    }
+
+    /// Forwards a heartbeat to the leader.
+    fn forward_heartbeat(&mut self, id: u64, leader: String, heartbeat: Heartbeat) {
         let number = self.context.id();
         let message = PeerMessage::Heartbeat {
             node: self.cluster.settings.node.clone(),
             id: number,
             heartbeat: heartbeat.clone(),
         };
-        let passed = Forwarded {
+        let forwarded = Forwarded {
             reply: id,
             heartbeat,
-            at: now,
+            at: self.context.now,
         };
-        self.heartbeat_proxy.forwarded.insert(number, passed);
+        self.heartbeat_proxy.forwarded.insert(number, forwarded);
         self.context.out.push(Effect::Peer { to: leader, message });
     }
 
-    /// Answers a report alone, and remembers the machine as kept here.
-    fn keep(&mut self, id: u64, heartbeat: &Heartbeat) {
-        let (election, attestations, api) = (&self.election, &self.attestations, &self.api);
-        if answer_alone(
-            &mut self.context,
-            election,
-            attestations,
-            api,
-            &self.cluster,
-            id,
-            heartbeat,
-        ) {
-            self.heartbeat_proxy
-                .kept
-                .insert(heartbeat.machine.clone(), self.context.now);
+    /// Answers a heartbeat on a node that can't reach the leader: by a redirect to the leader or to
+    /// a better connected peer, or else as a proxy.
+    fn answer_cut_off(&mut self, id: u64, leader: String, heartbeat: &Heartbeat) {
+        let now = self.context.now;
+        // If connections to the leader are refused, its host is reachable, and the agent may get
+        // through where this node does not. If packets are lost, the agent would most likely wait
+        // in vain while its lease runs out.
+        let refused = self.links.get(&leader) == Some(&Link::Refused);
+        // A leader that last reached the state service only through peers, and can't be reached
+        // now, most likely leads no more.
+        let lost = self.forwarder.link_table.last_told(&leader, &Host::State) == LinkState::Down;
+        if refused && !lost && !self.heartbeat_proxy.returned_from_redirect(&heartbeat.machine, now) {
+            return self.redirect(id, &heartbeat.machine, leader);
+        }
+        if let Some(node) = self.better_connected_peer(&heartbeat.machine) {
+            return self.redirect(id, &heartbeat.machine, node);
+        }
+        self.answer_as_proxy(id, heartbeat);
+    }
+
+    /// Answers a heartbeat without the leader, and remembers that the machine is proxied here.
+    fn answer_as_proxy(&mut self, id: u64, heartbeat: &Heartbeat) {
+        let renewer = LeaseRenewer {
+            election: &self.election,
+            attestations: &self.attestations,
+            api: &self.api,
+            cluster: &self.cluster,
+        };
+        if answer_without_leader(&mut self.context, &renewer, id, heartbeat) {
+            let now = self.context.now;
+            self.heartbeat_proxy.proxied.insert(heartbeat.machine.clone(), now);
         }
     }
 
-    /// Another node passes on a report.
-    pub(in crate::coordination) fn on_passed(&mut self, node: String, id: u64, heartbeat: Heartbeat) {
+    /// Receives a heartbeat that another controller forwards.
+    pub(in crate::coordination) fn on_forwarded_heartbeat(&mut self, node: String, id: u64, heartbeat: Heartbeat) {
         let now = self.context.now;
         match self.leader.as_mut() {
             Some(leader) if !leader.is_loaded() || self.election.is_lease_unverified() => {
-                if leader.early_heartbeats.len() < EARLY {
+                if leader.early_heartbeats.len() < MAX_EARLY_HEARTBEATS {
                     leader
                         .early_heartbeats
                         .push((EarlyHeartbeat::Peer(node, id), heartbeat, now));
                 }
             }
-            Some(_) => self.answer_forward(node, id, heartbeat),
-            // No answer: the other node decides alone.
+            Some(_) => self.answer_forwarded_heartbeat(node, id, heartbeat),
+            // Without a response the other controller answers it as a proxy.
             None => {}
         }
     }
 
-    /// Answers the reports that came before this leader could.
-    pub(in crate::coordination) fn take_early_reports(&mut self) {
+    /// Answers the heartbeats that came before this leader was able to.
+    pub(in crate::coordination) fn answer_early_heartbeats(&mut self) {
         let Some(leader) = self.leader.as_mut().filter(|l| l.is_loaded()) else {
             return;
         };
         for (from, heartbeat, at) in std::mem::take(&mut leader.early_heartbeats) {
             match from {
-                EarlyHeartbeat::Worker(id) => self.answer_report(id, heartbeat),
-                EarlyHeartbeat::Peer(node, id) => self.answer_forward(node, id, heartbeat),
-                EarlyHeartbeat::FromMemory(node) => self.take_recalled(&node, &heartbeat, at),
+                EarlyHeartbeat::Worker(id) => self.answer_heartbeat(id, heartbeat),
+                EarlyHeartbeat::Peer(node, id) => self.answer_forwarded_heartbeat(node, id, heartbeat),
+                EarlyHeartbeat::FromMemory(node) => self.take_last_heartbeat(&node, &heartbeat, at),
             }
         }
     }
 
-    /// Whether a report has a token that this leader never gave out: a later leader did, or nobody.
-    fn is_foreign(&self, heartbeat: &Heartbeat) -> bool {
+    /// Whether a heartbeat has a fencing token later than this leader's term, which this leader never
+    /// gave out.
+    fn has_unknown_token(&self, heartbeat: &Heartbeat) -> bool {
         let (fencing_token, term) = (heartbeat.fencing_token, self.election.term());
         if fencing_token > term {
             tracing::warn!(
                 machine = heartbeat.machine,
                 fencing_token,
                 term,
-                "a report has a token that was never given out here"
+                "a heartbeat has a fencing token that was never given out here"
             );
         }
         fencing_token > term
     }
 
-    fn answer_forward(&mut self, node: String, id: u64, heartbeat: Heartbeat) {
+    /// Answers a forwarded heartbeat as the leader, if the lease may be renewed.
+    fn answer_forwarded_heartbeat(&mut self, node: String, id: u64, heartbeat: Heartbeat) {
         let now = self.context.now;
         let current = self.attestations.may_renew(&self.election, &self.cluster, now);
-        if self.election.role() != Role::Leader || !current || self.is_foreign(&heartbeat) {
+        if self.election.role() != Role::Leader || !current || self.has_unknown_token(&heartbeat) {
             return;
         }
-        let commands = self.leaders_answer(&heartbeat, Some(&node));
+        let commands = self.leader_response(&heartbeat, Some(&node));
         let message = PeerMessage::HeartbeatResponse { id, commands };
         self.context.out.push(Effect::Peer { to: node, message });
     }
 
-    /// What the leader answers to a report, here or by way of another node.
-    fn leaders_answer(&mut self, heartbeat: &Heartbeat, via: Option<&str>) -> HeartbeatResponse {
+    /// The leader's response to a heartbeat, which came here or through the controller `via`.
+    fn leader_response(&mut self, heartbeat: &Heartbeat, via: Option<&str>) -> HeartbeatResponse {
         let now = self.context.now;
         let Some(leader) = self.leader.as_mut() else {
-            return lease_renewal::dropped();
+            return lease_renewal::non_renewing_response();
         };
-        let due = leader.take_heartbeat(&self.cluster, heartbeat, via, now, now);
-        if leader.must_lapse(&self.cluster, heartbeat, now) {
+        let due = leader.apply_heartbeat(&self.cluster, heartbeat, via, now, now);
+        if leader.must_let_lease_lapse(&self.cluster, heartbeat, now) {
             tracing::warn!(
                 machine = heartbeat.machine,
-                "not answered: a cancelled job's start may be on its way there"
+                "lease not renewed: a start of a cancelled job may be in flight to the machine"
             );
-            return lease_renewal::dropped();
+            return lease_renewal::non_renewing_response();
         }
         let name = heartbeat.machine.as_str().into();
-        let leave = Leave {
+        let context = SendContext {
             fencing_token: self.election.term(),
             api: &self.api,
             now,
         };
-        let commands = leader.commands_in_answer(&name, due, &leave);
+        let commands = leader.commands_in_response(&name, due, &context);
         let answer = self
             .attestations
             .renewal(&self.election, &self.api, &self.cluster, heartbeat, commands, now);
-        answer.unwrap_or_else(lease_renewal::dropped)
+        answer.unwrap_or_else(lease_renewal::non_renewing_response)
     }
 
-    /// A new leader asks the others, once, what workers reported last: it would
-    /// hear of its machines only over a whole report period otherwise.
-    pub(in crate::coordination) fn ask_recall(&mut self) {
+    /// Requests the last heartbeats from all other controllers, once for each leadership: otherwise
+    /// a new leader would learn the state of its machines only over a whole heartbeat period.
+    pub(in crate::coordination) fn request_last_heartbeats(&mut self) {
         let Some(leader) = self
             .leader
             .as_mut()
@@ -322,25 +351,30 @@
                 message,
             });
         }
-        for (at, heartbeat) in self.heartbeat_proxy.served.values() {
+        for received in self.heartbeat_proxy.last_heartbeats.values() {
             let from = EarlyHeartbeat::FromMemory(node.clone());
-            leader.early_heartbeats.push((from, heartbeat.clone(), *at));
+            let heartbeat = received.heartbeat.clone();
+            leader.early_heartbeats.push((from, heartbeat, received.at));
         }
     }
 
-    /// Tells a new leader what workers reported here last.
-    pub(in crate::coordination) fn recall(&mut self, to: String) {
+    /// Sends a new leader the last heartbeats that came here, with their ages.
+    pub(in crate::coordination) fn send_last_heartbeats(&mut self, to: String) {
         let now = self.context.now;
         let lease = Micros::from_secs(self.cluster.settings.params.workers.lease_s);
-        let recent = |at: &Micros| now.since(*at) < lease;
+        let is_recent = |received: &&ReceivedHeartbeat| now.since(received.at) < lease;
+        let with_age = |received: &ReceivedHeartbeat| {
+            let age_ms = now.since(received.at).0 / 1000;
+            (age_ms as u32, received.heartbeat.clone())
+        };
         let heartbeats: Vec<(u32, Heartbeat)> = self
             .heartbeat_proxy
-            .served
+            .last_heartbeats
             .values()
-            .filter(|(at, _)| recent(at))
-            .map(|(at, heartbeat)| ((now.since(*at).0 / 1000) as u32, heartbeat.clone()))
+            .filter(is_recent)
+            .map(with_age)
             .collect();
-        for some in heartbeats.chunks(RECALLED) {
+        for some in heartbeats.chunks(HEARTBEATS_PER_MESSAGE) {
             let message = PeerMessage::LastHeartbeats {
                 node: self.cluster.settings.node.clone(),
                 heartbeats: some.to_vec(),
@@ -352,38 +386,37 @@
         }
     }
 
-    /// What workers reported last to another node.
-    pub(in crate::coordination) fn on_recalled(&mut self, node: &str, heartbeats: Vec<(u32, Heartbeat)>) {
+    /// Takes the last heartbeats that came to another controller.
+    pub(in crate::coordination) fn on_last_heartbeats(&mut self, node: &str, heartbeats: Vec<(u32, Heartbeat)>) {
         let now = self.context.now;
         for (age_ms, heartbeat) in heartbeats {
             let at = Micros(now.0.saturating_sub(u64::from(age_ms) * 1000));
             match self.leader.as_mut() {
                 Some(leader) if !leader.is_loaded() => {
-                    if leader.early_heartbeats.len() < EARLY {
+                    if leader.early_heartbeats.len() < MAX_EARLY_HEARTBEATS {
                         let from = EarlyHeartbeat::FromMemory(node.to_string());
                         leader.early_heartbeats.push((from, heartbeat, at));
                     }
                 }
-                Some(_) => self.take_recalled(node, &heartbeat, at),
+                Some(_) => self.take_last_heartbeat(node, &heartbeat, at),
                 None => {}
             }
         }
     }
 
-    /// A report that was answered before: what it says is as good as of any late
-    /// report, but nobody waits for orders.
-    fn take_recalled(&mut self, node: &str, heartbeat: &Heartbeat, at: Micros) {
+    /// Applies a heartbeat that was answered before: it is as valid as any late one, but no agent
+    /// waits for a response.
+    fn take_last_heartbeat(&mut self, node: &str, heartbeat: &Heartbeat, at: Micros) {
         let now = self.context.now;
         let via = (node != self.cluster.settings.node).then_some(node);
         if let Some(leader) = self.leader.as_mut() {
-            leader.take_heartbeat(&self.cluster, heartbeat, via, at, now);
+            leader.apply_heartbeat(&self.cluster, heartbeat, via, at, now);
         }
     }
 
-    /// Sends commands to a worker for the leader.
-    pub(in crate::coordination) fn relay(&mut self, node: String, id: u64, addr: String, body: PushedCommands) {
-        // From a leader that was deposed meanwhile, or held up on the way until its job was
-        // cancelled.
+    /// Sends commands to an agent for the leader, unless they are outdated.
+    pub(in crate::coordination) fn relay_push(&mut self, node: String, id: u64, addr: String, body: PushedCommands) {
+        // The leader may have been replaced meanwhile, or the job of a start been cancelled.
         let cancelled = |command: &AgentCommand| starts_cancelled(&self.api, command);
         if body.fencing_token < self.election.term() || body.commands.iter().any(cancelled) {
             let answer = PushResult::NotSent;
@@ -397,7 +430,7 @@
             id: own,
             addr,
             body,
-            timeout: DIRECT_TIMEOUT,
+            timeout: PUSH_TIMEOUT,
         });
     }
 }
--- a/src/coordination/agents/machines.rs
+++ b/src/coordination/agents/machines.rs
@@ -1,7 +1,8 @@
-//! What the leader looks after between reports: machines that are not heard.
+//! Periodic checks of the leader that no heartbeat triggers: machines without heartbeats, pushes
+//! without answers, zones, stragglers and accounting.
 
-use super::heartbeat_proxy::PUBLISH;
-use super::push::{SentPush, RELAY_LIMIT};
+use super::heartbeat_proxy::PUBLISH_INTERVAL;
+use super::push::{SentPush, RELAY_TIMEOUT};
 use crate::coordination::log::LogContinuation;
 use crate::coordination::state::{LeaderState, Machine};
 use crate::coordination::store_queue::Urgency;
@@ -10,51 +11,71 @@
 use crate::storage::keys;
 use crate::time::Micros;
 
+/// Pause between two rounds of checks.
+const CHECK_INTERVAL: Micros = Micros::from_millis(500);
+/// Pause between two searches for stragglers.
+const STRAGGLER_INTERVAL: Micros = Micros::from_millis(1000);
+/// How long the answer to the read of the lists of proxied machines is awaited.
+const PROXIED_READ_TIMEOUT: Micros = Micros::from_millis(700);
+
 impl LeaderState {
-    /// Looks after machines between reports.
+    /// Runs the checks that are due. `sure`: whether this node's lease can't have ended, so that it
+    /// may release machines.
     pub fn run_machine_checks(&mut self, context: &mut Context, cluster: &ClusterConfig, sure: bool) {
         let now = context.now;
-        self.take_direct_reports(cluster, now);
+        self.take_push_heartbeats(cluster, now);
         if now < self.agents.next_check {
             return;
         }
-        // What another node was asked to send and did not answer for.
-        let late = |d: &SentPush| d.relayed && now.since(d.at) > RELAY_LIMIT;
-        let late: Vec<u64> = self
-            .agents
-            .pushes_in_flight
-            .iter()
-            .filter(|(_, d)| late(d))
-            .map(|(id, _)| *id)
-            .collect();
-        for id in late {
-            self.on_direct(id, PushResult::Unknown);
-        }
-        self.agents.next_check = now + Micros::from_millis(500);
+        self.expire_relayed_pushes(now);
+        self.agents.next_check = now + CHECK_INTERVAL;
         self.probe_asymmetric_partitions(context, now);
-        self.check_unsettled(now);
-        let quiet = Self::work_silence(cluster);
+        self.update_unsettled_machines(now);
         self.check_zones(cluster, now);
         self.log_replicas(cluster, now);
         self.update_slo_accounting(cluster, now);
-        let unheard = |m: &Machine| m.incarnation > 0 && now.since(m.last_heartbeat) > quiet;
-        if (self.failures.zones.any() || self.machines.values().any(unheard)) && now >= self.agents.next_proxied_read {
-            self.agents.next_proxied_read = now + PUBLISH;
-            let request = StoreRequest::List {
-                prefix: keys::PROXIED_MACHINES.into(),
-                after: String::new(),
-            };
-            let continuation = Continuation::Log(self.incarnation, LogContinuation::ProxiedMachines);
-            context
-                .store
-                .push(Urgency::Start, request, continuation, Micros::from_millis(700));
-        }
+        self.read_proxied_machines(context, cluster);
         if sure {
             self.release_failed_machines(cluster, now);
         }
         if now >= self.failures.next_straggler_check {
-            self.failures.next_straggler_check = now + Micros::from_millis(1000);
+            self.failures.next_straggler_check = now + STRAGGLER_INTERVAL;
             self.detect_stragglers(cluster, now);
         }
     }
+
+    /// Gives up pushes that another controller was to relay and has not answered.
+    fn expire_relayed_pushes(&mut self, now: Micros) {
+        let is_late = |push: &SentPush| push.relayed && now.since(push.sent_at) > RELAY_TIMEOUT;
+        let late: Vec<u64> = self
+            .agents
+            .pushes_in_flight
+            .iter()
+            .filter(|(_, push)| is_late(push))
+            .map(|(id, _)| *id)
+            .collect();
+        for id in late {
+            self.on_push_result(id, PushResult::Unknown);
+        }
+    }
+
+    /// Reads which machines other controllers proxy, while some machine or zone is silent here.
+    fn read_proxied_machines(&mut self, context: &mut Context, cluster: &ClusterConfig) {
+        let now = context.now;
+        let max_silence = Self::work_silence(cluster);
+        let is_silent = |m: &Machine| m.incarnation > 0 && now.since(m.last_heartbeat) > max_silence;
+        let wanted = self.failures.zones.any() || self.machines.values().any(is_silent);
+        if !wanted || now < self.agents.next_proxied_read {
+            return;
+        }
+        self.agents.next_proxied_read = now + PUBLISH_INTERVAL;
+        let request = StoreRequest::List {
+            prefix: keys::PROXIED_MACHINES.into(),
+            after: String::new(),
+        };
+        let continuation = Continuation::Log(self.incarnation, LogContinuation::ProxiedMachines);
+        context
+            .store
+            .push(Urgency::Start, request, continuation, PROXIED_READ_TIMEOUT);
+    }
 }
--- a/src/coordination/agents/mod.rs
+++ b/src/coordination/agents/mod.rs
@@ -1,5 +1,17 @@
-//! Workers: their reports, the commands they get, and what a controller that does not lead
-//! does for a worker that cannot reach the leader.
+//! Agents on the machines: their heartbeats, the commands that they get, and how a controller that
+//! does not lead answers an agent that can't reach the leader.
+//!
+//! Every controller receives heartbeats; the leader decides what an agent is commanded.
+//!
+//! - `heartbeats`: the path of a heartbeat to the leader and of the response back;
+//! - `heartbeat_proxy`: heartbeats that are answered without the leader;
+//! - `heartbeat_status`: what a heartbeat says of the leader's records;
+//! - `outbox`: the reasons to command a machine, and the commands that follow from them;
+//! - `push`: commands that are sent outside of responses to heartbeats;
+//! - `machines`: periodic checks of machines without heartbeats.
+//!
+//! Invariant: a start is sent only for a recorded placement, which notes the highest fencing token
+//! under which any start of it was sent.
 
 mod heartbeat_proxy;
 mod heartbeat_status;
@@ -11,8 +23,8 @@
 use super::state::MachineId;
 use crate::protocol::agents::Heartbeat;
 use crate::time::Micros;
-pub use heartbeat_proxy::HeartbeatProxy;
-pub use outbox::{Attempt, Due, Leave, Outbox, TaskRef};
+pub use heartbeat_proxy::{HeartbeatProxy, LeaseRenewer};
+pub use outbox::{Attempt, CommandReasons, Outbox, SendContext, TaskRef};
 pub use push::SentPush;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -26,12 +38,12 @@
     push_heartbeats: Vec<Heartbeat>,
     next_check: Micros,
     next_proxied_read: Micros,
-    /// Versions of what other controllers say of the machines that they proxy, as last read.
+    /// Versions of the lists of machines that other controllers proxy, as last read.
     pub(super) proxied_versions: BTreeMap<String, u64>,
 }
 
 impl AgentChannels {
-    /// Nothing sent, nothing to send.
+    /// A leader that has sent nothing yet.
     pub fn new(now: Micros) -> AgentChannels {
         AgentChannels {
             outboxes: BTreeSet::new(),
@@ -44,8 +56,8 @@
     }
 }
 
-/// Splits a task's name into its job and number. The number has one way to be written: another
-/// one would name the same task twice.
+/// Splits a task's name into its job and number; `None` if it is malformed. A number with leading
+/// zeros or a sign is malformed: it would be a second name of the same task.
 pub fn parse_task(task: &str) -> Option<(&str, u32)> {
     let (job, digits) = task.rsplit_once('/')?;
     let plain = digits.bytes().all(|b| b.is_ascii_digit()) && (digits == "0" || !digits.starts_with('0'));
--- a/src/coordination/agents/outbox.rs
+++ b/src/coordination/agents/outbox.rs
@@ -1,19 +1,20 @@
-//! The outbox of each machine: why it is to be sent commands, and the commands themselves.
+//! The outbox of each machine: the reasons to command its agent, and the commands that follow.
 //!
-//! A command never waits in a queue. What waits is its reason: the record of a task that is to
-//! start or to stop, or an attempt that has ended and may be forgotten. Commands are built from
-//! the records as they stand at the instant at which a message leaves, directly or as the answer
-//! to a report, and a start notes in its record at that instant the fencing token under which it
-//! leaves. If the reason is gone by then (the record was freed, the task stopped, its job is over,
-//! the machine began a new session or is being released), there is no command. So a record's
-//! `fencing_token` is at all times the highest token under which any start of it has left, and a report
-//! with a higher one that doesn't list the task proves that no start of it will ever be executed.
+//! Commands are not queued. What is queued is the reason: the record of a task that is to start or
+//! to stop, or an attempt that has ended and may be forgotten. Commands are built from the present
+//! records when a message is sent, as a push or as the response to a heartbeat. If the reason no
+//! longer holds then (the record was freed, the task was stopped, its job has ended, the agent has a
+//! new incarnation, or the machine is being released), there is no command.
+//!
+//! Invariant: a record's `fencing_token` is the highest token under which any start of it was sent,
+//! because it is noted when the start is built. So a heartbeat with a higher token that does not
+//! list the task proves that no start of it can be executed any more.
 
 use super::parse_task;
 use super::push::SentPush;
 use crate::coordination::api::JobApi;
 use crate::coordination::decision_log::Decided;
-use crate::coordination::lease_renewal::ORDERS;
+use crate::coordination::lease_renewal::MAX_COMMANDS;
 use crate::coordination::state::void_proof::VoidProof;
 use crate::coordination::state::{LeaderState, Machine, MachineId, MachineState, PlacementPhase};
 use crate::coordination::JobId;
@@ -22,50 +23,55 @@
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The instant at which a message leaves.
-pub struct Leave<'a> {
-    /// The token under which it leaves.
+/// What commands are built with when a message is sent.
+pub struct SendContext<'a> {
+    /// The fencing token of the message.
     pub fencing_token: u64,
-    /// What this controller has confirmed to users, which may be more than the records say yet.
+    /// The job API, which may know of cancellations that the records don't show yet.
     pub api: &'a JobApi,
+    /// The present time.
     pub now: Micros,
 }
 
 /// A task of an open job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskRef {
+    /// The job.
     pub job: JobId,
+    /// The number of the task in its job.
     pub task: u32,
 }
 
-/// One attempt at a task, as reports and commands name it.
+/// One attempt at a task, as heartbeats and commands name it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Attempt {
+    /// The name of the task, `{job}/{number}`.
     pub task: String,
+    /// The number of the attempt.
     pub number: u64,
 }
 
-/// Reasons to command a machine. None of them is a command yet.
+/// Reasons to command an agent. Whether a command follows is decided when a message is sent.
 #[derive(Clone, Debug, Default)]
-pub struct Due {
+pub struct CommandReasons {
     /// Tasks that were asked to stop.
     pub stops: BTreeSet<TaskRef>,
-    /// Attempts that a report lists and no record explains.
+    /// Attempts that a heartbeat lists without a record, which are to be stopped.
     pub orphaned_attempts: BTreeSet<Attempt>,
     /// Tasks whose start is recorded and may have to be sent.
     pub starts: BTreeSet<TaskRef>,
-    /// Attempts that have ended.
+    /// Attempts that have ended, which the agent may forget.
     pub forgets: BTreeSet<Attempt>,
-    /// Its report in answer to the present token is wanted, even if there is no command: it proves
-    /// which records of earlier leaders are void.
-    pub asks_for_report: bool,
+    /// Whether a heartbeat under the present fencing token is wanted even if there is no command: it
+    /// proves which records of earlier leaders are void.
+    pub wants_heartbeat: bool,
 }
 
-impl Due {
-    /// Whether nothing is due.
+impl CommandReasons {
+    /// Whether there is no reason at all.
     pub fn is_empty(&self) -> bool {
         let no_commands = self.stops.is_empty() && self.orphaned_attempts.is_empty();
-        no_commands && self.starts.is_empty() && self.forgets.is_empty() && !self.asks_for_report
+        no_commands && self.starts.is_empty() && self.forgets.is_empty() && !self.wants_heartbeat
     }
 }
 
@@ -82,39 +88,40 @@
     }
 }
 
-/// What one machine is to be sent, and which starts may be on their way to it.
+/// The reasons to command one machine's agent, and the starts that may be in flight to it.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    /// Reasons for the next direct message.
-    pub due: Due,
-    /// The direct message that has not been answered yet.
+    /// Reasons for the next push.
+    pub reasons: CommandReasons,
+    /// The push that has not been answered yet.
     pub in_flight: Option<u64>,
-    /// Starts whose direct message was not answered, and the token under which they left.
+    /// Starts whose push was not answered, and the fencing token of the push.
     unanswered: BTreeMap<Attempt, u64>,
-    /// Starts given in the answer to the last report: the answer may be on its way until the
-    /// next report, which is sent when it has come or was given up.
-    in_answer: BTreeSet<Attempt>,
+    /// Starts in the response to the last heartbeat: the response may be in flight until the next
+    /// heartbeat, which the agent sends when it has arrived or was given up.
+    in_response: BTreeSet<Attempt>,
 }
 
 impl Outbox {
-    /// The worker has killed and forgotten everything: commands for its last session are refused.
-    pub fn session_ended(&mut self) {
-        self.due = Due::default();
+    /// Handles a new incarnation of the agent, which has no tasks and refuses commands for an earlier
+    /// one.
+    pub fn on_new_incarnation(&mut self) {
+        self.reasons = CommandReasons::default();
         self.unanswered.clear();
     }
 
-    /// The worker refuses every message with a lower token than this one.
-    pub fn refuses_below(&mut self, fencing_token: u64) {
+    /// Handles that the agent refuses every message with a lower fencing token than this one.
+    pub fn drop_starts_below(&mut self, fencing_token: u64) {
         self.unanswered.retain(|_, sent_under| *sent_under >= fencing_token);
     }
 
-    /// The worker's next report: the answer to the last one has come, or never will.
-    pub fn answer_arrived(&mut self) {
-        self.in_answer.clear();
+    /// Handles the agent's next heartbeat: the response to the last one has arrived or never will.
+    pub fn on_next_heartbeat(&mut self) {
+        self.in_response.clear();
     }
 
-    /// A direct message was not answered: it may be executed at any time.
-    pub fn doubt(&mut self, commands: &[AgentCommand], fencing_token: u64) {
+    /// Notes the starts of a push that was not answered: they may be executed at any time.
+    pub fn mark_unanswered(&mut self, commands: &[AgentCommand], fencing_token: u64) {
         for command in commands {
             if let AgentCommand::Start { task, attempt } = command {
                 let attempt = Attempt {
@@ -127,48 +134,49 @@
     }
 
     /// Whether a start of this attempt was sent and may not have arrived yet.
-    fn may_still_start(&self, attempt: &Attempt, pushes_in_flight: &BTreeMap<u64, SentPush>) -> bool {
-        let starts = |command: &AgentCommand| match command {
+    fn start_may_arrive(&self, attempt: &Attempt, pushes_in_flight: &BTreeMap<u64, SentPush>) -> bool {
+        let starts_it = |command: &AgentCommand| match command {
             AgentCommand::Start { task, attempt: number } => *task == attempt.task && *number == attempt.number,
             _ => false,
         };
-        let message = self.in_flight.and_then(|id| pushes_in_flight.get(&id));
-        let in_flight = message.is_some_and(|m| m.commands.iter().any(starts));
-        in_flight || self.unanswered.contains_key(attempt) || self.in_answer.contains(attempt)
+        let push = self.in_flight.and_then(|id| pushes_in_flight.get(&id));
+        let in_flight = push.is_some_and(|push| push.commands.iter().any(starts_it));
+        in_flight || self.unanswered.contains_key(attempt) || self.in_response.contains(attempt)
     }
 }
 
 impl Machine {
-    /// Whether it is to be kept: nothing starts on a machine that is about to be released.
-    fn stays(&self) -> bool {
+    /// Whether it is not being released: nothing starts on a machine that is.
+    fn is_staying(&self) -> bool {
         self.state != MachineState::Releasing && self.release_sent.is_none()
     }
 }
 
 impl LeaderState {
-    /// The start of a recorded placement is to be sent.
+    /// Queues the start of a recorded placement.
     pub fn queue_start(&mut self, id: &JobId, task: u32) {
-        self.queue(id, task, |due, task| {
-            due.starts.insert(task);
+        self.queue(id, task, |reasons, task| {
+            reasons.starts.insert(task);
         });
     }
 
-    /// A task that was asked to stop is to be told at once.
+    /// Queues the stop of a task.
     pub fn queue_stop(&mut self, id: &JobId, task: u32) {
-        self.queue(id, task, |due, task| {
-            due.stops.insert(task);
+        self.queue(id, task, |reasons, task| {
+            reasons.stops.insert(task);
         });
     }
 
-    /// Asks a machine for a report under the present token.
-    fn queue_question(&mut self, name: &MachineId) {
+    /// Queues the request of a heartbeat under the present fencing token.
+    fn request_heartbeat(&mut self, name: &MachineId) {
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.outbox.due.asks_for_report = true;
+            machine.outbox.reasons.wants_heartbeat = true;
             self.agents.outboxes.insert(name.clone());
         }
     }
 
-    fn queue(&mut self, id: &JobId, task: u32, add: impl FnOnce(&mut Due, TaskRef)) {
+    /// Adds a reason for the machine of a placement, if there is one.
+    fn queue(&mut self, id: &JobId, task: u32, add: impl FnOnce(&mut CommandReasons, TaskRef)) {
         let placement = self.jobs.get(id).and_then(|job| job.placements.get(&task));
         let Some(name) = placement.map(|p| p.machine.clone()) else {
             return;
@@ -177,15 +185,20 @@
             return;
         };
         let job = id.clone();
-        add(&mut machine.outbox.due, TaskRef { job, task });
+        add(&mut machine.outbox.reasons, TaskRef { job, task });
         self.agents.outboxes.insert(name);
     }
 
-    /// Commands in the answer to a machine's report, which says what is due.
-    pub fn commands_in_answer(&mut self, name: &MachineId, mut due: Due, leave: &Leave) -> Vec<AgentCommand> {
-        let commands = self.build_commands(name, &mut due, leave);
-        if due.asks_for_report {
-            self.queue_question(name);
+    /// The commands in the response to a machine's heartbeat, which gives these reasons.
+    pub fn commands_in_response(
+        &mut self,
+        name: &MachineId,
+        mut reasons: CommandReasons,
+        send: &SendContext,
+    ) -> Vec<AgentCommand> {
+        let commands = self.build_commands(name, &mut reasons, send);
+        if reasons.wants_heartbeat {
+            self.request_heartbeat(name);
         }
         let Some(machine) = self.machines.get_mut(name) else {
             return commands;
@@ -198,81 +211,88 @@
                 task: task.clone(),
                 number: *attempt,
             };
-            machine.outbox.in_answer.insert(attempt);
+            machine.outbox.in_response.insert(attempt);
             if let Some((job, task)) = parse_task(task) {
                 let job = job.into();
-                machine.outbox.due.starts.remove(&TaskRef { job, task });
+                machine.outbox.reasons.starts.remove(&TaskRef { job, task });
             }
         }
         commands
     }
 
-    /// Builds commands from the records as they stand; what doesn't fit into one message stays
-    /// due.
-    pub(super) fn build_commands(&mut self, name: &MachineId, due: &mut Due, leave: &Leave) -> Vec<AgentCommand> {
+    /// Builds commands from the present records; reasons for which there is no space in one message
+    /// stay.
+    pub(super) fn build_commands(
+        &mut self,
+        name: &MachineId,
+        reasons: &mut CommandReasons,
+        send: &SendContext,
+    ) -> Vec<AgentCommand> {
         let mut commands = vec![];
-        while commands.len() < ORDERS {
-            let Some(task) = due.stops.pop_first() else { break };
+        while commands.len() < MAX_COMMANDS {
+            let Some(task) = reasons.stops.pop_first() else { break };
             commands.extend(self.stop_command(name, &task));
         }
-        while commands.len() < ORDERS {
-            let Some(attempt) = due.orphaned_attempts.pop_first() else {
+        while commands.len() < MAX_COMMANDS {
+            let Some(attempt) = reasons.orphaned_attempts.pop_first() else {
                 break;
             };
             commands.extend(self.stop_orphan(name, attempt));
         }
-        while commands.len() < ORDERS {
-            let Some(task) = due.starts.pop_first() else { break };
-            commands.extend(self.start_command(name, &task, leave));
+        while commands.len() < MAX_COMMANDS {
+            let Some(task) = reasons.starts.pop_first() else { break };
+            commands.extend(self.start_command(name, &task, send));
         }
-        while commands.len() < ORDERS {
-            let Some(attempt) = due.forgets.pop_first() else { break };
+        while commands.len() < MAX_COMMANDS {
+            let Some(attempt) = reasons.forgets.pop_first() else {
+                break;
+            };
             commands.extend(self.forget_command(name, attempt));
         }
         commands
     }
 
-    /// The start of a task, if its record still stands and wants it. The record notes the token.
-    fn start_command(&mut self, name: &MachineId, task: &TaskRef, leave: &Leave) -> Option<AgentCommand> {
-        if is_cancelled(leave.api, &task.job) {
-            // The news of it, which free or stop what is recorded, are moments away.
+    /// The start of a task, if its record is still wanted. The record notes the fencing token.
+    fn start_command(&mut self, name: &MachineId, task: &TaskRef, send: &SendContext) -> Option<AgentCommand> {
+        if is_cancelled(send.api, &task.job) {
+            // The change of the job's key will soon free or stop its placements.
             return None;
         }
         let machine = self.machines.get(name)?;
-        let (incarnation, stays) = (machine.incarnation, machine.stays());
+        let (incarnation, is_staying) = (machine.incarnation, machine.is_staying());
         let job = self.jobs.get_mut(&task.job)?;
-        let wanted = job.is_live() && stays;
+        let is_wanted = job.is_live() && is_staying;
         let placement = job.placements.get_mut(&task.task)?;
-        let here = placement.machine == *name && placement.incarnation == incarnation;
-        if !here || !placement.may_be_sent() {
+        let is_here = placement.machine == *name && placement.incarnation == incarnation;
+        if !is_here || !placement.may_be_sent() {
             return None;
         }
-        if !wanted || placement.stop.is_some() {
+        if !is_wanted || placement.stop.is_some() {
             if !placement.sent {
-                // Nothing was ever sent for this record, and only this leadership could have:
-                // it is void without a word from the machine.
-                self.free(&task.job, task.task, VoidProof::NeverSent, leave.now);
+                // Only this leadership could have sent the start, and it has not: the record is
+                // void without a heartbeat that proves it.
+                self.free(&task.job, task.task, VoidProof::NeverSent, send.now);
             }
             return None;
         }
         placement.sent = true;
-        placement.fencing_token = placement.fencing_token.max(leave.fencing_token);
+        placement.fencing_token = placement.fencing_token.max(send.fencing_token);
         let attempt = placement.attempt;
         let sent = placement.clone();
         let decided = Decided::Sent {
-            token: leave.fencing_token,
+            token: send.fencing_token,
         };
         self.invariants
             .decisions
-            .note(job.decision(task.task, &sent, decided, leave.now));
+            .note(job.decision(task.task, &sent, decided, send.now));
         tracing::debug!(
             job = %task.job,
             task = task.task,
             attempt,
             machine = %name,
             incarnation,
-            token = leave.fencing_token,
-            "start sent: its record stands"
+            token = send.fencing_token,
+            "start sent"
         );
         Some(AgentCommand::Start {
             task: format!("{}/{}", task.job, task.task),
@@ -280,7 +300,7 @@
         })
     }
 
-    /// A stop of a task that was asked to stop and may be on this machine.
+    /// The stop of a task that is to be stopped and may be on this machine.
     fn stop_command(&self, name: &MachineId, task: &TaskRef) -> Option<AgentCommand> {
         let placement = self.jobs.get(&task.job)?.placements.get(&task.task)?;
         let may_run = matches!(placement.phase, PlacementPhase::Sent | PlacementPhase::Seen(_)) && placement.sent;
@@ -302,19 +322,19 @@
         })
     }
 
-    /// A stop of an attempt that no record explains.
+    /// The stop of an attempt without a record.
     fn stop_orphan(&self, name: &MachineId, attempt: Attempt) -> Option<AgentCommand> {
         if self.has_record(name, &attempt) {
             return None;
         }
-        // It counts towards its team's limit until the machine lists it no more. Unless it was
-        // started under an earlier token, its record was freed too early.
+        // The attempt counts towards its team's limit until the machine lists it no more. If it
+        // was started under the present token, its record was freed too early.
         tracing::debug!(
             machine = %name,
             task = attempt.task,
             attempt = attempt.number,
             term = self.term,
-            "stop sent: no record explains the attempt"
+            "stop sent: the attempt has no record"
         );
         Some(AgentCommand::Stop {
             task: attempt.task,
@@ -323,11 +343,11 @@
         })
     }
 
-    /// Forgets an attempt that ended, unless its outcome has yet to be recorded, or a start of it
-    /// may still be on its way: that start would run the task again.
+    /// The command to forget an attempt that has ended, unless its outcome has yet to be recorded, or
+    /// a start of it may still be in flight, which would run the task again.
     fn forget_command(&self, name: &MachineId, attempt: Attempt) -> Option<AgentCommand> {
         let machine = self.machines.get(name)?;
-        if self.has_record(name, &attempt) || machine.outbox.may_still_start(&attempt, &self.agents.pushes_in_flight) {
+        if self.has_record(name, &attempt) || machine.outbox.start_may_arrive(&attempt, &self.agents.pushes_in_flight) {
             return None;
         }
         Some(AgentCommand::Forget {
@@ -336,7 +356,7 @@
         })
     }
 
-    /// Whether this attempt has a record on this machine, in its present session.
+    /// Whether this attempt has a record on this machine in its present incarnation.
     pub(super) fn has_record(&self, name: &MachineId, attempt: &Attempt) -> bool {
         let Some((job, task)) = parse_task(&attempt.task) else {
             return false;
--- a/src/coordination/agents/push.rs
+++ b/src/coordination/agents/push.rs
@@ -1,7 +1,10 @@
-//! Messages sent straight to machines: one at a time for each, by way of the controller that the
-//! machine reports to if that is heard.
+//! Pushes: commands that the leader sends to agents outside of responses to heartbeats.
+//!
+//! There is at most one push in flight to each machine. It is relayed by the controller that the
+//! agent reports to, if that can be reached. An unanswered push may be executed at any time, which
+//! the machine's outbox remembers.
 
-use super::outbox::{Attempt, Leave};
+use super::outbox::{Attempt, SendContext};
 use crate::coordination::api::JobApi;
 use crate::coordination::election::{Election, Role};
 use crate::coordination::state::{LeaderState, Machine, MachineId};
@@ -10,25 +13,29 @@
 use crate::protocol::peer::PeerMessage;
 use crate::time::Micros;
 
-/// A direct message with no answer by then is in doubt.
-pub(super) const DIRECT_TIMEOUT: Micros = Micros::from_millis(1500);
-/// The same by way of another controller.
-pub(super) const RELAY_LIMIT: Micros = Micros::from_millis(2600);
+/// The outcome of a push without an answer for this long is unknown.
+pub(super) const PUSH_TIMEOUT: Micros = Micros::from_millis(1500);
+/// The same of a push that another controller relays.
+pub(super) const RELAY_TIMEOUT: Micros = Micros::from_millis(2600);
 
-/// A direct message on its way.
+/// A push in flight.
 pub struct SentPush {
+    /// The machine of the agent.
     pub machine: MachineId,
+    /// The commands that it carries.
     pub commands: Vec<AgentCommand>,
+    /// The fencing token that it carries.
     pub fencing_token: u64,
-    /// By way of another controller.
+    /// Whether another controller relays it.
     pub relayed: bool,
-    pub at: Micros,
+    /// When it was sent.
+    pub sent_at: Micros,
 }
 
 impl LeaderState {
-    /// Sends what is due straight to the machines. It goes by way of the controller that the
-    /// machine reports to, if that is heard: it has a way to the machine even where this one has
-    /// none.
+    /// Sends a push to each machine whose outbox has a reason and no push in flight. It is relayed
+    /// by the controller that the agent reports to, if `reached` says that this can be reached:
+    /// that one reaches the machine even if this node does not.
     pub fn flush_outboxes(
         &mut self,
         context: &mut Context,
@@ -45,6 +52,7 @@
         }
     }
 
+    /// Sends the next push to one machine, if there is a reason for a command.
     fn flush_outbox(
         &mut self,
         context: &mut Context,
@@ -60,22 +68,22 @@
         if machine.outbox.in_flight.is_some() || machine.addr.is_empty() {
             return;
         }
-        let mut due = std::mem::take(&mut machine.outbox.due);
-        let asks_for_report = std::mem::take(&mut due.asks_for_report);
-        let leave = Leave {
+        let mut reasons = std::mem::take(&mut machine.outbox.reasons);
+        let wants_heartbeat = std::mem::take(&mut reasons.wants_heartbeat);
+        let send_context = SendContext {
             fencing_token: election.term(),
             api,
             now: context.now,
         };
-        let commands = self.build_commands(name, &mut due, &leave);
-        if due.is_empty() {
+        let commands = self.build_commands(name, &mut reasons, &send_context);
+        if reasons.is_empty() {
             self.agents.outboxes.remove(name);
         }
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        machine.outbox.due = due;
-        if commands.is_empty() && !asks_for_report {
+        machine.outbox.reasons = reasons;
+        if commands.is_empty() && !wants_heartbeat {
             return;
         }
         let relay = machine.via.clone().filter(|node| reached(node));
@@ -84,16 +92,16 @@
         self.agents.pushes_in_flight.insert(id, sent);
     }
 
-    /// What came of a direct message.
-    pub fn on_direct(&mut self, id: u64, answer: PushResult) {
+    /// Handles the result of a push.
+    pub fn on_push_result(&mut self, id: u64, answer: PushResult) {
         let Some(sent) = self.agents.pushes_in_flight.remove(&id) else {
             return;
         };
         if let Some(machine) = self.machines.get_mut(&sent.machine) {
             machine.outbox.in_flight = None;
             match answer {
-                PushResult::Done(_) | PushResult::Rejected(_) => machine.hears(sent.at),
-                PushResult::Unknown => machine.outbox.doubt(&sent.commands, sent.fencing_token),
+                PushResult::Done(_) | PushResult::Rejected(_) => machine.hears(sent.sent_at),
+                PushResult::Unknown => machine.outbox.mark_unanswered(&sent.commands, sent.fencing_token),
                 PushResult::NotSent => {}
             }
         }
@@ -104,18 +112,18 @@
         }
     }
 
-    /// Takes in the reports that came as answers to direct messages.
-    pub(super) fn take_direct_reports(&mut self, cluster: &ClusterConfig, now: Micros) {
+    /// Applies the heartbeats that came as answers to pushes.
+    pub(super) fn take_push_heartbeats(&mut self, cluster: &ClusterConfig, now: Micros) {
         for heartbeat in std::mem::take(&mut self.agents.push_heartbeats) {
             let name: MachineId = heartbeat.machine.as_str().into();
             let via = self.machines.get(&name).and_then(|m| m.via.clone());
-            self.take_report(cluster, &heartbeat, via.as_deref(), now, now);
+            self.apply_heartbeat_content(cluster, &heartbeat, via.as_deref(), now, now);
             self.queue_forgets(&name, &heartbeat);
         }
     }
 
-    /// Attempts that ended are forgotten at once; starts and stops go again with the answer to
-    /// the machine's next report if need be.
+    /// Queues the commands to forget attempts that have ended. Starts and stops are repeated with
+    /// the response to the machine's next heartbeat if necessary.
     fn queue_forgets(&mut self, name: &MachineId, heartbeat: &Heartbeat) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -125,14 +133,14 @@
             task: t.task.clone(),
             number: t.attempt,
         });
-        machine.outbox.due.forgets.extend(attempts);
-        if !machine.outbox.due.is_empty() {
+        machine.outbox.reasons.forgets.extend(attempts);
+        if !machine.outbox.reasons.is_empty() {
             self.agents.outboxes.insert(name.clone());
         }
     }
 }
 
-/// Sends commands to a machine, directly or by way of another controller.
+/// Sends commands to a machine, directly or relayed by another controller.
 fn send(
     context: &mut Context,
     election: &Election,
@@ -162,7 +170,7 @@
             id,
             addr,
             body,
-            timeout: DIRECT_TIMEOUT,
+            timeout: PUSH_TIMEOUT,
         },
     });
     let sent = SentPush {
@@ -170,7 +178,7 @@
         commands,
         fencing_token,
         relayed: relay.is_some(),
-        at: context.now,
+        sent_at: context.now,
     };
     (id, sent)
 }
--- a/src/coordination/election/campaign.rs
+++ b/src/coordination/election/campaign.rs
@@ -62,7 +62,7 @@
                 self.election.lease_renewed_at = self.election.lease_renewed_at.max(sent);
                 if self.election.lease_unverified_since.is_some_and(|at| sent >= at) {
                     self.election.lease_unverified_since = None;
-                    self.take_early_reports();
+                    self.answer_early_heartbeats();
                 }
             }
             StoreResponse::NoLease => {
@@ -343,7 +343,7 @@
         }
         // The compare-and-set from this node's own term proves that nobody else led meanwhile.
         if self.election.lease_unverified_since.take().is_some() {
-            self.take_early_reports();
+            self.answer_early_heartbeats();
         }
     }
 
@@ -353,7 +353,7 @@
         let mut leader = LeaderState::new(incarnation, self.election.term(), self.context.now);
         leader.day_ms = self.context.day_ms;
         self.leader = Some(leader);
-        self.prove_to_leader();
+        self.update_leader_watermark();
         self.set_rates();
     }
 
--- a/src/coordination/election/watches.rs
+++ b/src/coordination/election/watches.rs
@@ -125,7 +125,7 @@
                 }
                 self.election.jobs_watch_revision = self.election.jobs_watch_revision.max(events.revision);
                 self.election.jobs_verified_at = self.election.jobs_verified_at.max(sent);
-                self.prove_to_leader();
+                self.update_leader_watermark();
                 // Each watch counts as a request to the state service: changes are batched.
                 let pause = if self.leader.is_some() {
                     JOB_WATCH_PAUSE_LEADER
--- a/src/coordination/failure_detection/asymmetric_partition.rs
+++ b/src/coordination/failure_detection/asymmetric_partition.rs
@@ -70,7 +70,7 @@
                 commands: vec![],
                 fencing_token,
                 relayed: false,
-                at: now,
+                sent_at: now,
             };
             self.agents.pushes_in_flight.insert(id, sent);
             context.out.push(Effect::PushedCommands {
--- a/src/coordination/forwarding.rs
+++ b/src/coordination/forwarding.rs
@@ -409,7 +409,7 @@
                 zones.entry(zone.clone()).or_default();
             }
         }
-        for (zone, at) in self.heartbeat_proxy.reporting() {
+        for (zone, at) in self.heartbeat_proxy.agent_zones() {
             if now.since(at) < period {
                 if let Some(entry) = zones.get_mut(zone) {
                     *entry = (entry.0 + 1, entry.1.max(at));
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -1,22 +1,26 @@
-//! The one place that decides whether an answer may renew a worker's lease, and what such an
-//! answer says of cancelled jobs.
+//! The one place that decides whether a response may renew an agent's lease, and what such a
+//! response says of cancelled jobs.
 //!
-//! The invariant: a cancellation that a user was told of at C has no task left, and none that
-//! may still begin, at C + `cancel_s`. Every answer that renews a lease rests on an instant K:
-//! what was read by requests sent at K or later proves the term and every cancellation that
-//! anybody had confirmed before K. The lease that it gives ends by K + `cancel_s`, with
-//! drifting clocks. If C is after K, the lease ends in time by itself. If C is before K, the
-//! cancellation is known here, and the answer stops its tasks; a start of it that may still be
-//! on its way is either refused by the worker because of the answer's higher fence, or the
-//! answer renews nothing that lasts beyond C + `cancel_s`. `docs/design/renewals.md` goes
-//! through every path.
+//! Invariant: if a user was told of a cancellation at time C, no task of the job runs, and none can
+//! start any more, at C + `cancel_s`. Each response that renews a lease rests on a time K, the
+//! cancellation watermark: reads of the state service that were sent at K or later prove the term,
+//! and every cancellation that was confirmed to a user before K. The lease that it renews ends by
+//! K + `cancel_s`, also with drifting clocks.
 //!
-//! K is when the state service was asked. While it answers nobody, the leader's K can move on by
-//! the word of all other controllers, each of which says for this very question what it has
-//! confirmed and that it knows no later term: who confirms cancellations is one of them. One
-//! that is missing, or that began after what this node knows, may have confirmed anything:
-//! then K stands still. A node that answers without the leader has no such K: it doesn't know
-//! which starts the leader has on their way, and relies on the leader to raise the term.
+//! - If C is after K, the lease ends in time by itself.
+//! - If C is before K, the cancellation is known here and the response stops the job's tasks. A start
+//!   that may still be in flight is either refused by the agent, because of the response's higher
+//!   fencing token, or the response renews no lease beyond C + `cancel_s`.
+//!
+//! `docs/design/renewals.md` goes through every path.
+//!
+//! K is the time of the last read of the state service. While that does not answer, the leader's K
+//! can advance by attestations of all other controllers: each attests, in answer to one request,
+//! which cancellations it may have confirmed, and that it knows no later term. Only controllers
+//! confirm cancellations. A controller that does not answer, or whose process began after what this
+//! node has read, may have confirmed any cancellation: then K does not advance. A follower has no
+//! such K, because it does not know which starts of the leader are in flight; it relies on the leader
+//! to raise the term.
 
 use super::api::JobApi;
 use super::election::{Election, Role};
@@ -29,39 +33,43 @@
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
-/// Orders in one message, well under the 64 KiB for responses.
-pub const ORDERS: usize = 300;
-/// Without an answer of the state service for this long the others are asked.
-const ASK_AFTER: Micros = Micros::from_millis(2500);
-const ASK_EVERY: Micros = Micros::from_millis(1000);
-/// Cancellations in one word at the most, well under the limit of a frame.
+/// The most commands in one message, well under the limit of 64 KiB for responses.
+pub const MAX_COMMANDS: usize = 300;
+/// Without an answer of the state service for this long, the leader requests attestations.
+const ATTEST_AFTER: Micros = Micros::from_millis(2500);
+/// Pause between two requests of attestations.
+const ATTEST_INTERVAL: Micros = Micros::from_millis(1000);
+/// The most cancellations in one attestation, well under the limit of a frame.
 const MAX_ATTESTED: usize = 8000;
-/// A start that is no longer wanted is waited for so long before the term is raised.
-const SETTLES: Micros = Micros::from_millis(3000);
+/// How long a start that is no longer wanted is waited for before the term is raised.
+const START_SETTLE_TIME: Micros = Micros::from_millis(3000);
 
-/// What the other controllers said while the state service did not answer.
+/// The attestations of the other controllers while the state service does not answer.
 pub struct CancellationAttestations {
-    /// The number of the question that is out, when it was sent, and who has yet to answer.
+    /// The number of the last round of requests.
     round: u64,
-    sent: Micros,
-    missing: BTreeSet<String>,
-    next: Micros,
-    /// When the last question was sent that all have answered.
+    /// When its requests were sent.
+    round_sent_at: Micros,
+    /// The controllers that have not answered it yet.
+    unanswered: BTreeSet<String>,
+    next_round_at: Micros,
+    /// When the requests of the last round were sent that all controllers have answered.
     cancellation_watermark: Micros,
 }
 
 impl CancellationAttestations {
+    /// No attestations yet.
     pub fn new(now: Micros) -> CancellationAttestations {
         CancellationAttestations {
             round: 0,
-            sent: now,
-            missing: BTreeSet::new(),
-            next: now,
+            round_sent_at: now,
+            unanswered: BTreeSet::new(),
+            next_round_at: now,
             cancellation_watermark: Micros::ZERO,
         }
     }
 
-    /// The instant K: every cancellation that was confirmed before it is known here.
+    /// The cancellation watermark K: every cancellation that was confirmed before it is known here.
     pub fn cancellation_watermark(&self, election: &Election) -> Micros {
         match election.role() {
             Role::Leader => election.verified_at().max(self.cancellation_watermark),
@@ -74,8 +82,8 @@
         election.is_initialized() && now.since(self.cancellation_watermark(election)) < cluster.knowledge_limit()
     }
 
-    /// An answer that renews the lease of a worker which reported this, if one may be given.
-    /// `commands` are what the leader has for it.
+    /// A response to this heartbeat that renews the agent's lease, if one may be given. `commands`
+    /// are those of the leader.
     pub fn renewal(
         &self,
         election: &Election,
@@ -88,7 +96,7 @@
         if !self.may_renew(election, cluster, now) || heartbeat.fencing_token > election.term() {
             return None;
         }
-        add_stops(api, heartbeat, &mut commands);
+        add_stops_of_cancelled(api, heartbeat, &mut commands);
         let fencing_token = election.term();
         Some(HeartbeatResponse {
             fencing_token,
@@ -96,40 +104,41 @@
         })
     }
 
-    /// Begins to ask the others.
-    pub fn ask(&mut self, round: u64, peers: impl Iterator<Item = String>, now: Micros) {
+    /// Begins a round of requests to these peers.
+    pub fn begin_round(&mut self, round: u64, peers: impl Iterator<Item = String>, now: Micros) {
         self.round = round;
-        self.sent = now;
-        self.missing = peers.collect();
+        self.round_sent_at = now;
+        self.unanswered = peers.collect();
     }
 
-    /// One has answered, and knows this term; whether K has moved on. One that knows a later
-    /// term than this node proves the opposite.
-    pub fn answered(&mut self, election: &Election, node: &str, round: u64, term: u64) -> bool {
-        if round != self.round || term > election.term() || !self.missing.remove(node) || !self.missing.is_empty() {
+    /// Takes the attestation of a node that knows this term, and returns whether K has advanced. One
+    /// of a later term than this node knows is ignored.
+    pub fn on_answer(&mut self, election: &Election, node: &str, round: u64, term: u64) -> bool {
+        let is_current = round == self.round && term <= election.term();
+        if !is_current || !self.unanswered.remove(node) || !self.unanswered.is_empty() {
             return false;
         }
-        self.cancellation_watermark = self.cancellation_watermark.max(self.sent);
+        self.cancellation_watermark = self.cancellation_watermark.max(self.round_sent_at);
         true
     }
 }
 
-/// An answer that a worker has to drop: it waits for its next report, renews nothing, and no
-/// other controller answers this one in its stead.
-pub fn dropped() -> HeartbeatResponse {
+/// A response that the agent has to drop: it renews no lease, and no other controller answers the
+/// heartbeat in place of this one.
+pub fn non_renewing_response() -> HeartbeatResponse {
     HeartbeatResponse {
         fencing_token: 0,
         commands: vec![],
     }
 }
 
-/// Every task of a job that is known here to be cancelled is stopped, without saving.
-pub fn add_stops(api: &JobApi, heartbeat: &Heartbeat, commands: &mut Vec<AgentCommand>) {
+/// Adds a stop without grace of every task in the heartbeat whose job is known to be cancelled.
+pub fn add_stops_of_cancelled(api: &JobApi, heartbeat: &Heartbeat, commands: &mut Vec<AgentCommand>) {
     for t in heartbeat.tasks.iter().filter(|t| t.phase != TaskPhase::Exited) {
         let cancelled =
             super::agents::parse_task(&t.task).is_some_and(|(job, _)| api.phase(job) == Some(Phase::Cancelled));
         let stopped = |o: &AgentCommand| matches!(o, AgentCommand::Stop { task, attempt, grace_s } if *task == t.task && *attempt == t.attempt && *grace_s == 0.0);
-        if cancelled && commands.len() < ORDERS && !commands.iter().any(stopped) {
+        if cancelled && commands.len() < MAX_COMMANDS && !commands.iter().any(stopped) {
             commands.push(AgentCommand::Stop {
                 task: t.task.clone(),
                 attempt: t.attempt,
@@ -140,28 +149,32 @@
 }
 
 impl LeaderState {
-    /// Machines that may still hold, or get, a task of a cancelled job. One whose start was
-    /// never seen, sent under the present term, may reach its machine at any time, also one
-    /// that only another controller hears: with a higher term, answers of whoever answers
-    /// the machine raise its fence.
-    pub fn check_unsettled(&mut self, now: Micros) {
+    /// Determines the machines that may still have, or get, a task of a cancelled job. A start under
+    /// the present term whose task was never seen may arrive at any time, also at a machine that
+    /// only another controller reaches: after a raise of the term, the response of any controller
+    /// raises the machine's fencing token, which makes it refuse the start.
+    pub fn update_unsettled_machines(&mut self, now: Micros) {
         self.unsettled.clear();
-        let mut flies = false;
+        let mut start_in_flight = false;
         for job in self.jobs.values().filter(|j| j.cancelled.is_some()) {
-            for p in job.placements.values().filter(|p| now.since(p.stop_at) > SETTLES) {
-                flies |= p.sent && p.phase == PlacementPhase::Sent && p.fencing_token >= self.term;
+            for p in job
+                .placements
+                .values()
+                .filter(|p| now.since(p.stop_at) > START_SETTLE_TIME)
+            {
+                start_in_flight |= p.sent && p.phase == PlacementPhase::Sent && p.fencing_token >= self.term;
                 self.unsettled.insert(p.machine.clone());
             }
         }
-        if flies {
+        if start_in_flight {
             self.new_term = Some("a start of a cancelled job may still be on its way");
         }
     }
 
-    /// Whether an answer to this report would let a start that may still be on its way run
-    /// too long after its job was cancelled: its fence would not refuse that start, and the
-    /// lease would outlast the time in which the task must be gone.
-    pub fn must_lapse(&self, cluster: &ClusterConfig, heartbeat: &Heartbeat, now: Micros) -> bool {
+    /// Whether a response to this heartbeat would let a start that may still be in flight run too
+    /// long after its job was cancelled: its fencing token would not make the agent refuse that
+    /// start, and the lease would outlast the time within which the task has to end.
+    pub fn must_let_lease_lapse(&self, cluster: &ClusterConfig, heartbeat: &Heartbeat, now: Micros) -> bool {
         let name: MachineId = heartbeat.machine.as_str().into();
         if !self.unsettled.contains(&name) {
             return false;
@@ -169,10 +182,9 @@
         let Some(machine) = self.machines.get(&name) else {
             return false;
         };
-        // The same bound as for what is not known here at all: K is when the cancellation
-        // was not yet confirmed, as far as known here.
-        let too_long =
-            |cancel_unconfirmed_until: Micros| now.since(cancel_unconfirmed_until) >= cluster.knowledge_limit();
+        // The bound is that for unknown cancellations, with the time up to which the cancellation
+        // was not confirmed as K.
+        let too_long = |unconfirmed_until: Micros| now.since(unconfirmed_until) >= cluster.knowledge_limit();
         machine.tasks.iter().any(|(id, task)| {
             let Some(job) = self.jobs.get(id).filter(|j| j.cancelled.is_some()) else {
                 return false;
@@ -184,27 +196,29 @@
                 let text = format!("{id}/{task}");
                 heartbeat.tasks.iter().any(|t| t.task == text && t.attempt == p.attempt)
             };
-            let flies = p.sent && p.incarnation >= heartbeat.incarnation && p.fencing_token >= self.term && !listed();
-            flies && too_long(job.cancel_unconfirmed_until)
+            let may_be_in_flight =
+                p.sent && p.incarnation >= heartbeat.incarnation && p.fencing_token >= self.term && !listed();
+            may_be_in_flight && too_long(job.cancel_unconfirmed_until)
         })
     }
 }
 
 impl Controller {
-    /// While the state service does not answer the leader, it asks the others what they
-    /// confirmed.
+    /// Requests attestations of all other controllers while the state service does not answer the
+    /// leader.
     pub(super) fn run_attestations(&mut self) {
         let now = self.context.now;
         if self.election.role() != Role::Leader
-            || now < self.attestations.next
+            || now < self.attestations.next_round_at
             || !self.election.is_initialized()
-            || now.since(self.election.verified_at()) < ASK_AFTER
+            || now.since(self.election.verified_at()) < ATTEST_AFTER
         {
             return;
         }
-        self.attestations.next = now + ASK_EVERY;
+        self.attestations.next_round_at = now + ATTEST_INTERVAL;
         let peers = &self.cluster.settings.peers;
-        // One that runs an earlier release can't say, and the others' word is not enough.
+        // A controller with an earlier release can't attest, and without it the others' attestations
+        // prove nothing.
         if !peers
             .iter()
             .all(|p| self.election.release(&p.node) >= RELEASE_ATTESTATIONS)
@@ -212,7 +226,8 @@
             return;
         }
         let round = self.context.id();
-        self.attestations.ask(round, peers.iter().map(|p| p.node.clone()), now);
+        self.attestations
+            .begin_round(round, peers.iter().map(|p| p.node.clone()), now);
         for peer in peers {
             let message = PeerMessage::AttestationRequest {
                 node: self.cluster.settings.node.clone(),
@@ -226,10 +241,10 @@
         }
     }
 
-    /// Another controller asks which cancellations this one knows beyond what it has seen.
-    /// An earlier life of this process may have confirmed what was made before this one
-    /// began to read: of that it can say nothing.
-    pub(super) fn on_inquire(&mut self, node: String, round: u64, seen: u64) {
+    /// Answers the request of another controller for the cancellations after the revision `seen` that
+    /// are known here. An earlier incarnation of this process may have confirmed cancellations
+    /// before the revision at which this one began to read: of those it can attest nothing.
+    pub(super) fn on_attestation_request(&mut self, node: String, round: u64, seen: u64) {
         if self.election.first_read_revision().is_none_or(|from| seen < from) {
             return;
         }
@@ -245,8 +260,9 @@
         self.context.out.push(Effect::Peer { to: node, message });
     }
 
-    /// What another controller knows to be cancelled: made by the state service, as it read.
-    pub(super) fn on_vouched(&mut self, node: &str, round: u64, term: u64, cancelled: Vec<(String, u64)>) {
+    /// Takes the attestation of another controller, with cancellations that it has read from the
+    /// state service.
+    pub(super) fn on_attestation(&mut self, node: &str, round: u64, term: u64, cancelled: Vec<(String, u64)>) {
         let now = self.context.now;
         for (job, version) in cancelled {
             if self.api.phase(&job).is_some_and(Phase::is_final) {
@@ -261,13 +277,14 @@
                 leader.on_job_event(&job, version, version, value, now);
             }
         }
-        if self.attestations.answered(&self.election, node, round, term) {
-            self.prove_to_leader();
+        if self.attestations.on_answer(&self.election, node, round, term) {
+            self.update_leader_watermark();
         }
     }
 
-    /// The leader's book counts what it learns from here on as unknown until now.
-    pub(super) fn prove_to_leader(&mut self) {
+    /// Tells the leader the present watermark: cancellations that it learns from now on were not
+    /// confirmed before.
+    pub(super) fn update_leader_watermark(&mut self) {
         let proven = self.attestations.cancellation_watermark(&self.election);
         if let Some(leader) = self.leader.as_mut() {
             leader.cancellation_watermark = proven;
--- a/src/coordination/log/answers.rs
+++ b/src/coordination/log/answers.rs
@@ -50,7 +50,7 @@
         leader.tasks_per_range = records::tasks_per_range(self.cluster.limits.present_value_bytes());
         let gap = Micros::from_secs(self.cluster.settings.operator.leader_lease_s);
         leader.finish_loading(&mut self.context, gap);
-        self.take_early_reports();
+        self.answer_early_heartbeats();
     }
 
     /// Takes the lists of machines whose heartbeats other nodes answer.
@@ -81,7 +81,7 @@
             }
         }
         match glenhaven_compression::unpack::<Heartbeat>(&proxied.last_heartbeats) {
-            Ok(heartbeats) => leader.take_proxied_heartbeat(&self.cluster, &heartbeats, now),
+            Ok(heartbeats) => leader.apply_proxied_heartbeats(&self.cluster, &heartbeats, now),
             Err(_) if proxied.last_heartbeats.is_empty() => {}
             Err(error) => tracing::error!(key = row.key, %error, "malformed heartbeats of proxied machines"),
         }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -201,7 +201,7 @@
     fn apply(&mut self, event: Event) {
         match event {
             Event::User { id, request } => self.on_user(id, request),
-            Event::Heartbeat { id, heartbeat } => self.on_report(id, heartbeat),
+            Event::Heartbeat { id, heartbeat } => self.on_heartbeat(id, heartbeat),
             Event::Store { id, answer } => {
                 let answer = self.note_limits(answer);
                 let Some(answer) = self.on_direct_answer(id, answer) else {
@@ -230,7 +230,7 @@
                     let message = PeerMessage::RelayedPushResult { id, answer };
                     self.context.out.push(Effect::Peer { to, message });
                 } else if let Some(leader) = self.leader.as_mut() {
-                    leader.on_direct(id, answer);
+                    leader.on_push_result(id, answer);
                 }
             }
             Event::Peer(message) => self.on_peer(message),
@@ -323,24 +323,24 @@
                     self.api.on_progress(list);
                 }
             }
-            PeerMessage::Heartbeat { node, id, heartbeat } => self.on_passed(node, id, heartbeat),
+            PeerMessage::Heartbeat { node, id, heartbeat } => self.on_forwarded_heartbeat(node, id, heartbeat),
             PeerMessage::HeartbeatResponse { id, commands } => {
                 self.heartbeat_proxy
-                    .answered(&mut self.context, &self.election, &self.api, id, commands)
+                    .on_leader_response(&mut self.context, &self.election, &self.api, id, commands)
             }
-            PeerMessage::AttestationRequest { node, round, seen } => self.on_inquire(node, round, seen),
+            PeerMessage::AttestationRequest { node, round, seen } => self.on_attestation_request(node, round, seen),
             PeerMessage::Attestation {
                 node,
                 round,
                 term,
                 cancelled,
-            } => self.on_vouched(&node, round, term, cancelled),
-            PeerMessage::LastHeartbeatsRequest { node } => self.recall(node),
-            PeerMessage::LastHeartbeats { node, heartbeats } => self.on_recalled(&node, heartbeats),
-            PeerMessage::RelayPush { node, id, addr, body } => self.relay(node, id, addr, body),
+            } => self.on_attestation(&node, round, term, cancelled),
+            PeerMessage::LastHeartbeatsRequest { node } => self.send_last_heartbeats(node),
+            PeerMessage::LastHeartbeats { node, heartbeats } => self.on_last_heartbeats(&node, heartbeats),
+            PeerMessage::RelayPush { node, id, addr, body } => self.relay_push(node, id, addr, body),
             PeerMessage::RelayedPushResult { id, answer } => {
                 if let Some(leader) = self.leader.as_mut() {
-                    leader.on_direct(id, answer);
+                    leader.on_push_result(id, answer);
                 }
             }
             PeerMessage::ForwardRequest { .. }
--- a/src/coordination/tick.rs
+++ b/src/coordination/tick.rs
@@ -1,6 +1,7 @@
 //! What a controller does after every batch of commands, and at times of its own: it says that it
 //! is alive, lets the leader act, and logs.
 
+use super::agents::LeaseRenewer;
 use super::election::Role;
 use super::{Controller, Effect, HEARD};
 use crate::protocol::peer::PeerMessage;
@@ -17,13 +18,13 @@
         let seen = self.election.jobs_seen_if_known();
         self.api.tick(&mut self.context, &self.cluster, seen);
         self.run_attestations();
-        self.heartbeat_proxy.tick(
-            &mut self.context,
-            &self.election,
-            &self.attestations,
-            &self.api,
-            &self.cluster,
-        );
+        let renewer = LeaseRenewer {
+            election: &self.election,
+            attestations: &self.attestations,
+            api: &self.api,
+            cluster: &self.cluster,
+        };
+        self.heartbeat_proxy.tick(&mut self.context, &renewer);
         self.run_cloud_calls();
         self.run_leader();
         if now >= self.next_alive {
@@ -34,7 +35,9 @@
                 fresh: now.since(self.election.verified_at()) < Micros::from_secs(2.5),
                 leads: self.election.role() == Role::Leader,
                 wants: (self.share_changes() * 1000.0).min(4e9) as u32,
-                serves: self.heartbeat_proxy.serves(now, self.election.role() == Role::Leader),
+                serves: self
+                    .heartbeat_proxy
+                    .agent_count(now, self.election.role() == Role::Leader),
                 at: now.0,
                 links: self.observed_links(),
             };
@@ -104,7 +107,7 @@
     }
 
     fn run_leader(&mut self) {
-        self.ask_recall();
+        self.request_last_heartbeats();
         let Some(leader) = self.leader.as_mut() else { return };
         if !leader.is_loaded() {
             leader.load(&mut self.context);
--- a/tests/sim/lives.rs
+++ b/tests/sim/lives.rs
@@ -2,7 +2,7 @@
 //! earlier life asked are still on their way.
 
 use super::script::Script;
-use glenhaven::coordination::agents::{Due, Leave};
+use glenhaven::coordination::agents::{CommandReasons, SendContext};
 use glenhaven::coordination::api::JobApi;
 use glenhaven::coordination::state::{Job, LeaderState, Placement, PlacementPhase, TaskState};
 use glenhaven::coordination::{ClusterConfig, Controller, Effect, Event};
@@ -187,15 +187,15 @@
     };
     let mut leader = LeaderState::new(1, 1, at(0));
     let api = JobApi::new("node-0");
-    let commands = |leader: &mut LeaderState, due: Due, ms: u64| {
-        let leave = Leave {
+    let commands = |leader: &mut LeaderState, due: CommandReasons, ms: u64| {
+        let leave = SendContext {
             fencing_token: 1,
             api: &api,
             now: at(ms),
         };
-        leader.commands_in_answer(&"n-000001".into(), due, &leave)
+        leader.commands_in_response(&"n-000001".into(), due, &leave)
     };
-    let due = leader.take_heartbeat(&cluster, &heartbeat(1, None), None, at(10), at(10));
+    let due = leader.apply_heartbeat(&cluster, &heartbeat(1, None), None, at(10), at(10));
     assert!(commands(&mut leader, due, 10).is_empty());
     place(&mut leader, at(20));
     let starts = |commands: &[AgentCommand]| {
@@ -211,19 +211,19 @@
             .count()
     };
     // This report left before the command that starts the task arrived.
-    let due = leader.take_heartbeat(&cluster, &heartbeat(2, None), None, at(30), at(30));
+    let due = leader.apply_heartbeat(&cluster, &heartbeat(2, None), None, at(30), at(30));
     assert_eq!(starts(&commands(&mut leader, due, 30)), 1);
     let running = heartbeat(3, Some((TaskPhase::Running, None)));
-    leader.take_report(&cluster, &running, None, at(40), at(40));
+    leader.apply_heartbeat_content(&cluster, &running, None, at(40), at(40));
     let stopped = || Some((TaskPhase::Exited, Some(Cause::Stopped)));
-    let due = leader.take_report(&cluster, &heartbeat(4, stopped()), None, at(60), at(60));
+    let due = leader.apply_heartbeat_content(&cluster, &heartbeat(4, stopped()), None, at(60), at(60));
     let sent = commands(&mut leader, due, 60);
     assert_eq!(forgets(&sent), 0, "the answer to report 2 may still be on its way");
     // A copy of an old report says nothing of that answer.
-    leader.take_heartbeat(&cluster, &heartbeat(1, None), None, at(65), at(65));
-    let due = leader.take_report(&cluster, &heartbeat(5, stopped()), None, at(70), at(70));
+    leader.apply_heartbeat(&cluster, &heartbeat(1, None), None, at(65), at(65));
+    let due = leader.apply_heartbeat_content(&cluster, &heartbeat(5, stopped()), None, at(70), at(70));
     assert_eq!(forgets(&commands(&mut leader, due, 70)), 0);
     // The worker's next report does.
-    let due = leader.take_heartbeat(&cluster, &heartbeat(6, stopped()), None, at(500), at(500));
+    let due = leader.apply_heartbeat(&cluster, &heartbeat(6, stopped()), None, at(500), at(500));
     assert_eq!(forgets(&commands(&mut leader, due, 500)), 1);
 }
--- a/tests/sim/outbox.rs
+++ b/tests/sim/outbox.rs
@@ -2,7 +2,7 @@
 //! a command.
 
 use super::lives::{at, cluster, heartbeat, place};
-use glenhaven::coordination::agents::{parse_task, Due, Leave};
+use glenhaven::coordination::agents::{parse_task, CommandReasons, SendContext};
 use glenhaven::coordination::api::JobApi;
 use glenhaven::coordination::state::void_proof::VoidProof;
 use glenhaven::coordination::state::{LeaderState, MachineId, MachineState};
@@ -12,7 +12,7 @@
 /// A leader of term 1 that has recorded a start for n-000001 and not sent it yet.
 fn recorded() -> LeaderState {
     let mut leader = LeaderState::new(1, 1, at(0));
-    leader.take_heartbeat(&cluster(), &heartbeat(1, vec![]), None, at(10), at(10));
+    leader.apply_heartbeat(&cluster(), &heartbeat(1, vec![]), None, at(10), at(10));
     place(&mut leader, at(20));
     let job = leader.jobs.get_mut("run-000001").expect("it was placed");
     job.placements.get_mut(&0).expect("it was placed").sent = false;
@@ -23,12 +23,12 @@
 /// What a direct message that leaves now under this token holds.
 fn leaves(leader: &mut LeaderState, fencing_token: u64, api: &JobApi) -> Vec<AgentCommand> {
     let name: MachineId = "n-000001".into();
-    let due: Due = leader.machines[&name].outbox.due.clone();
+    let reasons: CommandReasons = leader.machines[&name].outbox.reasons.clone();
     let now = at(500);
-    leader.commands_in_answer(
+    leader.commands_in_response(
         &name,
-        due,
-        &Leave {
+        reasons,
+        &SendContext {
             fencing_token,
             api,
             now,
@@ -53,16 +53,16 @@
 fn a_start_that_was_not_sent_outlives_a_raise_of_the_term() {
     let mut leader = recorded();
     leader.term_raised(2);
-    leader.take_heartbeat(&cluster(), &fenced(2, 2), None, at(100), at(100));
+    leader.apply_heartbeat(&cluster(), &fenced(2, 2), None, at(100), at(100));
     assert!(is_placed(&leader), "nothing was sent that could have been refused");
     // Counted as free, its cores would let the team start more than its limit allows.
     assert_eq!(leader.jobs["run-000001"].held, 1);
     assert_eq!(leaves(&mut leader, 2, &JobApi::new("node-0")).len(), 1);
     // The next report was sent before that start arrived, and proves nothing of it.
-    leader.take_heartbeat(&cluster(), &fenced(3, 2), None, at(600), at(600));
+    leader.apply_heartbeat(&cluster(), &fenced(3, 2), None, at(600), at(600));
     assert!(is_placed(&leader), "the start under token 2 may be on its way");
     leader.term_raised(3);
-    leader.take_heartbeat(&cluster(), &fenced(4, 3), None, at(700), at(700));
+    leader.apply_heartbeat(&cluster(), &fenced(4, 3), None, at(700), at(700));
     assert!(!is_placed(&leader), "it is refused from here on");
 }
 
@@ -104,7 +104,7 @@
         incarnation: 2,
         ..heartbeat(1, vec![])
     };
-    renewed.take_heartbeat(&cluster(), &next_session, None, at(100), at(100));
+    renewed.apply_heartbeat(&cluster(), &next_session, None, at(100), at(100));
     assert!(leaves(&mut renewed, 1, &api).is_empty());
 }
 
@@ -119,7 +119,7 @@
     };
     for last_first in [false, true] {
         let mut leader = LeaderState::new(1, 1, at(0));
-        leader.take_heartbeat(&cluster(), &heartbeat(1, vec![]), None, at(10), at(10));
+        leader.apply_heartbeat(&cluster(), &heartbeat(1, vec![]), None, at(10), at(10));
         place(&mut leader, at(20));
         leader.term_raised(2);
         let mut tasks = vec![listed(0, TaskPhase::Exited), listed(1, TaskPhase::Running)];
@@ -130,7 +130,7 @@
             fencing_token: 2,
             ..heartbeat(2, tasks)
         };
-        leader.take_heartbeat(&cluster(), &heartbeat, None, at(100), at(100));
+        leader.apply_heartbeat(&cluster(), &heartbeat, None, at(100), at(100));
         assert!(is_placed(&leader), "attempt 1 is on the machine");
     }
 }
@@ -183,11 +183,11 @@
     let placement = job.placements.get_mut(&0).expect("it is placed");
     (placement.restored, placement.sent) = (true, true);
     leader.term_raised(2);
-    let due = leader.take_heartbeat(&cluster(), &fenced(2, 1), None, at(100), at(100));
+    let due = leader.apply_heartbeat(&cluster(), &fenced(2, 1), None, at(100), at(100));
     assert!(due.starts.is_empty(), "{due:?}");
-    assert!(due.asks_for_report, "nobody asks the machine for a report");
+    assert!(due.wants_heartbeat, "nobody asks the machine for a report");
     assert!(leaves(&mut leader, 2, &JobApi::new("node-0")).is_empty());
     assert!(is_placed(&leader), "an earlier token proves nothing");
-    leader.take_heartbeat(&cluster(), &fenced(3, 2), None, at(200), at(200));
+    leader.apply_heartbeat(&cluster(), &fenced(3, 2), None, at(200), at(200));
     assert!(!is_placed(&leader));
 }
--- a/tests/sim/renewals.rs
+++ b/tests/sim/renewals.rs
@@ -28,25 +28,25 @@
     let election = Election::new(&settings, at(0));
     let others = || ["node-1", "node-2"].into_iter().map(str::to_string);
     let mut attestations = CancellationAttestations::new(at(0));
-    attestations.ask(7, others(), at(1000));
-    assert!(!attestations.answered(&election, "node-1", 7, 0));
-    assert!(!attestations.answered(&election, "node-1", 7, 0), "twice is not two");
-    assert!(!attestations.answered(&election, "node-9", 7, 0), "a stranger");
+    attestations.begin_round(7, others(), at(1000));
+    assert!(!attestations.on_answer(&election, "node-1", 7, 0));
+    assert!(!attestations.on_answer(&election, "node-1", 7, 0), "twice is not two");
+    assert!(!attestations.on_answer(&election, "node-9", 7, 0), "a stranger");
     assert!(
-        !attestations.answered(&election, "node-2", 6, 0),
+        !attestations.on_answer(&election, "node-2", 6, 0),
         "for an earlier question"
     );
     assert!(
-        !attestations.answered(&election, "node-2", 7, 1),
+        !attestations.on_answer(&election, "node-2", 7, 1),
         "it knows a later term"
     );
-    assert!(attestations.answered(&election, "node-2", 7, 0));
-    attestations.ask(8, others(), at(2000));
+    assert!(attestations.on_answer(&election, "node-2", 7, 0));
+    attestations.begin_round(8, others(), at(2000));
     assert!(
-        !attestations.answered(&election, "node-2", 7, 0),
+        !attestations.on_answer(&election, "node-2", 7, 0),
         "a copy of the last one"
     );
-    assert!(!attestations.answered(&election, "node-1", 8, 0));
+    assert!(!attestations.on_answer(&election, "node-1", 8, 0));
 }
 
 /// What this life of a process was told is all it can say: asked from before it began, it is
@@ -80,7 +80,7 @@
 /// A leader of term 1 whose cancelled job's start was sent and never seen.
 fn flying() -> LeaderState {
     let mut leader = LeaderState::new(1, 1, at(0));
-    leader.take_heartbeat(&cluster(), &heartbeat(1, &[]), None, at(10), at(10));
+    leader.apply_heartbeat(&cluster(), &heartbeat(1, &[]), None, at(10), at(10));
     place(&mut leader, at(20));
     leader
 }
@@ -89,24 +89,25 @@
 fn a_start_that_was_never_seen_raises_the_term_also_when_its_machine_is_not_heard() {
     let mut leader = flying();
     leader.cancel("run-000001", at(1000));
-    leader.check_unsettled(at(3000));
+    leader.update_unsettled_machines(at(3000));
     assert!(leader.new_term.is_none(), "its next report may tell");
-    leader.check_unsettled(at(5000));
+    leader.update_unsettled_machines(at(5000));
     assert!(leader.new_term.is_some());
     leader.term_raised(2);
-    leader.check_unsettled(at(9000));
+    leader.update_unsettled_machines(at(9000));
     assert!(leader.new_term.is_none(), "once is enough");
 }
 
 #[test]
 fn a_lease_ends_in_time_where_a_cancelled_start_may_still_arrive() {
     let cluster = cluster();
-    let lapses =
-        |leader: &LeaderState, ms: u64, tasks: &[&str]| leader.must_lapse(&cluster, &heartbeat(2, tasks), at(ms));
+    let lapses = |leader: &LeaderState, ms: u64, tasks: &[&str]| {
+        leader.must_let_lease_lapse(&cluster, &heartbeat(2, tasks), at(ms))
+    };
     let mut leader = flying();
     leader.cancellation_watermark = at(900);
     leader.cancel("run-000001", at(1000));
-    leader.check_unsettled(at(5000));
+    leader.update_unsettled_machines(at(5000));
     assert!(!lapses(&leader, 5000, &[]), "there is time to raise the term");
     // 40 s after the cancellation, at the latest, nothing may begin: 10 s of lease before.
     assert!(lapses(&leader, 31_000, &[]));
@@ -124,7 +125,7 @@
         fencing_token: 99,
         ..heartbeat(2, &[])
     };
-    leader.take_heartbeat(&cluster, &forged, None, at(100), at(100));
+    leader.apply_heartbeat(&cluster, &forged, None, at(100), at(100));
     assert!(
         leader.jobs["run-000001"].placements.contains_key(&0),
         "the start may be on its way"
@@ -135,7 +136,7 @@
         fencing_token: 2,
         ..heartbeat(3, &[])
     };
-    leader.take_heartbeat(&cluster, &real, None, at(200), at(200));
+    leader.apply_heartbeat(&cluster, &real, None, at(200), at(200));
     assert!(!leader.jobs["run-000001"].placements.contains_key(&0));
 }
 
