--- a/crates/compression/src/lib.rs
+++ b/crates/compression/src/lib.rs
@@ -1,11 +1,11 @@
-//! Records packed into a bounded text.
+//! Packs records into a text of bounded size.
 //!
-//! Some stores take values of a few kilobytes, and text and numbers only. Records go in
-//! as `bitcode`, compressed with deflate, written in base64: a fraction of what they take
-//! as maps with text keys. As many as fit are taken, in their order.
+//! Some stores accept only text and numbers, in values of a few kilobytes. Records are encoded with
+//! `bitcode`, compressed with deflate and written in base64, which takes a fraction of the space of
+//! maps with text keys. As many records as fit are packed, in their order.
 //!
-//! What is unpacked comes from outside: its size is bounded before it is allocated, and
-//! anything malformed is an error, never a panic.
+//! Text to be unpacked comes from outside: its size is bounded before memory is allocated, and
+//! malformed text is an error, never a panic.
 //!
 //! ```
 //! use glenhaven_compression::{pack, unpack};
@@ -23,10 +23,10 @@
 use miniz_oxide::deflate::compress_to_vec;
 use miniz_oxide::inflate::decompress_to_vec_with_limit;
 
-/// Deflate's level: small values, written every few seconds.
+/// The level of deflate, for small values that are written every few seconds.
 const LEVEL: u8 = 6;
-/// The most bytes that a text unpacks to.
-const MOST: usize = 4 * 1024 * 1024;
+/// The most bytes that a text may unpack to.
+const MAX_UNPACKED_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a text could not be unpacked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,21 +55,21 @@
     STANDARD_NO_PAD.encode(compress_to_vec(&bitcode::encode(records), LEVEL))
 }
 
-/// Packs the first of these records into a text of at most so many bytes; says how many
-/// it took. Even none takes a few bytes.
-pub fn pack<T: Encode>(records: &[T], bytes: usize) -> (String, usize) {
+/// Packs the first of these records, as many as fit, into a text of at most `max_bytes`, and returns
+/// the text and their number. Even an empty list takes a few bytes.
+pub fn pack<T: Encode>(records: &[T], max_bytes: usize) -> (String, usize) {
     let all = text_of(records);
-    if all.len() <= bytes {
+    if all.len() <= max_bytes {
         return (all, records.len());
     }
-    // Lengths grow with the number of records but for a few bytes, so halving finds
-    // nearly the most that fits; what it finds does fit.
+    // The length grows with the number of records, except for a few bytes: bisection finds nearly
+    // the largest number that fits, and always one that fits.
     let (mut fits, mut over) = (0, records.len());
     let mut text = text_of::<T>(&[]);
     while over - fits > 1 {
         let middle = fits + (over - fits) / 2;
         let tried = text_of(&records[..middle]);
-        if tried.len() <= bytes {
+        if tried.len() <= max_bytes {
             (fits, text) = (middle, tried);
         } else {
             over = middle;
@@ -78,9 +78,13 @@
     (text, fits)
 }
 
-/// The records of a text.
+/// The records that were packed into a text.
+///
+/// # Errors
+///
+/// [`Malformed`] if the text was not made by [`pack`] from records of this type.
 pub fn unpack<T: DecodeOwned>(text: &str) -> Result<Vec<T>, Malformed> {
     let packed = STANDARD_NO_PAD.decode(text).map_err(|_| Malformed::Text)?;
-    let bytes = decompress_to_vec_with_limit(&packed, MOST).map_err(|_| Malformed::Compression)?;
+    let bytes = decompress_to_vec_with_limit(&packed, MAX_UNPACKED_BYTES).map_err(|_| Malformed::Compression)?;
     bitcode::decode(&bytes).map_err(|_| Malformed::Records)
 }
--- a/crates/compression/tests/compression.rs
+++ b/crates/compression/tests/compression.rs
@@ -17,7 +17,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(256) })]
 
     #[test]
-    fn what_fits_comes_back(records in records(), bytes in 16usize..8000) {
+    fn packed_records_are_unpacked_unchanged(records in records(), bytes in 16usize..8000) {
         let (text, taken) = pack(&records, bytes);
         prop_assert!(text.len() <= bytes);
         prop_assert_eq!(unpack::<Record>(&text).unwrap(), &records[..taken]);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_swells_is_refused() {
+fn too_large_unpacked_data_is_refused() {
     use base64::Engine;
     let bomb = miniz_oxide::deflate::compress_to_vec(&vec![0u8; 64 << 20], 9);
     let text = base64::engine::general_purpose::STANDARD_NO_PAD.encode(bomb);
--- a/crates/dependencies/src/inheritance.rs
+++ b/crates/dependencies/src/inheritance.rs
@@ -1,21 +1,23 @@
-//! What the last job of a chain lends to those before it: its priority, and the time by
-//! which they have to be done so that it can be in time.
+//! Priority inheritance: a job has at least the priority of every open job that depends on it, and
+//! has to be done early enough for each of them to meet its deadline.
 
 use super::{DependencyGraph, Phase};
 use glenhaven_time::Micros;
 use std::collections::BTreeMap;
 
-/// What is lent to a job by those that need it.
+/// What a job inherits from those that depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lent<P> {
+pub struct Inherited<P> {
+    /// The highest priority among them.
     pub priority: P,
-    /// When it has to be done at the latest.
+    /// When it has to be done at the latest, if any of them has a deadline.
     pub due: Option<Micros>,
 }
 
-impl<P: Ord + Copy> Lent<P> {
-    fn join(self, other: Lent<P>) -> Lent<P> {
-        Lent {
+impl<P: Ord + Copy> Inherited<P> {
+    /// The higher priority and the earlier deadline of the two.
+    fn join(self, other: Inherited<P>) -> Inherited<P> {
+        Inherited {
             priority: self.priority.max(other.priority),
             due: match (self.due, other.due) {
                 (Some(a), Some(b)) => Some(a.min(b)),
@@ -26,47 +28,50 @@
 }
 
 impl<J> DependencyGraph<J> {
-    /// What each job is lent that is not over and that an open job needs, directly or not.
-    /// `own` is what a job that names others has of itself, and `takes` how long it takes
-    /// from its beginning to its end. Withdrawn jobs lend nothing.
+    /// What each job inherits that has not ended and that an open job depends on, directly or not.
+    /// `own` is the priority and deadline that a job with dependencies has itself, and `takes` how
+    /// long it takes from its start to its end. From cancelled jobs nothing is inherited.
     ///
-    /// One pass from the last jobs to the first; each link is looked at once.
-    pub fn lend<P: Ord + Copy>(
+    /// One pass from the last jobs to the first, in which each edge is visited once.
+    pub fn inherit<P: Ord + Copy>(
         &self,
-        own: impl Fn(&str, &J) -> Lent<P>,
+        own: impl Fn(&str, &J) -> Inherited<P>,
         takes: impl Fn(&str, &J) -> Micros,
-    ) -> BTreeMap<&str, Lent<P>> {
-        let mut lent: BTreeMap<&str, Lent<P>> = BTreeMap::new();
-        // Jobs that need a job and have not lent yet.
-        let mut owing: BTreeMap<&str, usize> = BTreeMap::new();
+    ) -> BTreeMap<&str, Inherited<P>> {
+        let mut inherited: BTreeMap<&str, Inherited<P>> = BTreeMap::new();
+        // The number of dependents of each job that have not been visited yet.
+        let mut dependents_left: BTreeMap<&str, usize> = BTreeMap::new();
         let mut ready: Vec<&str> = vec![];
-        for (id, link) in &self.links {
-            match link.after.len() {
+        for (id, node) in &self.nodes {
+            match node.dependents.len() {
                 0 => ready.push(id),
                 n => {
-                    owing.insert(id, n);
+                    dependents_left.insert(id, n);
                 }
             }
         }
         while let Some(id) = ready.pop() {
-            let Some(link) = self.links.get(id) else { continue };
-            let gives = link.job.as_ref().filter(|_| !link.lost).map(|job| {
-                let has = own(id, job);
-                let has = lent.get(id).map_or(has, |l| has.join(*l));
-                let begin = has.due.map(|due| due - takes(id, job));
-                Lent {
-                    priority: has.priority,
-                    due: begin,
-                }
+            let Some(node) = self.nodes.get(id) else { continue };
+            let job = node.job.as_ref().filter(|_| !node.cancelled);
+            let passed_on = job.map(|job| {
+                let own = own(id, job);
+                let total = inherited.get(id).map_or(own, |from_others| own.join(*from_others));
+                let due = total.due.map(|due| due - takes(id, job));
+                let priority = total.priority;
+                Inherited { priority, due }
             });
-            for need in &link.needs {
-                let Some((need, before)) = self.links.get_key_value(need) else {
+            for need in &node.needs {
+                let Some((need, dependency)) = self.nodes.get_key_value(need) else {
                     continue;
                 };
-                if let Some(gives) = gives.filter(|_| matches!(before.phase, Phase::Open | Phase::Unknown)) {
-                    lent.entry(need).and_modify(|l| *l = l.join(gives)).or_insert(gives);
+                let has_ended = !matches!(dependency.phase, Phase::Open | Phase::Unknown);
+                if let Some(passed_on) = passed_on.filter(|_| !has_ended) {
+                    inherited
+                        .entry(need)
+                        .and_modify(|total| *total = total.join(passed_on))
+                        .or_insert(passed_on);
                 }
-                if let Some(left) = owing.get_mut(need.as_str()) {
+                if let Some(left) = dependents_left.get_mut(need.as_str()) {
                     *left -= 1;
                     if *left == 0 {
                         ready.push(need);
@@ -74,6 +79,6 @@
                 }
             }
         }
-        lent
+        inherited
     }
 }
--- a/crates/dependencies/src/lib.rs
+++ b/crates/dependencies/src/lib.rs
@@ -1,274 +1,275 @@
-//! Jobs that wait for others: which of them may begin, which are withdrawn because one
-//! that they need is, and what the last job of a chain lends to those before it.
+//! The graph of jobs with dependencies: which jobs are ready, which are cancelled because a
+//! dependency was, and which priority and deadline a job inherits from those that depend on it.
 //!
-//! The crate is told what is committed: a job that names others was accepted, a job is
-//! done, a job is withdrawn. It answers from that alone and in whatever order it was told.
-//! A job that has begun has all it needs done, and what is done stays done: only jobs that
-//! never began are withdrawn with another.
+//! The caller feeds committed facts: a job with dependencies was accepted, a job is done, a job is
+//! cancelled. The result depends on these alone, not on their order. All dependencies of a job
+//! that has started are done and stay so: only a job that never started is cancelled with one.
 //!
 //! ```
-//! use glenhaven_dependencies::{DependencyGraph, News, Stand};
+//! use glenhaven_dependencies::{DependencyChange, DependencyGraph, DependencyState};
 //!
-//! let mut chains = DependencyGraph::new();
-//! chains.add("run-2", &["run-1".into()], ());
-//! assert_eq!(chains.stand("run-2"), Some(Stand::Unsettled), "nobody said what run-1 is");
-//! chains.open("run-1");
-//! assert_eq!(chains.stand("run-2"), Some(Stand::Waits));
-//! chains.ended("run-1", true);
-//! assert_eq!(chains.stand("run-2"), Some(Stand::Free));
-//! assert_eq!(chains.take_news(), [News::Free("run-2".into())]);
+//! let mut graph = DependencyGraph::new();
+//! graph.add("run-2", &["run-1".into()], ());
+//! assert_eq!(graph.state("run-2"), Some(DependencyState::Undetermined), "nothing is known of run-1");
+//! graph.open("run-1");
+//! assert_eq!(graph.state("run-2"), Some(DependencyState::Blocked));
+//! graph.ended("run-1", true);
+//! assert_eq!(graph.state("run-2"), Some(DependencyState::Ready));
+//! assert_eq!(graph.take_changes(), [DependencyChange::Ready("run-2".into())]);
 //! ```
 #![forbid(unsafe_code)]
 
 mod inheritance;
 
-pub use inheritance::Lent;
+pub use inheritance::Inherited;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is known of a job by its own key.
+/// What is known of a job itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Nothing: whether it is over has to be read.
+    /// Nothing: whether it has ended has to be read.
     Unknown,
     Open,
     Done,
-    Withdrawn,
+    Cancelled,
 }
 
-/// Where a job stands that names others.
+/// The state of an open job with dependencies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
-    /// Whether all before it are open is not known.
-    Unsettled,
-    /// Something that it needs is not done.
-    Waits,
-    /// All that it needs is done.
-    Free,
-    /// Something before it is withdrawn, and it with it.
-    Withdrawn,
+pub enum DependencyState {
+    /// Nothing is known of some job that it depends on, directly or not.
+    Undetermined,
+    /// A dependency is not done.
+    Blocked,
+    /// All dependencies are done.
+    Ready,
+    /// A job that it depends on, directly or not, is cancelled, and it with that.
+    Cancelled,
 }
 
-/// Something that became true of a job that names others.
+/// A change of the state of an open job with dependencies.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
-    /// It may begin.
-    Free(String),
-    /// It is withdrawn, because one that it needs is.
-    Withdrawn(String),
+pub enum DependencyChange {
+    /// It may start.
+    Ready(String),
+    /// It is cancelled, because a job that it depends on is.
+    Cancelled(String),
 }
 
+/// A job in the graph: an open one with dependencies, or one that such a job depends on.
 #[derive(Debug)]
-struct Link<J> {
+struct Node<J> {
     phase: Phase,
-    /// What it names, each once, while it is open.
+    /// Its direct dependencies, each once, while it is open.
     needs: Vec<String>,
+    /// What the caller stores of it, while it is open and has dependencies.
     job: Option<J>,
-    /// How many of them are not done.
-    left: usize,
-    /// One before it is withdrawn.
-    lost: bool,
-    /// Open jobs that name it.
-    after: BTreeSet<String>,
+    /// How many of its dependencies are not done.
+    unfinished: usize,
+    /// Whether it is cancelled with a job that it depends on.
+    cancelled: bool,
+    /// Open jobs that directly depend on it.
+    dependents: BTreeSet<String>,
 }
 
-impl<J> Default for Link<J> {
+impl<J> Default for Node<J> {
     fn default() -> Self {
-        Link {
+        Node {
             phase: Phase::Unknown,
             needs: vec![],
             job: None,
-            left: 0,
-            lost: false,
-            after: BTreeSet::new(),
+            unfinished: 0,
+            cancelled: false,
+            dependents: BTreeSet::new(),
         }
     }
 }
 
-/// Open jobs that name others, and what is known of those that they name. `J` is what the
-/// caller keeps of a job that names others.
+/// The graph of open jobs with dependencies. `J` is what the caller stores of such a job.
 #[derive(Debug)]
 pub struct DependencyGraph<J> {
-    links: BTreeMap<String, Link<J>>,
-    /// Named jobs of which nothing is known.
+    nodes: BTreeMap<String, Node<J>>,
+    /// Dependencies of which nothing is known.
     unknown: BTreeSet<String>,
-    news: Vec<News>,
+    changes: Vec<DependencyChange>,
 }
 
 impl<J> Default for DependencyGraph<J> {
     fn default() -> Self {
         DependencyGraph {
-            links: BTreeMap::new(),
+            nodes: BTreeMap::new(),
             unknown: BTreeSet::new(),
-            news: vec![],
+            changes: vec![],
         }
     }
 }
 
 impl<J> DependencyGraph<J> {
-    /// Nothing is known.
+    /// An empty graph.
     pub fn new() -> DependencyGraph<J> {
         DependencyGraph::default()
     }
 
-    /// An accepted job that names these. Told again, it changes nothing; of a job that is
-    /// over, nothing is kept.
+    /// Adds an accepted job with its direct dependencies. A job that was added before, or that has
+    /// ended, is ignored.
     pub fn add(&mut self, id: &str, needs: &[String], job: J) {
-        let link = self.links.entry(id.to_string()).or_default();
-        if link.job.is_some() || matches!(link.phase, Phase::Done | Phase::Withdrawn) {
+        let node = self.nodes.entry(id.to_string()).or_default();
+        if node.job.is_some() || matches!(node.phase, Phase::Done | Phase::Cancelled) {
             return;
         }
-        let mut named: Vec<String> = needs.iter().filter(|n| *n != id).cloned().collect();
-        named.sort();
-        named.dedup();
-        link.phase = Phase::Open;
-        link.job = Some(job);
-        link.needs.clone_from(&named);
+        let mut dependencies: Vec<String> = needs.iter().filter(|n| *n != id).cloned().collect();
+        dependencies.sort();
+        dependencies.dedup();
+        node.phase = Phase::Open;
+        node.job = Some(job);
+        node.needs.clone_from(&dependencies);
         self.unknown.remove(id);
-        let (mut left, mut lost) = (0, false);
-        for need in named {
-            let before = self.links.entry(need.clone()).or_default();
-            before.after.insert(id.to_string());
-            left += usize::from(before.phase != Phase::Done);
-            lost |= before.lost || before.phase == Phase::Withdrawn;
-            if before.phase == Phase::Unknown {
+        let (mut unfinished, mut cancelled) = (0, false);
+        for need in dependencies {
+            let dependency = self.nodes.entry(need.clone()).or_default();
+            dependency.dependents.insert(id.to_string());
+            unfinished += usize::from(dependency.phase != Phase::Done);
+            cancelled |= dependency.cancelled || dependency.phase == Phase::Cancelled;
+            if dependency.phase == Phase::Unknown {
                 self.unknown.insert(need);
             }
         }
-        if let Some(link) = self.links.get_mut(id) {
-            link.left = left;
+        if let Some(node) = self.nodes.get_mut(id) {
+            node.unfinished = unfinished;
         }
-        if lost {
-            self.lose(id.to_string());
-        } else if left == 0 {
-            self.news.push(News::Free(id.to_string()));
+        if cancelled {
+            self.cancel(id.to_string());
+        } else if unfinished == 0 {
+            self.changes.push(DependencyChange::Ready(id.to_string()));
         }
     }
 
-    /// A job was accepted and is not known to be over.
+    /// Notes that a job was accepted and has not ended.
     pub fn open(&mut self, id: &str) {
-        if let Some(link) = self.links.get_mut(id).filter(|l| l.phase == Phase::Unknown) {
-            link.phase = Phase::Open;
+        if let Some(node) = self.nodes.get_mut(id).filter(|l| l.phase == Phase::Unknown) {
+            node.phase = Phase::Open;
             self.unknown.remove(id);
         }
     }
 
-    /// A job is over for good: done, or withdrawn.
+    /// Notes that a job has ended: it is done, or cancelled.
     pub fn ended(&mut self, id: &str, done: bool) {
-        let Some(link) = self.links.get_mut(id) else { return };
-        if matches!(link.phase, Phase::Done | Phase::Withdrawn) {
+        let Some(node) = self.nodes.get_mut(id) else { return };
+        if matches!(node.phase, Phase::Done | Phase::Cancelled) {
             return;
         }
-        link.phase = if done { Phase::Done } else { Phase::Withdrawn };
-        link.job = None;
-        let needs = std::mem::take(&mut link.needs);
-        let after: Vec<String> = link.after.iter().cloned().collect();
+        node.phase = if done { Phase::Done } else { Phase::Cancelled };
+        node.job = None;
+        let needs = std::mem::take(&mut node.needs);
+        let dependents: Vec<String> = node.dependents.iter().cloned().collect();
         self.unknown.remove(id);
         for need in needs {
-            if let Some(before) = self.links.get_mut(&need) {
-                before.after.remove(id);
+            if let Some(dependency) = self.nodes.get_mut(&need) {
+                dependency.dependents.remove(id);
             }
             self.drop_unneeded(&need);
         }
-        for next in after {
+        for next in dependents {
             if !done {
-                self.lose(next);
-            } else if let Some(link) = self.links.get_mut(&next) {
-                link.left -= 1;
-                if link.left == 0 && !link.lost {
-                    self.news.push(News::Free(next));
+                self.cancel(next);
+            } else if let Some(node) = self.nodes.get_mut(&next) {
+                node.unfinished -= 1;
+                if node.unfinished == 0 && !node.cancelled {
+                    self.changes.push(DependencyChange::Ready(next));
                 }
             }
         }
         self.drop_unneeded(id);
     }
 
-    /// A job is withdrawn with what it needs, and all that need it with it.
-    fn lose(&mut self, id: String) {
+    /// Cancels a job with a dependency, and with it all jobs that depend on it.
+    fn cancel(&mut self, id: String) {
         let mut rest = vec![id];
         while let Some(id) = rest.pop() {
-            let Some(link) = self.links.get_mut(&id).filter(|l| l.job.is_some() && !l.lost) else {
+            let Some(node) = self.nodes.get_mut(&id).filter(|l| l.job.is_some() && !l.cancelled) else {
                 continue;
             };
-            link.lost = true;
-            rest.extend(link.after.iter().cloned());
-            self.news.push(News::Withdrawn(id));
+            node.cancelled = true;
+            rest.extend(node.dependents.iter().cloned());
+            self.changes.push(DependencyChange::Cancelled(id));
         }
     }
 
+    /// Removes a node that is neither an open job with dependencies nor needed by one.
     fn drop_unneeded(&mut self, id: &str) {
         if self
-            .links
+            .nodes
             .get(id)
-            .is_some_and(|l| l.job.is_none() && l.after.is_empty())
+            .is_some_and(|l| l.job.is_none() && l.dependents.is_empty())
         {
-            self.links.remove(id);
+            self.nodes.remove(id);
             self.unknown.remove(id);
         }
     }
 
-    /// Forgets everything, to be told anew.
+    /// Removes all jobs, before the caller adds them again.
     pub fn forget(&mut self) {
         *self = DependencyGraph::new();
     }
 
-    /// Where an open job stands that names others; `None` for any other job.
-    pub fn stand(&self, id: &str) -> Option<Stand> {
-        let link = self.links.get(id).filter(|l| l.job.is_some())?;
-        Some(if link.lost {
-            Stand::Withdrawn
-        } else if link.left == 0 {
-            Stand::Free
-        } else if self.is_unsettled(link) {
-            Stand::Unsettled
+    /// The state of an open job with dependencies; `None` for any other job.
+    pub fn state(&self, id: &str) -> Option<DependencyState> {
+        let node = self.nodes.get(id).filter(|l| l.job.is_some())?;
+        Some(if node.cancelled {
+            DependencyState::Cancelled
+        } else if node.unfinished == 0 {
+            DependencyState::Ready
+        } else if self.is_undetermined(node) {
+            DependencyState::Undetermined
         } else {
-            Stand::Waits
+            DependencyState::Blocked
         })
     }
 
-    /// Whether nothing is known of some job before this one.
-    fn is_unsettled(&self, link: &Link<J>) -> bool {
+    /// Whether nothing is known of some job that this one depends on, directly or not.
+    fn is_undetermined(&self, node: &Node<J>) -> bool {
         if self.unknown.is_empty() {
             return false;
         }
         let mut seen: BTreeSet<&str> = BTreeSet::new();
-        let mut rest: Vec<&str> = link.needs.iter().map(String::as_str).collect();
+        let mut rest: Vec<&str> = node.needs.iter().map(String::as_str).collect();
         while let Some(id) = rest.pop() {
             if self.unknown.contains(id) {
                 return true;
             }
             if seen.insert(id) {
-                let needs = self.links.get(id).map(|l| l.needs.iter());
+                let needs = self.nodes.get(id).map(|l| l.needs.iter());
                 rest.extend(needs.into_iter().flatten().map(String::as_str));
             }
         }
         false
     }
 
-    /// What the caller keeps of an open job that names others.
+    /// What the caller stored of an open job with dependencies.
     pub fn job(&self, id: &str) -> Option<&J> {
-        self.links.get(id)?.job.as_ref()
+        self.nodes.get(id)?.job.as_ref()
     }
 
-    /// All open jobs that name others, in the order of their names.
+    /// All open jobs with dependencies, in the order of their ids.
     pub fn jobs(&self) -> impl Iterator<Item = (&str, &J)> {
-        self.links
+        self.nodes
             .iter()
             .filter_map(|(id, l)| Some((id.as_str(), l.job.as_ref()?)))
     }
 
-    /// Whether an open job names this one.
+    /// Whether an open job directly depends on this one.
     pub fn is_needed(&self, id: &str) -> bool {
-        self.links.get(id).is_some_and(|l| !l.after.is_empty())
+        self.nodes.get(id).is_some_and(|l| !l.dependents.is_empty())
     }
 
-    /// Named jobs of which nothing is known: whether they are over has to be read.
+    /// Dependencies of which nothing is known: whether they have ended has to be read.
     pub fn unknown(&self) -> impl Iterator<Item = &str> {
         self.unknown.iter().map(String::as_str)
     }
 
-    /// What became true since the last call, in that order.
-    pub fn take_news(&mut self) -> Vec<News> {
-        std::mem::take(&mut self.news)
+    /// The changes since the last call, in their order.
+    pub fn take_changes(&mut self) -> Vec<DependencyChange> {
+        std::mem::take(&mut self.changes)
     }
 }
--- a/crates/dependencies/tests/dependencies.rs
+++ b/crates/dependencies/tests/dependencies.rs
@@ -1,7 +1,7 @@
-//! Chains against a naive model that works everything out anew from what was said, in
-//! whatever order it was said.
+//! The dependency graph against a naive model that derives everything from the reported facts,
+//! whatever order these are reported in.
 
-use glenhaven_dependencies::{DependencyGraph, Lent, News, Stand};
+use glenhaven_dependencies::{DependencyChange, DependencyGraph, DependencyState, Inherited};
 use glenhaven_time::Micros;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,13 +13,13 @@
 }
 
 #[derive(Clone, Debug)]
-enum Said {
+enum Fact {
     Add(usize),
     Open(usize),
     End(usize, bool),
 }
 
-/// What was said, and what follows from it by the words of the protocol.
+/// The facts that were reported, and the states that follow from them by the protocol.
 #[derive(Default)]
 struct Naive {
     needs: BTreeMap<usize, Vec<usize>>,
@@ -28,11 +28,11 @@
 }
 
 impl Naive {
-    fn all_before(&self, job: usize) -> BTreeSet<usize> {
+    fn all_dependencies(&self, job: usize) -> BTreeSet<usize> {
         let mut all = BTreeSet::new();
         let mut rest = vec![job];
         while let Some(at) = rest.pop() {
-            // What is over no longer waits for anything.
+            // A job that has ended waits for nothing.
             for need in self
                 .needs
                 .get(&at)
@@ -48,32 +48,37 @@
         all
     }
 
-    fn stand(&self, job: usize) -> Option<Stand> {
+    fn state(&self, job: usize) -> Option<DependencyState> {
         let needs = self.needs.get(&job).filter(|_| !self.ends.contains_key(&job))?;
-        let before = self.all_before(job);
+        let before = self.all_dependencies(job);
         let known = |j: &usize| self.ends.contains_key(j) || self.open.contains(j) || self.needs.contains_key(j);
         Some(if before.iter().any(|j| self.ends.get(j) == Some(&false)) {
-            Stand::Withdrawn
+            DependencyState::Cancelled
         } else if needs.iter().all(|j| self.ends.get(j) == Some(&true)) {
-            Stand::Free
+            DependencyState::Ready
         } else if !before.iter().all(known) {
-            Stand::Unsettled
+            DependencyState::Undetermined
         } else {
-            Stand::Waits
+            DependencyState::Blocked
         })
     }
 
     /// Due times and priorities of all that need a job, over every way to it.
-    fn lent(&self, job: usize) -> Option<(u8, Micros)> {
+    fn inherited(&self, job: usize) -> Option<(u8, Micros)> {
         let mut best: Option<(u8, Micros)> = None;
-        for (after, needs) in &self.needs {
-            if !needs.contains(&job) || self.ends.contains_key(after) || self.stand(*after) == Some(Stand::Withdrawn) {
+        for (dependents, needs) in &self.needs {
+            if !needs.contains(&job)
+                || self.ends.contains_key(dependents)
+                || self.state(*dependents) == Some(DependencyState::Cancelled)
+            {
                 continue;
             }
-            let own = terms(*after);
-            let has = self.lent(*after).map_or(own, |l| (l.0.max(own.0), l.1.min(own.1)));
-            let gives = (has.0, has.1 - takes(*after));
-            best = Some(best.map_or(gives, |b| (b.0.max(gives.0), b.1.min(gives.1))));
+            let own = terms(*dependents);
+            let has = self
+                .inherited(*dependents)
+                .map_or(own, |l| (l.0.max(own.0), l.1.min(own.1)));
+            let passed_on = (has.0, has.1 - takes(*dependents));
+            best = Some(best.map_or(passed_on, |b| (b.0.max(passed_on.0), b.1.min(passed_on.1))));
         }
         best
     }
@@ -96,11 +101,11 @@
     (0..JOBS).map(needs).collect::<Vec<_>>()
 }
 
-fn sayings() -> impl Strategy<Value = Vec<Said>> {
+fn facts() -> impl Strategy<Value = Vec<Fact>> {
     let one = prop_oneof![
-        3 => (0..JOBS).prop_map(Said::Add),
-        1 => (0..JOBS).prop_map(Said::Open),
-        2 => (0..JOBS, any::<bool>()).prop_map(|(j, done)| Said::End(j, done)),
+        3 => (0..JOBS).prop_map(Fact::Add),
+        1 => (0..JOBS).prop_map(Fact::Open),
+        2 => (0..JOBS, any::<bool>()).prop_map(|(j, done)| Fact::End(j, done)),
     ];
     prop::collection::vec(one, 0..40)
 }
@@ -109,108 +114,108 @@
     #![proptest_config(ProptestConfig { cases: 2000, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_same_as_the_naive_model(graph in graphs(), said in sayings()) {
-        let (mut chains, mut naive) = (DependencyGraph::new(), Naive::default());
+    fn the_graph_agrees_with_a_naive_model(edges in graphs(), facts_in_order in facts()) {
+        let (mut graph, mut naive) = (DependencyGraph::new(), Naive::default());
         let mut told: BTreeSet<(usize, bool)> = BTreeSet::new();
-        for saying in said {
+        for saying in facts_in_order {
             match saying {
-                Said::Add(j) => {
+                Fact::Add(j) => {
                     // An end that was said while nobody needed the job is not kept: who
                     // adds a job knows that it is open.
-                    if graph[j].is_empty() || naive.ends.contains_key(&j) {
+                    if edges[j].is_empty() || naive.ends.contains_key(&j) {
                         continue;
                     }
-                    let needs: Vec<String> = graph[j].iter().map(|n| name(*n)).collect();
-                    for n in &graph[j] {
+                    let needs: Vec<String> = edges[j].iter().map(|n| name(*n)).collect();
+                    for n in &edges[j] {
                         // The same of what it names: what is over is read and said again.
                         if let Some(done) = naive.ends.get(n).copied() {
-                            chains.add(&name(j), &needs, j);
-                            chains.ended(&name(*n), done);
+                            graph.add(&name(j), &needs, j);
+                            graph.ended(&name(*n), done);
                         }
                     }
-                    chains.add(&name(j), &needs, j);
-                    for n in &graph[j] {
+                    graph.add(&name(j), &needs, j);
+                    for n in &edges[j] {
                         if naive.open.contains(n) && !naive.ends.contains_key(n) {
-                            chains.open(&name(*n));
+                            graph.open(&name(*n));
                         }
                     }
                     naive.needs.entry(j).or_insert_with(|| {
-                        let mut n = graph[j].clone();
+                        let mut n = edges[j].clone();
                         n.sort();
                         n.dedup();
                         n
                     });
                 }
-                Said::Open(j) => {
-                    chains.open(&name(j));
+                Fact::Open(j) => {
+                    graph.open(&name(j));
                     naive.open.insert(j);
                 }
-                Said::End(j, done) => {
+                Fact::End(j, done) => {
                     // A job is done only after all it needs; withdrawn at any time.
-                    let may = !done || naive.needs.get(&j).is_none_or(|_| naive.stand(j) == Some(Stand::Free));
+                    let may = !done || naive.needs.get(&j).is_none_or(|_| naive.state(j) == Some(DependencyState::Ready));
                     if may && !naive.ends.contains_key(&j) {
-                        chains.ended(&name(j), done);
+                        graph.ended(&name(j), done);
                         naive.ends.insert(j, done);
                     }
                 }
             }
-            for news in chains.take_news() {
-                let (id, free) = match &news {
-                    News::Free(id) => (id, true),
-                    News::Withdrawn(id) => (id, false),
+            for changes in graph.take_changes() {
+                let (id, free) = match &changes {
+                    DependencyChange::Ready(id) => (id, true),
+                    DependencyChange::Cancelled(id) => (id, false),
                 };
                 let j: usize = id[4..].parse().expect("a number");
-                prop_assert!(told.insert((j, free)), "{news:?} twice");
+                prop_assert!(told.insert((j, free)), "{changes:?} twice");
                 prop_assert!(!told.contains(&(j, !free)), "{j} both free and withdrawn");
             }
             for j in 0..JOBS {
-                let stand = naive.stand(j);
-                prop_assert_eq!(chains.stand(&name(j)), stand, "job {}", j);
+                let state = naive.state(j);
+                prop_assert_eq!(graph.state(&name(j)), state, "job {}", j);
                 // Whoever only listens knows as much.
-                prop_assert_eq!(stand == Some(Stand::Free), told.contains(&(j, true)) && stand.is_some());
-                prop_assert_eq!(stand == Some(Stand::Withdrawn), told.contains(&(j, false)) && stand.is_some());
+                prop_assert_eq!(state == Some(DependencyState::Ready), told.contains(&(j, true)) && state.is_some());
+                prop_assert_eq!(state == Some(DependencyState::Cancelled), told.contains(&(j, false)) && state.is_some());
             }
-            let lent = chains.lend(
-                |_, j| Lent { priority: terms(*j).0, due: Some(terms(*j).1) },
+            let inherited = graph.inherit(
+                |_, j| Inherited { priority: terms(*j).0, due: Some(terms(*j).1) },
                 |_, j| takes(*j),
             );
             for j in 0..JOBS {
-                let got = lent.get(name(j).as_str()).map(|l| (l.priority, l.due.expect("all have one")));
-                let want = naive.lent(j).filter(|_| !naive.ends.contains_key(&j));
-                prop_assert_eq!(got, want, "lent to {}", j);
+                let got = inherited.get(name(j).as_str()).map(|l| (l.priority, l.due.expect("all have one")));
+                let want = naive.inherited(j).filter(|_| !naive.ends.contains_key(&j));
+                prop_assert_eq!(got, want, "inherited by {}", j);
             }
         }
     }
 }
 
-/// A chain of a thousand, one job needed by thousands, and ten thousand waiting: every
-/// event costs what it changes, and nothing is left of what is over.
+/// A chain of a thousand jobs, one job that thousands need, and thousands that wait: each fact costs
+/// in proportion to what it changes, and nothing is left of jobs that have ended.
 #[test]
-fn long_wide_and_many() {
-    let mut chains = DependencyGraph::new();
+fn a_deep_and_wide_graph_is_emptied_when_its_jobs_end() {
+    let mut graph = DependencyGraph::new();
     for i in 1..1000 {
-        chains.add(&name(i), &[name(i - 1)], ());
+        graph.add(&name(i), &[name(i - 1)], ());
     }
     for i in 1000..6000 {
-        chains.add(&name(i), &[name(0), name(999)], ());
+        graph.add(&name(i), &[name(0), name(999)], ());
     }
-    chains.open(&name(0));
-    assert_eq!(chains.stand(&name(5999)), Some(Stand::Waits));
-    let lent = chains.lend(
-        |_, ()| Lent {
+    graph.open(&name(0));
+    assert_eq!(graph.state(&name(5999)), Some(DependencyState::Blocked));
+    let inherited = graph.inherit(
+        |_, ()| Inherited {
             priority: 1,
             due: Some(Micros::from_millis(5_000_000)),
         },
         |_, ()| Micros::from_millis(1000),
     );
-    // 999 stages and the last one's own, one after the other.
-    assert_eq!(lent[name(0).as_str()].due, Some(Micros::from_millis(4_000_000)));
-    chains.ended(&name(0), false);
-    assert_eq!(chains.take_news().len(), 5999);
-    assert_eq!(chains.stand(&name(5999)), Some(Stand::Withdrawn));
+    // 999 jobs and the last one itself, one after the other.
+    assert_eq!(inherited[name(0).as_str()].due, Some(Micros::from_millis(4_000_000)));
+    graph.ended(&name(0), false);
+    assert_eq!(graph.take_changes().len(), 5999);
+    assert_eq!(graph.state(&name(5999)), Some(DependencyState::Cancelled));
     for i in 1..6000 {
-        chains.ended(&name(i), false);
+        graph.ended(&name(i), false);
     }
-    assert_eq!(chains.jobs().count() + chains.unknown().count(), 0);
-    assert!(!chains.is_needed(&name(0)));
+    assert_eq!(graph.jobs().count() + graph.unknown().count(), 0);
+    assert!(!graph.is_needed(&name(0)));
 }
--- a/crates/fakes/src/user.rs
+++ b/crates/fakes/src/user.rs
@@ -258,6 +258,6 @@
         save_s: 0.0,
         deadline_s: None,
         needs: vec![],
-        apart: None,
+        hidden_fields: None,
     }
 }
--- a/crates/group-commit/src/lib.rs
+++ b/crates/group-commit/src/lib.rs
@@ -1,28 +1,29 @@
-//! Acceptances in pages. The state service counts changes, not bytes: a controller that
-//! writes each accepted job by itself accepts a few jobs a second, one that writes what
-//! waits into one value accepts as many as fit.
+//! Group commit of accepted jobs. The state service limits changes, not bytes: a controller that
+//! writes each accepted job by itself accepts a few jobs a second, one that writes all waiting jobs
+//! into one value (a page) accepts as many as fit.
 //!
-//! This crate decides which jobs go into which page and when, and which pages may be used
-//! again. It makes no request: the caller writes a [`Batch`] on condition that the page
-//! has the batch's version and that no job of it is over, and says what came of it. A page
-//! that names an open job is never written over; whatever is lost, late or repeated, a job
-//! is in a page or it waits.
+//! This crate decides which jobs go into which page and when, and which pages may be reused. It
+//! makes no request: the caller writes a [`Batch`] on condition that the page has the batch's
+//! version and that no job of it has ended, and reports the outcome.
+//!
+//! Invariant: a page that names an open job is never overwritten, and whatever message is lost, late
+//! or repeated, an offered job is in a page or waits.
 //!
 //! ```
 //! use glenhaven_group_commit::{GroupCommit, PageCapacity};
 //! use glenhaven_time::Micros;
 //!
-//! let room = PageCapacity { bytes: 8000, jobs: 90 };
-//! let mut intake = GroupCommit::new();
-//! intake.offer("run-1", 300, "its description", Micros::ZERO);
-//! let batch = intake.next(room, Micros::ZERO).expect("nothing is on its way");
+//! let capacity = PageCapacity { bytes: 8000, jobs: 90 };
+//! let mut group_commit = GroupCommit::new();
+//! group_commit.offer("run-1", 300, "its description", Micros::ZERO);
+//! let batch = group_commit.next(capacity, Micros::ZERO).expect("nothing is in flight");
 //! assert_eq!((batch.slot, batch.version), (0, 0));
-//! let accepted = intake.committed(batch.number, 17, |_| false);
+//! let accepted = group_commit.committed(batch.number, 17, |_| false);
 //! assert_eq!(accepted, [("run-1".to_string(), "its description")]);
-//! // The page is kept until its jobs are over; then its key is written again.
-//! intake.over("run-1");
-//! intake.offer("run-2", 300, "its description", Micros::ZERO);
-//! let batch = intake.next(room, Micros::ZERO).expect("nothing is on its way");
+//! // The page is kept until its jobs have ended; then its key is reused.
+//! group_commit.job_ended("run-1");
+//! group_commit.offer("run-2", 300, "its description", Micros::ZERO);
+//! let batch = group_commit.next(capacity, Micros::ZERO).expect("nothing is in flight");
 //! assert_eq!((batch.slot, batch.version), (0, 17));
 //! ```
 #![forbid(unsafe_code)]
@@ -34,13 +35,13 @@
 use glenhaven_time::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Pages on their way at a time: one slow answer doesn't hold up everybody else.
-const FLYING: usize = 3;
-/// While a page is on its way, a page that would not be half full waits this long for
-/// company: at rest a job goes out at once and alone, under load in company.
-const GATHER: Micros = Micros::from_millis(50);
+/// The most pages in flight, so that one slow answer doesn't hold up all other jobs.
+const MAX_IN_FLIGHT: usize = 3;
+/// While a page is in flight, a page that would not be half full waits this long for more jobs: a
+/// single job is written at once, under load many are written together.
+const BATCH_DELAY: Micros = Micros::from_millis(50);
 
-/// What a page holds at most.
+/// The most that a page can hold.
 #[derive(Clone, Copy, Debug)]
 pub struct PageCapacity {
     /// Bytes for descriptions, as the state service counts them.
@@ -49,47 +50,62 @@
     pub jobs: usize,
 }
 
-/// A page to be written: on condition that `slot` has `version` (0: it was never written)
-/// and that none of its jobs is over.
+/// A page to be written, on condition that `slot` has `version` (0: it was never written) and that
+/// none of its jobs has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch<J> {
-    /// What its outcome is said of: no two batches have the same.
+    /// Identifies the batch when its outcome is reported; no two batches have the same number.
     pub number: u64,
+    /// The slot of the page.
     pub slot: u32,
+    /// The version that the slot must have.
     pub version: u64,
-    /// Ids and descriptions, in the order in which they came.
+    /// Ids and descriptions, in the order in which they were offered.
     pub jobs: Vec<(String, J)>,
 }
 
+/// A job that waits or is in flight.
 #[derive(Clone)]
 struct Offer<J> {
     id: String,
+    /// The size of its description in bytes.
     size: usize,
     job: J,
-    since: Micros,
-    /// Somebody still waits for it.
+    offered_at: Micros,
+    /// Whether a user still waits for it.
     wanted: bool,
 }
 
+/// A page in flight.
+struct PageInFlight<J> {
+    slot: u32,
+    offers: Vec<Offer<J>>,
+}
+
+/// A page as it was last seen.
 #[derive(Default)]
 struct Page {
     version: u64,
-    /// Jobs in it that are not known to be over.
+    /// Jobs in it that are not known to have ended.
     open: BTreeSet<String>,
 }
 
 /// The acceptances of one controller.
 pub struct GroupCommit<J> {
     waiting: VecDeque<Offer<J>>,
-    /// By number: the slot, and what is on its way there.
-    flying: BTreeMap<u64, (u32, Vec<Offer<J>>)>,
-    numbers: u64,
-    /// Ids that wait or are on their way.
+    /// Pages in flight, by the number of their batch.
+    in_flight: BTreeMap<u64, PageInFlight<J>>,
+    /// The number of the last batch.
+    last_number: u64,
+    /// Ids that wait or are in flight.
     offered: BTreeSet<String>,
+    /// All pages that were ever used, by slot.
     pages: BTreeMap<u32, Page>,
     /// The pages that name an open job: more than one if an answer was lost.
-    named: BTreeMap<String, BTreeSet<u32>>,
+    pages_of_job: BTreeMap<String, BTreeSet<u32>>,
+    /// Slots that may be reused.
     free: BTreeSet<u32>,
+    /// How many slots were ever used.
     slots: u32,
 }
 
@@ -97,11 +113,11 @@
     fn default() -> Self {
         GroupCommit {
             waiting: VecDeque::new(),
-            flying: BTreeMap::new(),
-            numbers: 0,
+            in_flight: BTreeMap::new(),
+            last_number: 0,
             offered: BTreeSet::new(),
             pages: BTreeMap::new(),
-            named: BTreeMap::new(),
+            pages_of_job: BTreeMap::new(),
             free: BTreeSet::new(),
             slots: 0,
         }
@@ -109,28 +125,28 @@
 }
 
 impl<J: Clone> GroupCommit<J> {
-    /// Nothing waits, and no page is known.
+    /// A state in which no job waits and no page is known.
     pub fn new() -> GroupCommit<J> {
         GroupCommit::default()
     }
 
-    /// A job that is to be accepted; its description takes `size` bytes. One that waits or
-    /// is on its way already goes on as it is.
+    /// Offers a job for acceptance, whose description takes `size` bytes. A job that waits or is in
+    /// flight already stays as it is.
     pub fn offer(&mut self, id: &str, size: usize, job: J, now: Micros) {
         if !self.offered.insert(id.to_string()) {
-            self.want(id, true);
+            self.set_wanted(id, true);
             return;
         }
         self.waiting.push_back(Offer {
             id: id.to_string(),
             size,
             job,
-            since: now,
+            offered_at: now,
             wanted: true,
         });
     }
 
-    /// Nobody waits for the job any more: unless it is on its way, it is not written.
+    /// Withdraws a job for which no user waits any more: it is not written unless it is in flight.
     pub fn withdraw(&mut self, id: &str) {
         if !self.offered.contains(id) {
             return;
@@ -139,35 +155,38 @@
             self.waiting.remove(at);
             self.offered.remove(id);
         }
-        self.want(id, false);
+        self.set_wanted(id, false);
     }
 
-    fn want(&mut self, id: &str, wanted: bool) {
-        let flying = self.flying.values_mut().flat_map(|f| &mut f.1);
-        for offer in flying.filter(|o| o.id == id) {
+    /// Sets whether a user waits for a job that is in flight.
+    fn set_wanted(&mut self, id: &str, wanted: bool) {
+        let in_flight = self.in_flight.values_mut().flat_map(|page| &mut page.offers);
+        for offer in in_flight.filter(|o| o.id == id) {
             offer.wanted = wanted;
         }
     }
 
-    /// Whether the job is on its way into a page.
-    pub fn is_flying(&self, id: &str) -> bool {
-        self.flying.values().any(|f| f.1.iter().any(|o| o.id == id))
+    /// Whether a page with the job is in flight.
+    pub fn is_in_flight(&self, id: &str) -> bool {
+        self.in_flight
+            .values()
+            .any(|page| page.offers.iter().any(|o| o.id == id))
     }
 
-    /// Jobs that wait, those on their way aside.
+    /// The number of jobs that wait, without those in flight.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Pages that what waits would fill.
-    pub fn pages_waiting(&self, room: PageCapacity) -> usize {
+    /// The number of pages that the waiting jobs would fill.
+    pub fn pages_waiting(&self, capacity: PageCapacity) -> usize {
         let bytes: usize = self.waiting.iter().map(|o| o.size).sum();
         bytes
-            .div_ceil(room.bytes.max(1))
-            .max(self.waiting.len().div_ceil(room.jobs.max(1)))
+            .div_ceil(capacity.bytes.max(1))
+            .max(self.waiting.len().div_ceil(capacity.jobs.max(1)))
     }
 
-    /// Pages that name open jobs, and all that were ever used.
+    /// The number of pages that name open jobs, and of all that were ever used.
     pub fn pages(&self) -> (usize, usize) {
         (
             self.pages.values().filter(|p| !p.open.is_empty()).count(),
@@ -175,37 +194,30 @@
         )
     }
 
-    /// The next page to be written, if one should go out now. It is on its way until
-    /// [`committed`](Intake::committed) or [`failed`](Intake::failed) is said of it.
-    pub fn next(&mut self, room: PageCapacity, now: Micros) -> Option<Batch<J>> {
+    /// The next page to be written, if one should be sent now. It is in flight until
+    /// [`committed`](GroupCommit::committed), [`failed`](GroupCommit::failed) or
+    /// [`abandon`](GroupCommit::abandon) is called with its number.
+    pub fn next(&mut self, capacity: PageCapacity, now: Micros) -> Option<Batch<J>> {
         let first = self.waiting.front()?;
-        if self.flying.len() >= FLYING {
+        if self.in_flight.len() >= MAX_IN_FLIGHT {
             return None;
         }
-        if !self.flying.is_empty() && now.since(first.since) < GATHER {
+        if !self.in_flight.is_empty() && now.since(first.offered_at) < BATCH_DELAY {
             let bytes: usize = self.waiting.iter().map(|o| o.size).sum();
-            if bytes * 2 < room.bytes && self.waiting.len() * 2 < room.jobs {
+            if bytes * 2 < capacity.bytes && self.waiting.len() * 2 < capacity.jobs {
                 return None;
             }
         }
-        let (mut bytes, mut offers) = (0, vec![]);
-        while let Some(offer) = self.waiting.front() {
-            let full = bytes + offer.size > room.bytes || offers.len() >= room.jobs;
-            if full && !offers.is_empty() {
-                break;
-            }
-            bytes += offer.size;
-            offers.extend(self.waiting.pop_front());
-        }
+        let offers = self.take_offers(capacity);
         let slot = self.free.pop_first().unwrap_or_else(|| {
             self.slots += 1;
             self.slots - 1
         });
         let version = self.pages.entry(slot).or_default().version;
         let jobs = offers.iter().map(|o| (o.id.clone(), o.job.clone())).collect();
-        self.numbers += 1;
-        let number = self.numbers;
-        self.flying.insert(number, (slot, offers));
+        self.last_number += 1;
+        let number = self.last_number;
+        self.in_flight.insert(number, PageInFlight { slot, offers });
         Some(Batch {
             number,
             slot,
@@ -214,26 +226,40 @@
         })
     }
 
-    /// The page on its way was written at this revision. Returns its jobs: they are
+    /// Takes waiting jobs, as many as fit into a page but at least one.
+    fn take_offers(&mut self, capacity: PageCapacity) -> Vec<Offer<J>> {
+        let (mut bytes, mut offers) = (0, vec![]);
+        while let Some(offer) = self.waiting.front() {
+            let full = bytes + offer.size > capacity.bytes || offers.len() >= capacity.jobs;
+            if full && !offers.is_empty() {
+                break;
+            }
+            bytes += offer.size;
+            offers.extend(self.waiting.pop_front());
+        }
+        offers
+    }
+
+    /// Handles that a page in flight was written at this revision, and returns its jobs, which are
     /// accepted.
     pub fn committed(&mut self, number: u64, revision: u64, is_over: impl Fn(&str) -> bool) -> Vec<(String, J)> {
-        let Some((slot, offers)) = self.flying.remove(&number) else {
+        let Some(PageInFlight { slot, offers }) = self.in_flight.remove(&number) else {
             return vec![];
         };
         let ids: Vec<String> = offers.iter().map(|o| o.id.clone()).collect();
         for id in &ids {
             self.offered.remove(id);
         }
-        self.saw(slot, revision, &ids, is_over);
-        self.settle(slot);
+        self.page_seen(slot, revision, &ids, is_over);
+        self.update_free(slot);
         offers.into_iter().map(|o| (o.id, o.job)).collect()
     }
 
-    /// The page on its way was not written, or nobody knows. What is not among `refused`,
-    /// and still wanted, waits again, before all others: a page that was written all the
-    /// same makes the next try fail on its version, and is seen.
+    /// Handles that a page in flight was not written, or that its outcome is unknown. Jobs that are
+    /// still wanted and not in `refused` wait again, before all others. If the page was written
+    /// after all, the next write fails on its version, and the caller reads the page.
     pub fn failed(&mut self, number: u64, refused: &[String]) {
-        let Some((slot, offers)) = self.flying.remove(&number) else {
+        let Some(PageInFlight { slot, offers }) = self.in_flight.remove(&number) else {
             return;
         };
         for offer in offers.into_iter().rev() {
@@ -243,21 +269,25 @@
                 self.offered.remove(&offer.id);
             }
         }
-        self.settle(slot);
+        self.update_free(slot);
     }
 
-    /// The page on its way can't be written, and the same is to be expected of any other
-    /// try. Returns its jobs, which wait no more.
+    /// Handles that a page in flight was rejected for good, and returns its jobs, which no longer
+    /// wait.
     pub fn abandon(&mut self, number: u64) -> Vec<String> {
-        let offers = self.flying.get(&number).map(|f| f.1.as_slice()).unwrap_or_default();
+        let offers = self
+            .in_flight
+            .get(&number)
+            .map(|page| page.offers.as_slice())
+            .unwrap_or_default();
         let ids: Vec<String> = offers.iter().map(|o| o.id.clone()).collect();
         self.failed(number, &ids);
         ids
     }
 
-    /// What the state service holds in a page of this controller: written by this life or
-    /// an earlier one, possibly late.
-    pub fn saw(&mut self, slot: u32, version: u64, jobs: &[String], is_over: impl Fn(&str) -> bool) {
+    /// Takes the content of a page of this controller as the state service has it: it may have been
+    /// written by an earlier process incarnation, or late.
+    pub fn page_seen(&mut self, slot: u32, version: u64, jobs: &[String], is_over: impl Fn(&str) -> bool) {
         self.slots = self.slots.max(slot + 1);
         let page = self.pages.entry(slot).or_default();
         if version <= page.version {
@@ -267,48 +297,49 @@
         page.version = version;
         page.open = jobs.iter().filter(|id| !is_over(id)).cloned().collect();
         for id in &page.open {
-            self.named.entry(id.clone()).or_default().insert(slot);
+            self.pages_of_job.entry(id.clone()).or_default().insert(slot);
         }
-        let gone: Vec<String> = before.difference(&page.open).cloned().collect();
-        for id in gone {
-            self.unname(&id, slot);
+        let removed: Vec<String> = before.difference(&page.open).cloned().collect();
+        for id in removed {
+            self.remove_page_of_job(&id, slot);
         }
-        self.settle(slot);
+        self.update_free(slot);
     }
 
-    /// The job is over for good.
-    pub fn over(&mut self, id: &str) {
-        for slot in self.named.remove(id).unwrap_or_default() {
+    /// Notes that a job has ended.
+    pub fn job_ended(&mut self, id: &str) {
+        for slot in self.pages_of_job.remove(id).unwrap_or_default() {
             if let Some(page) = self.pages.get_mut(&slot) {
                 page.open.remove(id);
             }
-            self.settle(slot);
+            self.update_free(slot);
         }
     }
 
-    /// Forgets what pages hold, to be told anew; what waits goes on waiting.
+    /// Forgets the content of all pages, before the caller reports them again. Jobs that wait or are
+    /// in flight wait on.
     pub fn forget_pages(&mut self) {
-        for number in self.flying.keys().copied().collect::<Vec<_>>() {
+        for number in self.in_flight.keys().copied().collect::<Vec<_>>() {
             self.failed(number, &[]);
         }
         self.pages.clear();
-        self.named.clear();
+        self.pages_of_job.clear();
         self.free.clear();
     }
 
-    fn unname(&mut self, id: &str, slot: u32) {
-        if let Some(slots) = self.named.get_mut(id) {
+    fn remove_page_of_job(&mut self, id: &str, slot: u32) {
+        if let Some(slots) = self.pages_of_job.get_mut(id) {
             slots.remove(&slot);
             if slots.is_empty() {
-                self.named.remove(id);
+                self.pages_of_job.remove(id);
             }
         }
     }
 
-    /// A page may be used again exactly while it names no open job and is not on its way.
-    fn settle(&mut self, slot: u32) {
+    /// Updates whether a slot may be reused: if its page names no open job and is not in flight.
+    fn update_free(&mut self, slot: u32) {
         let empty = self.pages.get(&slot).is_some_and(|p| p.open.is_empty());
-        if empty && !self.flying.values().any(|f| f.0 == slot) {
+        if empty && !self.in_flight.values().any(|page| page.slot == slot) {
             self.free.insert(slot);
         } else {
             self.free.remove(&slot);
--- a/crates/group-commit/src/waits.rs
+++ b/crates/group-commit/src/waits.rs
@@ -1,29 +1,32 @@
-//! How long users waited for their acceptances, by deciles for an operator's log.
+//! A histogram of waiting times, for periodic log messages.
 
 use glenhaven_time::Micros;
 use hdrhistogram::Histogram;
 
-/// Longer waits count as this: a day.
+/// Longer waits are recorded as this, a day.
 const LONGEST_MS: u64 = 24 * 3600 * 1000;
 
-/// What was recorded since the last look.
+/// The distribution of the waits since the last call of [`Waits::take`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Waited {
+    /// The number of waits.
     pub count: u64,
-    /// Half, and 99 of 100, waited no longer than this; milliseconds, to two digits.
+    /// The median, in milliseconds to two digits.
     pub p50_ms: u64,
+    /// The 99th percentile, in milliseconds to two digits.
     pub p99_ms: u64,
+    /// The longest wait, in milliseconds to two digits.
     pub most_ms: u64,
 }
 
-/// A histogram of waits, empty again after each look.
+/// A histogram of waits, which is empty after each call of [`Waits::take`].
 pub struct Waits(Option<Histogram<u64>>);
 
 impl Default for Waits {
     fn default() -> Self {
-        // A range of its own: one that grows by itself does so only for records that may fail,
-        // and would cut all others off at its first, smallest end. Without a histogram
-        // nothing is recorded.
+        // The range is fixed: with automatic resizing, `saturating_record` would not resize and
+        // would cut waits off at the first, smallest bound. Without a histogram nothing is
+        // recorded.
         Waits(Histogram::new_with_bounds(1, LONGEST_MS, 2).ok())
     }
 }
@@ -36,7 +39,7 @@
         }
     }
 
-    /// What was recorded since the last call; nothing if there was nothing.
+    /// The waits since the last call; `None` if there were none.
     pub fn take(&mut self) -> Option<Waited> {
         let h = self.0.as_mut().filter(|h| !h.is_empty())?;
         let waited = Waited {
@@ -54,9 +57,9 @@
 mod tests {
     use super::*;
 
-    /// Seen to say 2 ms of every wait: the histogram's range had to be given.
+    /// A histogram with automatic resizing recorded 2 ms for every wait.
     #[test]
-    fn waits_are_told_as_they_were() {
+    fn waits_are_recorded_unchanged() {
         let mut waits = Waits::default();
         assert_eq!(waits.take(), None);
         for ms in [5, 40, 900, 84_300, 1_000_000_000] {
--- a/crates/group-commit/tests/group_commit.rs
+++ b/crates/group-commit/tests/group_commit.rs
@@ -12,7 +12,7 @@
 struct Store {
     revision: u64,
     pages: BTreeMap<u32, (u64, Vec<String>)>,
-    over: BTreeSet<String>,
+    job_ended: BTreeSet<String>,
     /// Every job that ever stood in a page.
     accepted: BTreeSet<String>,
 }
@@ -21,18 +21,21 @@
     /// Executes a page's transaction; `Err` names the jobs that are over, nobody if it is
     /// the page's own version that has changed.
     fn apply(&mut self, batch: &Batch<()>) -> Result<u64, Vec<String>> {
-        let over: Vec<String> = batch
+        let job_ended: Vec<String> = batch
             .jobs
             .iter()
             .map(|j| j.0.clone())
-            .filter(|j| self.over.contains(j))
+            .filter(|j| self.job_ended.contains(j))
             .collect();
-        if !over.is_empty() || self.pages.get(&batch.slot).map_or(0, |p| p.0) != batch.version {
-            return Err(over);
+        if !job_ended.is_empty() || self.pages.get(&batch.slot).map_or(0, |p| p.0) != batch.version {
+            return Err(job_ended);
         }
         if let Some((_, jobs)) = self.pages.get(&batch.slot) {
             for job in jobs {
-                assert!(self.over.contains(job), "{job} is open and its page is written over");
+                assert!(
+                    self.job_ended.contains(job),
+                    "{job} is open and its page is written over"
+                );
             }
         }
         self.revision += 1;
@@ -76,7 +79,7 @@
 
 struct Play {
     store: Store,
-    intake: GroupCommit<()>,
+    group_commit: GroupCommit<()>,
     /// What the controller knows to be over.
     known_over: BTreeSet<String>,
     late: Vec<Batch<()>>,
@@ -85,20 +88,21 @@
 
 impl Play {
     fn read(&mut self) {
-        for over in &self.store.over {
-            if self.known_over.insert(over.clone()) {
-                self.intake.over(over);
+        for job_ended in &self.store.job_ended {
+            if self.known_over.insert(job_ended.clone()) {
+                self.group_commit.job_ended(job_ended);
             }
         }
         for (slot, (version, jobs)) in &self.store.pages {
             let known = &self.known_over;
-            self.intake.saw(*slot, *version, jobs, |id| known.contains(id));
+            self.group_commit
+                .page_seen(*slot, *version, jobs, |id| known.contains(id));
         }
     }
 
     fn send(&mut self, how: u8) -> bool {
         self.now = self.now + Micros::from_millis(60);
-        let Some(batch) = self.intake.next(ROOM, self.now) else {
+        let Some(batch) = self.group_commit.next(ROOM, self.now) else {
             return false;
         };
         assert!(!batch.jobs.is_empty() && batch.jobs.len() <= ROOM.jobs);
@@ -107,27 +111,27 @@
             0 => match self.store.apply(&batch) {
                 Ok(revision) => {
                     let known = &self.known_over;
-                    for (job, _) in self.intake.committed(number, revision, |id| known.contains(id)) {
+                    for (job, _) in self.group_commit.committed(number, revision, |id| known.contains(id)) {
                         assert!(
                             self.store.accepted.contains(&job),
                             "{job} is called accepted and is not"
                         );
                     }
                 }
-                Err(over) => {
+                Err(job_ended) => {
                     // The caller reads what made it fail.
-                    self.intake.failed(number, &over);
+                    self.group_commit.failed(number, &job_ended);
                     self.read();
                 }
             },
-            1 => self.intake.failed(number, &[]),
+            1 => self.group_commit.failed(number, &[]),
             2 => {
                 self.late.push(batch);
-                self.intake.failed(number, &[]);
+                self.group_commit.failed(number, &[]);
             }
             _ => {
                 self.store.apply(&batch).ok();
-                self.intake.failed(number, &[]);
+                self.group_commit.failed(number, &[]);
             }
         }
         true
@@ -138,10 +142,10 @@
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_waits_is_accepted_and_no_open_job_is_written_over(steps in prop::collection::vec(step(), 1..120)) {
+    fn waiting_jobs_are_accepted_and_pages_with_open_jobs_are_never_overwritten(steps in prop::collection::vec(step(), 1..120)) {
         let mut p = Play {
             store: Store::default(),
-            intake: GroupCommit::new(),
+            group_commit: GroupCommit::new(),
             known_over: BTreeSet::new(),
             late: vec![],
             now: Micros::ZERO,
@@ -150,11 +154,11 @@
         for step in steps {
             match step {
                 Step::Offer(n) => {
-                    p.intake.offer(&name(n), 200, (), p.now);
+                    p.group_commit.offer(&name(n), 200, (), p.now);
                     wanted.insert(name(n));
                 }
                 Step::Withdraw(n) => {
-                    p.intake.withdraw(&name(n));
+                    p.group_commit.withdraw(&name(n));
                     wanted.remove(&name(n));
                 }
                 Step::Send(how) => {
@@ -167,12 +171,12 @@
                 Step::Late(_) => {}
                 Step::Over(n) => {
                     if p.store.accepted.contains(&name(n)) {
-                        p.store.over.insert(name(n));
+                        p.store.job_ended.insert(name(n));
                     }
                 }
                 Step::Watch => p.read(),
                 Step::Restart => {
-                    p.intake = GroupCommit::new();
+                    p.group_commit = GroupCommit::new();
                     p.known_over.clear();
                     p.read();
                     wanted.clear();
@@ -184,73 +188,73 @@
         for _ in 0..60 {
             p.send(0);
         }
-        prop_assert_eq!(p.intake.waiting(), 0);
+        prop_assert_eq!(p.group_commit.waiting(), 0);
         for job in &wanted {
             prop_assert!(p.store.accepted.contains(job), "{} waits for ever", job);
         }
         // A page that names nothing open is used before a new one.
         for job in p.store.accepted.clone() {
-            p.store.over.insert(job);
+            p.store.job_ended.insert(job);
         }
         p.read();
-        let used = p.intake.pages();
+        let used = p.group_commit.pages();
         prop_assert_eq!(used.0, 0);
-        p.intake.offer("run-last", 200, (), p.now);
+        p.group_commit.offer("run-last", 200, (), p.now);
         p.send(0);
-        prop_assert_eq!(p.intake.pages().1, used.1.max(1));
+        prop_assert_eq!(p.group_commit.pages().1, used.1.max(1));
     }
 }
 
 #[test]
-fn a_job_alone_goes_at_once_and_a_flood_goes_in_company() {
-    let mut intake = GroupCommit::new();
+fn a_single_job_is_written_at_once_and_many_are_written_together() {
+    let mut group_commit = GroupCommit::new();
     let at = Micros::from_millis;
-    intake.offer("run-0", 200, (), at(0));
-    assert_eq!(intake.next(ROOM, at(0)).map(|b| b.jobs.len()), Some(1));
-    intake.offer("run-1", 200, (), at(1));
-    assert!(intake.next(ROOM, at(1)).is_none(), "it waits for company");
+    group_commit.offer("run-0", 200, (), at(0));
+    assert_eq!(group_commit.next(ROOM, at(0)).map(|b| b.jobs.len()), Some(1));
+    group_commit.offer("run-1", 200, (), at(1));
+    assert!(group_commit.next(ROOM, at(1)).is_none(), "it waits for company");
     for n in 2..20u8 {
-        intake.offer(&name(n), 200, (), at(2));
+        group_commit.offer(&name(n), 200, (), at(2));
     }
-    assert_eq!(intake.next(ROOM, at(2)).map(|b| b.jobs.len()), Some(4));
-    assert_eq!(intake.next(ROOM, at(2)).map(|b| b.jobs.len()), Some(4));
-    assert!(intake.next(ROOM, at(200)).is_none(), "three are on their way");
-    intake.failed(2, &[]);
-    let again = intake.next(ROOM, at(200)).map(|b| b.jobs[0].0.clone());
+    assert_eq!(group_commit.next(ROOM, at(2)).map(|b| b.jobs.len()), Some(4));
+    assert_eq!(group_commit.next(ROOM, at(2)).map(|b| b.jobs.len()), Some(4));
+    assert!(group_commit.next(ROOM, at(200)).is_none(), "three are on their way");
+    group_commit.failed(2, &[]);
+    let again = group_commit.next(ROOM, at(200)).map(|b| b.jobs[0].0.clone());
     assert_eq!(again.as_deref(), Some("run-1"), "who was first stays first");
 }
 
 #[test]
-fn nothing_is_written_for_who_has_given_up() {
-    let mut intake = GroupCommit::new();
-    intake.offer("run-0", 200, (), Micros::ZERO);
-    intake.withdraw("run-0");
-    assert!(intake.next(ROOM, Micros::ZERO).is_none());
-    intake.offer("run-1", 200, (), Micros::ZERO);
-    assert!(intake.next(ROOM, Micros::ZERO).is_some());
-    intake.withdraw("run-1");
-    intake.failed(1, &[]);
-    assert!(intake.next(ROOM, Micros::from_millis(100)).is_none());
+fn withdrawn_jobs_are_not_written() {
+    let mut group_commit = GroupCommit::new();
+    group_commit.offer("run-0", 200, (), Micros::ZERO);
+    group_commit.withdraw("run-0");
+    assert!(group_commit.next(ROOM, Micros::ZERO).is_none());
+    group_commit.offer("run-1", 200, (), Micros::ZERO);
+    assert!(group_commit.next(ROOM, Micros::ZERO).is_some());
+    group_commit.withdraw("run-1");
+    group_commit.failed(1, &[]);
+    assert!(group_commit.next(ROOM, Micros::from_millis(100)).is_none());
 }
 
 #[test]
-fn an_outcome_is_of_one_try_only() {
-    let mut intake = GroupCommit::new();
-    intake.offer("run-0", 200, (), Micros::ZERO);
-    let first = intake.next(ROOM, Micros::ZERO).map(|b| b.number);
-    intake.forget_pages();
-    let second = intake.next(ROOM, Micros::ZERO).map(|b| b.number);
+fn an_outcome_applies_to_one_batch_only() {
+    let mut group_commit = GroupCommit::new();
+    group_commit.offer("run-0", 200, (), Micros::ZERO);
+    let first = group_commit.next(ROOM, Micros::ZERO).map(|b| b.number);
+    group_commit.forget_pages();
+    let second = group_commit.next(ROOM, Micros::ZERO).map(|b| b.number);
     assert!(first.is_some() && second.is_some() && first != second);
     // The answer to the first, which was never executed as far as the second goes.
-    assert!(intake.committed(first.unwrap_or(0), 9, |_| false).is_empty());
+    assert!(group_commit.committed(first.unwrap_or(0), 9, |_| false).is_empty());
     assert_eq!(
-        intake.committed(second.unwrap_or(0), 10, |_| false),
+        group_commit.committed(second.unwrap_or(0), 10, |_| false),
         [("run-0".to_string(), ())]
     );
 }
 
 #[test]
-fn waits_are_told_once() {
+fn waits_are_reported_once() {
     let mut waits = Waits::default();
     assert_eq!(waits.take(), None);
     for ms in 1..=100 {
--- a/src/coordination/agents/heartbeat_status.rs
+++ b/src/coordination/agents/heartbeat_status.rs
@@ -372,7 +372,7 @@
             self.slo.started(&spec.class, &spec.team, spec.cpus, waited, now);
         }
         if !placement.restored && !job.spec.needs.is_empty() {
-            self.blocked_jobs.began(waited);
+            self.blocked_jobs.record_wait(waited);
         }
         tracing::debug!(
             job = %id,
--- a/src/coordination/api/acceptance.rs
+++ b/src/coordination/api/acceptance.rs
@@ -64,7 +64,8 @@
             if node == self.node {
                 // Its slot is never used again, because a write there would always fail on its
                 // version: the page counts as naming an open job that can't exist.
-                self.group_commit.saw(slot, version, &[key.to_string()], |_| false);
+                self.group_commit
+                    .page_seen(slot, version, &[key.to_string()], |_| false);
             }
             return;
         };
@@ -72,7 +73,7 @@
         if node == self.node {
             let known = &self.statuses;
             let is_over = |id: &str| known.get(id).is_some_and(|k| k.phase.is_final());
-            self.group_commit.saw(slot, version, &jobs, is_over);
+            self.group_commit.page_seen(slot, version, &jobs, is_over);
         }
         for spec in page.jobs {
             self.learn_accepted(spec, version, new);
@@ -220,7 +221,7 @@
         let resolved: Vec<String> = self
             .submissions
             .keys()
-            .filter(|job| self.statuses.contains_key(*job) && !self.group_commit.is_flying(job))
+            .filter(|job| self.statuses.contains_key(*job) && !self.group_commit.is_in_flight(job))
             .cloned()
             .collect();
         for job in resolved {
--- a/src/coordination/api/answers.rs
+++ b/src/coordination/api/answers.rs
@@ -16,7 +16,7 @@
 use crate::storage::keys;
 use crate::storage::records::{from_value, JobValue};
 use crate::time::Micros;
-use glenhaven_dependencies::Stand;
+use glenhaven_dependencies::DependencyState;
 
 /// How long the answer to a read of a job's key is awaited before it is repeated.
 const READ_TIMEOUT: Micros = Micros::from_millis(300);
@@ -93,7 +93,7 @@
         if unchecked && requests.is_empty() && !needed {
             // The job has ended; its final phase is read when it is asked for.
             self.statuses.remove(job);
-            self.group_commit.over(job);
+            self.group_commit.job_ended(job);
             return;
         }
         self.send_read(context, job, requests, Micros::ZERO);
@@ -301,7 +301,9 @@
         }
         match (&pending.kind, phase) {
             // One of its dependencies has yet to be read.
-            (_, Some(phase)) if !phase.is_final() && self.dependency_graph.stand(&job) == Some(Stand::Unsettled) => {
+            (_, Some(phase))
+                if !phase.is_final() && self.dependency_graph.state(&job) == Some(DependencyState::Undetermined) =>
+            {
                 self.awaiting_job_changes.push(id);
             }
             (RequestKind::Poll | RequestKind::Cancel, None) => {
--- a/src/coordination/api/dependencies.rs
+++ b/src/coordination/api/dependencies.rs
@@ -8,9 +8,9 @@
 use super::request::RequestKind;
 use super::{JobApi, Refusal};
 use crate::protocol::users::{JobSpec, Phase};
-use crate::storage::records::restored;
+use crate::storage::records::from_record;
 use crate::time::Micros;
-use glenhaven_dependencies::{DependencyGraph, News, Stand};
+use glenhaven_dependencies::{DependencyChange, DependencyGraph, DependencyState};
 
 /// An open job with dependencies, as a new leader needs to know it.
 #[derive(Debug)]
@@ -33,20 +33,25 @@
     /// dependencies is, whether or not its own key says so yet.
     pub(super) fn final_phase(&self, job: &str) -> Option<Phase> {
         let known = self.statuses.get(job).map(|k| k.phase).filter(|p| p.is_final());
-        known.or_else(|| (self.dependency_graph.stand(job) == Some(Stand::Withdrawn)).then_some(Phase::Cancelled))
+        known.or_else(|| {
+            (self.dependency_graph.state(job) == Some(DependencyState::Cancelled)).then_some(Phase::Cancelled)
+        })
     }
 
     /// Whether a job waits for its dependencies, so that it may be cancelled with one of them.
     pub(super) fn waits_for_dependencies(&self, job: &str) -> bool {
-        matches!(self.dependency_graph.stand(job), Some(Stand::Waits | Stand::Unsettled))
+        matches!(
+            self.dependency_graph.state(job),
+            Some(DependencyState::Blocked | DependencyState::Undetermined)
+        )
     }
 
     /// Adds a job that a page of acceptances names to the graph, if it has dependencies.
     pub(super) fn learn_dependencies(&mut self, spec: JobSpec, version: u64) {
-        if spec.apart.is_none() || self.statuses.get(&spec.id).is_some_and(|k| k.phase.is_final()) {
+        if spec.hidden_fields.is_none() || self.statuses.get(&spec.id).is_some_and(|k| k.phase.is_final()) {
             return;
         }
-        let Some((spec, submitted_ms)) = restored(spec) else {
+        let Some((spec, submitted_ms)) = from_record(spec) else {
             return;
         };
         if spec.needs.is_empty() {
@@ -135,7 +140,7 @@
     }
 
     /// What has changed for jobs with dependencies since the last call.
-    pub fn take_dependency_changes(&mut self) -> Vec<News> {
-        self.dependency_graph.take_news()
+    pub fn take_dependency_changes(&mut self) -> Vec<DependencyChange> {
+        self.dependency_graph.take_changes()
     }
 }
--- a/src/coordination/api/request.rs
+++ b/src/coordination/api/request.rs
@@ -5,7 +5,7 @@
 use super::{max_description_bytes, Refusal};
 use crate::coordination::ClusterConfig;
 use crate::protocol::users::{JobSpec, Shape};
-use crate::storage::records::kept;
+use crate::storage::records::to_record;
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
@@ -90,7 +90,7 @@
         return Some(Refusal::OverTeamLimit);
     }
     // The description has to fit into one value, compressed if need be.
-    if kept(spec, u64::MAX >> 16, max_description_bytes(cluster)).is_none() {
+    if to_record(spec, u64::MAX >> 16, max_description_bytes(cluster)).is_none() {
         return Some(Refusal::DescriptionTooLarge);
     }
     (!fits_some_machine(cluster, spec)).then_some(Refusal::NoFittingMachineType)
--- a/src/coordination/api/request_flow.rs
+++ b/src/coordination/api/request_flow.rs
@@ -12,7 +12,7 @@
 use crate::protocol::store::{Change, Condition, StoreRequest, Transaction};
 use crate::protocol::users::{id_in, is_job_id, JobSpec, Phase};
 use crate::storage::keys;
-use crate::storage::records::{kept, to_value, JobValue};
+use crate::storage::records::{to_record, to_value, JobValue};
 use crate::time::Micros;
 
 /// How long the answer to a cancellation is awaited.
@@ -87,7 +87,7 @@
         match (&pending.kind, status) {
             (RequestKind::Submit(spec), None) => {
                 let submitted_ms = context.time_of_day(pending.received_at);
-                let record = kept(spec, submitted_ms, max_description_bytes(cluster));
+                let record = to_record(spec, submitted_ms, max_description_bytes(cluster));
                 if let Some(record) = record {
                     self.offer(id, job, record, context.now);
                 }
--- a/src/coordination/api/status.rs
+++ b/src/coordination/api/status.rs
@@ -67,7 +67,7 @@
         }
         if phase.is_final() {
             self.counts.remove(job);
-            self.group_commit.over(job);
+            self.group_commit.job_ended(job);
             self.dependency_graph.ended(job, phase == Phase::Done);
         } else {
             self.dependency_graph.open(job);
--- a/src/coordination/audit.rs
+++ b/src/coordination/audit.rs
@@ -52,7 +52,7 @@
         let missing = leader.missing(self.api.open_jobs());
         let again: BTreeSet<String> = missing.intersection(&leader.audit.missed).cloned().collect();
         leader.audit.missed = missing;
-        leader.check_blocked();
+        leader.recheck_blocked_jobs();
         if again.is_empty() || leader.audit.asked {
             return;
         }
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -1,10 +1,10 @@
-//! What the leader does about jobs that name others: holds them back, lets them come once
-//! all they need is done, has them withdrawn with one before them, and treats those before
-//! as having the priority and the time of those that need them.
+//! Jobs with dependencies on the leader: they are blocked until all their dependencies are done,
+//! cancelled with any of these, and pass their priority and deadline on to them (priority
+//! inheritance).
 //!
-//! What follows for a job from the others the desk's `glenhaven-dependencies` says, from what is
-//! committed alone. Such a job is not described in the book before it may begin: the pages
-//! of acceptances have it, every node reads them, and a new leader takes it from there.
+//! The graph belongs to the job API and contains only committed facts; this module applies its
+//! changes to the leader's jobs, once in each tick. A blocked job is not described in the
+//! write-ahead log: every node reads it from the pages of acceptances, and so does a new leader.
 
 use super::api::{DependentJob, JobApi};
 use super::log::queues::Undescribed;
@@ -12,34 +12,34 @@
 use super::{ClusterConfig, Controller, JobId};
 use crate::protocol::users::{JobSpec, Priority};
 use crate::time::Micros;
-use glenhaven_dependencies::{Lent, News, Stand};
+use glenhaven_dependencies::{DependencyChange, DependencyState, Inherited};
 use glenhaven_group_commit::{Waited, Waits};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is lent is worked out anew so often, or when a chain has changed.
-const LEND_EVERY: Micros = Micros::from_millis(2000);
-/// What a stage takes beside its tasks and their image: commits, orders and reports.
-const BETWEEN_S: f64 = 3.0;
-/// Of the tasks of a stage, the longest ends it: so many times as long as they say.
-const LONGEST: f64 = 1.4;
+/// Inherited priorities and deadlines are recomputed after this long, and when the graph changes.
+const INHERITANCE_INTERVAL: Micros = Micros::from_millis(2000);
+/// The time that a job takes beside its tasks and their image: commits, commands and heartbeats.
+const STAGE_OVERHEAD_S: f64 = 3.0;
+/// The longest of a job's tasks takes about this many times as long as the estimate.
+const LONGEST_TASK_FACTOR: f64 = 1.4;
 
-/// Jobs that name others, as far as the leader has to look at them.
+/// The leader's state of jobs with dependencies.
 #[derive(Default)]
 pub struct BlockedJobs {
-    /// Blocked; where they stand has to be looked at.
-    fresh: BTreeSet<JobId>,
-    /// What the desk knows of open jobs was taken over.
+    /// Blocked jobs whose state in the graph has to be checked.
+    to_check: BTreeSet<JobId>,
+    /// Whether the blocked jobs that the job API knows were adopted.
     adopted: bool,
-    next_lend: Micros,
-    /// Jobs that are treated by what they were lent.
-    borrowers: BTreeSet<JobId>,
-    /// How long tasks of such jobs waited from when all they need was done to their start.
+    next_inheritance_at: Micros,
+    /// Jobs that have an inherited priority or deadline.
+    inheriting: BTreeSet<JobId>,
+    /// How long tasks of such jobs waited from the end of the last dependency to their start.
     waits: Waits,
 }
 
 impl BlockedJobs {
-    /// A task began of a job that waited for others.
-    pub fn began(&mut self, after: Micros) {
+    /// Records how long a task waited after the last dependency of its job was done.
+    pub fn record_wait(&mut self, after: Micros) {
         self.waits.record(after);
     }
 
@@ -50,31 +50,33 @@
 }
 
 impl LeaderState {
-    /// A job that names others came: it is held back until the desk says that all it needs
-    /// is done.
-    pub fn hold_back(&mut self, (spec, submitted_ms): (JobSpec, u64), version: u64, now: Micros) {
+    /// Adds a job with dependencies, which was submitted at `submitted_ms` (milliseconds since 1970)
+    /// and accepted at revision `version`. It stays blocked until all its dependencies are done.
+    pub fn block_until_dependencies_done(&mut self, (spec, submitted_ms): (JobSpec, u64), version: u64, now: Micros) {
         let mut job = Job::new(&spec.id.clone(), spec, version, 0, now);
         job.blocked = true;
-        job.submitted_at = self.came(submitted_ms, now);
-        tracing::debug!(job = %job.id, class = job.spec.class, needs = ?job.spec.needs, "job waits for others");
+        job.submitted_at = self.submission_time(submitted_ms, now);
+        tracing::debug!(job = %job.id, class = job.spec.class, needs = ?job.spec.needs, "job blocked by its dependencies");
         self.last_version = self.last_version.max(version);
-        self.blocked_jobs.fresh.insert(job.id.clone());
+        self.blocked_jobs.to_check.insert(job.id.clone());
         self.jobs.insert(job.id.clone(), job);
     }
 
-    /// A time of day on this process's clock; `now` if it is not known.
-    pub fn came(&self, day_ms: u64, now: Micros) -> Micros {
+    /// A time of day, in milliseconds since 1970, on this process's clock; `now` if it is 0, which
+    /// means that it is not known.
+    pub fn submission_time(&self, day_ms: u64, now: Micros) -> Micros {
         match day_ms {
             0 => now,
             ms => Micros::from_millis(ms.saturating_sub(self.day_ms)).min(now),
         }
     }
 
-    /// All that is known of open jobs that name others is taken over, once: those that the
-    /// book does not describe, and the names that an older version left out there.
-    fn adopt(&mut self, api: &JobApi, now: Micros) {
+    /// Adopts, once for each leadership, the jobs with dependencies that the job API knows: those
+    /// that the write-ahead log does not describe, and the dependencies that an older release left
+    /// out there.
+    fn adopt_blocked_jobs(&mut self, api: &JobApi, now: Micros) {
         self.blocked_jobs.adopted = true;
-        for (id, held) in api.dependency_graph().jobs() {
+        for (id, dependent) in api.dependency_graph().jobs() {
             if self.log_writer.is_closed(id) {
                 continue;
             }
@@ -82,31 +84,31 @@
                 spec,
                 version,
                 submitted_ms,
-            } = held;
-            let came = self.came(*submitted_ms, now);
+            } = dependent;
+            let submission_time = self.submission_time(*submitted_ms, now);
             match self.jobs.get_mut(id) {
                 Some(job) => {
                     job.spec = spec.clone();
-                    job.submitted_at = came;
+                    job.submitted_at = submission_time;
                     if job.blocked {
-                        self.blocked_jobs.fresh.insert(job.id.clone());
+                        self.blocked_jobs.to_check.insert(job.id.clone());
                     }
                 }
                 None => {
                     let mut job = Job::new(id, spec.clone(), *version, 0, now);
                     job.blocked = true;
                     job.restored = true;
-                    job.submitted_at = came;
-                    self.blocked_jobs.fresh.insert(job.id.clone());
+                    job.submitted_at = submission_time;
+                    self.blocked_jobs.to_check.insert(job.id.clone());
                     self.jobs.insert(job.id.clone(), job);
                 }
             }
         }
-        tracing::info!(waiting = self.blocked_jobs.fresh.len(), "jobs that wait for others");
+        tracing::info!(waiting = self.blocked_jobs.to_check.len(), "blocked jobs adopted");
     }
 
-    /// All that the job needs is recorded as done: it arrives, in the paper's sense.
-    fn release(&mut self, id: &JobId, now: Micros) {
+    /// Unblocks a job whose dependencies are all recorded as done: for the scheduler it arrives now.
+    fn unblock(&mut self, id: &JobId, now: Micros) {
         let order = self.last_version;
         let Some(job) = self.jobs.get_mut(id).filter(|j| j.blocked) else {
             return;
@@ -117,7 +119,7 @@
             job.arrival_unknown = false;
             job.order = order.max(job.order);
         }
-        tracing::debug!(job = %id, after_s = now.since(job.submitted_at).secs(), "all that the job needs is done");
+        tracing::debug!(job = %id, after_s = now.since(job.submitted_at).secs(), "job unblocked: its dependencies are done");
         let entry = Undescribed::new(job.version, id.clone());
         if job.described_in.is_none() {
             self.log_writer.undescribed.insert(entry);
@@ -125,105 +127,107 @@
         self.dirty = true;
     }
 
-    /// Where every job that is held back stands is looked at once more.
-    pub fn check_blocked(&mut self) {
+    /// Queues a check of every blocked job.
+    pub fn recheck_blocked_jobs(&mut self) {
         let blocked = self.jobs.values().filter(|j| j.blocked && j.is_live());
-        self.blocked_jobs.fresh.extend(blocked.map(|j| j.id.clone()));
+        self.blocked_jobs.to_check.extend(blocked.map(|j| j.id.clone()));
     }
 
-    /// Something that the job needs is withdrawn: that it is too is to be recorded.
-    fn withdraw(&mut self, id: &JobId) {
+    /// Queues the record that a blocked job is cancelled with one of its dependencies.
+    fn cancel_with_dependency(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id).filter(|j| j.blocked && j.is_live()) else {
             return;
         };
-        tracing::debug!(job = %job.id, "withdrawn with a job that it needs");
+        tracing::debug!(job = %job.id, "job cancelled with a dependency");
         self.log_writer.withdrawn.insert(id.clone());
     }
 
-    /// How long a stage takes from its beginning to its end.
-    fn stage_takes(&self, cluster: &ClusterConfig, spec: &JobSpec) -> Micros {
+    /// How long a job takes from its start to its end, about.
+    fn stage_duration(&self, cluster: &ClusterConfig, spec: &JobSpec) -> Micros {
         let rate = cluster
             .catalogue
             .values()
             .map(|t| t.fetch_gb_per_s)
             .fold(0.05, f64::max);
-        let run_s = spec.estimate_s * self.slo.bias(&spec.class) * LONGEST;
-        Micros::from_secs(run_s + spec.image_gb / rate + BETWEEN_S)
+        let run_s = spec.estimate_s * self.slo.bias(&spec.class) * LONGEST_TASK_FACTOR;
+        Micros::from_secs(run_s + spec.image_gb / rate + STAGE_OVERHEAD_S)
     }
 
-    /// Jobs before others get the priority and the time of those, or lose them again.
-    fn lend(&mut self, api: &JobApi, cluster: &ClusterConfig) {
+    /// Sets the priority and deadline that jobs inherit from those that depend on them, and removes
+    /// them from jobs that inherit nothing any more.
+    fn inherit_priorities(&mut self, api: &JobApi, cluster: &ClusterConfig) {
         let due = |spec: &JobSpec, submitted_at: Micros| spec.deadline_s.map(|d| submitted_at + Micros::from_secs(d));
-        let lent: BTreeMap<&str, Lent<Priority>> = api.dependency_graph().lend(
-            |id, held| Lent {
-                priority: held.spec.priority,
+        let inherited: BTreeMap<&str, Inherited<Priority>> = api.dependency_graph().inherit(
+            |id, dependent| Inherited {
+                priority: dependent.spec.priority,
                 due: self.jobs.get(id).and_then(|j| due(&j.spec, j.submitted_at)),
             },
-            |_, held| self.stage_takes(cluster, &held.spec),
+            |_, dependent| self.stage_duration(cluster, &dependent.spec),
         );
-        let mut borrowers: BTreeSet<JobId> = BTreeSet::new();
-        for (id, lent) in lent {
+        let mut inheriting: BTreeSet<JobId> = BTreeSet::new();
+        for (id, inherited) in inherited {
             let Some(job) = self.jobs.get_mut(id) else { continue };
-            let priority = job.spec.priority.max(lent.priority);
+            let priority = job.spec.priority.max(inherited.priority);
             if priority != job.priority {
                 job.set_priority(priority);
                 self.dirty = true;
             }
-            job.inherited_due = lent.due;
-            borrowers.insert(job.id.clone());
+            job.inherited_due = inherited.due;
+            inheriting.insert(job.id.clone());
         }
-        for id in self.blocked_jobs.borrowers.difference(&borrowers) {
+        for id in self.blocked_jobs.inheriting.difference(&inheriting) {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.set_priority(job.spec.priority);
                 job.inherited_due = None;
             }
         }
-        self.blocked_jobs.borrowers = borrowers;
+        self.blocked_jobs.inheriting = inheriting;
     }
 }
 
 impl Controller {
-    /// Jobs that name others: what became true of them is acted on by the leader.
+    /// Applies the changes of the dependency graph to the leader's jobs.
     pub(super) fn run_dependencies(&mut self) {
-        let news = self.api.take_dependency_changes();
+        let changes = self.api.take_dependency_changes();
         let now = self.context.now;
         let Some(leader) = self.leader.as_mut().filter(|l| l.is_loaded()) else {
             return;
         };
         if !leader.blocked_jobs.adopted {
-            // What other nodes accepted is known once all pages are read.
+            // Jobs that other nodes accepted are known once all pages have been read.
             if !self.api.is_ready() {
                 return;
             }
             leader.day_ms = self.context.day_ms;
-            leader.adopt(&self.api, now);
+            leader.adopt_blocked_jobs(&self.api, now);
         }
-        let changed = !news.is_empty() || !leader.blocked_jobs.fresh.is_empty();
-        for News::Free(id) | News::Withdrawn(id) in news {
-            leader.blocked_jobs.fresh.insert(id.as_str().into());
+        let changed = !changes.is_empty() || !leader.blocked_jobs.to_check.is_empty();
+        for DependencyChange::Ready(id) | DependencyChange::Cancelled(id) in changes {
+            leader.blocked_jobs.to_check.insert(id.as_str().into());
         }
-        for id in std::mem::take(&mut leader.blocked_jobs.fresh) {
-            match self.api.dependency_graph().stand(&id) {
-                Some(Stand::Free) => leader.release(&id, now),
-                Some(Stand::Withdrawn) => leader.withdraw(&id),
-                // It is told when that changes.
-                Some(Stand::Waits | Stand::Unsettled) => {}
-                // Its page is on its way here, or its end.
+        for id in std::mem::take(&mut leader.blocked_jobs.to_check) {
+            match self.api.dependency_graph().state(&id) {
+                Some(DependencyState::Ready) => leader.unblock(&id, now),
+                Some(DependencyState::Cancelled) => leader.cancel_with_dependency(&id),
+                // The graph reports when that changes.
+                Some(DependencyState::Blocked | DependencyState::Undetermined) => {}
+                // The page that accepts it, or its end, has yet to be read here.
                 None => {
                     if leader.jobs.get(&id).is_some_and(|j| j.blocked && j.is_live()) {
-                        leader.blocked_jobs.fresh.insert(id);
+                        leader.blocked_jobs.to_check.insert(id);
                     }
                 }
             }
         }
-        if changed || now >= leader.blocked_jobs.next_lend {
-            leader.blocked_jobs.next_lend = now + LEND_EVERY;
-            leader.lend(&self.api, &self.cluster);
+        if changed || now >= leader.blocked_jobs.next_inheritance_at {
+            leader.blocked_jobs.next_inheritance_at = now + INHERITANCE_INTERVAL;
+            leader.inherit_priorities(&self.api, &self.cluster);
         }
     }
 
-    /// Ends that the leader has recorded: what follows for other jobs follows at once.
-    pub(super) fn learn_ends(&mut self, ends: super::log::RecordedEnds, revision: u64) {
+    /// Tells the job API of ends that the leader has recorded, so that jobs which depend on these
+    /// follow at once.
+    pub(super) fn learn_recorded_ends(&mut self, ends: super::log::RecordedEnds, revision: u64) {
         for id in ends.done {
             self.api.learn(&id, revision, crate::protocol::users::Phase::Done);
         }
--- a/src/coordination/log/answers.rs
+++ b/src/coordination/log/answers.rs
@@ -109,7 +109,7 @@
     fn on_executed(&mut self, revision: u64) {
         let Some(leader) = self.leader.as_mut() else { return };
         let ends = leader.apply(&mut self.context, revision);
-        self.learn_ends(ends, revision);
+        self.learn_recorded_ends(ends, revision);
     }
 
     /// Handles that the conditions of the transaction on these keys do not hold.
--- a/src/coordination/log/restore.rs
+++ b/src/coordination/log/restore.rs
@@ -116,7 +116,7 @@
     /// The job as it is described, without its placements.
     fn restored_job(&self, id: &str, replayed: ReplayedJob, now: Micros) -> Job {
         // A job that needs others is blocked until the dependencies have been evaluated.
-        let (spec, blocked) = match records::restored(replayed.spec.clone()) {
+        let (spec, blocked) = match records::from_record(replayed.spec.clone()) {
             Some((spec, _)) => {
                 let blocked = !spec.needs.is_empty();
                 (spec, blocked)
--- a/src/coordination/log/write.rs
+++ b/src/coordination/log/write.rs
@@ -349,7 +349,7 @@
         // It was accepted into a value of this size, but an older release may have accepted larger
         // descriptions.
         let bytes = segment_bytes.saturating_sub(JOB_ENTRY_BYTES);
-        let spec = Box::new(records::kept(&job.spec, submitted_ms, bytes)?);
+        let spec = Box::new(records::to_record(&job.spec, submitted_ms, bytes)?);
         let cancelled = job.cancelled.is_some();
         Some(match job.key_version {
             0 => Entry::Accepted(job.version, cancelled, spec),
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -18,7 +18,7 @@
 use crate::protocol::store::WatchEvent;
 use crate::protocol::users::Phase;
 use crate::storage::keys;
-use crate::storage::records::{from_value, restored, Accepted, JobValue};
+use crate::storage::records::{from_record, from_value, Accepted, JobValue};
 use crate::time::Micros;
 pub use job::{need, Job, Placement, PlacementPhase, TaskRange, TaskState};
 pub use machine::{Kind, Machine, MachineId, MachineState};
@@ -206,14 +206,14 @@
                 if self.jobs.contains_key(id) || self.log_writer.is_closed(id) {
                     return;
                 }
-                let (spec, submitted_ms) = match restored(spec.clone()) {
+                let (spec, submitted_ms) = match from_record(spec.clone()) {
                     Some((spec, submitted_ms)) if spec.needs.is_empty() => (spec, submitted_ms),
-                    found => return self.hold_back(found.unwrap_or((spec, 0)), version, now),
+                    found => return self.block_until_dependencies_done(found.unwrap_or((spec, 0)), version, now),
                 };
                 tracing::debug!(job = id, class = spec.class, tasks = spec.tasks, "job arrived");
                 self.last_version = self.last_version.max(version);
                 let mut job = Job::new(id, spec, version, key_version, now);
-                job.submitted_at = self.came(submitted_ms, now);
+                job.submitted_at = self.submission_time(submitted_ms, now);
                 self.log_writer
                     .undescribed
                     .insert(Undescribed::new(version, job.id.clone()));
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -1,20 +1,25 @@
-//! What the state service takes and answers.
+//! The protocol of the state service: requests, and what their answers mean.
+//!
+//! The serde names are those of the wire.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-/// A condition: the key has this version; 0 means that it does not exist.
+/// A condition of a transaction on the version of a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
+    /// The key.
     pub key: String,
+    /// The version that it must have; 0 if it must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// A change.
+/// A change of a key by a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
+    /// Writes a value, which is deleted with the lease if it has one.
     Put {
         #[serde(rename = "put")]
         key: String,
@@ -22,6 +27,7 @@
         #[serde(rename = "grant", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
+    /// Deletes the key.
     Delete {
         #[serde(rename = "delete")]
         key: String,
@@ -37,11 +43,13 @@
     }
 }
 
-/// A transaction.
+/// A transaction: all changes are executed if all conditions hold, and none otherwise.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
+    /// The conditions.
     #[serde(rename = "when")]
     pub conditions: Vec<Condition>,
+    /// The changes.
     #[serde(rename = "apply")]
     pub changes: Vec<Change>,
 }
@@ -49,27 +57,34 @@
 /// A key with its value.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
+    /// The key.
     pub key: String,
+    /// Its value.
     pub value: Value,
+    /// The revision of its last change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// A page of keys.
+/// A part of a list of keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rows {
+    /// The keys, in their order.
     #[serde(rename = "rows")]
     pub items: Vec<Row>,
+    /// Whether there are more keys after the last one.
     #[serde(rename = "truncated")]
     pub more: bool,
+    /// The revision of the read.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-/// A change seen by a watch.
+/// A change that a watch reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum WatchEvent {
+    /// The key has a new value.
     Put {
         #[serde(rename = "put")]
         key: String,
@@ -77,6 +92,7 @@
         #[serde(rename = "stamp")]
         version: u64,
     },
+    /// The key was deleted.
     Delete {
         #[serde(rename = "delete")]
         key: String,
@@ -85,95 +101,126 @@
     },
 }
 
-/// The answer of a watch.
+/// The answer to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvents {
+    /// The revision up to which it reports all changes.
     #[serde(rename = "epoch")]
     pub revision: u64,
+    /// The changes, in the order of their revisions.
     #[serde(rename = "news")]
     pub events: Vec<WatchEvent>,
 }
 
-/// A revision, as transactions and missing keys answer it.
+/// The answer to a transaction, or to a read of a key that does not exist.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Revision {
+    /// The revision of the transaction or read.
     #[serde(rename = "epoch")]
     pub revision: u64,
+    /// The keys whose conditions failed.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
-/// A lease to be made.
+/// The request of a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NewLease {
+    /// How long it lasts without a renewal, in milliseconds.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
 
-/// A lease.
+/// A granted lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Lease {
+    /// Its number.
     #[serde(rename = "grant")]
     pub lease: u64,
 }
 
-/// A request to the state service; also written as it is when another controller is
-/// asked to make it.
+/// A request to the state service. Controllers also forward it to each other in this form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StoreRequest {
+    /// Reads a key.
     Get {
+        /// The key.
         key: String,
     },
+    /// Reads the keys with a prefix that come after `after`.
     List {
+        /// The prefix.
         prefix: String,
+        /// The key after which the list begins.
         after: String,
     },
+    /// Executes a transaction.
     #[serde(rename = "Txn")]
     Transaction(Transaction),
+    /// Requests a lease that lasts `ttl_ms` milliseconds without a renewal.
     Grant {
+        /// How long it lasts without a renewal, in milliseconds.
         ttl_ms: u64,
     },
+    /// Renews a lease.
     Renew {
+        /// The number of the lease.
         lease: u64,
     },
     /// Ends a lease at once.
     Drop {
+        /// The number of the lease.
         lease: u64,
     },
+    /// Waits up to `wait_ms` milliseconds for changes of keys with a prefix after the revision `after`.
     Watch {
+        /// The prefix.
         prefix: String,
+        /// The revision after which changes are reported.
         after: u64,
+        /// How long to wait for a change, in milliseconds.
         wait_ms: u64,
     },
 }
 
-/// What came of a request to the state service.
+/// The outcome of a request to the state service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StoreResponse {
+    /// The key that was read.
     Row(Row),
+    /// The key does not exist at this revision.
     Missing {
+        /// The revision of the read.
         revision: u64,
     },
+    /// A part of a list.
     Rows(Rows),
+    /// The transaction was executed at this revision.
     Committed {
+        /// The revision of its changes.
         revision: u64,
     },
+    /// The conditions on these keys failed at this revision; nothing was executed.
     Conflict {
+        /// The keys.
         failed: Vec<String>,
+        /// The revision at which they were compared.
         revision: u64,
     },
+    /// The lease that was granted or renewed.
     Lease(u64),
+    /// The changes that a watch reports.
     Events(WatchEvents),
-    /// The watch starts before what the service keeps.
+    /// The service no longer has the changes since the revision of the watch.
     Compacted,
-    /// The lease is over.
+    /// The lease has ended.
     NoLease,
-    /// Not executed: 429 to changes, which are too many. Only within a process.
+    /// Not executed: refused with 429 because of too many changes. Used only within a process.
     Limited,
-    /// Not executed: 429 or 503, or the connection was never made.
+    /// Not executed: refused with 429 or 503, or the connection failed.
     Refused,
-    /// The service calls the request malformed.
+    /// Not executed: rejected as malformed.
     Malformed,
-    /// No usable answer: the request may have been executed, or may be later.
+    /// The outcome is unknown: the request may have been executed, or may be later.
     Unknown,
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,4 +1,6 @@
-//! What users send and get.
+//! The protocol between users and controllers: submissions, states of jobs and refusals.
+//!
+//! The serde names are those of the wire; `JobSpec` is also part of stored records.
 
 use super::{amount, from_cbor, maybe_amount, Malformed};
 use serde::{Deserialize, Deserializer, Serialize};
@@ -20,12 +22,16 @@
 /// Priority, lowest first, so that comparison follows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
+    /// Below all others.
     #[serde(rename = "low")]
     Low,
+    /// The usual one.
     #[serde(rename = "standard")]
     Normal,
+    /// Above the usual one.
     #[serde(rename = "urgent")]
     High,
+    /// Above all others.
     #[serde(rename = "production")]
     Production,
 }
@@ -33,43 +39,63 @@
 /// A job as its user submitted it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// The id of the job, `run-` and digits.
     #[serde(rename = "ref")]
     pub id: String,
+    /// The class of the job, by which run times are estimated and objectives set.
     #[serde(rename = "jobclass")]
     pub class: String,
+    /// The team that the job is charged to.
     #[serde(rename = "owner")]
     pub team: String,
+    /// Whether it is an array or a service.
     pub shape: Shape,
+    /// Its priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
+    /// The number of tasks.
     #[serde(rename = "pieces")]
     pub tasks: u32,
+    /// CPUs of each task.
     #[serde(rename = "cores", deserialize_with = "amount")]
     pub cpus: f64,
+    /// GPUs of each task.
     #[serde(rename = "cards", deserialize_with = "amount")]
     pub gpus: f64,
+    /// Memory of each task, in GB.
     #[serde(rename = "mem_gb", deserialize_with = "amount")]
     pub memory: f64,
+    /// The machine types that it may run on; `None` for all.
     #[serde(rename = "flavors", default)]
     pub types: Option<Vec<String>>,
+    /// The only zone that it may run in, if it names one.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
+    /// Whether all tasks run in one zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
+    /// Whether at most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "apart")]
     pub spread: bool,
+    /// Whether it may run on spot machines.
     #[serde(rename = "reclaimable")]
     pub spot: bool,
+    /// The image of its tasks.
     #[serde(rename = "bundle")]
     pub image: String,
+    /// The size of the image, in GB.
     #[serde(rename = "size_gb", deserialize_with = "amount")]
     pub image_gb: f64,
+    /// How long a task is expected to run, in seconds.
     #[serde(rename = "expected_s", deserialize_with = "amount")]
     pub estimate_s: f64,
+    /// The interval of checkpoints, in seconds; 0 without checkpoints.
     #[serde(rename = "snapshot_every_s", deserialize_with = "amount")]
     pub checkpoint_s: f64,
+    /// How long saving a checkpoint takes, in seconds.
     #[serde(rename = "snapshot_cost_s", deserialize_with = "amount")]
     pub save_s: f64,
+    /// How long after its submission it should be done, in seconds.
     #[serde(rename = "due_s", default, deserialize_with = "maybe_amount")]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts.
@@ -80,22 +106,23 @@
         skip_serializing_if = "Vec::is_empty"
     )]
     pub needs: Vec<String>,
-    /// Only in records, of a job that names others; never from users.
+    /// In stored records only: the fields that an earlier release must not see. Users can't set it.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
-    pub apart: Option<Box<HiddenFields>>,
+    pub hidden_fields: Option<Box<HiddenFields>>,
 }
 
-/// What the record of a job that names others says beside its description. The version of
-/// this service before chains knows neither this nor the names: what it reads says that
-/// no machine type is allowed, so that it starts nothing of the job.
+/// What the stored record of a job with dependencies, or of one with a large description, has
+/// beside the fields of the description. A release without job dependencies ignores it: the fields
+/// that it reads allow no machine type, so that it starts nothing of the job.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HiddenFields {
+    /// The machine types of the description.
     #[serde(rename = "flavors", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// When it was submitted, by the time of day: milliseconds since 1970; 0: not known.
+    /// When the job was submitted, in milliseconds since 1970; 0 if it is not known.
     #[serde(rename = "at", default)]
     pub submitted_ms: u64,
-    /// The whole description, packed, where it is too large as it is.
+    /// The whole description, packed, if it is too large to be stored unpacked.
     #[serde(rename = "all", default, skip_serializing_if = "Option::is_none")]
     pub packed: Option<String>,
 }
@@ -114,10 +141,15 @@
 }
 
 impl JobSpec {
-    /// Reads and checks a submission.
+    /// Parses and validates a submission.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed`] if the body does not have the form of a submission, or names the first field
+    /// whose value is not valid.
     pub fn parse(body: &[u8]) -> Result<JobSpec, Malformed> {
         let mut spec: JobSpec = from_cbor(body)?;
-        spec.apart = None;
+        spec.hidden_fields = None;
         let bad = |what: &str| Err(Malformed(format!("field {what} is not valid")));
         if !is_job_id(&spec.id) {
             return bad("ref");
@@ -140,7 +172,7 @@
             }
         }
         if spec.cpus == 0.0 && spec.gpus == 0.0 {
-            // A task that takes no slot could be placed without bound.
+            // Any number of tasks without CPUs and GPUs would fit on a machine.
             return bad("cores");
         }
         for (name, text) in [
@@ -172,8 +204,8 @@
     }
 }
 
-/// The job id in a body that may be malformed otherwise, so that a job accepted
-/// earlier is never refused as malformed.
+/// The job's id in a submission that may be malformed otherwise, so that a job that was accepted
+/// before is never refused as malformed.
 pub fn id_in(body: &[u8]) -> Option<String> {
     #[derive(Deserialize)]
     struct Only {
@@ -185,12 +217,16 @@
 /// A job's phase as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
+    /// No task runs.
     #[serde(rename = "pending")]
     Pending,
+    /// Some task runs.
     #[serde(rename = "running")]
     Running,
+    /// All tasks have completed.
     #[serde(rename = "done")]
     Done,
+    /// The job was cancelled, by its user or with a dependency.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
@@ -202,14 +238,18 @@
     }
 }
 
-/// The answer to a submission, a poll or an abort.
+/// The answer to a submission, a poll or a cancellation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobState {
+    /// The id of the job.
     #[serde(rename = "ref")]
     pub id: String,
+    /// Its phase.
     pub phase: Phase,
+    /// The number of completed tasks, of an open job.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
+    /// The number of running tasks, of an open job.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
@@ -217,5 +257,6 @@
 /// The body of a refusal.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ErrorBody {
+    /// Why the request is refused.
     pub error: String,
 }
--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -1,41 +1,46 @@
 //! The keys of the state service.
 //!
-//! - `term`: who leads; raised by every change, never removed.
-//! - `term-live`: attached to the leader's lease, gone when the leader is.
-//! - `job/{id}`: final phase, kept for ever; not there while a job is open.
-//! - `job/@{node}/{slot}`: the acceptances of a node. A page all of whose jobs are over
-//!   is written over.
-//! - `open/{slot}`: the pages of the leader's book: open jobs with their
-//!   placements and finished tasks, and rental requests. A page whose every fact
-//!   stands in later ones is written over.
-//! - `care/{node}`: machines that a node keeps for a leader it cannot reach; those that
-//!   don't fit into one value under `care/{node}.1` and so on.
-//! - `term-release/{node}`: which release a node runs.
-//! - `term-limits`: there once the state service's lower limits hold.
+//! - `term`: the term and its leader. It is never deleted.
+//! - `term-live`: attached to the leader's lease, with which it disappears.
+//! - `job/{id}`: the final phase of a job, stored for ever. The key does not exist while the job is
+//!   open.
+//! - `job/@{node}/{slot}`: a page of jobs that a node has accepted. A page all of whose jobs have
+//!   ended is overwritten.
+//! - `open/{slot}`: a segment of the leader's write-ahead log, with open jobs, their placements and
+//!   completed tasks, and rental requests. A segment all of whose facts are in later ones is
+//!   overwritten.
+//! - `care/{node}`: the machines that a node proxies for a leader that it can't reach; if they don't
+//!   fit into one value, the rest is under `care/{node}.1` and so on.
+//! - `term-release/{node}`: the release that a node runs.
+//! - `term-limits`: exists once the state service's lower limits hold.
 //!
-//! The last two begin like `term`, so that the watch on the term brings them; versions
-//! that don't know them ignore them there.
+//! The last two have the prefix `term`, so that the watch on the term brings them. Releases that
+//! don't know them ignore them.
 
+/// The term and its leader.
 pub const TERM: &str = "term";
+/// Attached to the leader's lease.
 pub const TERM_LIVE: &str = "term-live";
-/// Which release each controller runs.
+/// The prefix of the releases that controllers run.
 pub const RELEASES: &str = "term-release/";
-/// Holds `true` once the lower limits of the state service were met.
+/// Has the value `true` once the lower limits of the state service hold.
 pub const LIMITS_LOWERED: &str = "term-limits";
+/// The prefix of final phases and of pages of acceptances.
 pub const JOBS: &str = "job/";
-/// Pages of acceptances.
+/// The prefix of pages of acceptances.
 pub const ACCEPTED: &str = "job/@";
+/// The prefix of segments of the write-ahead log.
 pub const LOG_SEGMENTS: &str = "open/";
-/// Machines that a node keeps for a leader it cannot reach.
+/// The prefix of the lists of machines that nodes proxy.
 pub const PROXIED_MACHINES: &str = "care/";
 
-/// The key of a page of acceptances. It stands under the prefix of the jobs' keys, so
-/// that one watch tells of both; no job's id begins like this.
+/// The key of a page of acceptances. It has the prefix of the jobs' keys, so that one watch covers
+/// both; no job's id begins with `@`.
 pub fn accepted(node: &str, slot: u32) -> String {
     format!("{ACCEPTED}{node}/{slot:06}")
 }
 
-/// The node and slot that the key of a page of acceptances names.
+/// The node and slot in the key of a page of acceptances; `None` for any other key.
 pub fn parse_accepted(key: &str) -> Option<(&str, u32)> {
     let (node, slot) = key.strip_prefix(ACCEPTED)?.rsplit_once('/')?;
     Some((node, slot.parse().ok()?))
@@ -46,12 +51,12 @@
     format!("{JOBS}{id}")
 }
 
-/// The key of a page of the book.
+/// The key of a segment of the write-ahead log.
 pub fn segment(slot: u32) -> String {
     format!("{LOG_SEGMENTS}{slot:06}")
 }
 
-/// The slot that a page's key names.
+/// The slot in the key of a segment; `None` for any other key.
 pub fn parse_segment(key: &str) -> Option<u32> {
     key.strip_prefix(LOG_SEGMENTS)?.parse().ok()
 }
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,5 +1,7 @@
-//! What is kept in the state service: keys, records, and how they are read
-//! back. Knows nothing of how decisions are made.
+//! The keys and records that controllers store in the state service, and how they are read back.
+//!
+//! All releases of glenhaven share them: the form of a stored record never changes. This module
+//! knows nothing of how decisions are made.
 
 pub mod keys;
 pub mod records;
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -1,60 +1,65 @@
-//! The values of the state service.
+//! The records that are stored as values of the state service.
+//!
+//! Their serde names are the stored form, which all releases share and which never changes.
 
 use crate::protocol::users::{HiddenFields, JobSpec, Phase};
 use crate::protocol::{from_cbor, json_size, to_cbor};
 use ciborium::Value;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
-/// What a controller says of its version at its start. Versions before this one say
-/// nothing and ignore it.
+/// What a controller announces of itself at its start. Earlier releases announce nothing and ignore
+/// it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Release {
-    /// Which of the things below it can do; a number that grows.
+    /// The number of the release, which grows with its abilities.
     pub release: u32,
-    /// When it began, by the time of day: milliseconds since 1970.
+    /// When the process began, in milliseconds since 1970.
     #[serde(default)]
     pub began_ms: u64,
 }
 
-/// The first release that keeps jobs waiting for others.
+/// The first release with job dependencies.
 pub const RELEASE_DEPENDENCIES: u32 = 1;
-/// The first that says what it confirmed while the state service answers nobody.
+/// The first release that attests cancellations while the state service does not answer.
 pub const RELEASE_ATTESTATIONS: u32 = 2;
-/// The present one.
+/// The present release.
 pub const CURRENT_RELEASE: u32 = RELEASE_ATTESTATIONS;
 
-/// Who leads.
+/// A term of leadership.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Term {
+    /// Its number, which is the fencing token of the leader's commands.
     pub term: u64,
+    /// The name of the leading node.
     pub leader: String,
+    /// The nodes that the leader had contact with when it wrote the term.
     pub members: Vec<String>,
 }
 
-/// A job's description in the form in which it is kept, in at most so many bytes as JSON;
-/// `None` if it doesn't fit. A job that names others, or whose description is too large as
-/// it is and therefore packed, is kept so that a controller of the version before chains,
-/// which would not wait or could not read it, starts nothing of it: by what that version
-/// reads, no machine type is allowed.
-pub fn kept(spec: &JobSpec, submitted_ms: u64, bytes: usize) -> Option<JobSpec> {
+/// A job's description in its stored form, in at most `max_bytes` as JSON; `None` if it doesn't fit.
+///
+/// A release without job dependencies would not wait for them, and could not read a description that
+/// is packed because it is too large. So that it starts nothing of such a job, the stored form
+/// allows no machine type in the fields that it reads.
+pub fn to_record(spec: &JobSpec, submitted_ms: u64, max_bytes: usize) -> Option<JobSpec> {
     let mut plain = spec.clone();
     if !spec.needs.is_empty() {
         let types = plain.types.replace(vec![]);
         let packed = None;
-        plain.apart = Some(Box::new(HiddenFields {
+        plain.hidden_fields = Some(Box::new(HiddenFields {
             types,
             submitted_ms,
             packed,
         }));
     }
     let size = json_size(&plain);
-    if size <= bytes {
+    if size <= max_bytes {
         return Some(plain);
     }
     let mut stub = spec.clone();
     stub.needs.clear();
     stub.types = Some(vec![]);
-    let apart = |packed| {
+    let hidden_fields = |packed| {
         let types = None;
         Some(Box::new(HiddenFields {
             types,
@@ -62,25 +67,25 @@
             packed,
         }))
     };
-    stub.apart = apart(Some(String::new()));
-    let room = bytes.checked_sub(json_size(&stub))?;
+    stub.hidden_fields = hidden_fields(Some(String::new()));
+    let free_bytes = max_bytes.checked_sub(json_size(&stub))?;
     let whole = to_cbor(spec);
-    let (text, taken) = glenhaven_compression::pack(&whole, room);
-    stub.apart = apart(Some(text));
-    (taken == whole.len()).then_some(stub)
+    let (text, packed_bytes) = glenhaven_compression::pack(&whole, free_bytes);
+    stub.hidden_fields = hidden_fields(Some(text));
+    (packed_bytes == whole.len()).then_some(stub)
 }
 
-/// What was kept: the description, and when the job was submitted, if that is said.
-/// `None`: a controller of the version before chains wrote the record anew, and only the
-/// page of acceptances still tells what the job is.
-pub fn restored(mut spec: JobSpec) -> Option<(JobSpec, u64)> {
-    let Some(apart) = spec.apart.take() else {
-        // Nobody can submit a job that no machine type is allowed for.
+/// The description in a stored form, and when the job was submitted, in milliseconds since 1970 (0 if
+/// it is not known). `None` if a release without job dependencies has rewritten the record, so that
+/// only the page of acceptances still has the description, or if the record is malformed.
+pub fn from_record(mut spec: JobSpec) -> Option<(JobSpec, u64)> {
+    let Some(hidden_fields) = spec.hidden_fields.take() else {
+        // No submission can allow no machine type at all.
         let bare = spec.types.as_ref().is_some_and(Vec::is_empty);
         return (!bare).then_some((spec, 0));
     };
-    match apart.packed {
-        None => spec.types = apart.types,
+    match hidden_fields.packed {
+        None => spec.types = hidden_fields.types,
         Some(text) => {
             let whole = glenhaven_compression::unpack::<u8>(&text).ok();
             match whole.and_then(|bytes| from_cbor::<JobSpec>(&bytes).ok()) {
@@ -92,27 +97,30 @@
             }
         }
     }
-    Some((spec, apart.submitted_ms))
+    Some((spec, hidden_fields.submitted_ms))
 }
 
-/// Jobs that a node accepted together: the page is written once, while none of them is
-/// over, and written over when all of them are.
+/// A page of jobs that a node accepted together. It is written while none of them has ended, and
+/// overwritten once all of them have.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Accepted {
+    /// The descriptions of the jobs, in their stored form.
     #[serde(rename = "a")]
     pub jobs: Vec<JobSpec>,
 }
 
-/// A job's final phase. Versions of this service that accepted each job by a key of its
-/// own wrote open phases too, with the description.
+/// A job's final phase. Releases that accepted each job by a key of its own also stored open phases,
+/// with the description.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobValue {
+    /// The phase.
     pub phase: Phase,
+    /// The description, of an open job.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
 }
 
-/// What a node says of the machines whose workers it answers without the leader.
+/// The machines whose agents a node answers without the leader.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProxiedMachines {
     /// Names of the machines.
@@ -123,59 +131,63 @@
     pub last_heartbeats: String,
 }
 
-/// The proof that a task may be on a machine: task, attempt, machine, session,
-/// and the term it was made under.
+/// The record of a placement: task, attempt, machine, incarnation of the agent, and the term under
+/// which it was made.
 pub type PlacementRow = (u32, u64, String, u64, u64);
 
-/// A part of a job's records: finished tasks and placements.
+/// The completed tasks and placements of a task range, a fixed-size range of a job's tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskRangeRecord {
+    /// The id of the job.
     #[serde(rename = "j")]
     pub job: String,
+    /// The number of the task range in its job.
     #[serde(rename = "n")]
     pub range_index: u32,
-    /// Whether this is all there is to say of the part; otherwise it adds to
-    /// what earlier entries say.
+    /// Whether it replaces earlier records of the task range; otherwise it adds to them.
     #[serde(rename = "f")]
     pub full: bool,
-    /// The highest attempt ever used in this part.
+    /// The highest attempt number ever used in the task range.
     #[serde(rename = "t")]
     pub last_attempt: u64,
-    /// Finished tasks, as inclusive ranges.
+    /// Completed tasks, as inclusive ranges.
     #[serde(rename = "d")]
     pub done: Vec<(u32, u32)>,
-    /// Tasks whose earlier placement is void.
+    /// Tasks whose earlier placement is void, as inclusive ranges.
     #[serde(rename = "v")]
     pub void: Vec<(u32, u32)>,
+    /// Placements.
     #[serde(rename = "r")]
     pub placements: Vec<PlacementRow>,
 }
 
-/// One fact in a page of the book. Later entries replace or add to earlier ones.
+/// One fact in a segment of the write-ahead log. Later entries replace or add to earlier ones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
-    /// An open job: version of its acceptance, whether its user has cancelled
-    /// it, and its description.
+    /// An open job with a key of its own: the version of its acceptance, whether its user has
+    /// cancelled it, and its description.
     #[serde(rename = "o")]
     Open(u64, bool, Box<JobSpec>),
-    /// An open job that was accepted in a page: its key does not exist while it is open.
+    /// An open job that was accepted in a page of acceptances, with the same fields: its own key does
+    /// not exist while it is open.
     #[serde(rename = "a")]
     Accepted(u64, bool, Box<JobSpec>),
+    /// Completed tasks and placements of a task range.
     #[serde(rename = "p")]
     TaskRangeRecord(TaskRangeRecord),
-    /// The job is over and nothing of it is left.
+    /// The job with this id has ended, with no placement left.
     #[serde(rename = "x")]
     Over(String),
-    /// A rental request, written before it is made.
+    /// A rental request with its id, recorded before it is sent.
     #[serde(rename = "c")]
     Claim(String, ClaimValue),
-    /// The rental request is settled.
+    /// The rental request with this id is settled.
     #[serde(rename = "s")]
     Settled(String),
 }
 
 impl Entry {
-    /// The job that this entry describes.
+    /// The job that this entry describes, if it does.
     pub fn describes(&self) -> Option<&JobSpec> {
         match self {
             Entry::Open(_, _, spec) | Entry::Accepted(_, _, spec) => Some(spec),
@@ -184,43 +196,50 @@
     }
 }
 
-/// A page of the leader's book. Pages are read back in the order of `seq`.
+/// A segment of the leader's write-ahead log. Segments are replayed in the order of `seq`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Segment {
-    /// The term it was written under: with `seq`, what tells this page from
-    /// any other that ever stood under its key.
+    /// The term under which it was written. With `seq` it identifies the segment among all that
+    /// were ever stored under its key.
     #[serde(rename = "k")]
     pub term: u64,
+    /// Its sequence number.
     #[serde(rename = "n")]
     pub seq: u64,
-    /// Pages before this one say nothing any more; their keys are used again.
+    /// Segments before this one are obsolete; their keys are reused.
     #[serde(rename = "o")]
     pub oldest: u64,
-    /// What the jobs' keys said up to this revision is in the book.
+    /// The log contains all changes of the jobs' keys up to this revision.
     #[serde(rename = "s")]
     pub seen_revision: u64,
+    /// The facts, in the order in which they are replayed.
     #[serde(rename = "e")]
     pub entries: Vec<Entry>,
-    /// When it was written, in milliseconds of the book: a clock that every leader
-    /// goes on with where the one before it stopped. 0: not said.
+    /// When it was written, in milliseconds of the log's clock, which each leader continues where the
+    /// one before it stopped; 0 if it is not known.
     #[serde(rename = "m", default)]
     pub written_log_ms: u64,
-    /// When the jobs that it describes came, in the order of their entries.
+    /// When the jobs that it describes were submitted, in milliseconds of the log's clock and in the
+    /// order of their entries; 0 if it is not known.
     #[serde(rename = "b", default)]
     pub submitted_log_ms: Vec<u64>,
 }
 
-/// A rental request; the machines are filled in when the cloud has answered.
+/// The content of a rental request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClaimValue {
+    /// The machine type.
     pub machine_type: String,
+    /// The zone.
     pub zone: String,
+    /// Whether spot machines are rented.
     pub spot: bool,
+    /// The number of machines.
     pub count: u32,
 }
 
-/// Tasks per part. Which tasks a part is about follows from its number, so that all
-/// versions must count alike: by the limit that values have at present, whatever is
+/// The number of tasks in a task range. The tasks of a range follow from its number, so that all
+/// releases must use the same size: that for the present limit of values, whatever limit is
 /// announced.
 pub fn tasks_per_range(present_value_bytes: f64) -> u32 {
     ((present_value_bytes / 64.0) as u32).clamp(8, 1024)
@@ -238,12 +257,12 @@
     out
 }
 
-/// A record as a value of the state service.
+/// The value of the state service that stores a record.
 pub fn to_value<T: Serialize>(record: &T) -> Value {
     Value::serialized(record).unwrap_or(Value::Null)
 }
 
-/// A record from a value of the state service; `None` if it is malformed.
+/// The record that a value of the state service stores; `None` if it is malformed.
 pub fn from_value<T: DeserializeOwned>(value: &Value) -> Option<T> {
     value.deserialized().ok()
 }
@@ -252,8 +271,8 @@
 mod tests {
     use super::*;
 
-    /// How many jobs a job may name where values are smallest: with ids without any order,
-    /// the hardest to pack.
+    /// How many dependencies a job may have where values are smallest, with ids in random order, which
+    /// are the hardest to compress.
     #[test]
     fn descriptions_larger_than_a_value_are_packed() {
         let text = r#"{"ref":"run-000500","jobclass":"train","owner":"vision","shape":"array","rank":"urgent","pieces":16,
@@ -269,14 +288,14 @@
                 .collect();
             spec.needs.sort();
             spec.needs.dedup();
-            let Some(record) = kept(&spec, 1_700_000_000_000, 1748) else {
+            let Some(record) = to_record(&spec, 1_700_000_000_000, 1748) else {
                 break;
             };
             assert!(json_size(&record) <= 1748);
             assert_eq!(record.types, Some(vec![]));
-            assert_eq!(restored(record), Some((spec.clone(), 1_700_000_000_000)));
+            assert_eq!(from_record(record), Some((spec.clone(), 1_700_000_000_000)));
             fits = count;
         }
-        assert!(fits >= 150, "only {fits} names fit");
+        assert!(fits >= 150, "only {fits} dependencies fit");
     }
 }
--- a/tests/two_versions.rs
+++ b/tests/two_versions.rs
@@ -16,7 +16,7 @@
 use glenhaven::protocol::to_cbor;
 use glenhaven::protocol::users::JobSpec;
 use glenhaven::storage::records::{
-    from_value, kept, restored, to_value, Accepted, JobValue, ProxiedMachines, Segment, Term,
+    from_record, from_value, to_record, to_value, Accepted, JobValue, ProxiedMachines, Segment, Term,
 };
 use net::*;
 use std::collections::BTreeMap;
@@ -82,7 +82,7 @@
 #[test]
 fn production_starts_no_job_that_names_others() {
     let record = Accepted {
-        jobs: vec![kept(&chained_spec(), 1_700_000_000_000, 2000).unwrap()],
+        jobs: vec![to_record(&chained_spec(), 1_700_000_000_000, 2000).unwrap()],
     };
     let bytes = to_cbor(&to_value(&record));
     if std::env::var_os("GOLDEN").is_some() {
@@ -90,11 +90,11 @@
         std::fs::write("tests/golden/chained.hex", hex + "\n").unwrap();
     }
     assert_eq!(unhex(include_str!("golden/chained.hex").trim()), bytes);
-    let read = restored(record.jobs[0].clone());
+    let read = from_record(record.jobs[0].clone());
     assert_eq!(read, Some((chained_spec(), 1_700_000_000_000)));
     let production: Accepted = serde_json::from_str(include_str!("golden/chained.production.json")).unwrap();
     assert_eq!(production.jobs[0].types, Some(vec![]));
-    assert_eq!(restored(production.jobs[0].clone()), None);
+    assert_eq!(from_record(production.jobs[0].clone()), None);
 }
 
 fn root() -> &'static Path {
