--- a/src/coordination/audit.rs
+++ b/src/coordination/audit.rs
@@ -56,7 +56,7 @@
         let missing = leader.missing_jobs(self.api.open_jobs());
         let still_missing: BTreeSet<String> = missing.intersection(&leader.audit.missing).cloned().collect();
         leader.audit.missing = missing;
-        leader.check_blocked();
+        leader.recheck_blocked_jobs();
         if still_missing.is_empty() || leader.audit.is_reading {
             return;
         }
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -156,7 +156,7 @@
     pub(super) fn apply(&mut self, event: Event) {
         match event {
             Event::User { id, request } => self.on_user(id, request),
-            Event::Heartbeat { id, heartbeat } => self.on_report(id, heartbeat),
+            Event::Heartbeat { id, heartbeat } => self.on_heartbeat(id, heartbeat),
             Event::Store { id, answer } => self.on_store_event(id, answer),
             Event::Cloud { id, answer } => {
                 if let Some(answer) = self.on_direct_call(id, answer) {
@@ -179,7 +179,7 @@
                     let to = push.requester;
                     self.context.effects.push(Effect::Peer { to, message });
                 } else if let Some(leader) = self.leader.as_mut() {
-                    leader.on_direct(id, answer);
+                    leader.on_push_result(id, answer);
                 }
             }
             Event::Peer(message) => self.on_peer(message),
