--- a/src/coordination/election/watches.rs
+++ b/src/coordination/election/watches.rs
@@ -118,13 +118,14 @@
                         "job changes"
                     );
                 }
-                self.api.on_news(&mut self.context, &self.cluster, &events.events);
+                self.api
+                    .on_job_changes(&mut self.context, &self.cluster, &events.events);
                 if let Some(leader) = self.leader.as_mut() {
                     leader.on_job_events(events.events, now);
                 }
                 self.election.jobs_watch_revision = self.election.jobs_watch_revision.max(events.revision);
                 self.election.jobs_verified_at = self.election.jobs_verified_at.max(sent);
-                self.prove_to_leader();
+                self.update_leader_watermark();
                 // Each watch counts as a request to the state service: changes are batched.
                 let pause = if self.leader.is_some() {
                     JOB_WATCH_PAUSE_LEADER
--- a/src/coordination/forwarding.rs
+++ b/src/coordination/forwarding.rs
@@ -485,7 +485,7 @@
                 zones.entry(zone.clone()).or_default();
             }
         }
-        for (zone, heartbeat_at) in self.heartbeat_proxy.reporting() {
+        for (zone, heartbeat_at) in self.heartbeat_proxy.agent_zones() {
             if now.since(heartbeat_at) < period {
                 if let Some(agents) = zones.get_mut(zone) {
                     agents.count += 1;
@@ -544,7 +544,7 @@
             let route = self.forwarder.link_table.route(&host, now);
             tracing::info!(?host, down, way = ?route, "a link has changed");
             if service == Service::State && matches!(route, Route::Via(_)) {
-                self.api.served_again();
+                self.api.reset_outage();
             }
         }
     }
--- a/src/coordination/tick.rs
+++ b/src/coordination/tick.rs
@@ -3,6 +3,7 @@
 //! Called by [`Controller::handle`]. The order of the steps is fixed: the election comes before
 //! whatever depends on who leads, and the leader acts last.
 
+use super::agents::LeaseRenewer;
 use super::election::Role;
 use super::Controller;
 use crate::protocol::peer::PeerMessage;
@@ -29,13 +30,13 @@
         let seen = self.election.jobs_seen_if_known();
         self.api.tick(&mut self.context, &self.cluster, seen);
         self.run_attestations();
-        self.heartbeat_proxy.tick(
-            &mut self.context,
-            &self.election,
-            &self.attestations,
-            &self.api,
-            &self.cluster,
-        );
+        let renewer = LeaseRenewer {
+            election: &self.election,
+            attestations: &self.attestations,
+            api: &self.api,
+            cluster: &self.cluster,
+        };
+        self.heartbeat_proxy.tick(&mut self.context, &renewer);
         self.run_cloud_calls();
         self.run_leader();
         if now >= self.next_alive_at {
@@ -61,7 +62,7 @@
             fresh: now.since(self.election.verified_at()) < CURRENT,
             leads,
             wants: (self.update_change_share() * 1000.0).min(4e9) as u32,
-            serves: self.heartbeat_proxy.serves(now, leads),
+            serves: self.heartbeat_proxy.agent_count(now, leads),
             at: now.0,
             links: self.observed_links(),
         };
@@ -120,7 +121,7 @@
     }
 
     fn run_leader(&mut self) {
-        self.ask_recall();
+        self.request_last_heartbeats();
         let Some(leader) = self.leader.as_mut() else { return };
         if !leader.is_loaded() {
             leader.load(&mut self.context);
