--- a/crates/connectivity/src/link_table.rs
+++ b/crates/connectivity/src/link_table.rs
@@ -305,8 +305,8 @@
     }
 
     fn controller_state(&self, now: Micros) -> LinkState {
-        let is_heard = self.last_contact.is_some_and(|at| now.since(at) < CONTACT_TIMEOUT);
-        match (is_heard, self.acknowledges) {
+        let has_recent_contact = self.last_contact.is_some_and(|at| now.since(at) < CONTACT_TIMEOUT);
+        match (has_recent_contact, self.acknowledges) {
             (true, None | Some(true)) => LinkState::Up,
             (true, Some(false)) | (false, Some(true)) => LinkState::Unidirectional,
             (false, Some(false)) => LinkState::Down,
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,4 +1,6 @@
-//! Times as whole microseconds.
+//! Times and spans as whole microseconds.
+//!
+//! Arithmetic saturates: a time never goes below the start of the clock and never overflows.
 #![forbid(unsafe_code)]
 
 use std::ops::{Add, Sub};
@@ -8,11 +10,11 @@
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// The start of the clock, and the empty span.
+    /// The start of the clock, or the empty span.
     pub const ZERO: Micros = Micros(0);
 
-    /// A span from seconds as the platform writes them; anything that is not a
-    /// positive number counts as none, since spans come from outside input.
+    /// A span of so many seconds. Anything that is not a positive number gives the empty span, since
+    /// spans come from outside input.
     pub fn from_secs(seconds: f64) -> Micros {
         if seconds.is_finite() && seconds > 0.0 {
             Micros((seconds * 1e6) as u64)
@@ -21,7 +23,7 @@
         }
     }
 
-    /// A span from whole milliseconds.
+    /// A span of so many milliseconds.
     pub const fn from_millis(millis: u64) -> Micros {
         Micros(millis * 1000)
     }
@@ -31,7 +33,7 @@
         self.0 as f64 / 1e6
     }
 
-    /// The time since `earlier`; none if `earlier` is later.
+    /// The time since `earlier`; the empty span if `earlier` is later.
     pub fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -50,7 +50,7 @@
             })
             // One that keeps ending has few workers every time that it is back.
             .filter(|(_, p)| now.since(p.known_since) > timing::CONTROLLER_SETTLED)
-            .map(|(name, p)| (name.clone(), p.agents_served))
+            .map(|(name, p)| (name.clone(), p.reporting_agents))
             .min_by_key(|(_, serves)| *serves)?;
         (own > least + least / 3 + UNEVEN).then_some(node)
     }
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -53,7 +53,7 @@
     pub(super) relayed_pushes: BTreeMap<u64, RelayedPush>,
     /// The incarnation of this controller's leadership that has asked for agents' last heartbeats.
     pub(super) last_heartbeats_requested_for: u64,
-    /// When the other controllers are next told that this one is alive.
+    /// When the other controllers next learn that this one is alive.
     pub(super) next_alive_at: Micros,
     election_started: bool,
     /// When the periodic summary is next logged.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -26,12 +26,13 @@
 pub mod objectives;
 mod peers;
 pub mod provisioning;
-pub mod rate_shares;
+
 pub mod replica_status;
 pub mod reservation;
 pub mod scheduling;
 pub mod state;
 pub mod store_queue;
+pub mod store_rates;
 pub mod summary;
 pub mod tick;
 pub mod timing;
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -28,7 +28,7 @@
     /// Changes to the state service that it wants to make each second.
     pub wanted_changes_per_s: f64,
     /// Agents that send their heartbeats to it.
-    pub agents_served: u32,
+    pub reporting_agents: u32,
     /// Its steady clock, in microseconds. A clock that goes back is that of a new incarnation of
     /// its process.
     pub sender_clock: u64,
@@ -113,7 +113,7 @@
                 term,
                 leads,
                 wanted_changes_per_s: f64::from(wants) / 1000.0,
-                agents_served: serves,
+                reporting_agents: serves,
                 sender_clock: at,
                 known_since: same_incarnation.map_or(now, |peer| peer.known_since),
             };
--- a/src/coordination/tick.rs
+++ b/src/coordination/tick.rs
@@ -10,7 +10,7 @@
 
 /// A controller not heard from for longer than this is not expected to answer agents.
 const CONTACT_TIMEOUT: Micros = Micros::from_millis(1600);
-/// How often the other controllers are told that this one is alive.
+/// How often this controller says to the others that it is alive.
 const ALIVE_PERIOD: Micros = Micros::from_millis(500);
 /// Knowledge of the state service that is older than this is not called current.
 const CURRENT: Micros = Micros::from_millis(2500);
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -11,7 +11,7 @@
 
 use serde::{de::DeserializeOwned, Deserialize, Deserializer, Serialize};
 
-/// The limit for request bodies, and for responses to workers and users.
+/// The limit for request bodies, and for responses to agents and users.
 pub const BODY_LIMIT: usize = 64 * 1024;
 
 /// Bytes from outside could not be read as the expected message, for this reason.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,7 @@
-//! The platform's file (TOML) and the operators' own settings (S-expressions).
+//! The settings: the platform's file (TOML) and the operators' own (S-expressions).
+//!
+//! Read once at the start and checked here, so that the rest of the program can rely on them. The names
+//! in both files are given: the serialised names of the fields must not change.
 
 use glenhaven_store_limits::{Bounds, Limits};
 use serde::Deserialize;
@@ -7,92 +10,131 @@
 /// What is wrong with a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
+    /// The file can't be read.
     #[error("{path}: cannot be read: {source}")]
-    Unreadable { path: PathBuf, source: std::io::Error },
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// The cause.
+        source: std::io::Error,
+    },
+    /// The file's contents are not valid.
     #[error("{path}: {message}")]
-    Wrong { path: PathBuf, message: String },
+    Wrong {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong, with the setting's name.
+        message: String,
+    },
 }
 
-/// Puts and deletes that a transaction must take.
+/// Puts and deletes that a transaction must be able to hold.
 const LEAST_OPS: usize = 4;
-/// What a value must hold, in KiB.
+/// The size that a value must be able to have, in KiB.
 const LEAST_VALUE_KB: f64 = 1.0;
 
+/// Another controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Peer {
+    /// Its name.
     pub node: String,
+    /// Its zone.
     pub zone: String,
+    /// The address of its links between controllers.
     pub addr: String,
 }
 
+/// The addresses of the services that controllers use.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Services {
+    /// The cloud.
     pub cloud: String,
+    /// The state service.
     pub state: String,
 }
 
+/// A team's guarantee and limit.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Team {
+    /// Its name.
     pub name: String,
+    /// The CPU cores that it is guaranteed.
     #[serde(default)]
     pub cpus: f64,
-    /// 0 means no limit.
+    /// Its limit of CPU cores; 0 means no limit.
     #[serde(default)]
     pub cpus_max: f64,
+    /// The GPUs that it is guaranteed.
     #[serde(default)]
     pub gpus: f64,
-    /// 0 means no limit.
+    /// Its limit of GPUs; 0 means no limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// An aim; unknown kinds and fields are carried without meaning.
+/// A service level objective; unknown kinds and fields are accepted and ignored.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Objective {
+    /// What it limits, such as `wait`, `finished` or `deadline`.
     #[serde(default)]
     pub kind: String,
+    /// The class of jobs that it applies to.
     #[serde(default)]
     pub class: String,
+    /// The time limit, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
+    /// The share of jobs that must meet it.
     #[serde(default)]
     pub share: Option<f64>,
-    /// Of a deadline: how many times its length count.
+    /// Of a deadline: the multiple of its length that counts.
     #[serde(default)]
     pub times: Option<f64>,
 }
 
+/// The times that agents keep to, in seconds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
+    /// The period of an agent's heartbeats.
     pub report_s: f64,
+    /// How long an agent keeps running its tasks after it sent the last heartbeat that was answered.
     pub lease_s: f64,
+    /// How soon after its confirmed cancellation a task must be gone.
     pub cancel_s: f64,
 }
 
+/// The limits of the state service.
 #[derive(Clone, Debug, Deserialize)]
 pub struct State {
+    /// Requests a second, of all controllers together.
     pub rps: f64,
+    /// Changes a second, of all controllers together.
     pub write_rps: f64,
+    /// The size of a value, in KiB as JSON.
     pub value_kb: f64,
+    /// Puts and deletes in a transaction.
     pub txn_ops: usize,
-    /// Lower limits that the service will have from some moment on.
+    /// Lower limits that the service will have later.
     #[serde(default)]
     pub next: Option<NextState>,
 }
 
-/// Limits of the state service that are announced; what is not named stays.
+/// Announced limits of the state service; those that are not named stay.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct NextState {
+    /// Changes a second, of all controllers together.
     #[serde(default)]
     pub write_rps: Option<f64>,
+    /// The size of a value, in KiB as JSON.
     #[serde(default)]
     pub value_kb: Option<f64>,
+    /// Puts and deletes in a transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
 impl State {
-    /// The limits, for the one place that keeps to them.
+    /// These limits in the form in which the program keeps to them.
     pub fn limits(&self) -> Limits {
         let now = Bounds {
             value_kb: self.value_kb,
@@ -108,48 +150,72 @@
     }
 }
 
+/// The limits of the cloud.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Cloud {
+    /// Calls a second.
     pub rps: f64,
+    /// How long its list of machines usually lags behind, in seconds.
     pub list_lag_s: f64,
 }
 
+/// What a controller's process may use.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Resources {
+    /// CPU cores.
     pub cpu: f64,
+    /// Memory, in MB.
     pub mem_mb: f64,
+    /// Open sockets.
     pub sockets: u32,
 }
 
+/// The platform's parameters, the same for all controllers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Params {
+    /// The names of the zones.
     #[serde(default)]
     pub zones: Vec<String>,
+    /// How far a host's time of day may be from the true time, in milliseconds.
     #[serde(default)]
     pub clock_off_ms: f64,
+    /// The teams.
     pub teams: Vec<Team>,
+    /// The service level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
+    /// The times that agents keep to.
     pub workers: Workers,
+    /// The limits of the state service.
     pub state: State,
+    /// The limits of the cloud.
     pub cloud: Cloud,
+    /// What a controller's process may use.
     pub resources: Resources,
 }
 
 /// The platform's settings of one controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
+    /// This controller's name.
     pub node: String,
+    /// Its zone.
     pub zone: String,
+    /// The address for users, agents and the load balancer.
     pub public_addr: String,
+    /// The address for links from other controllers.
     pub peer_bind: String,
+    /// The other controllers.
     #[serde(default)]
     pub peers: Vec<Peer>,
+    /// The services that controllers use.
     pub services: Services,
+    /// The platform's parameters.
     pub params: Params,
     /// A file of the operators' own settings.
     #[serde(default)]
     pub operator_file: Option<PathBuf>,
+    /// The operators' own settings, from that file or by default.
     #[serde(skip)]
     pub operator: Operator,
 }
@@ -158,21 +224,21 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Operator {
-    /// Life of the leader's lease in the state service, in seconds.
+    /// Time to live of the leader's lease in the state service, in seconds.
     pub leader_lease_s: f64,
-    /// How long a machine stays idle before it is returned, in seconds.
+    /// How long a machine stays idle before it is released, in seconds.
     pub idle_s: f64,
-    /// Share of the demand of arrays kept rented above it.
+    /// Capacity rented in excess of the demand of batch jobs, as a share of it.
     pub headroom: f64,
     /// How long a job waits before it may borrow from other pools, in seconds.
     pub borrow_after_s: f64,
     /// Period of the demand estimate, in seconds.
     pub estimate_s: f64,
-    /// What it is worth that every job of a class keeps one of its times, as a
-    /// part of all that is spent.
+    /// What it is worth that every job of a class meets one of its objectives, as a multiple of all
+    /// that is spent.
     pub in_time_worth: f64,
-    /// Whether what this controller can't reach is asked by way of the others, and what
-    /// they can't reach is asked for them.
+    /// Whether requests to a service that this controller can't reach are forwarded by the others,
+    /// and it forwards theirs.
     pub ways_by_others: bool,
 }
 
@@ -198,7 +264,11 @@
 }
 
 impl Operator {
-    /// Parses the S-expressions of an operators' file.
+    /// Parses and checks the S-expressions of an operators' file.
+    ///
+    /// # Errors
+    ///
+    /// If a setting is unknown, malformed or out of its range: a text that names it.
     pub fn parse(text: &str) -> Result<Operator, String> {
         let operator: Operator = serde_lexpr::from_str(text).map_err(|e| e.to_string())?;
         let within = |name: &str, value: f64, low: f64, high: f64| {
@@ -220,6 +290,10 @@
 
 impl Settings {
     /// Parses and checks the platform's file.
+    ///
+    /// # Errors
+    ///
+    /// If a setting is missing, malformed or out of its range: a text that names it.
     pub fn parse(text: &str) -> Result<Settings, String> {
         let settings: Settings = toml::from_str(text).map_err(|e| e.to_string().trim().replace('\n', " "))?;
         let address = |name: &str, text: &str| {
@@ -281,8 +355,11 @@
         Ok(settings)
     }
 
-    /// Reads and checks the platform's file and, if it names one, the
-    /// operators' file.
+    /// Reads and checks the platform's file and, if it names one, the operators' file.
+    ///
+    /// # Errors
+    ///
+    /// If a file can't be read or is not valid.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let wrong = |path: &Path, message: String| SettingsError::Wrong {
             path: path.to_path_buf(),
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,6 +1,6 @@
 //! HTTP client: kept connections, one request at a time on each.
 //!
-//! It tells whether a request that got no answer may have been executed. It never sends a request
+//! Its result says whether a request that got no answer may have been executed. It never sends a request
 //! twice, except reads.
 
 use super::stream::Stream;
@@ -65,8 +65,8 @@
 struct Exchange {
     status: u16,
     body: Vec<u8>,
-    /// The connection can be used for another request.
-    is_kept_alive: bool,
+    /// Whether the connection can be used for another request.
+    is_reusable: bool,
 }
 
 /// Connections to one address.
@@ -103,7 +103,7 @@
         Some(Exchange {
             status: response.status().into(),
             body,
-            is_kept_alive: !closes,
+            is_reusable: !closes,
         })
     }
 
@@ -125,9 +125,9 @@
     }
 
     async fn attempt(&self, call: &Call) -> CallResult {
-        let kept = self.idle.borrow_mut().pop();
-        let is_reused = kept.is_some();
-        let mut stream = match kept {
+        let idle = self.idle.borrow_mut().pop();
+        let is_reused = idle.is_some();
+        let mut stream = match idle {
             Some(stream) => stream,
             None => match self.connect(call.connect_limit()).await {
                 Some(stream) => stream,
@@ -150,12 +150,12 @@
         let Some(Exchange {
             status,
             body,
-            is_kept_alive,
+            is_reusable,
         }) = result
         else {
             return CallResult::NoAnswer;
         };
-        if is_kept_alive && self.idle.borrow().len() < self.max_idle {
+        if is_reusable && self.idle.borrow().len() < self.max_idle {
             self.idle.borrow_mut().push(stream);
         }
         CallResult::Answer { status, body }
