--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -58,7 +58,7 @@
             })
             // A process that keeps ending has few agents after each start.
             .filter(|(_, p)| now.since(p.known_since) > timing::CONTROLLER_SETTLED)
-            .map(|(name, p)| (name.clone(), p.agents_served))
+            .map(|(name, p)| (name.clone(), p.reporting_agents))
             .min_by_key(|(_, serves)| *serves)?;
         (own > least + least / 3 + MIN_IMBALANCE).then_some(node)
     }
