--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -248,25 +248,8 @@
 
     /// Executes a transaction.
     pub fn apply(&mut self, txn: &Transaction) -> StoreResponse {
-        let size = json_size(txn);
-        let large = txn.changes.iter().any(|c| match c {
-            Change::Put { value, .. } => json_size(value) as f64 > self.value_kb * 1024.0,
-            Change::Delete { .. } => false,
-        });
-        if txn.changes.len() > self.txn_ops || txn.conditions.len() > 4 * self.txn_ops || size > 64 * 1024 || large {
-            self.problems.push(format!(
-                "transaction over the limits: {} changes, {} conditions, {size} bytes",
-                txn.changes.len(),
-                txn.conditions.len()
-            ));
-            return StoreResponse::Malformed;
-        }
-        for change in &txn.changes {
-            if let Change::Put { lease: Some(lease), .. } = change {
-                if !self.leases.contains_key(lease) {
-                    return StoreResponse::NoLease;
-                }
-            }
+        if let Some(rejection) = self.rejection(txn) {
+            return rejection;
         }
         let failed: Vec<String> = txn
             .conditions
@@ -283,7 +266,40 @@
         if !txn.changes.is_empty() {
             self.revision += 1;
         }
-        let version = self.revision;
+        self.check_rules(txn);
+        for change in &txn.changes {
+            self.execute(change.clone());
+        }
+        StoreResponse::Committed {
+            revision: self.revision,
+        }
+    }
+
+    /// The answer to a transaction that is not executed whatever its conditions: one over the limits, or
+    /// one that binds a value to a lease that is over.
+    fn rejection(&mut self, txn: &Transaction) -> Option<StoreResponse> {
+        let size = json_size(txn);
+        let large = txn.changes.iter().any(|c| match c {
+            Change::Put { value, .. } => json_size(value) as f64 > self.value_kb * 1024.0,
+            Change::Delete { .. } => false,
+        });
+        if txn.changes.len() > self.txn_ops || txn.conditions.len() > 4 * self.txn_ops || size > 64 * 1024 || large {
+            self.problems.push(format!(
+                "transaction over the limits: {} changes, {} conditions, {size} bytes",
+                txn.changes.len(),
+                txn.conditions.len()
+            ));
+            return Some(StoreResponse::Malformed);
+        }
+        let lease_is_over = |change: &Change| match change {
+            Change::Put { lease: Some(lease), .. } => !self.leases.contains_key(lease),
+            _ => false,
+        };
+        txn.changes.iter().any(lease_is_over).then_some(StoreResponse::NoLease)
+    }
+
+    /// Checks what a transaction is about to write against what is stored.
+    fn check_rules(&mut self, txn: &Transaction) {
         // What the transaction itself says is done is done with it.
         let is_done = |v: &Value| {
             let value = glenhaven::storage::records::from_value::<glenhaven::storage::records::JobValue>(v);
@@ -303,25 +319,27 @@
                 self.check_overwrite(key, value, txn);
             }
         }
-        for change in &txn.changes {
-            match change.clone() {
-                Change::Put { key, value, lease } => {
-                    self.note_acceptances(&key, &value);
-                    self.log.push(WatchEvent::Put {
-                        key: key.clone(),
-                        value: value.clone(),
-                        version,
-                    });
-                    self.keys.insert(key, Entry { value, version, lease });
-                }
-                Change::Delete { key } => {
-                    if self.keys.remove(&key).is_some() {
-                        self.log.push(WatchEvent::Delete { key, version });
-                    }
+    }
+
+    /// Makes one change at the present revision.
+    fn execute(&mut self, change: Change) {
+        let version = self.revision;
+        match change {
+            Change::Put { key, value, lease } => {
+                self.note_acceptances(&key, &value);
+                self.log.push(WatchEvent::Put {
+                    key: key.clone(),
+                    value: value.clone(),
+                    version,
+                });
+                self.keys.insert(key, Entry { value, version, lease });
+            }
+            Change::Delete { key } => {
+                if self.keys.remove(&key).is_some() {
+                    self.log.push(WatchEvent::Delete { key, version });
                 }
             }
         }
-        StoreResponse::Committed { revision: version }
     }
 
     fn note_acceptances(&mut self, key: &str, value: &Value) {
--- a/src/coordination/api/read_proof.rs
+++ b/src/coordination/api/read_proof.rs
@@ -39,7 +39,7 @@
 
 /// The proof for an answer to a user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReadProof {
+pub(super) struct ReadProof {
     pub(super) source: ProofSource,
     /// The last user request that had come when the request to the state service was sent.
     covers: RequestSequence,
--- a/src/coordination/fault_injection.rs
+++ b/src/coordination/fault_injection.rs
@@ -5,7 +5,7 @@
 
 /// A fault that can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InjectedFault {
+pub(super) enum InjectedFault {
     /// The record of a task that is asked to stop is freed at once.
     FreesWithoutProof,
     /// A record that a new leader finds in the log is not charged to its team.
@@ -27,6 +27,6 @@
 
 /// Whether this fault is active in this process: never, in an ordinary build.
 #[cfg(not(feature = "planted-faults"))]
-pub const fn is_injected(_fault: InjectedFault) -> bool {
+pub(super) const fn is_injected(_fault: InjectedFault) -> bool {
     false
 }
--- a/src/coordination/log/read_log.rs
+++ b/src/coordination/log/read_log.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 
 /// The last value of a job's key, or the acceptance of a job that has no key of its own.
-pub struct JobChange {
+pub(super) struct JobChange {
     /// The revision of the change.
     pub version: u64,
     /// The version of the job's own key; 0 if it was accepted in a page of acceptances.
@@ -27,7 +27,7 @@
 
 /// All that was read.
 #[derive(Default)]
-pub struct LogContents {
+pub(super) struct LogContents {
     /// The segments, in the order of their keys.
     pub segments: Vec<StoredSegment>,
     /// The first slot after those with unreadable values, which are never overwritten.
@@ -49,7 +49,7 @@
 
 /// Reads the log, one request at a time.
 #[derive(Default)]
-pub struct LogReader {
+pub(super) struct LogReader {
     step: ReadStep,
     /// The last key that was read of the present list.
     after: String,
@@ -60,7 +60,7 @@
 
 impl LogReader {
     /// The next request; `None` while one is in flight.
-    pub fn next_request(&mut self) -> Option<(StoreRequest, LogContinuation)> {
+    pub(super) fn next_request(&mut self) -> Option<(StoreRequest, LogContinuation)> {
         if self.in_flight {
             return None;
         }
@@ -89,7 +89,7 @@
 
     /// Takes an answer and returns whether everything has been read. After an answer without
     /// content, `next_request` repeats the request.
-    pub fn on_answer(&mut self, continuation: &LogContinuation, answer: StoreResponse) -> bool {
+    pub(super) fn on_answer(&mut self, continuation: &LogContinuation, answer: StoreResponse) -> bool {
         self.in_flight = false;
         match (continuation, answer) {
             (LogContinuation::Segments, StoreResponse::Rows(rows)) => {
@@ -114,7 +114,7 @@
     }
 
     /// All that was read.
-    pub fn into_contents(self) -> LogContents {
+    pub(super) fn into_contents(self) -> LogContents {
         self.contents
     }
 
--- a/src/coordination/log/transaction.rs
+++ b/src/coordination/log/transaction.rs
@@ -16,7 +16,7 @@
 const CONDITIONS_PER_CHANGE: usize = 4;
 
 /// A segment that the transaction writes.
-pub struct WrittenSegment {
+pub(super) struct WrittenSegment {
     /// The slot of its key.
     pub slot: u32,
     /// Its sequence number.
@@ -24,7 +24,7 @@
 }
 
 /// A job's description that the transaction writes.
-pub struct WrittenDescription {
+pub(super) struct WrittenDescription {
     /// The job.
     pub job: JobId,
     /// The sequence number of the segment that contains it.
@@ -34,7 +34,7 @@
 }
 
 /// A task range of a job that the transaction writes.
-pub struct WrittenTaskRange {
+pub(super) struct WrittenTaskRange {
     /// The job.
     pub job: JobId,
     /// The number of the task range in its job.
@@ -48,7 +48,7 @@
 }
 
 /// A start that the transaction records.
-pub struct WrittenStart {
+pub(super) struct WrittenStart {
     /// The job of the task.
     pub job: JobId,
     /// The task to start.
@@ -58,7 +58,7 @@
 }
 
 /// A rental request that the transaction records.
-pub struct WrittenClaim {
+pub(super) struct WrittenClaim {
     /// The id of the request.
     pub claim: String,
     /// The sequence number of the segment that contains it.
@@ -67,7 +67,7 @@
 
 /// A transaction that is drafted or in flight, with all that it records.
 #[derive(Default)]
-pub struct PendingTransaction {
+pub(super) struct PendingTransaction {
     /// The request to the state service.
     pub txn: Transaction,
     /// The segments that it writes, in sequence.
@@ -98,30 +98,30 @@
 
 impl PendingTransaction {
     /// Adds the condition that the key has this version; 0: that there is no such key.
-    pub fn require(&mut self, key: String, version: u64) {
+    pub(super) fn require(&mut self, key: String, version: u64) {
         self.txn.conditions.push(Condition { key, version });
     }
 
     /// Adds the write of a value, on condition that the key has this version.
-    pub fn put(&mut self, key: String, version: u64, value: Value) {
+    pub(super) fn put(&mut self, key: String, version: u64, value: Value) {
         self.require(key.clone(), version);
         let lease = None;
         self.txn.changes.push(Change::Put { key, value, lease });
     }
 
     /// Whether it records a start of this task.
-    pub fn records_start(&self, job: &JobId, task: u32) -> bool {
+    pub(super) fn records_start(&self, job: &JobId, task: u32) -> bool {
         self.starts.iter().any(|s| s.task == task && s.job == *job)
     }
 
     /// The version that its condition on this key requires; 0 if it has none.
-    pub fn expected_version(&self, key: &str) -> u64 {
+    pub(super) fn expected_version(&self, key: &str) -> u64 {
         let condition = self.txn.conditions.iter().find(|c| c.key == key);
         condition.map_or(0, |c| c.version)
     }
 
     /// The key whose version shows whether it was executed: one that only the leader writes.
-    pub fn probe_key(&self) -> String {
+    pub(super) fn probe_key(&self) -> String {
         match self.segments.first() {
             Some(segment) => keys::segment(segment.slot),
             None => keys::TERM.into(),
@@ -130,7 +130,7 @@
 }
 
 /// A transaction that is being built.
-pub struct Draft {
+pub(super) struct Draft {
     /// What it records so far.
     pub pending: PendingTransaction,
     /// The entries of its segments.
@@ -153,12 +153,12 @@
     }
 
     /// Whether it writes the job's description.
-    pub fn describes(&self, job: &JobId) -> bool {
+    pub(super) fn describes(&self, job: &JobId) -> bool {
         self.pending.descriptions.iter().any(|d| d.job == *job)
     }
 
     /// Whether it writes this task range of the job.
-    pub fn has_task_range(&self, job: &JobId, range_index: u32) -> bool {
+    pub(super) fn has_task_range(&self, job: &JobId, range_index: u32) -> bool {
         self.pending
             .task_ranges
             .iter()
@@ -166,37 +166,37 @@
     }
 
     /// Whether it records the end of the job.
-    pub fn ends(&self, job: &JobId) -> bool {
+    pub(super) fn ends(&self, job: &JobId) -> bool {
         let pending = &self.pending;
         pending.completed.contains(job) || pending.ended.contains(job) || pending.withdrawn.contains(job)
     }
 
     /// Whether it has a condition on this key.
-    pub fn has_condition(&self, key: &str) -> bool {
+    pub(super) fn has_condition(&self, key: &str) -> bool {
         self.pending.txn.conditions.iter().any(|c| c.key == key)
     }
 
     /// Whether another condition fits, beside those on the keys of the segments.
-    pub fn fits_condition(&self) -> bool {
+    pub(super) fn fits_condition(&self) -> bool {
         let segments = self.packer.segment_limit();
         self.pending.txn.conditions.len() + segments < self.max_conditions()
     }
 
     /// Adds an entry and returns the sequence number of its segment; `None` if it doesn't fit.
-    pub fn add(&mut self, entry: Entry) -> Option<u64> {
+    pub(super) fn add(&mut self, entry: Entry) -> Option<u64> {
         let index = self.packer.add(entry)?;
         Some(self.segment_seq(index))
     }
 
     /// Adds a task range and returns the sequence number of its first segment; `None` if not all
     /// of it fits.
-    pub fn add_task_range(&mut self, record: TaskRangeRecord) -> Option<u64> {
+    pub(super) fn add_task_range(&mut self, record: TaskRangeRecord) -> Option<u64> {
         let index = self.packer.add_task_range(record)?;
         Some(self.segment_seq(index))
     }
 
     /// Adds a rental request, if it fits.
-    pub fn add_claim(&mut self, claim: String, value: ClaimValue) {
+    pub(super) fn add_claim(&mut self, claim: String, value: ClaimValue) {
         if let Some(segment) = self.add(Entry::Claim(claim.clone(), value)) {
             self.pending.claims.push(WrittenClaim { claim, segment });
         }
@@ -204,7 +204,7 @@
 
     /// Adds the end of a job: its final phase under its key, on condition that the key has this
     /// version, and an entry that removes it from the log. False if they don't fit.
-    pub fn add_end(&mut self, job: &JobId, key_version: u64, phase: Phase) -> bool {
+    pub(super) fn add_end(&mut self, job: &JobId, key_version: u64, phase: Phase) -> bool {
         let over = Entry::Over(job.to_string());
         let segments = self.packer.segments_with(entry_bytes(&over));
         if !self.fits_job_end(segments) {
@@ -221,7 +221,7 @@
 
     /// Limits the number of segments, each of which takes a change and a condition, to what is
     /// left of both.
-    pub fn limit_segments(&mut self) {
+    pub(super) fn limit_segments(&mut self) {
         let txn = &self.pending.txn;
         let changes_left = self.max_changes.saturating_sub(txn.changes.len());
         let conditions_left = self.max_conditions().saturating_sub(txn.conditions.len());
--- a/src/coordination/scheduling/quota.rs
+++ b/src/coordination/scheduling/quota.rs
@@ -31,14 +31,14 @@
 }
 
 /// The usage of all teams, as far as the leader knows it.
-pub struct QuotaLedger {
+pub(super) struct QuotaLedger {
     usage: BTreeMap<String, TeamUsage>,
 }
 
 impl QuotaLedger {
     /// Counts every placement that is not proven void, and every orphaned attempt that a machine
     /// lists.
-    pub fn of(jobs: &BTreeMap<JobId, Job>, machines: &BTreeMap<MachineId, Machine>) -> QuotaLedger {
+    pub(super) fn of(jobs: &BTreeMap<JobId, Job>, machines: &BTreeMap<MachineId, Machine>) -> QuotaLedger {
         let mut ledger = QuotaLedger { usage: team_use(jobs) };
         for spec in orphaned_attempt_specs(jobs, machines) {
             ledger.charge(spec);
@@ -47,24 +47,24 @@
     }
 
     /// What a team uses.
-    pub fn of_team(&self, team: &str) -> TeamUsage {
+    pub(super) fn of_team(&self, team: &str) -> TeamUsage {
         self.usage.get(team).copied().unwrap_or_default()
     }
 
     /// What each team uses, in the order of the teams' names.
-    pub fn teams(&self) -> impl Iterator<Item = (&String, &TeamUsage)> {
+    pub(super) fn teams(&self) -> impl Iterator<Item = (&String, &TeamUsage)> {
         self.usage.iter()
     }
 
     /// Whether the limit of the job's team admits one more of its tasks.
-    pub fn admits(&self, cluster: &ClusterConfig, spec: &JobSpec) -> bool {
+    pub(super) fn admits(&self, cluster: &ClusterConfig, spec: &JobSpec) -> bool {
         let usage = self.of_team(&spec.team);
         let (max_cpus, max_gpus) = cluster.limits(&spec.team);
         usage.cpus + spec.cpus <= max_cpus + EPSILON && usage.gpus + spec.gpus <= max_gpus + EPSILON
     }
 
     /// Charges one task of this job to its team.
-    pub fn charge(&mut self, spec: &JobSpec) {
+    pub(super) fn charge(&mut self, spec: &JobSpec) {
         self.usage.entry(spec.team.clone()).or_default().add(spec, 1.0);
     }
 }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -54,6 +54,7 @@
     /// Identifies the request for ever.
     pub claim: String,
     /// The machine type.
+    /// The machine type.
     #[serde(rename = "flavor")]
     pub machine_type: String,
     /// The zone.
@@ -82,6 +83,7 @@
     pub name: String,
     /// The address at which its agent takes pushes.
     pub addr: String,
+    /// The machine type.
     #[serde(rename = "flavor")]
     pub machine_type: String,
     /// The zone.
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -21,14 +21,18 @@
 pub enum Change {
     /// Writes a value, which is deleted with the lease if it has one.
     Put {
+        /// The key that is written.
         #[serde(rename = "put")]
         key: String,
+        /// Its new value.
         value: Value,
+        /// The lease that the value is bound to.
         #[serde(rename = "grant", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
     /// Deletes the key.
     Delete {
+        /// The key that is deleted.
         #[serde(rename = "delete")]
         key: String,
     },
@@ -86,16 +90,21 @@
 pub enum WatchEvent {
     /// The key has a new value.
     Put {
+        /// The key that was written.
         #[serde(rename = "put")]
         key: String,
+        /// Its new value.
         value: Value,
+        /// Its new version.
         #[serde(rename = "stamp")]
         version: u64,
     },
     /// The key was deleted.
     Delete {
+        /// The key that was deleted.
         #[serde(rename = "delete")]
         key: String,
+        /// The version of the deletion.
         #[serde(rename = "stamp")]
         version: u64,
     },
--- a/src/runtime/agent_client.rs
+++ b/src/runtime/agent_client.rs
@@ -18,13 +18,13 @@
 
 /// Connections to agents, by address.
 #[derive(Default)]
-pub struct AgentClients {
+pub(super) struct AgentClients {
     by_address: RefCell<HashMap<String, Rc<Client>>>,
 }
 
 impl AgentClients {
     /// The client of the agent at this address; `None` if it is not an address.
-    pub fn get(&self, address: &str) -> Option<Rc<Client>> {
+    pub(super) fn get(&self, address: &str) -> Option<Rc<Client>> {
         let mut clients = self.by_address.borrow_mut();
         if let Some(client) = clients.get(address) {
             return Some(client.clone());
@@ -39,7 +39,7 @@
 }
 
 /// Pushes commands to an agent and waits for its answer.
-pub async fn push(client: Option<Rc<Client>>, commands: PushedCommands, timeout: Micros) -> PushResult {
+pub(super) async fn push(client: Option<Rc<Client>>, commands: PushedCommands, timeout: Micros) -> PushResult {
     let Some(client) = client else {
         return PushResult::NotSent;
     };
--- a/src/runtime/cloud_client.rs
+++ b/src/runtime/cloud_client.rs
@@ -19,20 +19,20 @@
 
 /// Connections to the cloud.
 #[derive(Clone)]
-pub struct CloudClient {
+pub(super) struct CloudClient {
     calls: Rc<Client>,
 }
 
 impl CloudClient {
     /// A client of the cloud at this address; `None` if it is not an address.
-    pub fn new(address: &str) -> Option<CloudClient> {
+    pub(super) fn new(address: &str) -> Option<CloudClient> {
         Some(CloudClient {
             calls: Client::new(address, CONNECTIONS)?,
         })
     }
 
     /// Makes a call and waits for its answer.
-    pub async fn send(&self, request: CloudRequest, timeout: Micros) -> CloudResponse {
+    pub(super) async fn send(&self, request: CloudRequest, timeout: Micros) -> CloudResponse {
         describe(request).send(&self.calls, "the cloud", timeout).await
     }
 }
--- a/src/runtime/http_call.rs
+++ b/src/runtime/http_call.rs
@@ -19,12 +19,12 @@
     .remove(b'/');
 
 /// Escapes text for use in a query.
-pub fn escape_query(text: &str) -> PercentEncode<'_> {
+pub(super) fn escape_query(text: &str) -> PercentEncode<'_> {
     utf8_percent_encode(text, QUERY)
 }
 
 /// The result of a call, as far as all calls to a service have it in common.
-pub trait CallOutcome {
+pub(super) trait CallOutcome {
     /// The call was not executed and won't be.
     fn refused() -> Self;
     /// The call may have been executed, or may be later.
@@ -37,7 +37,7 @@
 type Decode<T> = Box<dyn FnOnce(u16, &[u8]) -> Option<T>>;
 
 /// A call: what is sent, and what the answers mean.
-pub struct HttpCall<T> {
+pub(super) struct HttpCall<T> {
     method: Method,
     path: String,
     body: Option<Vec<u8>>,
@@ -46,7 +46,11 @@
 
 impl<T: CallOutcome> HttpCall<T> {
     /// A call without a body. `path` begins with a slash and may carry a query.
-    pub fn new(method: Method, path: String, decode: impl FnOnce(u16, &[u8]) -> Option<T> + 'static) -> HttpCall<T> {
+    pub(super) fn new(
+        method: Method,
+        path: String,
+        decode: impl FnOnce(u16, &[u8]) -> Option<T> + 'static,
+    ) -> HttpCall<T> {
         HttpCall {
             method,
             path,
@@ -56,7 +60,7 @@
     }
 
     /// The call with this body.
-    pub fn with_body(self, body: Vec<u8>) -> HttpCall<T> {
+    pub(super) fn with_body(self, body: Vec<u8>) -> HttpCall<T> {
         HttpCall {
             body: Some(body),
             ..self
@@ -64,7 +68,7 @@
     }
 
     /// Makes the call. `service` is the service's name for the log.
-    pub async fn send(self, client: &Client, service: &str, timeout: Micros) -> T {
+    pub(super) async fn send(self, client: &Client, service: &str, timeout: Micros) -> T {
         let result = client.call(self.method, &self.path, self.body, timeout).await;
         let (status, body) = match result {
             CallResult::Answer { status, body } => (status, body),
@@ -87,7 +91,7 @@
 
 /// Reads an answer's body. A malformed answer is no answer: what it answered may have been
 /// executed, and `otherwise` must say so.
-pub fn decode_body<M: DeserializeOwned, T>(body: &[u8], otherwise: T, then: impl FnOnce(M) -> T) -> T {
+pub(super) fn decode_body<M: DeserializeOwned, T>(body: &[u8], otherwise: T, then: impl FnOnce(M) -> T) -> T {
     match from_cbor(body) {
         Ok(message) => then(message),
         Err(error) => {
--- a/src/runtime/process.rs
+++ b/src/runtime/process.rs
@@ -31,7 +31,7 @@
 const MAX_BATCH: usize = 256;
 /// What was decided longer ago than this is not carried out any more: another controller may lead
 /// by now, a job may be cancelled, whoever asked may have given up.
-pub const MAX_DECISION_AGE: Micros = Micros::from_millis(800);
+pub(super) const MAX_DECISION_AGE: Micros = Micros::from_millis(800);
 /// Where this process's clock begins: events before its start have a time too.
 const CLOCK_START: Micros = Micros::from_millis(24 * 3600 * 1000);
 /// Messages that wait for one controller, and those received from all, at most.
@@ -57,7 +57,7 @@
 }
 
 /// The answer of a controller that can't give one just now.
-pub fn retry_later() -> Outgoing {
+pub(super) fn retry_later() -> Outgoing {
     Outgoing {
         status: 503,
         body: vec![],
@@ -66,7 +66,7 @@
 }
 
 /// Starts the sockets and runs the controller until one of them fails.
-pub async fn serve(executor: Rc<LocalExecutor<'static>>, settings: Settings) -> Result<(), RuntimeError> {
+pub(super) async fn serve(executor: Rc<LocalExecutor<'static>>, settings: Settings) -> Result<(), RuntimeError> {
     let began = Instant::now();
     let now = move || CLOCK_START + Micros(began.elapsed().as_micros() as u64);
     let (events, queue) = async_channel::unbounded::<Event>();
--- a/src/runtime/replies.rs
+++ b/src/runtime/replies.rs
@@ -11,7 +11,7 @@
 use std::time::Instant;
 
 /// An answer, and when the controller gave it.
-pub struct TimedReply {
+pub(super) struct TimedReply {
     /// When it was given.
     pub given_at: Instant,
     /// The answer.
@@ -20,14 +20,14 @@
 
 /// The requests that wait, by number. Clones share them.
 #[derive(Clone, Default)]
-pub struct PendingReplies {
+pub(super) struct PendingReplies {
     waiting: Rc<RefCell<HashMap<u64, Sender<TimedReply>>>>,
     last_id: Rc<Cell<u64>>,
 }
 
 impl PendingReplies {
     /// Registers a request under a new number.
-    pub fn register(&self) -> PendingReply {
+    pub(super) fn register(&self) -> PendingReply {
         self.last_id.set(self.last_id.get() + 1);
         let id = self.last_id.get();
         let (sender, receiver) = async_channel::bounded(1);
@@ -40,7 +40,7 @@
     }
 
     /// Answers a request, if it still waits.
-    pub fn complete(&self, id: u64, answer: Outgoing) {
+    pub(super) fn complete(&self, id: u64, answer: Outgoing) {
         if let Some(sender) = self.waiting.borrow_mut().remove(&id) {
             let given_at = Instant::now();
             sender.try_send(TimedReply { given_at, answer }).ok();
@@ -49,7 +49,7 @@
 }
 
 /// A request that waits; dropped when its connection is given up.
-pub struct PendingReply {
+pub(super) struct PendingReply {
     /// Its number.
     pub id: u64,
     receiver: Receiver<TimedReply>,
@@ -58,7 +58,7 @@
 
 impl PendingReply {
     /// Waits for the answer; `None` if there will be none.
-    pub async fn wait(&self) -> Option<TimedReply> {
+    pub(super) async fn wait(&self) -> Option<TimedReply> {
         self.receiver.recv().await.ok()
     }
 }
--- a/src/runtime/routes.rs
+++ b/src/runtime/routes.rs
@@ -50,7 +50,7 @@
 }
 
 /// Passes a request to the controller and waits for its answer.
-pub async fn answer(request: Incoming, replies: PendingReplies, events: Sender<Event>) -> Outgoing {
+pub(super) async fn answer(request: Incoming, replies: PendingReplies, events: Sender<Event>) -> Outgoing {
     let route = match route(request) {
         Ok(route) => route,
         Err(status) => {
--- a/src/runtime/state_client.rs
+++ b/src/runtime/state_client.rs
@@ -19,7 +19,7 @@
 
 /// Connections to the state service.
 #[derive(Clone)]
-pub struct StateClient {
+pub(super) struct StateClient {
     requests: Rc<Client>,
     /// Watches are long and have connections of their own.
     watches: Rc<Client>,
@@ -27,7 +27,7 @@
 
 impl StateClient {
     /// A client of the service at this address; `None` if it is not an address.
-    pub fn new(address: &str) -> Option<StateClient> {
+    pub(super) fn new(address: &str) -> Option<StateClient> {
         Some(StateClient {
             requests: Client::new(address, REQUEST_CONNECTIONS)?,
             watches: Client::new(address, WATCH_CONNECTIONS)?,
@@ -35,7 +35,7 @@
     }
 
     /// Sends a request and waits for its answer.
-    pub async fn send(&self, request: StoreRequest, timeout: Micros) -> StoreResponse {
+    pub(super) async fn send(&self, request: StoreRequest, timeout: Micros) -> StoreResponse {
         let client = match request {
             StoreRequest::Watch { .. } => &self.watches,
             _ => &self.requests,
--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -1,6 +1,8 @@
 //! What tests through real sockets share: HTTP by hand, a stand-in for the state service,
 //! processes that end with the test.
 #![allow(dead_code)]
+// A test is one story from beginning to end.
+#![allow(clippy::too_many_lines)]
 
 use async_io::{Async, Timer};
 use ciborium::{cbor, Value};
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,5 +1,7 @@
 //! Plays every file in `tests/scenarios/`. Each is checked for what it expects
 //! and for every rule of the protocol.
+// A test is one story from beginning to end.
+#![allow(clippy::too_many_lines)]
 
 mod sim;
 
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,5 +1,7 @@
 //! One real process behind real sockets, against a state service and a cloud
 //! that answer over HTTP: what users, workers and operators meet at the edge.
+// A test is one story from beginning to end.
+#![allow(clippy::too_many_lines)]
 
 mod net;
 
--- a/tests/two_versions.rs
+++ b/tests/two_versions.rs
@@ -3,6 +3,8 @@
 //!
 //! `deploy/service.toml` names production's commit. Where the checkout lacks it, the check
 //! with real processes fails and says so.
+// A test is one story from beginning to end.
+#![allow(clippy::too_many_lines)]
 
 mod net;
 
