--- a/src/coordination/state/images.rs
+++ b/src/coordination/state/images.rs
@@ -1,7 +1,8 @@
-//! Which machines have which image in their cache.
+//! An index of the images in machines' caches.
 //!
-//! The index is the inverse of the machines' `cached_images`; both change only here, in the same
-//! step. The scheduler reads the index. The caches are estimates: agents don't report them.
+//! Invariant: the index is the inverse of the machines' `cached_images`; both change only in this
+//! module, in the same step. The scheduler reads the index. The caches are estimates: agents don't
+//! report what they have cached.
 
 use super::{CachedImage, LeaderState, Machine, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,18 +15,18 @@
 }
 
 impl ImageIndex {
-    /// The machines that have an image; `None`, or an empty set, if there are none.
+    /// Returns the machines that have an image; `None`, or an empty set, if there are none.
     pub fn get(&self, image: &str) -> Option<&BTreeSet<MachineId>> {
         self.locations.get(image)
     }
 
-    /// The same, with the shared copy of the image's name.
+    /// Returns the machines that have an image, together with the shared copy of its name.
     pub fn get_key_value(&self, image: &str) -> Option<(&Rc<str>, &BTreeSet<MachineId>)> {
         self.locations.get_key_value(image)
     }
 
-    /// Notes that an image was used on a machine, and evicts from the machine's cache the least
-    /// recently used images that no longer fit into `cache_gb`.
+    /// Records that a machine used an image, and evicts the least recently used images from its
+    /// cache until the rest fits into `cache_gb`. The image that was just used always stays.
     fn record_use(&mut self, machine: &mut Machine, image: &str, size_gb: f64, cache_gb: f64) {
         machine.fetching_images.remove(image);
         let cached = &mut machine.cached_images;
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Adds a machine to those that have the image; returns the shared copy of the image's name.
+    /// Adds a machine to those that have an image; returns the shared copy of the image's name.
     fn add(&mut self, image: &str, machine: &MachineId) -> Rc<str> {
         let known = self.locations.get_key_value(image);
         let name: Rc<str> = known.map_or_else(|| image.into(), |(name, _)| name.clone());
@@ -68,14 +69,14 @@
 }
 
 impl LeaderState {
-    /// Notes that an image of this size was used on a machine whose cache holds `cache_gb`.
+    /// Records that a machine whose cache holds `cache_gb` used an image of `size_gb`.
     pub fn record_image_use(&mut self, machine: &MachineId, image: &str, size_gb: f64, cache_gb: f64) {
         if let Some(machine) = self.machines.get_mut(machine) {
             self.image_locations.record_use(machine, image, size_gb, cache_gb);
         }
     }
 
-    /// A machine's images are gone.
+    /// Empties a machine's image cache, also in the index.
     pub fn drop_images(&mut self, machine: &MachineId) {
         if let Some(machine) = self.machines.get_mut(machine) {
             self.image_locations.clear_machine(machine);
--- a/src/coordination/state/job.rs
+++ b/src/coordination/state/job.rs
@@ -1,7 +1,8 @@
-//! An open job as the leader knows it: its tasks, their placements and how far each is recorded.
+//! The leader's state of an open job: its tasks, their placements, and which of these are recorded
+//! in the write-ahead log.
 //!
-//! Owns the facts about one job. The log writer, the scheduler and heartbeat processing change
-//! them; the rules that tie a job's facts to those of its machines are in the parent module.
+//! The log writer, the scheduler and heartbeat processing change this state. The operations that
+//! keep a job consistent with its machines are in the `placements` module.
 //!
 //! Invariants: a task is in `waiting` only while its state is [`TaskState::Waiting`] and the job is
 //! live; `held_tasks` is the number of placements that have not exited.
@@ -18,97 +19,101 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A replica that has run for longer than this is taken to work.
+/// A service replica that has run for longer than this counts as working.
 const STABLE_RUN_TIME: Micros = Micros::from_millis(20_000);
 
-/// A job that fails on at least this many machines may itself be the cause.
+/// The number of machines on which a job must have failed before the job itself is suspected to be
+/// the cause.
 const SUSPECT_MACHINES: usize = 2;
 
 /// The state of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskState {
-    /// It has no placement.
+    /// The task has no placement.
     Waiting,
-    /// It has a placement that is not proven void.
+    /// The task has a placement that is not proven void.
     Placed,
-    /// Completed, but not yet durably recorded.
+    /// The task has completed, but its outcome is not in the write-ahead log yet.
     Finished,
-    /// Completed and recorded.
+    /// The task has completed and its outcome is in the write-ahead log.
     Recorded,
 }
 
 /// The stage of a placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementPhase {
-    /// Its record is being committed; nothing has been sent.
+    /// The record of the placement is being committed; no start has been sent.
     Committing,
-    /// Recorded; the start may be on its way.
+    /// The placement is recorded; a start may be in flight.
     Sent,
-    /// The machine has reported it, in this phase.
+    /// The machine has reported the attempt, in this phase.
     Seen(TaskPhase),
-    /// The machine has reported its exit, for this cause.
+    /// The machine has reported that the attempt exited, for this cause.
     Exited(Cause),
 }
 
-/// An attempt at a task that is, or may be, on a machine.
+/// An attempt at a task that is on a machine, or may be or come to be there.
 #[derive(Clone, Debug)]
 pub struct Placement {
     /// The number of the attempt, unique within the task's range.
     pub attempt: u64,
-    /// The machine it was placed on.
+    /// The machine that the attempt was placed on.
     pub machine: MachineId,
-    /// The incarnation of the machine's agent that it was placed on.
+    /// The incarnation of the machine's agent at the time of the placement.
     pub incarnation: u64,
     /// The highest term under which a start was sent or may have been.
     pub fencing_token: u64,
-    /// Its stage.
+    /// The stage of the placement.
     pub phase: PlacementPhase,
-    /// Whether this process has sent a start, directly or in the answer to a heartbeat, or an
-    /// earlier leader may have.
+    /// Whether a start was or may have been sent: by this process, directly or in the response to a
+    /// heartbeat, or by an earlier leader.
     pub sent: bool,
-    /// It was asked to stop, with this grace period in seconds.
+    /// The grace period in seconds with which the attempt was last requested to stop; `None` if it
+    /// was not.
     pub stop_grace_s: Option<f64>,
-    /// When it was first asked to stop, if it was.
+    /// When the attempt was first requested to stop; only valid if `stop_grace_s` is set.
     pub stop_requested_at: Micros,
-    /// Started on the helper machines rather than in the pool of its class.
+    /// Whether the attempt was started in the helper slots of Balanced Splitting rather than in the
+    /// pool of its class.
     pub on_helper_machine: bool,
-    /// When it was placed, and once its record is committed, when that was.
+    /// When the placement was decided; once its record is committed, the time of the commit.
     pub placed_at: Micros,
-    /// When it was first seen running, if it was.
+    /// When the attempt was first reported as running; `None` if it has not been.
     pub running_since: Option<Micros>,
-    /// Found in the write-ahead log of an earlier leader. When it really began to run is not
-    /// known, so its remaining run time can't be derived from `running_since`.
+    /// Whether the placement was found in the write-ahead log of an earlier leader. The time at
+    /// which such an attempt began to run is not known, so its remaining run time can't be derived
+    /// from `running_since`.
     pub restored: bool,
 }
 
 impl Placement {
-    /// Whether this leadership may send its start.
+    /// Whether this leader may send a start for the placement.
     ///
-    /// A record found in the log may have been freed by the leader that made it, and its resources
-    /// given to other work, before that was written: its start is never sent again. Either a
-    /// machine lists the task, or the record is proven void.
+    /// The start of a restored placement is never sent again: the leader that made its record may
+    /// have removed it and given its resources to other work before it could write the removal to
+    /// the log. Either a machine lists the task, or the record is proven void.
     pub fn may_be_sent(&self) -> bool {
         let sends_any = is_injected(InjectedFault::SendsInheritedStarts);
         self.phase == PlacementPhase::Sent && (!self.restored || sends_any)
     }
 
-    /// Whether it still uses resources of its machine. An exit frees these at once, although the
-    /// record stays until the outcome is durable.
+    /// Whether the attempt still uses resources of its machine. An exit releases the resources at
+    /// once, although the record stays until the outcome is durable.
     pub fn uses_resources(&self) -> bool {
         !matches!(self.phase, PlacementPhase::Exited(_))
     }
 }
 
-/// A range of a job's tasks that is recorded as one.
+/// A range of a job's tasks that shares one record in the write-ahead log.
 #[derive(Clone, Debug, Default)]
 pub struct TaskRange {
     /// The highest attempt number used in the range.
     pub last_attempt: u64,
-    /// The segment of the write-ahead log with the last full record of it.
+    /// The segment of the write-ahead log with the last full record of the range.
     pub recorded_in: Option<u64>,
-    /// Since when it differs from what the log says.
+    /// Since when the range differs from its record in the log.
     pub dirty_since: Option<Micros>,
-    /// The priority under which its starts are queued for the log.
+    /// The priority under which starts of the range are queued for the log.
     pub queued_priority: Option<Priority>,
     /// Tasks completed since the log last recorded the range.
     pub completed: BTreeSet<u32>,
@@ -119,9 +124,9 @@
 /// Run times of completed tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CompletedRuns {
-    /// Their sum, in seconds.
+    /// The sum of the run times, in seconds.
     pub total_s: f64,
-    /// How many there are.
+    /// The number of run times.
     pub count: u32,
 }
 
@@ -132,7 +137,7 @@
         self.count += 1;
     }
 
-    /// The mean run time in seconds; not a number if there are none.
+    /// Returns the mean run time in seconds; NaN if there are none.
     pub fn mean_s(&self) -> f64 {
         self.total_s / f64::from(self.count)
     }
@@ -143,81 +148,85 @@
 pub struct ProgressCounts {
     /// Tasks that have completed.
     pub finished: u32,
-    /// Tasks that run.
+    /// Tasks that machines report as running.
     pub running: u32,
 }
 
 /// An open job.
 pub struct Job {
-    /// Its id.
+    /// The job's id.
     pub id: JobId,
-    /// What its user submitted.
+    /// The job's description, as submitted by its user.
     pub spec: JobSpec,
-    /// The revision at which it was accepted.
+    /// The revision at which the job was accepted.
     pub acceptance_revision: u64,
-    /// The version of the key that the job has of its own while it is open; 0: it has none,
-    /// because it was accepted in a page.
+    /// The version of the job's own key; 0 if the job was accepted in a page, and so has no key of
+    /// its own while it is open.
     pub key_version: u64,
-    /// When this leader learnt of its cancellation.
+    /// When this leader learnt that the job is cancelled; `None` if it is not.
     pub cancelled_at: Option<Micros>,
-    /// Until when, as far as is known, nobody had confirmed its cancellation to its user.
+    /// The cancellation watermark when this leader learnt that the job is cancelled: no controller
+    /// confirmed the cancellation to the user before this time.
     pub cancel_unconfirmed_until: Micros,
     /// The version of the job's key that records the cancellation, if known.
     pub cancel_version: Option<u64>,
-    /// The segment of the write-ahead log that describes it.
+    /// The segment of the write-ahead log that contains the job's description.
     pub described_in: Option<u64>,
-    /// Its end is being committed.
+    /// Whether the end of the job is being committed.
     pub closing: bool,
-    /// The state of each task.
+    /// The state of each task, by task number.
     pub states: Vec<TaskState>,
     /// Tasks that may be placed.
     pub waiting: BTreeSet<u32>,
-    /// The placements of its tasks, by task number.
+    /// The placements of the job's tasks, by task number.
     pub placements: BTreeMap<u32, Placement>,
-    /// Tasks that use resources of machines.
+    /// The number of tasks that use resources of machines.
     pub held_tasks: u32,
-    /// Those of `held_tasks` on the helper machines.
+    /// The number of those of `held_tasks` in the helper slots.
     pub held_helper_tasks: u32,
-    /// The class under which the scheduler counts it.
+    /// The class under which the scheduler counts the job.
     pub class: Rc<ClassKey>,
-    /// Its task ranges, by number.
+    /// The job's task ranges, by range number.
     pub task_ranges: BTreeMap<u32, TaskRange>,
-    /// Tasks that have completed.
+    /// The number of tasks that have completed.
     pub finished_tasks: u32,
-    /// When it arrived in the sense of Balanced Splitting: when all jobs it depends on were done.
+    /// When the job arrived in the sense of Balanced Splitting: when it was accepted and all jobs
+    /// that it depends on were done.
     pub arrived_at: Micros,
-    /// When it was submitted.
+    /// When the job was submitted.
     pub submitted_at: Micros,
-    /// Its position among jobs of the same rank: the revision at which it arrived.
+    /// The revision at which the job arrived, by which jobs of the same priority are ordered.
     pub queue_order: u64,
-    /// It waits for jobs that it depends on: it holds nothing and asks for nothing.
+    /// Whether the job waits for jobs that it depends on. A blocked job holds and requests no
+    /// resources.
     pub blocked: bool,
-    /// Its own priority, or the higher one inherited from a job that depends on it.
+    /// The job's own priority, or the higher one inherited from a job that depends on it.
     pub priority: Priority,
-    /// When it has to be done for a job that depends on it.
+    /// When the job has to be done for the jobs that depend on it; `None` if none of them has a
+    /// deadline.
     pub inherited_deadline: Option<Micros>,
-    /// Consecutive failures of its tasks.
+    /// Consecutive failures of the job's tasks.
     pub consecutive_failures: u32,
-    /// Until when its failures keep it from starting.
+    /// Until when none of the job's tasks may start, because earlier ones failed.
     pub backoff_until: Micros,
-    /// Run times of its completed tasks.
+    /// Run times of the job's completed tasks.
     pub completed_runs: CompletedRuns,
-    /// Machines on which it failed since a task of it last completed.
+    /// Machines on which tasks of the job have failed since one last completed.
     pub failed_machines: BTreeSet<MachineId>,
     /// The counts last sent to the other controllers.
     pub published_progress: ProgressCounts,
-    /// Its service level objectives; `None`: they have not been derived yet.
+    /// The job's service level objectives; `None` if they have not been derived yet.
     pub objectives: Option<Vec<JobObjective>>,
-    /// It was open under an earlier leader.
+    /// Whether the job was open under an earlier leader.
     pub restored: bool,
-    /// It was restored from a log that does not say when it arrived.
+    /// Whether the job was restored from a log that does not contain its arrival time.
     pub arrival_unknown: bool,
-    /// Since when no machine that is up has had enough free resources for one of its tasks.
+    /// Since when no machine that is up has had enough free resources for one of the job's tasks.
     pub unplaceable_since: Option<Micros>,
 }
 
 impl Job {
-    /// A decision about an attempt at one of its tasks.
+    /// Returns an entry of the decision log about an attempt at one of the job's tasks.
     pub fn decision(&self, task: u32, placement: &Placement, decided: Decided, at: Micros) -> Decision {
         Decision {
             at,
@@ -230,8 +239,8 @@
         }
     }
 
-    /// A job that has just been accepted at revision `acceptance_revision`; none of its tasks is
-    /// placed. `key_version`: 0 if it has no key of its own.
+    /// Creates a job that was accepted at revision `acceptance_revision` and arrives at `now`, with
+    /// no task placed. `key_version` is 0 if the job has no key of its own.
     pub fn new(id: &str, spec: JobSpec, acceptance_revision: u64, key_version: u64, now: Micros) -> Job {
         let tasks = spec.tasks;
         Job {
@@ -274,21 +283,21 @@
         }
     }
 
-    /// Whether it is a service rather than a batch of tasks that end.
+    /// Whether the job is a service rather than a batch of tasks that end.
     pub fn is_service(&self) -> bool {
         self.spec.shape == Shape::Service
     }
 
-    /// Whether it is neither cancelled nor about to be closed.
+    /// Whether the job is neither cancelled nor about to be closed.
     pub fn is_live(&self) -> bool {
         self.cancelled_at.is_none() && !self.closing
     }
 
-    /// Sets the priority under which it is scheduled.
+    /// Sets the priority under which the job is scheduled.
     ///
-    /// With an inherited priority it counts as a class of its own: in the pool of its class, work
-    /// of low priority would take the resources meant for what other jobs depend on, only to be
-    /// preempted a moment later.
+    /// Jobs with an inherited priority form a class of their own. In the pool of their original
+    /// class, work of lower priority would take the resources meant for jobs that others depend on,
+    /// only to be preempted a moment later.
     pub fn set_priority(&mut self, priority: Priority) {
         self.priority = priority;
         let inherited = if priority == self.spec.priority { "" } else { "+" };
@@ -299,19 +308,19 @@
         });
     }
 
-    /// Whether its tasks may start: it is live and waits for no other job.
+    /// Whether the job's tasks may start: the job is live and waits for no other job.
     pub fn may_run(&self) -> bool {
         self.is_live() && !self.blocked
     }
 
-    /// The time in seconds from its arrival until `times` times its user's deadline, which counts
-    /// from the submission; `None` if it has no deadline.
+    /// Returns the time in seconds from the job's arrival until `times` times the deadline that its
+    /// user set; `None` if there is none. The deadline counts from the submission.
     pub fn deadline_s(&self, times: f64) -> Option<f64> {
         let at = self.submitted_at + Micros::from_secs(self.spec.deadline_s? * times);
         Some(at.since(self.arrived_at).secs())
     }
 
-    /// The earlier of its own deadline and the one inherited from a job that depends on it.
+    /// Returns the earlier of the job's own deadline and the inherited one.
     pub fn effective_deadline(&self) -> Option<Micros> {
         let own = self.spec.deadline_s.map(|d| self.submitted_at + Micros::from_secs(d));
         match (own, self.inherited_deadline) {
@@ -320,9 +329,9 @@
         }
     }
 
-    /// Whether the job, rather than the machines, seems to be why its tasks fail: they failed on
-    /// several machines and none has ever worked. It is still retried, one task now and then,
-    /// because only its user may give it up.
+    /// Whether the job itself, rather than its machines, seems to be the reason why its tasks fail:
+    /// they failed on several machines, no task has completed and no replica runs stably. One task
+    /// of a suspect job is still retried now and then, because only the user may cancel the job.
     pub fn is_suspect(&self, now: Micros) -> bool {
         let is_stable = |p: &Placement| {
             let runs_stably = |since| now.since(since) > STABLE_RUN_TIME;
@@ -332,18 +341,18 @@
         self.failed_machines.len() >= SUSPECT_MACHINES && self.finished_tasks == 0 && !has_stable_replica()
     }
 
-    /// Its placements that use resources of machines.
+    /// Returns the placements that use resources of machines.
     pub fn active_placements(&self) -> impl Iterator<Item = &Placement> {
         self.placements.values().filter(|p| p.uses_resources())
     }
 
-    /// One more task uses resources of a machine.
+    /// Counts one more task that uses resources of a machine.
     pub fn hold_task(&mut self, on_helper_machine: bool) {
         self.held_tasks += 1;
         self.held_helper_tasks += u32::from(on_helper_machine);
     }
 
-    /// One task fewer uses resources of a machine.
+    /// Counts one task fewer that uses resources of a machine.
     pub fn release_task(&mut self, on_helper_machine: bool) {
         self.held_tasks = self.held_tasks.saturating_sub(1);
         if on_helper_machine {
@@ -351,7 +360,7 @@
         }
     }
 
-    /// How many of its tasks machines report as running.
+    /// Returns the number of tasks that machines report as running.
     pub fn running(&self) -> u32 {
         self.placements
             .values()
@@ -359,7 +368,7 @@
             .count() as u32
     }
 
-    /// The counts that are shown to users.
+    /// Returns the counts that are shown to users.
     pub fn progress(&self) -> ProgressCounts {
         ProgressCounts {
             finished: self.finished_tasks,
@@ -367,8 +376,8 @@
         }
     }
 
-    /// Removes a task's placement, which is proven void: the task may start again unless it is
-    /// finished. `None` if it has no placement.
+    /// Removes and returns a task's placement, which the caller has proven void; `None` if the task
+    /// has none. The task may be placed again unless it has completed.
     pub fn remove_placement(&mut self, task: u32, tasks_per_range: u32) -> Option<Placement> {
         let placement = self.placements.remove(&task)?;
         if let Some(state) = self.states.get_mut(task as usize) {
@@ -383,7 +392,8 @@
     }
 }
 
-/// The slots that one task of a job needs: its GPUs, or its CPUs if it needs none, rounded up.
+/// Returns the number of slots that one task of a job needs: its GPUs, or its CPUs if it needs no
+/// GPU, rounded up, and at least 1.
 pub fn slots_per_task(spec: &JobSpec) -> u32 {
     let slots = if spec.gpus > 0.0 { spec.gpus } else { spec.cpus };
     (slots.ceil() as u32).max(1)
--- a/src/coordination/state/job_events.rs
+++ b/src/coordination/state/job_events.rs
@@ -1,8 +1,8 @@
-//! Changes of jobs that the state service reports: submissions and cancellations.
+//! Submissions and cancellations of jobs, as read from the state service.
 //!
 //! Called by the watch on the jobs' keys, by the log reader, by the acceptance audit and by the
-//! cancellation attestations. A job that is already known is not taken up twice, so that each of
-//! these may repeat what another has said.
+//! cancellation attestations. Processing is idempotent: a job that the leader already has is
+//! ignored, so that several of these sources may report the same change.
 
 use super::{Job, LeaderState};
 use crate::coordination::log::queues::Undescribed;
@@ -12,20 +12,20 @@
 use crate::storage::records::{from_record, from_value, Accepted, JobValue};
 use crate::time::Micros;
 
-/// A change of a job that came before the log was read.
+/// A change of a job that was received before the write-ahead log was read.
 pub struct EarlyJobEvent {
     /// The job's id.
     pub id: String,
     /// The revision of the change.
     pub version: u64,
-    /// The version of the job's own key; 0: it was accepted in a page.
+    /// The version of the job's own key; 0 if the job was accepted in a page.
     pub key_version: u64,
-    /// What the state service says of the job.
+    /// The job's phase and description in the state service.
     pub value: JobValue,
 }
 
 impl LeaderState {
-    /// Changes of jobs from the state service, in the order in which they were made.
+    /// Applies changes of jobs from the state service, in the order in which they were made.
     pub fn on_job_events(&mut self, events: Vec<WatchEvent>, now: Micros) {
         for event in events {
             let WatchEvent::Put { key, value, version } = event else {
@@ -46,8 +46,9 @@
         }
     }
 
-    /// A change of one job, at revision `version`. `key_version`: the version of the job's own
-    /// key; 0: it was accepted in a page.
+    /// Applies a change of one job, made at revision `version`, or stores it if the write-ahead log
+    /// has not been read yet. `key_version` is the version of the job's own key; 0 if the job was
+    /// accepted in a page.
     pub fn on_job_event(&mut self, id: &str, version: u64, key_version: u64, value: JobValue, now: Micros) {
         if !self.is_loaded() {
             let id = id.to_string();
@@ -63,7 +64,7 @@
             (Phase::Cancelled, _) => {
                 self.cancel(id, now);
                 if let Some(job) = self.jobs.get_mut(id) {
-                    // Version 0 says that it is not known.
+                    // 0 means that the version is not known.
                     job.cancel_version = Some(version).filter(|version| *version > 0);
                 }
             }
@@ -72,7 +73,8 @@
         }
     }
 
-    /// An open job, unless it is known already. One that depends on others is held back.
+    /// Adds an open job, unless the leader already has it or it has ended. A job with dependencies
+    /// is blocked until these are done.
     fn on_job_arrival(&mut self, id: &str, version: u64, key_version: u64, spec: JobSpec, now: Micros) {
         if self.jobs.contains_key(id) || self.log_writer.is_closed(id) {
             return;
