--- a/src/coordination/state/machine.rs
+++ b/src/coordination/state/machine.rs
@@ -1,8 +1,7 @@
-//! A rented machine as the leader knows it.
+//! The leader's state of a rented machine: its type and zone, the last report of its agent, the
+//! tasks charged to it, and the images in its cache.
 //!
-//! Owns the facts about one machine: what it is, what its agent last reported, which tasks are
-//! charged to it, and which images it has cached. Heartbeat processing, the scheduler and
-//! provisioning change these facts; none of them is decided here.
+//! Heartbeat processing, the scheduler and provisioning make the decisions and change this state.
 //!
 //! Invariant: `used` and `service_tasks` are the sums over the placements on this machine that
 //! have not exited, including restored ones. They change only in [`Machine::charge`] and
@@ -22,11 +21,11 @@
 /// The stage of a machine's rental.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
-    /// Rented; its agent has never sent a heartbeat.
+    /// The machine is rented, but its agent has never sent a heartbeat.
     Booting,
-    /// Its agent has sent a heartbeat.
+    /// The machine's agent has sent a heartbeat.
     Up,
-    /// It is to be returned to the cloud; nothing may start there.
+    /// The machine will be returned to the cloud; nothing may start there.
     Releasing,
 }
 
@@ -35,89 +34,96 @@
 pub struct CachedImage {
     /// The image's name.
     pub name: Rc<str>,
-    /// Its size in GB.
+    /// The image's size, in GB.
     pub size_gb: f64,
 }
 
 /// A rented machine.
 pub struct Machine {
-    /// The name that the cloud gave it.
+    /// The name that the cloud assigned to the machine.
     pub name: MachineId,
-    /// Where its agent listens; empty until it is known.
+    /// The address of the machine's agent; empty until it is known.
     pub address: String,
-    /// The name of its type in the cloud's catalogue; empty until it is known.
+    /// The machine's type in the cloud's catalogue; empty until it is known.
     pub machine_type: String,
-    /// Its zone; empty until it is known.
+    /// The machine's zone; empty until it is known.
     pub zone: String,
-    /// Whether it is a spot machine, which the cloud may take away.
+    /// Whether this is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// The stage of its rental.
+    /// The stage of the machine's rental.
     pub state: MachineState,
-    /// When this leader first knew of it, or when it was rented if that is known.
+    /// When the machine was rented, if that is known; otherwise when this leader first saw its
+    /// name.
     pub known_since: Micros,
-    /// When it was rented, if this leader rented it or the cloud's list says so.
+    /// When the machine was rented; `None` unless this leader rented it or the cloud's list
+    /// contains the time.
     pub rented_at: Option<Micros>,
-    /// The incarnation of its agent; 0 until the first heartbeat.
+    /// The incarnation of the machine's agent; 0 until the first heartbeat.
     pub incarnation: u64,
-    /// The sequence number of its last heartbeat.
+    /// The sequence number of the last heartbeat.
     pub sequence: u64,
-    /// The fencing token that its agent last reported: it refuses commands with a lower one.
+    /// The fencing token that the agent last reported. The agent refuses commands with a lower one.
     pub fencing_token: u64,
-    /// When its last heartbeat was received.
+    /// When the last heartbeat was received.
     pub last_heartbeat: Micros,
-    /// The controller that forwarded its last heartbeat; `None`: it came here directly.
+    /// The controller that forwarded the last heartbeat; `None` if this one received it directly.
     pub heartbeat_proxy: Option<Rc<str>>,
-    /// Consecutive heartbeats that came to another controller than the one before, although that
-    /// one answered: an agent that receives no answer tries the next controller.
+    /// The number of consecutive heartbeats that arrived through another controller than the one
+    /// before, although that one was answered. An agent that receives no response tries the next
+    /// controller, so a high count indicates that responses don't reach the machine.
     pub controller_changes: u32,
-    /// When it was last asked whether it receives commands (`asymmetric_partition`).
+    /// When a probe was last sent to find out whether the machine receives commands (see
+    /// `asymmetric_partition`).
     pub probed_at: Micros,
-    /// Heartbeats that this leader has processed.
+    /// The number of the machine's heartbeats that this leader has processed.
     pub heartbeats_received: u32,
-    /// The write-ahead log or the cloud's list names it.
+    /// Whether the machine is in the write-ahead log or in the cloud's list of machines.
     pub confirmed: bool,
-    /// When another controller last said that it answers this machine's heartbeats by itself.
+    /// When another controller last reported that it answers the machine's heartbeats without the
+    /// leader.
     pub last_proxied_at: Micros,
-    /// When the cloud takes it away, if it has announced that.
+    /// When the cloud will reclaim the machine, if the cloud has announced this.
     pub interruption_at: Option<Micros>,
-    /// The tasks that have records here, as job and task number.
+    /// The tasks that have placement records on the machine, as job and task number.
     pub tasks: BTreeSet<(JobId, u32)>,
-    /// Attempts that its agent lists, that have not ended and that no record explains.
+    /// Attempts that the agent lists as not exited, and for which there is no placement record.
     pub orphaned_attempts: Vec<Attempt>,
-    /// The index of its kind in the scheduler's list of kinds.
+    /// The index of the machine's kind in the scheduler's list of kinds.
     pub kind_index: Option<usize>,
-    /// What the tasks charged to it use.
+    /// The resources that the tasks charged to the machine use.
     pub used: Resources,
-    /// How many of these tasks belong to services.
+    /// The number of these tasks that belong to services.
     pub service_tasks: i32,
-    /// Its index among the candidates of the current scheduling pass, if it accepts new work.
+    /// The machine's index among the candidates of the current scheduling pass; `None` if the
+    /// machine accepts no new work.
     pub candidate_index: Option<usize>,
-    /// Images in its cache, the most recently used at the back.
+    /// Images in the machine's cache, the most recently used at the back.
     pub cached_images: VecDeque<CachedImage>,
-    /// Images that tasks placed here have yet to fetch.
+    /// Images that tasks placed on the machine have yet to fetch.
     pub fetching_images: BTreeSet<Rc<str>>,
-    /// Since when it has had no task.
+    /// When scale-in first found the machine without a task; `None` if it has had one since.
     pub idle_since: Option<Micros>,
-    /// The outcome of an exited task was recorded: its agent may forget that task.
+    /// Whether the outcome of an exited task was recorded, so that the agent may forget the task.
     pub has_forgettable_exits: bool,
-    /// What is to be sent to it, and which starts may be on their way to it.
+    /// The reasons to send commands to the machine, and the starts that may be in flight to it.
     pub outbox: Outbox,
-    /// Jobs whose tasks failed here lately, and how many of them.
+    /// The number of recent task failures on the machine, by job.
     pub task_failures: BTreeMap<JobId, u32>,
-    /// Since when it has been in quarantine because tasks fail on it.
+    /// Since when the machine has been in quarantine because tasks fail on it.
     pub quarantined_since: Option<Micros>,
-    /// Until when it is in quarantine and gets nothing new.
+    /// Until when the machine is in quarantine and gets no new tasks.
     pub quarantined_until: Micros,
-    /// When its release was requested of the cloud.
+    /// When the cloud was requested to release the machine; `None` if it was not.
     pub release_requested_at: Option<Micros>,
-    /// When the last of its tasks is expected to end.
+    /// When the last of the machine's tasks is expected to end.
     pub expected_idle_at: Micros,
-    /// Until when it is treated as slow and gets nothing new.
+    /// Until when the machine counts as slow and gets no new tasks.
     pub slow_until: Micros,
 }
 
 impl Machine {
-    /// A machine of which only the name is known, until it sends a heartbeat or is listed.
+    /// Creates a machine of which only the name is known, until its first heartbeat arrives or the
+    /// cloud lists it.
     pub fn unknown(name: Rc<str>, now: Micros) -> Machine {
         Machine {
             name,
@@ -159,8 +165,8 @@
         }
     }
 
-    /// Sets its type, zone and billing as the latest source says; its kind is looked up anew if
-    /// they differ.
+    /// Sets the machine's type, zone and billing. If any of them changed, the kind is cleared and
+    /// has to be looked up again.
     pub fn describe(&mut self, machine_type: &str, zone: &str, spot: bool) {
         if self.machine_type != machine_type || self.zone != zone || self.spot != spot {
             self.machine_type = machine_type.into();
@@ -170,25 +176,25 @@
         }
     }
 
-    /// A task of this job begins to use resources here.
+    /// Adds the resources of one task of the job to those in use.
     pub fn charge(&mut self, spec: &JobSpec) {
         self.used += Resources::of_task(spec);
         self.service_tasks += i32::from(spec.shape == Shape::Service);
     }
 
-    /// A task of this job no longer uses resources here.
+    /// Subtracts the resources of one task of the job from those in use.
     pub fn discharge(&mut self, spec: &JobSpec) {
         self.used -= Resources::of_task(spec);
         self.service_tasks -= i32::from(spec.shape == Shape::Service);
     }
 
-    /// Whether something new may start here. `silent`: the age of the last heartbeat from which on
-    /// it may not.
+    /// Whether new tasks may start on the machine. They may not if its last heartbeat is `silent`
+    /// old or older.
     pub fn accepts_work(&self, now: Micros, silent: Micros) -> bool {
         self.state == MachineState::Up
             && self.interruption_at.is_none()
             && !self.is_asymmetrically_partitioned()
-            // A duplicate of a heartbeat of a machine that is long gone is not followed by another.
+            // A single heartbeat may be a late duplicate from a machine that no longer exists.
             && (self.heartbeats_received > 1 || self.confirmed || self.rented_at.is_some())
             && self.orphaned_attempts.is_empty()
             && now >= self.quarantined_until
@@ -198,7 +204,7 @@
     }
 }
 
-/// A kind of machine: the properties that decide which work may run on it.
+/// A kind of machine: the properties that determine which work may run on it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineKind {
     /// The name of the type in the cloud's catalogue.
@@ -213,6 +219,6 @@
     pub gpus: f64,
     /// Memory of one machine, in GB.
     pub memory: f64,
-    /// How fast one machine fetches images.
+    /// The rate at which one machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
 }
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -1,12 +1,12 @@
-//! What the leader knows: open jobs, the machines they run on, and the owners of its duties.
+//! The leader's state: open jobs, the machines that they run on, and the state of each component.
 //!
-//! [`LeaderState`] is built from the state service and from agents' heartbeats when this
-//! controller becomes the leader, and dropped when it steps down. Each duty (scheduling, agents,
-//! provisioning, failure detection, the write-ahead log) owns one field of it and lives in the
-//! module of that name; this module owns the jobs and machines themselves.
+//! [`LeaderState`] is built from the state service and from agents' heartbeats when this controller
+//! becomes the leader, and dropped when it steps down. Each component (scheduling, agents,
+//! provisioning, failure detection, the write-ahead log) owns one field of [`LeaderState`] and is
+//! in the module of that name; this module owns the jobs and machines themselves.
 //!
-//! It performs no I/O. Nothing may be sent for a placement before its record is in the log, and no
-//! placement is removed without a [`VoidProof`](void_proof::VoidProof).
+//! This module performs no I/O. Invariants: nothing is sent for a placement before its record is in
+//! the log, and no placement is removed without a [`VoidProof`](void_proof::VoidProof).
 
 mod images;
 mod job;
@@ -37,69 +37,71 @@
 pub use resources::{Resources, ROUNDING_TOLERANCE};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The half-life of the accounting of classes and teams.
+/// The half-life of the counts in the SLO accounting of classes and teams.
 const SLO_HALF_LIFE: Micros = Micros::from_millis(120_000);
-/// Tasks of a job that are recorded as one range.
+/// The number of tasks in a task range until the size for the state service's limits is set.
 const TASKS_PER_RANGE: u32 = 64;
-/// Jobs whose counts are sent to the other controllers at once.
+/// The maximum number of jobs whose counts are sent to the other controllers at a time.
 const PROGRESS_BATCH: usize = 500;
 
 /// The leader's state.
 pub struct LeaderState {
-    /// A number that tells this leadership from other ones of the same process: answers of the
-    /// state service to an earlier one are dropped.
+    /// A number that distinguishes this leadership from other ones of the same process. Responses
+    /// of the state service to requests of an earlier leadership are dropped.
     pub incarnation: u64,
-    /// The term that it leads in, which is the fencing token of its commands.
+    /// The term of this leadership, which is the fencing token of the leader's commands.
     pub term: u64,
     /// When this leadership began.
     pub started_at: Micros,
-    /// Since when this leader has received messages without a break: silence of others counts
-    /// from here at the earliest.
+    /// Since when this leader has received messages without interruption. The silence of machines
+    /// and controllers counts from here at the earliest.
     pub listening_since: Micros,
     /// Open jobs.
     pub jobs: BTreeMap<JobId, Job>,
     /// Rented machines.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Machines proven gone; their late heartbeats and listings mean nothing.
+    /// Machines that the cloud has released. Late heartbeats and listings of them are ignored.
     pub released_machines: BTreeSet<MachineId>,
-    /// Which machines have an image.
+    /// The machines that have each image.
     pub image_locations: ImageIndex,
-    /// The write-ahead log: what is recorded and what is still to be.
+    /// The write-ahead log: what is recorded in it and what has yet to be.
     pub log_writer: LogWriter,
     /// Pools, queue passes and their timers.
     pub scheduler: Scheduler,
-    /// What is sent to agents outside of answers to their heartbeats.
+    /// Commands that are sent to agents outside of responses to their heartbeats.
     pub agents: AgentChannels,
-    /// Machines rented and asked for.
+    /// Rented machines and rental requests.
     pub provisioning: Provisioning,
-    /// Which controllers and zones are reachable.
+    /// The reachability of controllers and zones.
     pub failures: FailureDetector,
     /// Broken invariants, and the decisions that preceded them.
     pub invariants: InvariantMonitor,
-    /// Something has changed that the scheduler should look at.
+    /// Whether something has changed that requires a scheduling pass.
     pub needs_scheduling: bool,
-    /// Tasks of a job that are recorded as one range.
+    /// The number of tasks in a task range.
     pub tasks_per_range: u32,
-    /// Heartbeats that came before the log was read.
+    /// Heartbeats that were received before the write-ahead log was read.
     pub early_heartbeats: Vec<EarlyHeartbeat>,
-    /// Changes of jobs that came before the log was read.
+    /// Changes of jobs that were received before the write-ahead log was read.
     pub early_events: Vec<EarlyJobEvent>,
-    /// Why the term must be raised, if it must.
+    /// The reason why the term must be raised; `None` if it need not be.
     pub new_term_reason: Option<NewTermReason>,
-    /// The term that this leadership began with: a heartbeat with this token or a higher one says
-    /// what was on its machine after all earlier leaderships.
+    /// The term that this leadership began with. A heartbeat with this fencing token or a higher
+    /// one shows what was on its machine after all earlier leaderships.
     pub first_term: u64,
-    /// Every cancellation that was confirmed before this is in the write-ahead log.
+    /// The cancellation watermark: every cancellation that was confirmed to a user before this time
+    /// is known to this leader.
     pub cancellation_watermark: Micros,
-    /// Machines on which a cancelled job's task may be, or may come to be, for some time.
+    /// Machines that may still have, or get, a task of a cancelled job some time after the task was
+    /// requested to stop.
     pub unsettled_machines: BTreeSet<MachineId>,
-    /// What each class and team asked for and got.
+    /// What each class and team requested and got.
     pub slo: SloAccounting,
-    /// Jobs that depend on others, as far as the leader has to look at them.
+    /// Jobs with dependencies that the leader has to check.
     pub blocked_jobs: BlockedJobs,
     /// Machines that are drained for large tasks.
     pub reservations: Reservations,
-    /// Accepted jobs that this leader does not know.
+    /// The search for accepted jobs that this leader does not have.
     pub audit: Audit,
     /// The last revision at which a job is known to have been accepted.
     pub last_acceptance_revision: u64,
@@ -107,23 +109,23 @@
     pub clock_origin_ms: u64,
 }
 
-/// A heartbeat that came before it could be answered.
+/// A heartbeat that was received before the leader could answer it.
 pub struct EarlyHeartbeat {
-    /// Where it came from.
+    /// Where the heartbeat came from.
     pub origin: HeartbeatOrigin,
     /// What the agent reported.
     pub heartbeat: Heartbeat,
-    /// When a controller received it.
+    /// When a controller received the heartbeat.
     pub received_at: Micros,
 }
 
-/// Where a heartbeat came from, and so who waits for its answer.
+/// Where a heartbeat came from, and so where its response has to be sent.
 pub enum HeartbeatOrigin {
-    /// The agent itself; the number of its request.
+    /// The agent sent the heartbeat in the request with this number.
     Agent(u64),
-    /// The named controller forwarded it; the controller's number for it.
+    /// The named controller forwarded the heartbeat under this number.
     Controller(String, u64),
-    /// The named controller remembered it; nobody waits.
+    /// The named controller had kept the agent's last heartbeat; no response is sent.
     Memory(String),
 }
 
@@ -131,14 +133,14 @@
 /// the old one can no longer be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NewTermReason {
-    /// A task was asked to stop, and its machine neither lists it nor refuses its start.
+    /// A task was requested to stop, and its machine neither lists the task nor refuses its start.
     UnwantedStart,
-    /// A job was cancelled while a start of it may be on its way.
+    /// A job was cancelled while a start of one of its tasks may be in flight.
     StartOfCancelledJob,
 }
 
 impl NewTermReason {
-    /// The reason as it is logged.
+    /// Returns the reason in the form in which it is logged.
     pub fn as_str(self) -> &'static str {
         match self {
             NewTermReason::UnwantedStart => "a start that is no longer wanted may still be on its way",
@@ -148,7 +150,7 @@
 }
 
 impl LeaderState {
-    /// A leader that has read nothing yet.
+    /// Creates the state of a leader that has not read the write-ahead log yet.
     pub fn new(incarnation: u64, term: u64, now: Micros) -> LeaderState {
         LeaderState {
             incarnation,
@@ -182,13 +184,15 @@
         }
     }
 
-    /// How many machines are up, or believed to be.
+    /// Returns the number of machines in the state [`MachineState::Up`], some of which may have
+    /// failed since their last heartbeat.
     pub fn working_machines(&self) -> u32 {
         let up = |m: &&Machine| m.state == MachineState::Up;
         self.machines.values().filter(up).count() as u32
     }
 
-    /// Answers every agent that still waits, when another controller leads.
+    /// Responds with status 503 to agents whose heartbeats still wait for an answer, and drops the
+    /// state. Called when this leadership ends.
     pub fn abandon(self, context: &mut Context) {
         for early in self.early_heartbeats {
             if let HeartbeatOrigin::Agent(id) = early.origin {
@@ -197,18 +201,19 @@
         }
     }
 
-    /// This leadership goes on under a higher term.
+    /// Continues this leadership under a higher term.
     pub fn term_raised(&mut self, term: u64) {
         self.term = term;
         self.new_term_reason = None;
     }
 
-    /// The counts of a job that are shown to users; `None` if it is not open here.
+    /// Returns the counts of a job that are shown to users; `None` if the job is not open.
     pub fn progress(&self, job: &str) -> Option<ProgressCounts> {
         self.jobs.get(job).map(Job::progress)
     }
 
-    /// The counts that changed since the last call; those of some jobs only, if there are many.
+    /// Returns the counts that have changed since they were last returned, of a limited number of
+    /// jobs; later calls return the others.
     pub fn changed_progress(&mut self) -> Vec<Progress> {
         let mut changed = vec![];
         for job in self.jobs.values_mut() {
--- a/src/coordination/state/placements.rs
+++ b/src/coordination/state/placements.rs
@@ -1,12 +1,12 @@
 //! Operations on placements that keep a job, its machines and the log writer consistent.
 //!
-//! Called by the scheduler, by heartbeat processing and when jobs are cancelled. They carry out
-//! what was decided elsewhere and decide nothing but whether a proof covers a record.
+//! Called by the scheduler, by heartbeat processing and when jobs are cancelled. The callers make
+//! the decisions; this module only checks whether a proof covers a record.
 //!
 //! Invariants: a placement is in its job's `placements` if and only if its task is in the `tasks`
-//! of its machine, as long as the leader knows that machine; it is charged to the machine and
-//! counted in its job's `held_tasks` until its exit is reported. A placement is removed only with
-//! a [`VoidProof`] that covers it, or together with its job.
+//! of its machine, as far as the leader has that machine. A placement is charged to its machine and
+//! counted in its job's `held_tasks` until its exit is reported. It is removed only with a
+//! [`VoidProof`] that covers it, or together with its job.
 
 use super::void_proof::VoidProof;
 use super::{LeaderState, Machine, MachineId, Placement, PlacementPhase};
@@ -17,17 +17,18 @@
 use crate::protocol::users::JobSpec;
 use crate::time::Micros;
 
-/// Released machines that are remembered.
+/// The maximum number of released machines that are remembered.
 const REMEMBERED_RELEASES: usize = 20_000;
 
 impl Machine {
-    /// A task of a job with this specification has a record here.
+    /// Adds the placement record of a task, and charges the machine for the task.
     pub fn add_task(&mut self, job: &JobId, task: u32, spec: &JobSpec) {
         self.charge(spec);
         self.tasks.insert((job.clone(), task));
     }
 
-    /// The record of a task is removed from here.
+    /// Removes the placement record of a task, and discharges the machine unless the task has
+    /// exited.
     pub fn remove_task(&mut self, job: &JobId, task: u32, spec: &JobSpec, placement: &Placement) {
         self.tasks.remove(&(job.clone(), task));
         if placement.uses_resources() {
@@ -37,7 +38,8 @@
 }
 
 impl LeaderState {
-    /// The job's user cancelled it: nothing starts any more, and what is on machines is stopped.
+    /// Marks a job as cancelled: none of its tasks starts any more, and those on machines are
+    /// stopped.
     pub fn cancel(&mut self, id: &str, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if job.cancelled_at.is_some() {
@@ -60,10 +62,12 @@
         self.needs_scheduling = true;
     }
 
-    /// Frees starts of a job that is over whose records are not on their way to the log.
+    /// Removes the placements of a cancelled or closing job whose records are not in the log and
+    /// not in flight to it.
     ///
-    /// They were never written and never sent, so they are void. Kept, they would make every
-    /// transaction fail on the job's key, and with them everybody else's.
+    /// Such records were never written and their starts never sent, so they are void. If they were
+    /// kept, every transaction that contains them would fail on the job's key, and the starts of
+    /// other jobs in the same transaction with them.
     pub fn drop_unrecorded(&mut self, id: &str, now: Micros) {
         let Some(job) = self.jobs.get(id).filter(|j| !j.is_live()) else {
             return;
@@ -79,7 +83,8 @@
         }
     }
 
-    /// Asks a task to stop, at once and again with the answer to every heartbeat.
+    /// Requests that a task stops. The request is sent at once, and again in the response to every
+    /// heartbeat of the machine; a task for which nothing was ever sent is removed instead.
     pub fn stop(&mut self, id: &str, task: u32, grace_s: f64, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(placement) = job.placements.get_mut(&task) else {
@@ -102,24 +107,24 @@
             return self.free(&id, task, VoidProof::MachineReleased, now);
         }
         match (phase, sent) {
-            // Its start is being recorded, and will not be sent.
+            // The record of the start is being committed; the start will not be sent.
             (PlacementPhase::Committing, _) => {}
-            // Nothing was ever sent for this record, and only this leadership could have: it is
-            // void without a word from the machine.
+            // Only this leadership could have sent a start for this record, and it has not: the
+            // record is void without a report from the machine.
             (PlacementPhase::Sent, false) => self.free(&id, task, VoidProof::NeverSent, now),
             _ => self.queue_stop(&id, task),
         }
     }
 
-    /// Removes a task's record, which this proof shows to be void. A record that the proof does
-    /// not cover stays, and counts as a broken invariant.
+    /// Removes a task's placement, whose record `proof` shows to be void. If the proof does not
+    /// cover the record, the placement stays and a broken invariant is counted.
     pub fn free(&mut self, id: &JobId, task: u32, proof: VoidProof, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(placement) = job.placements.get(&task) else {
             return;
         };
         if !proof.covers(placement) {
-            tracing::error!(job = %id, task, ?proof, ?placement, "a record is to be freed without proof");
+            tracing::error!(job = %id, task, ?proof, ?placement, "placement record not removed: the proof does not cover it");
             self.invariants.broken += 1;
             return;
         }
@@ -145,7 +150,7 @@
         self.needs_scheduling = true;
     }
 
-    /// The cloud has answered that the machine, and with it everything on it, is gone.
+    /// Removes a machine that the cloud has reported as released, with all placements on it.
     pub fn machine_released(&mut self, name: &MachineId, now: Micros) {
         self.released_machines.insert(name.clone());
         while self.released_machines.len() > REMEMBERED_RELEASES {
--- a/src/coordination/state/resources.rs
+++ b/src/coordination/state/resources.rs
@@ -1,11 +1,11 @@
 //! Amounts of CPUs, GPUs and memory.
 //!
-//! Plain numbers that are added to and taken from one by one, in the order in which tasks come and
-//! go, so that two controllers that see the same events arrive at the same sums.
+//! Amounts are floating-point numbers, added and subtracted task by task in the order of events, so
+//! that two controllers that process the same events arrive at the same sums.
 
 use crate::protocol::users::JobSpec;
 
-/// Sums of amounts differ by less than this from what they should be.
+/// The bound on the rounding error of sums of amounts.
 pub const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// An amount of each resource that a machine has or a task needs.
@@ -20,7 +20,7 @@
 }
 
 impl Resources {
-    /// What one task of a job needs.
+    /// Returns the amounts that one task of a job needs.
     pub fn of_task(spec: &JobSpec) -> Resources {
         Resources {
             cpus: spec.cpus,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether one task of the job fits into this amount.
+    /// Whether one task of the job fits into these amounts.
     pub fn fits(&self, spec: &JobSpec) -> bool {
         self.cpus + ROUNDING_TOLERANCE >= spec.cpus
             && self.gpus + ROUNDING_TOLERANCE >= spec.gpus
--- a/src/coordination/state/void_proof.rs
+++ b/src/coordination/state/void_proof.rs
@@ -1,8 +1,9 @@
-//! Proofs that the record of a start is void.
+//! Proofs that the record of a placement is void.
 //!
-//! A record is charged to its team and its machine for as long as the attempt may be, or may come
-//! to be, on the machine. [`LeaderState::free`](super::LeaderState::free) removes it only with one
-//! of these proofs, and only if the proof covers that record. Time alone is never a proof.
+//! A placement is charged to its team and its machine for as long as the attempt may be, or may
+//! come to be, on the machine. [`LeaderState::free`](super::LeaderState::free) removes a placement
+//! only with one of these proofs, and only if the proof covers the record. Elapsed time alone is
+//! never a proof.
 
 use crate::coordination::state::{Placement, PlacementPhase};
 use crate::protocol::agents::Cause;
@@ -10,28 +11,30 @@
 /// Proof that an attempt is not on its machine and that no start of it will be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoidProof {
-    /// Its start is not in the log and not on its way there: nothing was sent.
+    /// The record is neither in the log nor in flight to it, so that no start was sent.
     NotRecorded,
-    /// This leadership recorded it, and has sent nothing for it.
+    /// This leadership made the record, and has sent no start for it.
     NeverSent,
-    /// The machine's agent has begun a later incarnation, and killed what ran in the recorded one.
+    /// The machine's agent has begun a later incarnation than the recorded one, and at its
+    /// beginning killed the tasks of earlier ones.
     LaterSession {
         /// The incarnation that the agent reported.
         reported: u64,
     },
-    /// The machine refuses every token under which a start may have left, and does not list it.
+    /// The machine refuses every fencing token under which a start may have been sent, and does not
+    /// list the attempt.
     RefusedByToken {
         /// The fencing token that the agent reported.
         reported: u64,
     },
-    /// The machine has reported that it exited, for this cause.
+    /// The machine has reported that the attempt exited, for this cause.
     Exited(Cause),
-    /// The cloud has answered that the machine is gone.
+    /// The cloud has reported that the machine is released.
     MachineReleased,
 }
 
 impl VoidProof {
-    /// Whether this proves that the record is void, judged by what the record itself says.
+    /// Whether this proof is valid for a placement, according to the fields of its record.
     pub fn covers(self, placement: &Placement) -> bool {
         match self {
             VoidProof::NotRecorded => placement.phase == PlacementPhase::Committing && !placement.sent,
