--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -1,17 +1,19 @@
-//! The records that are stored as values of the state service.
+//! The records that are stored as values in the state service.
 //!
-//! Their serde names are the stored form, which all releases share and which never changes.
+//! Invariant: the serde names of the records never change, because all releases share the stored
+//! form.
 
 use crate::protocol::users::{HiddenFields, JobSpec, Phase};
 use crate::protocol::{from_cbor, json_size, to_cbor};
 use ciborium::Value;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
-/// What a controller announces of itself at its start. Earlier releases announce nothing and ignore
-/// it.
+/// The release that a controller announces when it starts. Releases before the first number neither
+/// write nor read this record.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Release {
-    /// The number of the release, which grows with its abilities.
+    /// The number of the release, which increases with its features.
+    /// support.
     pub release: u32,
     /// When the process began, in milliseconds since 1970.
     #[serde(default)]
@@ -20,15 +22,15 @@
 
 /// The first release with job dependencies.
 pub const RELEASE_DEPENDENCIES: u32 = 1;
-/// The first release that attests cancellations while the state service does not answer.
+/// The first release that attests cancellations while the state service does not respond.
 pub const RELEASE_ATTESTATIONS: u32 = 2;
-/// The present release.
+/// The release of this code.
 pub const CURRENT_RELEASE: u32 = RELEASE_ATTESTATIONS;
 
 /// A term of leadership.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Term {
-    /// Its number, which is the fencing token of the leader's commands.
+    /// The number of the term, which is the fencing token of the leader's commands.
     pub term: u64,
     /// The name of the leading node.
     pub leader: String,
@@ -36,11 +38,12 @@
     pub members: Vec<String>,
 }
 
-/// A job's description in its stored form, in at most `max_bytes` as JSON; `None` if it doesn't fit.
+/// Converts a job's description to its stored form, which has at most `max_bytes` as JSON; returns
+/// `None` if the description doesn't fit.
 ///
-/// A release without job dependencies would not wait for them, and could not read a description that
-/// is packed because it is too large. So that it starts nothing of such a job, the stored form
-/// allows no machine type in the fields that it reads.
+/// A release without job dependencies would not wait for them, and could not read a description
+/// that is packed because it is too large. The stored form of such a job therefore allows no
+/// machine type in the fields that these releases read, so that they start none of its tasks.
 pub fn to_record(spec: &JobSpec, submitted_ms: u64, max_bytes: usize) -> Option<JobSpec> {
     let mut plain = spec.clone();
     if !spec.needs.is_empty() {
@@ -75,12 +78,14 @@
     (packed_bytes == whole.len()).then_some(stub)
 }
 
-/// The description in a stored form, and when the job was submitted, in milliseconds since 1970 (0 if
-/// it is not known). `None` if a release without job dependencies has rewritten the record, so that
-/// only the page of acceptances still has the description, or if the record is malformed.
+/// Returns the description in a stored form, and when the job was submitted, in milliseconds since
+/// 1970 (0 if the time is not known). Returns `None` if a release without job dependencies has
+/// rewritten the record, so that only the page of acceptances still has the description, or if the
+/// record is malformed.
 pub fn from_record(mut spec: JobSpec) -> Option<(JobSpec, u64)> {
     let Some(hidden_fields) = spec.hidden_fields.take() else {
-        // No submission can allow no machine type at all.
+        // A submission with an empty list of machine types is refused, so that an empty list here
+        // shows that the hidden fields were lost.
         let bare = spec.types.as_ref().is_some_and(Vec::is_empty);
         return (!bare).then_some((spec, 0));
     };
@@ -91,7 +96,7 @@
             match whole.and_then(|bytes| from_cbor::<JobSpec>(&bytes).ok()) {
                 Some(whole) => spec = whole,
                 None => {
-                    tracing::error!(job = spec.id, "malformed description");
+                    tracing::error!(job = spec.id, "malformed job description in the state service");
                     return None;
                 }
             }
@@ -100,8 +105,8 @@
     Some((spec, hidden_fields.submitted_ms))
 }
 
-/// A page of jobs that a node accepted together. It is written while none of them has ended, and
-/// overwritten once all of them have.
+/// A page of jobs that a node accepted together. The page is written when none of the jobs has
+/// ended, and overwritten once all of them have.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Accepted {
     /// The descriptions of the jobs, in their stored form.
@@ -109,13 +114,13 @@
     pub jobs: Vec<JobSpec>,
 }
 
-/// A job's final phase. Releases that accepted each job by a key of its own also stored open phases,
-/// with the description.
+/// The value of a job's own key: its final phase. Releases that accepted each job by a key of its
+/// own also stored open phases, with the description.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobValue {
     /// The phase.
     pub phase: Phase,
-    /// The description, of an open job.
+    /// The job's description, if the job is open.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
 }
@@ -123,28 +128,28 @@
 /// The machines whose agents a node answers without the leader.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProxiedMachines {
-    /// Names of the machines.
+    /// The names of the machines.
     #[serde(rename = "kept")]
     pub machines: Vec<String>,
-    /// The last heartbeats of those on which tasks have ended, packed.
+    /// The last heartbeats of those machines on which tasks have ended, packed into a text.
     #[serde(rename = "told", default)]
     pub last_heartbeats: String,
 }
 
 /// The record of a placement: task, attempt, machine, incarnation of the agent, and the term under
-/// which it was made.
+/// which the placement was made.
 pub type PlacementRow = (u32, u64, String, u64, u64);
 
 /// The completed tasks and placements of a task range, a fixed-size range of a job's tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskRangeRecord {
-    /// The id of the job.
+    /// The job's id.
     #[serde(rename = "j")]
     pub job: String,
     /// The number of the task range in its job.
     #[serde(rename = "n")]
     pub range_index: u32,
-    /// Whether it replaces earlier records of the task range; otherwise it adds to them.
+    /// Whether the record replaces earlier records of the task range; otherwise it adds to them.
     #[serde(rename = "f")]
     pub full: bool,
     /// The highest attempt number ever used in the task range.
@@ -156,7 +161,7 @@
     /// Tasks whose earlier placement is void, as inclusive ranges.
     #[serde(rename = "v")]
     pub void: Vec<(u32, u32)>,
-    /// Placements.
+    /// The placements of tasks in the range.
     #[serde(rename = "r")]
     pub placements: Vec<PlacementRow>,
 }
@@ -164,12 +169,12 @@
 /// One fact in a segment of the write-ahead log. Later entries replace or add to earlier ones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
-    /// An open job with a key of its own: the version of its acceptance, whether its user has
-    /// cancelled it, and its description.
+    /// An open job with a key of its own: the revision of its acceptance, whether it is cancelled,
+    /// and its description.
     #[serde(rename = "o")]
     Open(u64, bool, Box<JobSpec>),
-    /// An open job that was accepted in a page of acceptances, with the same fields: its own key does
-    /// not exist while it is open.
+    /// An open job that was accepted in a page of acceptances, with the same fields as `Open`. The
+    /// job's own key does not exist while the job is open.
     #[serde(rename = "a")]
     Accepted(u64, bool, Box<JobSpec>),
     /// Completed tasks and placements of a task range.
@@ -178,7 +183,7 @@
     /// The job with this id has ended, with no placement left.
     #[serde(rename = "x")]
     Over(String),
-    /// A rental request with its id, recorded before it is sent.
+    /// A rental request and its id, recorded before the request is sent to the cloud.
     #[serde(rename = "c")]
     Claim(String, ClaimValue),
     /// The rental request with this id is settled.
@@ -187,7 +192,7 @@
 }
 
 impl Entry {
-    /// The job that this entry describes, if it does.
+    /// Returns the job description that the entry contains; `None` if it contains none.
     pub fn describes(&self) -> Option<&JobSpec> {
         match self {
             Entry::Open(_, _, spec) | Entry::Accepted(_, _, spec) => Some(spec),
@@ -199,28 +204,29 @@
 /// A segment of the leader's write-ahead log. Segments are replayed in the order of `seq`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Segment {
-    /// The term under which it was written. With `seq` it identifies the segment among all that
-    /// were ever stored under its key.
+    /// The term under which the segment was written. The term and `seq` together identify the
+    /// segment among all that were ever stored under its key.
     #[serde(rename = "k")]
     pub term: u64,
-    /// Its sequence number.
+    /// The sequence number of the segment.
     #[serde(rename = "n")]
     pub seq: u64,
-    /// Segments before this one are obsolete; their keys are reused.
+    /// The sequence number of the oldest segment that is still needed. Earlier segments are
+    /// obsolete, and their keys are reused.
     #[serde(rename = "o")]
     pub oldest: u64,
-    /// The log contains all changes of the jobs' keys up to this revision.
+    /// The revision up to which the log contains all changes of the jobs' keys.
     #[serde(rename = "s")]
     pub seen_revision: u64,
     /// The facts, in the order in which they are replayed.
     #[serde(rename = "e")]
     pub entries: Vec<Entry>,
-    /// When it was written, in milliseconds of the log's clock, which each leader continues where the
-    /// one before it stopped; 0 if it is not known.
+    /// When the segment was written, in milliseconds of the log's clock; 0 if the time is not
+    /// known. Each leader continues the log's clock where the leader before stopped.
     #[serde(rename = "m", default)]
     pub written_log_ms: u64,
-    /// When the jobs that it describes were submitted, in milliseconds of the log's clock and in the
-    /// order of their entries; 0 if it is not known.
+    /// When the jobs described in the segment were submitted, in milliseconds of the log's clock
+    /// and in the order of their entries; 0 if a time is not known.
     #[serde(rename = "b", default)]
     pub submitted_log_ms: Vec<u64>,
 }
@@ -238,9 +244,9 @@
     pub count: u32,
 }
 
-/// The number of tasks in a task range. The tasks of a range follow from its number, so that all
-/// releases must use the same size: that for the present limit of values, whatever limit is
-/// announced.
+/// Returns the number of tasks in a task range, for the present size limit of values in bytes. The
+/// tasks of a range follow from its number, so that all releases must use the same size; a limit
+/// that is only announced must not change it.
 pub fn tasks_per_range(present_value_bytes: f64) -> u32 {
     ((present_value_bytes / 64.0) as u32).clamp(8, 1024)
 }
@@ -257,12 +263,12 @@
     out
 }
 
-/// The value of the state service that stores a record.
+/// Converts a record to a value of the state service.
 pub fn to_value<T: Serialize>(record: &T) -> Value {
     Value::serialized(record).unwrap_or(Value::Null)
 }
 
-/// The record that a value of the state service stores; `None` if it is malformed.
+/// Reads a record from a value of the state service; returns `None` if the value is malformed.
 pub fn from_value<T: DeserializeOwned>(value: &Value) -> Option<T> {
     value.deserialized().ok()
 }
@@ -271,8 +277,9 @@
 mod tests {
     use super::*;
 
-    /// How many dependencies a job may have where values are smallest, with ids in random order, which
-    /// are the hardest to compress.
+    /// Guards against a packed description that exceeds the smallest limit of values or loses
+    /// fields, and against fewer than 150 dependencies per job. Random ids are the hardest to
+    /// compress.
     #[test]
     fn descriptions_larger_than_a_value_are_packed() {
         let text = r#"{"ref":"run-000500","jobclass":"train","owner":"vision","shape":"array","rank":"urgent","pieces":16,
