--- a/crates/dependencies/src/inheritance.rs
+++ b/crates/dependencies/src/inheritance.rs
@@ -1,21 +1,21 @@
 //! Priority inheritance: a job has at least the priority of every open job that depends on it, and
-//! has to be done early enough for each of them to meet its deadline.
+//! has to be done early enough for each of these jobs to meet its deadline.
 
 use super::{DependencyGraph, Phase};
 use glenhaven_time::Micros;
 use std::collections::BTreeMap;
 
-/// What a job inherits from those that depend on it.
+/// The priority and deadline that a job inherits from the jobs that depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Inherited<P> {
-    /// The highest priority among them.
+    /// The highest priority among the dependents.
     pub priority: P,
-    /// When it has to be done at the latest, if any of them has a deadline.
+    /// The time by which the job has to be done; `None` if no dependent has a deadline.
     pub due: Option<Micros>,
 }
 
 impl<P: Ord + Copy> Inherited<P> {
-    /// The higher priority and the earlier deadline of the two.
+    /// Returns the higher priority and the earlier deadline of the two.
     fn join(self, other: Inherited<P>) -> Inherited<P> {
         Inherited {
             priority: self.priority.max(other.priority),
@@ -28,11 +28,13 @@
 }
 
 impl<J> DependencyGraph<J> {
-    /// What each job inherits that has not ended and that an open job depends on, directly or not.
-    /// `own` is the priority and deadline that a job with dependencies has itself, and `takes` how
-    /// long it takes from its start to its end. From cancelled jobs nothing is inherited.
+    /// Returns the inherited priority and deadline of every job that has not ended and that an open
+    /// job depends on, directly or transitively. Nothing is inherited from cancelled jobs.
     ///
-    /// One pass from the last jobs to the first, in which each edge is visited once.
+    /// `own` returns the priority and deadline that a job with dependencies has itself, and `takes`
+    /// the time that the job takes from its start to its end.
+    ///
+    /// Visits jobs after all their dependents (in reverse topological order), and each edge once.
     pub fn inherit<P: Ord + Copy>(
         &self,
         own: impl Fn(&str, &J) -> Inherited<P>,
--- a/crates/dependencies/src/lib.rs
+++ b/crates/dependencies/src/lib.rs
@@ -1,9 +1,10 @@
 //! The graph of jobs with dependencies: which jobs are ready, which are cancelled because a
-//! dependency was, and which priority and deadline a job inherits from those that depend on it.
+//! dependency was, and which priority and deadline a job inherits from its dependents.
 //!
-//! The caller feeds committed facts: a job with dependencies was accepted, a job is done, a job is
-//! cancelled. The result depends on these alone, not on their order. All dependencies of a job
-//! that has started are done and stay so: only a job that never started is cancelled with one.
+//! The caller reports committed facts: a job with dependencies was accepted, a job is done, a job
+//! is cancelled. Invariant: the state of the graph depends only on these facts, not on their order.
+//! All dependencies of a job that has started are done and stay done, so that only a job that never
+//! started is cancelled together with a dependency.
 //!
 //! ```
 //! use glenhaven_dependencies::{DependencyChange, DependencyGraph, DependencyState};
@@ -25,10 +26,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is known of a job itself.
+/// The phase of a job, as reported by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Nothing: whether it has ended has to be read.
+    /// Nothing was reported: the caller has to read whether the job has ended.
     Unknown,
     Open,
     Done,
@@ -38,22 +39,22 @@
 /// The state of an open job with dependencies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DependencyState {
-    /// Nothing is known of some job that it depends on, directly or not.
+    /// The phase of some direct or transitive dependency is unknown.
     Undetermined,
     /// A dependency is not done.
     Blocked,
     /// All dependencies are done.
     Ready,
-    /// A job that it depends on, directly or not, is cancelled, and it with that.
+    /// The job is cancelled because a direct or transitive dependency is.
     Cancelled,
 }
 
 /// A change of the state of an open job with dependencies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DependencyChange {
-    /// It may start.
+    /// The job with this id may start.
     Ready(String),
-    /// It is cancelled, because a job that it depends on is.
+    /// The job with this id is cancelled because a direct or transitive dependency is.
     Cancelled(String),
 }
 
@@ -61,15 +62,15 @@
 #[derive(Debug)]
 struct Node<J> {
     phase: Phase,
-    /// Its direct dependencies, each once, while it is open.
+    /// The direct dependencies without duplicates; empty once the job has ended.
     needs: Vec<String>,
-    /// What the caller stores of it, while it is open and has dependencies.
+    /// The caller's data of the job, if the job is open and has dependencies.
     job: Option<J>,
-    /// How many of its dependencies are not done.
+    /// The number of direct dependencies that are not done.
     unfinished: usize,
-    /// Whether it is cancelled with a job that it depends on.
+    /// Whether the job is cancelled because a dependency is.
     cancelled: bool,
-    /// Open jobs that directly depend on it.
+    /// Open jobs that directly depend on this one.
     dependents: BTreeSet<String>,
 }
 
@@ -86,11 +87,12 @@
     }
 }
 
-/// The graph of open jobs with dependencies. `J` is what the caller stores of such a job.
+/// The graph of open jobs with dependencies. `J` is the data that the caller stores with each of
+/// them.
 #[derive(Debug)]
 pub struct DependencyGraph<J> {
     nodes: BTreeMap<String, Node<J>>,
-    /// Dependencies of which nothing is known.
+    /// Dependencies whose phase is unknown.
     unknown: BTreeSet<String>,
     changes: Vec<DependencyChange>,
 }
@@ -106,13 +108,13 @@
 }
 
 impl<J> DependencyGraph<J> {
-    /// An empty graph.
+    /// Creates an empty graph.
     pub fn new() -> DependencyGraph<J> {
         DependencyGraph::default()
     }
 
-    /// Adds an accepted job with its direct dependencies. A job that was added before, or that has
-    /// ended, is ignored.
+    /// Adds an accepted job with its direct dependencies. Does nothing if the job was added before
+    /// or has ended.
     pub fn add(&mut self, id: &str, needs: &[String], job: J) {
         let node = self.nodes.entry(id.to_string()).or_default();
         if node.job.is_some() || matches!(node.phase, Phase::Done | Phase::Cancelled) {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Notes that a job was accepted and has not ended.
+    /// Records that a job was accepted and has not ended.
     pub fn open(&mut self, id: &str) {
         if let Some(node) = self.nodes.get_mut(id).filter(|l| l.phase == Phase::Unknown) {
             node.phase = Phase::Open;
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Notes that a job has ended: it is done, or cancelled.
+    /// Records that a job has ended: as done if `done` is true, otherwise as cancelled.
     pub fn ended(&mut self, id: &str, done: bool) {
         let Some(node) = self.nodes.get_mut(id) else { return };
         if matches!(node.phase, Phase::Done | Phase::Cancelled) {
@@ -183,7 +185,8 @@
         self.drop_unneeded(id);
     }
 
-    /// Cancels a job with a dependency, and with it all jobs that depend on it.
+    /// Cancels a job because a dependency is cancelled, and all its direct and transitive
+    /// dependents.
     fn cancel(&mut self, id: String) {
         let mut rest = vec![id];
         while let Some(id) = rest.pop() {
@@ -196,7 +199,7 @@
         }
     }
 
-    /// Removes a node that is neither an open job with dependencies nor needed by one.
+    /// Removes a node unless it is an open job with dependencies or such a job depends on it.
     fn drop_unneeded(&mut self, id: &str) {
         if self
             .nodes
@@ -213,7 +216,7 @@
         *self = DependencyGraph::new();
     }
 
-    /// The state of an open job with dependencies; `None` for any other job.
+    /// Returns the state of an open job with dependencies; `None` for any other job.
     pub fn state(&self, id: &str) -> Option<DependencyState> {
         let node = self.nodes.get(id).filter(|l| l.job.is_some())?;
         Some(if node.cancelled {
@@ -227,7 +230,7 @@
         })
     }
 
-    /// Whether nothing is known of some job that this one depends on, directly or not.
+    /// Whether the phase of some direct or transitive dependency is unknown.
     fn is_undetermined(&self, node: &Node<J>) -> bool {
         if self.unknown.is_empty() {
             return false;
@@ -246,12 +249,12 @@
         false
     }
 
-    /// What the caller stored of an open job with dependencies.
+    /// Returns the caller's data of an open job with dependencies; `None` for any other job.
     pub fn job(&self, id: &str) -> Option<&J> {
         self.nodes.get(id)?.job.as_ref()
     }
 
-    /// All open jobs with dependencies, in the order of their ids.
+    /// Returns all open jobs with dependencies, in the order of their ids.
     pub fn jobs(&self) -> impl Iterator<Item = (&str, &J)> {
         self.nodes
             .iter()
@@ -263,12 +266,13 @@
         self.nodes.get(id).is_some_and(|l| !l.dependents.is_empty())
     }
 
-    /// Dependencies of which nothing is known: whether they have ended has to be read.
+    /// Returns the dependencies whose phase is unknown: the caller has to read whether they have
+    /// ended.
     pub fn unknown(&self) -> impl Iterator<Item = &str> {
         self.unknown.iter().map(String::as_str)
     }
 
-    /// The changes since the last call, in their order.
+    /// Returns and removes the changes since the last call, in their order.
     pub fn take_changes(&mut self) -> Vec<DependencyChange> {
         std::mem::take(&mut self.changes)
     }
--- a/crates/dependencies/tests/dependencies.rs
+++ b/crates/dependencies/tests/dependencies.rs
@@ -1,5 +1,5 @@
-//! The dependency graph against a naive model that derives everything from the reported facts,
-//! whatever order these are reported in.
+//! Compares the dependency graph with a naive model that derives every state from the reported
+//! facts, for facts in random order.
 
 use glenhaven_dependencies::{DependencyChange, DependencyGraph, DependencyState, Inherited};
 use glenhaven_time::Micros;
@@ -19,7 +19,7 @@
     End(usize, bool),
 }
 
-/// The facts that were reported, and the states that follow from them by the protocol.
+/// The reported facts, from which the model derives the expected states.
 #[derive(Default)]
 struct Naive {
     needs: BTreeMap<usize, Vec<usize>>,
@@ -32,7 +32,7 @@
         let mut all = BTreeSet::new();
         let mut rest = vec![job];
         while let Some(at) = rest.pop() {
-            // A job that has ended waits for nothing.
+            // A job that has ended has no dependencies.
             for need in self
                 .needs
                 .get(&at)
@@ -63,7 +63,7 @@
         })
     }
 
-    /// Due times and priorities of all that need a job, over every way to it.
+    /// Returns the highest priority and earliest deadline over all paths of dependents of a job.
     fn inherited(&self, job: usize) -> Option<(u8, Micros)> {
         let mut best: Option<(u8, Micros)> = None;
         for (dependents, needs) in &self.needs {
@@ -95,7 +95,7 @@
     Micros::from_millis(1000 + job as u64 * 300)
 }
 
-/// Each job names some of those before it.
+/// Generates graphs in which each job depends on some jobs with lower numbers.
 fn graphs() -> impl Strategy<Value = Vec<Vec<usize>>> {
     let needs = |i: usize| prop::collection::vec(0..i.max(1), 0..4).prop_map(move |n| if i == 0 { vec![] } else { n });
     (0..JOBS).map(needs).collect::<Vec<_>>()
@@ -120,14 +120,15 @@
         for saying in facts_in_order {
             match saying {
                 Fact::Add(j) => {
-                    // An end that was said while nobody needed the job is not kept: who
-                    // adds a job knows that it is open.
+                    // The graph does not keep the end of a job without dependents; its contract is
+                    // that only open jobs are added.
                     if edges[j].is_empty() || naive.ends.contains_key(&j) {
                         continue;
                     }
                     let needs: Vec<String> = edges[j].iter().map(|n| name(*n)).collect();
                     for n in &edges[j] {
-                        // The same of what it names: what is over is read and said again.
+                        // For the same reason the end of a dependency is reported again, as the
+                        // caller does after reading it.
                         if let Some(done) = naive.ends.get(n).copied() {
                             graph.add(&name(j), &needs, j);
                             graph.ended(&name(*n), done);
@@ -151,7 +152,8 @@
                     naive.open.insert(j);
                 }
                 Fact::End(j, done) => {
-                    // A job is done only after all it needs; withdrawn at any time.
+                    // A job is done only after all its dependencies are; it may be cancelled any
+                    // time.
                     let may = !done || naive.needs.get(&j).is_none_or(|_| naive.state(j) == Some(DependencyState::Ready));
                     if may && !naive.ends.contains_key(&j) {
                         graph.ended(&name(j), done);
@@ -165,13 +167,13 @@
                     DependencyChange::Cancelled(id) => (id, false),
                 };
                 let j: usize = id[4..].parse().expect("a number");
-                prop_assert!(told.insert((j, free)), "{changes:?} twice");
-                prop_assert!(!told.contains(&(j, !free)), "{j} both free and withdrawn");
+                prop_assert!(told.insert((j, free)), "{changes:?} was reported twice");
+                prop_assert!(!told.contains(&(j, !free)), "job {j} was reported both ready and cancelled");
             }
             for j in 0..JOBS {
                 let state = naive.state(j);
                 prop_assert_eq!(graph.state(&name(j)), state, "job {}", j);
-                // Whoever only listens knows as much.
+                // The reported changes agree with the states.
                 prop_assert_eq!(state == Some(DependencyState::Ready), told.contains(&(j, true)) && state.is_some());
                 prop_assert_eq!(state == Some(DependencyState::Cancelled), told.contains(&(j, false)) && state.is_some());
             }
@@ -188,8 +190,9 @@
     }
 }
 
-/// A chain of a thousand jobs, one job that thousands need, and thousands that wait: each fact costs
-/// in proportion to what it changes, and nothing is left of jobs that have ended.
+/// A chain of a thousand jobs, and thousands of jobs that depend on both of its ends. Guards
+/// against facts whose cost is not in proportion to what they change, and against nodes left behind
+/// by jobs that have ended.
 #[test]
 fn a_deep_and_wide_graph_is_emptied_when_its_jobs_end() {
     let mut graph = DependencyGraph::new();
@@ -208,7 +211,7 @@
         },
         |_, ()| Micros::from_millis(1000),
     );
-    // 999 jobs and the last one itself, one after the other.
+    // 1000 jobs of one second each run one after the other: 999 of the chain and a dependent of it.
     assert_eq!(inherited[name(0).as_str()].due, Some(Micros::from_millis(4_000_000)));
     graph.ended(&name(0), false);
     assert_eq!(graph.take_changes().len(), 5999);
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -13,7 +13,6 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Release {
     /// The number of the release, which increases with its features.
-    /// support.
     pub release: u32,
     /// When the process began, in milliseconds since 1970.
     #[serde(default)]
