--- a/crates/dependencies/src/inheritance.rs
+++ b/crates/dependencies/src/inheritance.rs
@@ -31,14 +31,14 @@
     /// Returns the inherited priority and deadline of every job that has not ended and that an open
     /// job depends on, directly or transitively. Nothing is inherited from cancelled jobs.
     ///
-    /// `own` returns the priority and deadline that a job with dependencies has itself, and `takes`
-    /// the time that the job takes from its start to its end.
+    /// `own` returns the priority and deadline that a job with dependencies has itself, and
+    /// `run_time` the time that the job takes from its start to its end.
     ///
     /// Visits jobs after all their dependents (in reverse topological order), and each edge once.
     pub fn inherit<P: Ord + Copy>(
         &self,
         own: impl Fn(&str, &J) -> Inherited<P>,
-        takes: impl Fn(&str, &J) -> Micros,
+        run_time: impl Fn(&str, &J) -> Micros,
     ) -> BTreeMap<&str, Inherited<P>> {
         let mut inherited: BTreeMap<&str, Inherited<P>> = BTreeMap::new();
         // The number of dependents of each job that have not been visited yet.
@@ -57,26 +57,28 @@
             let job = node.job.as_ref().filter(|_| !node.cancelled);
             let passed_on = job.map(|job| {
                 let own = own(id, job);
-                let total = inherited.get(id).map_or(own, |from_others| own.join(*from_others));
-                let due = total.due.map(|due| due - takes(id, job));
+                let total = inherited
+                    .get(id)
+                    .map_or(own, |from_dependents| own.join(*from_dependents));
+                let due = total.due.map(|due| due - run_time(id, job));
                 let priority = total.priority;
                 Inherited { priority, due }
             });
-            for need in &node.needs {
-                let Some((need, dependency)) = self.nodes.get_key_value(need) else {
+            for dependency_id in &node.dependencies {
+                let Some((dependency_id, dependency)) = self.nodes.get_key_value(dependency_id) else {
                     continue;
                 };
                 let has_ended = !matches!(dependency.phase, Phase::Open | Phase::Unknown);
                 if let Some(passed_on) = passed_on.filter(|_| !has_ended) {
                     inherited
-                        .entry(need)
+                        .entry(dependency_id)
                         .and_modify(|total| *total = total.join(passed_on))
                         .or_insert(passed_on);
                 }
-                if let Some(left) = dependents_left.get_mut(need.as_str()) {
+                if let Some(left) = dependents_left.get_mut(dependency_id.as_str()) {
                     *left -= 1;
                     if *left == 0 {
-                        ready.push(need);
+                        ready.push(dependency_id);
                     }
                 }
             }
--- a/crates/dependencies/src/lib.rs
+++ b/crates/dependencies/src/lib.rs
@@ -63,7 +63,7 @@
 struct Node<J> {
     phase: Phase,
     /// The direct dependencies without duplicates; empty once the job has ended.
-    needs: Vec<String>,
+    dependencies: Vec<String>,
     /// The caller's data of the job, if the job is open and has dependencies.
     job: Option<J>,
     /// The number of direct dependencies that are not done.
@@ -78,7 +78,7 @@
     fn default() -> Self {
         Node {
             phase: Phase::Unknown,
-            needs: vec![],
+            dependencies: vec![],
             job: None,
             unfinished: 0,
             cancelled: false,
@@ -115,26 +115,26 @@
 
     /// Adds an accepted job with its direct dependencies. Does nothing if the job was added before
     /// or has ended.
-    pub fn add(&mut self, id: &str, needs: &[String], job: J) {
+    pub fn add(&mut self, id: &str, dependencies: &[String], job: J) {
         let node = self.nodes.entry(id.to_string()).or_default();
         if node.job.is_some() || matches!(node.phase, Phase::Done | Phase::Cancelled) {
             return;
         }
-        let mut dependencies: Vec<String> = needs.iter().filter(|n| *n != id).cloned().collect();
+        let mut dependencies: Vec<String> = dependencies.iter().filter(|d| *d != id).cloned().collect();
         dependencies.sort();
         dependencies.dedup();
         node.phase = Phase::Open;
         node.job = Some(job);
-        node.needs.clone_from(&dependencies);
+        node.dependencies.clone_from(&dependencies);
         self.unknown.remove(id);
         let (mut unfinished, mut cancelled) = (0, false);
-        for need in dependencies {
-            let dependency = self.nodes.entry(need.clone()).or_default();
+        for dependency_id in dependencies {
+            let dependency = self.nodes.entry(dependency_id.clone()).or_default();
             dependency.dependents.insert(id.to_string());
             unfinished += usize::from(dependency.phase != Phase::Done);
             cancelled |= dependency.cancelled || dependency.phase == Phase::Cancelled;
             if dependency.phase == Phase::Unknown {
-                self.unknown.insert(need);
+                self.unknown.insert(dependency_id);
             }
         }
         if let Some(node) = self.nodes.get_mut(id) {
@@ -149,7 +149,7 @@
 
     /// Records that a job was accepted and has not ended.
     pub fn open(&mut self, id: &str) {
-        if let Some(node) = self.nodes.get_mut(id).filter(|l| l.phase == Phase::Unknown) {
+        if let Some(node) = self.nodes.get_mut(id).filter(|node| node.phase == Phase::Unknown) {
             node.phase = Phase::Open;
             self.unknown.remove(id);
         }
@@ -163,48 +163,52 @@
         }
         node.phase = if done { Phase::Done } else { Phase::Cancelled };
         node.job = None;
-        let needs = std::mem::take(&mut node.needs);
+        let dependencies = std::mem::take(&mut node.dependencies);
         let dependents: Vec<String> = node.dependents.iter().cloned().collect();
         self.unknown.remove(id);
-        for need in needs {
-            if let Some(dependency) = self.nodes.get_mut(&need) {
+        for dependency_id in dependencies {
+            if let Some(dependency) = self.nodes.get_mut(&dependency_id) {
                 dependency.dependents.remove(id);
             }
-            self.drop_unneeded(&need);
+            self.remove_if_unneeded(&dependency_id);
         }
-        for next in dependents {
+        for dependent in dependents {
             if !done {
-                self.cancel(next);
-            } else if let Some(node) = self.nodes.get_mut(&next) {
+                self.cancel(dependent);
+            } else if let Some(node) = self.nodes.get_mut(&dependent) {
                 node.unfinished -= 1;
                 if node.unfinished == 0 && !node.cancelled {
-                    self.changes.push(DependencyChange::Ready(next));
+                    self.changes.push(DependencyChange::Ready(dependent));
                 }
             }
         }
-        self.drop_unneeded(id);
+        self.remove_if_unneeded(id);
     }
 
     /// Cancels a job because a dependency is cancelled, and all its direct and transitive
     /// dependents.
     fn cancel(&mut self, id: String) {
-        let mut rest = vec![id];
-        while let Some(id) = rest.pop() {
-            let Some(node) = self.nodes.get_mut(&id).filter(|l| l.job.is_some() && !l.cancelled) else {
+        let mut to_visit = vec![id];
+        while let Some(id) = to_visit.pop() {
+            let Some(node) = self
+                .nodes
+                .get_mut(&id)
+                .filter(|node| node.job.is_some() && !node.cancelled)
+            else {
                 continue;
             };
             node.cancelled = true;
-            rest.extend(node.dependents.iter().cloned());
+            to_visit.extend(node.dependents.iter().cloned());
             self.changes.push(DependencyChange::Cancelled(id));
         }
     }
 
     /// Removes a node unless it is an open job with dependencies or such a job depends on it.
-    fn drop_unneeded(&mut self, id: &str) {
+    fn remove_if_unneeded(&mut self, id: &str) {
         if self
             .nodes
             .get(id)
-            .is_some_and(|l| l.job.is_none() && l.dependents.is_empty())
+            .is_some_and(|node| node.job.is_none() && node.dependents.is_empty())
         {
             self.nodes.remove(id);
             self.unknown.remove(id);
@@ -218,7 +222,7 @@
 
     /// Returns the state of an open job with dependencies; `None` for any other job.
     pub fn state(&self, id: &str) -> Option<DependencyState> {
-        let node = self.nodes.get(id).filter(|l| l.job.is_some())?;
+        let node = self.nodes.get(id).filter(|node| node.job.is_some())?;
         Some(if node.cancelled {
             DependencyState::Cancelled
         } else if node.unfinished == 0 {
@@ -236,14 +240,14 @@
             return false;
         }
         let mut seen: BTreeSet<&str> = BTreeSet::new();
-        let mut rest: Vec<&str> = node.needs.iter().map(String::as_str).collect();
-        while let Some(id) = rest.pop() {
+        let mut to_visit: Vec<&str> = node.dependencies.iter().map(String::as_str).collect();
+        while let Some(id) = to_visit.pop() {
             if self.unknown.contains(id) {
                 return true;
             }
             if seen.insert(id) {
-                let needs = self.nodes.get(id).map(|l| l.needs.iter());
-                rest.extend(needs.into_iter().flatten().map(String::as_str));
+                let dependencies = self.nodes.get(id).map(|node| node.dependencies.iter());
+                to_visit.extend(dependencies.into_iter().flatten().map(String::as_str));
             }
         }
         false
@@ -258,12 +262,12 @@
     pub fn jobs(&self) -> impl Iterator<Item = (&str, &J)> {
         self.nodes
             .iter()
-            .filter_map(|(id, l)| Some((id.as_str(), l.job.as_ref()?)))
+            .filter_map(|(id, node)| Some((id.as_str(), node.job.as_ref()?)))
     }
 
     /// Whether an open job directly depends on this one.
     pub fn is_needed(&self, id: &str) -> bool {
-        self.nodes.get(id).is_some_and(|l| !l.dependents.is_empty())
+        self.nodes.get(id).is_some_and(|node| !node.dependents.is_empty())
     }
 
     /// Returns the dependencies whose phase is unknown: the caller has to read whether they have
--- a/crates/dependencies/tests/dependencies.rs
+++ b/crates/dependencies/tests/dependencies.rs
@@ -21,13 +21,13 @@
 
 /// The reported facts, from which the model derives the expected states.
 #[derive(Default)]
-struct Naive {
+struct NaiveModel {
     needs: BTreeMap<usize, Vec<usize>>,
     open: BTreeSet<usize>,
     ends: BTreeMap<usize, bool>,
 }
 
-impl Naive {
+impl NaiveModel {
     fn all_dependencies(&self, job: usize) -> BTreeSet<usize> {
         let mut all = BTreeSet::new();
         let mut rest = vec![job];
@@ -50,13 +50,13 @@
 
     fn state(&self, job: usize) -> Option<DependencyState> {
         let needs = self.needs.get(&job).filter(|_| !self.ends.contains_key(&job))?;
-        let before = self.all_dependencies(job);
+        let all_dependencies = self.all_dependencies(job);
         let known = |j: &usize| self.ends.contains_key(j) || self.open.contains(j) || self.needs.contains_key(j);
-        Some(if before.iter().any(|j| self.ends.get(j) == Some(&false)) {
+        Some(if all_dependencies.iter().any(|j| self.ends.get(j) == Some(&false)) {
             DependencyState::Cancelled
         } else if needs.iter().all(|j| self.ends.get(j) == Some(&true)) {
             DependencyState::Ready
-        } else if !before.iter().all(known) {
+        } else if !all_dependencies.iter().all(known) {
             DependencyState::Undetermined
         } else {
             DependencyState::Blocked
@@ -66,32 +66,32 @@
     /// Returns the highest priority and earliest deadline over all paths of dependents of a job.
     fn inherited(&self, job: usize) -> Option<(u8, Micros)> {
         let mut best: Option<(u8, Micros)> = None;
-        for (dependents, needs) in &self.needs {
+        for (dependent, needs) in &self.needs {
             if !needs.contains(&job)
-                || self.ends.contains_key(dependents)
-                || self.state(*dependents) == Some(DependencyState::Cancelled)
+                || self.ends.contains_key(dependent)
+                || self.state(*dependent) == Some(DependencyState::Cancelled)
             {
                 continue;
             }
-            let own = terms(*dependents);
-            let has = self
-                .inherited(*dependents)
-                .map_or(own, |l| (l.0.max(own.0), l.1.min(own.1)));
-            let passed_on = (has.0, has.1 - takes(*dependents));
+            let own = own_requirements(*dependent);
+            let total = self
+                .inherited(*dependent)
+                .map_or(own, |inherited| (inherited.0.max(own.0), inherited.1.min(own.1)));
+            let passed_on = (total.0, total.1 - run_time(*dependent));
             best = Some(best.map_or(passed_on, |b| (b.0.max(passed_on.0), b.1.min(passed_on.1))));
         }
         best
     }
 }
 
-fn terms(job: usize) -> (u8, Micros) {
+fn own_requirements(job: usize) -> (u8, Micros) {
     (
         (job * 5 % 4) as u8,
         Micros::from_millis(100_000 + (job as u64 * 7919) % 50_000),
     )
 }
 
-fn takes(job: usize) -> Micros {
+fn run_time(job: usize) -> Micros {
     Micros::from_millis(1000 + job as u64 * 300)
 }
 
@@ -115,32 +115,32 @@
 
     #[test]
     fn the_graph_agrees_with_a_naive_model(edges in graphs(), facts_in_order in facts()) {
-        let (mut graph, mut naive) = (DependencyGraph::new(), Naive::default());
-        let mut told: BTreeSet<(usize, bool)> = BTreeSet::new();
-        for saying in facts_in_order {
-            match saying {
+        let (mut graph, mut model) = (DependencyGraph::new(), NaiveModel::default());
+        let mut reported: BTreeSet<(usize, bool)> = BTreeSet::new();
+        for fact in facts_in_order {
+            match fact {
                 Fact::Add(j) => {
                     // The graph does not keep the end of a job without dependents; its contract is
                     // that only open jobs are added.
-                    if edges[j].is_empty() || naive.ends.contains_key(&j) {
+                    if edges[j].is_empty() || model.ends.contains_key(&j) {
                         continue;
                     }
                     let needs: Vec<String> = edges[j].iter().map(|n| name(*n)).collect();
                     for n in &edges[j] {
                         // For the same reason the end of a dependency is reported again, as the
                         // caller does after reading it.
-                        if let Some(done) = naive.ends.get(n).copied() {
+                        if let Some(done) = model.ends.get(n).copied() {
                             graph.add(&name(j), &needs, j);
                             graph.ended(&name(*n), done);
                         }
                     }
                     graph.add(&name(j), &needs, j);
                     for n in &edges[j] {
-                        if naive.open.contains(n) && !naive.ends.contains_key(n) {
+                        if model.open.contains(n) && !model.ends.contains_key(n) {
                             graph.open(&name(*n));
                         }
                     }
-                    naive.needs.entry(j).or_insert_with(|| {
+                    model.needs.entry(j).or_insert_with(|| {
                         let mut n = edges[j].clone();
                         n.sort();
                         n.dedup();
@@ -149,41 +149,41 @@
                 }
                 Fact::Open(j) => {
                     graph.open(&name(j));
-                    naive.open.insert(j);
+                    model.open.insert(j);
                 }
                 Fact::End(j, done) => {
                     // A job is done only after all its dependencies are; it may be cancelled any
                     // time.
-                    let may = !done || naive.needs.get(&j).is_none_or(|_| naive.state(j) == Some(DependencyState::Ready));
-                    if may && !naive.ends.contains_key(&j) {
+                    let may_end = !done || model.needs.get(&j).is_none_or(|_| model.state(j) == Some(DependencyState::Ready));
+                    if may_end && !model.ends.contains_key(&j) {
                         graph.ended(&name(j), done);
-                        naive.ends.insert(j, done);
+                        model.ends.insert(j, done);
                     }
                 }
             }
-            for changes in graph.take_changes() {
-                let (id, free) = match &changes {
+            for change in graph.take_changes() {
+                let (id, is_ready) = match &change {
                     DependencyChange::Ready(id) => (id, true),
                     DependencyChange::Cancelled(id) => (id, false),
                 };
                 let j: usize = id[4..].parse().expect("a number");
-                prop_assert!(told.insert((j, free)), "{changes:?} was reported twice");
-                prop_assert!(!told.contains(&(j, !free)), "job {j} was reported both ready and cancelled");
+                prop_assert!(reported.insert((j, is_ready)), "{change:?} was reported twice");
+                prop_assert!(!reported.contains(&(j, !is_ready)), "job {j} was reported both ready and cancelled");
             }
             for j in 0..JOBS {
-                let state = naive.state(j);
+                let state = model.state(j);
                 prop_assert_eq!(graph.state(&name(j)), state, "job {}", j);
                 // The reported changes agree with the states.
-                prop_assert_eq!(state == Some(DependencyState::Ready), told.contains(&(j, true)) && state.is_some());
-                prop_assert_eq!(state == Some(DependencyState::Cancelled), told.contains(&(j, false)) && state.is_some());
+                prop_assert_eq!(state == Some(DependencyState::Ready), reported.contains(&(j, true)) && state.is_some());
+                prop_assert_eq!(state == Some(DependencyState::Cancelled), reported.contains(&(j, false)) && state.is_some());
             }
             let inherited = graph.inherit(
-                |_, j| Inherited { priority: terms(*j).0, due: Some(terms(*j).1) },
-                |_, j| takes(*j),
+                |_, j| Inherited { priority: own_requirements(*j).0, due: Some(own_requirements(*j).1) },
+                |_, j| run_time(*j),
             );
             for j in 0..JOBS {
-                let got = inherited.get(name(j).as_str()).map(|l| (l.priority, l.due.expect("all have one")));
-                let want = naive.inherited(j).filter(|_| !naive.ends.contains_key(&j));
+                let got = inherited.get(name(j).as_str()).map(|inherited| (inherited.priority, inherited.due.expect("all have one")));
+                let want = model.inherited(j).filter(|_| !model.ends.contains_key(&j));
                 prop_assert_eq!(got, want, "inherited by {}", j);
             }
         }
--- a/src/coordination/state/job.rs
+++ b/src/coordination/state/job.rs
@@ -24,7 +24,7 @@
 
 /// The number of machines on which a job must have failed before the job itself is suspected to be
 /// the cause.
-const SUSPECT_MACHINES: usize = 2;
+const SUSPECT_JOB_MIN_MACHINES: usize = 2;
 
 /// The state of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -338,7 +338,7 @@
             matches!(p.phase, PlacementPhase::Seen(_)) && p.running_since.is_some_and(runs_stably)
         };
         let has_stable_replica = || self.is_service() && self.placements.values().any(is_stable);
-        self.failed_machines.len() >= SUSPECT_MACHINES && self.finished_tasks == 0 && !has_stable_replica()
+        self.failed_machines.len() >= SUSPECT_JOB_MIN_MACHINES && self.finished_tasks == 0 && !has_stable_replica()
     }
 
     /// Returns the placements that use resources of machines.
--- a/src/coordination/state/machine.rs
+++ b/src/coordination/state/machine.rs
@@ -188,9 +188,9 @@
         self.service_tasks -= i32::from(spec.shape == Shape::Service);
     }
 
-    /// Whether new tasks may start on the machine. They may not if its last heartbeat is `silent`
-    /// old or older.
-    pub fn accepts_work(&self, now: Micros, silent: Micros) -> bool {
+    /// Whether new tasks may start on the machine. They may not if its last heartbeat is
+    /// `silence_limit` old or older.
+    pub fn accepts_work(&self, now: Micros, silence_limit: Micros) -> bool {
         self.state == MachineState::Up
             && self.interruption_at.is_none()
             && !self.is_asymmetrically_partitioned()
@@ -199,7 +199,7 @@
             && self.orphaned_attempts.is_empty()
             && now >= self.quarantined_until
             && now >= self.slow_until
-            && now.since(self.last_heartbeat) < silent
+            && now.since(self.last_heartbeat) < silence_limit
             && self.release_requested_at.is_none()
     }
 }
--- a/src/coordination/state/placements.rs
+++ b/src/coordination/state/placements.rs
@@ -18,7 +18,7 @@
 use crate::time::Micros;
 
 /// The maximum number of released machines that are remembered.
-const REMEMBERED_RELEASES: usize = 20_000;
+const MAX_RELEASED_MACHINES: usize = 20_000;
 
 impl Machine {
     /// Adds the placement record of a task, and charges the machine for the task.
@@ -153,7 +153,7 @@
     /// Removes a machine that the cloud has reported as released, with all placements on it.
     pub fn machine_released(&mut self, name: &MachineId, now: Micros) {
         self.released_machines.insert(name.clone());
-        while self.released_machines.len() > REMEMBERED_RELEASES {
+        while self.released_machines.len() > MAX_RELEASED_MACHINES {
             self.released_machines.pop_first();
         }
         self.drop_images(name);
