--- a/crates/dependencies/src/inheritance.rs
+++ b/crates/dependencies/src/inheritance.rs
@@ -1,21 +1,21 @@
 //! Priority inheritance: a job has at least the priority of every open job that depends on it, and
-//! has to be done early enough for each of them to meet its deadline.
+//! has to be done early enough for each of these jobs to meet its deadline.
 
 use super::{DependencyGraph, Phase};
 use glenhaven_time::Micros;
 use std::collections::BTreeMap;
 
-/// What a job inherits from those that depend on it.
+/// The priority and deadline that a job inherits from the jobs that depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Inherited<P> {
-    /// The highest priority among them.
+    /// The highest priority among the dependents.
     pub priority: P,
-    /// When it has to be done at the latest, if any of them has a deadline.
+    /// The time by which the job has to be done; `None` if no dependent has a deadline.
     pub due: Option<Micros>,
 }
 
 impl<P: Ord + Copy> Inherited<P> {
-    /// The higher priority and the earlier deadline of the two.
+    /// Returns the higher priority and the earlier deadline of the two.
     fn join(self, other: Inherited<P>) -> Inherited<P> {
         Inherited {
             priority: self.priority.max(other.priority),
@@ -28,15 +28,17 @@
 }
 
 impl<J> DependencyGraph<J> {
-    /// What each job inherits that has not ended and that an open job depends on, directly or not.
-    /// `own` is the priority and deadline that a job with dependencies has itself, and `takes` how
-    /// long it takes from its start to its end. From cancelled jobs nothing is inherited.
+    /// Returns the inherited priority and deadline of every job that has not ended and that an open
+    /// job depends on, directly or transitively. Nothing is inherited from cancelled jobs.
     ///
-    /// One pass from the last jobs to the first, in which each edge is visited once.
+    /// `own` returns the priority and deadline that a job with dependencies has itself, and
+    /// `run_time` the time that the job takes from its start to its end.
+    ///
+    /// Visits jobs after all their dependents (in reverse topological order), and each edge once.
     pub fn inherit<P: Ord + Copy>(
         &self,
         own: impl Fn(&str, &J) -> Inherited<P>,
-        takes: impl Fn(&str, &J) -> Micros,
+        run_time: impl Fn(&str, &J) -> Micros,
     ) -> BTreeMap<&str, Inherited<P>> {
         let mut inherited: BTreeMap<&str, Inherited<P>> = BTreeMap::new();
         // The number of dependents of each job that have not been visited yet.
@@ -55,26 +57,28 @@
             let job = node.job.as_ref().filter(|_| !node.cancelled);
             let passed_on = job.map(|job| {
                 let own = own(id, job);
-                let total = inherited.get(id).map_or(own, |from_others| own.join(*from_others));
-                let due = total.due.map(|due| due - takes(id, job));
+                let total = inherited
+                    .get(id)
+                    .map_or(own, |from_dependents| own.join(*from_dependents));
+                let due = total.due.map(|due| due - run_time(id, job));
                 let priority = total.priority;
                 Inherited { priority, due }
             });
-            for need in &node.needs {
-                let Some((need, dependency)) = self.nodes.get_key_value(need) else {
+            for dependency_id in &node.dependencies {
+                let Some((dependency_id, dependency)) = self.nodes.get_key_value(dependency_id) else {
                     continue;
                 };
                 let has_ended = !matches!(dependency.phase, Phase::Open | Phase::Unknown);
                 if let Some(passed_on) = passed_on.filter(|_| !has_ended) {
                     inherited
-                        .entry(need)
+                        .entry(dependency_id)
                         .and_modify(|total| *total = total.join(passed_on))
                         .or_insert(passed_on);
                 }
-                if let Some(left) = dependents_left.get_mut(need.as_str()) {
+                if let Some(left) = dependents_left.get_mut(dependency_id.as_str()) {
                     *left -= 1;
                     if *left == 0 {
-                        ready.push(need);
+                        ready.push(dependency_id);
                     }
                 }
             }
