--- a/src/coordination/log/answers.rs
+++ b/src/coordination/log/answers.rs
@@ -3,8 +3,8 @@
 //!
 //! An unanswered transaction is sent again under the same conditions, so that at most one of the
 //! two copies can be executed. If the conditions of a copy then fail, either the other copy was
-//! executed or neither can be any more. The version of a key that only the leader writes shows
-//! which: the probe reads it.
+//! executed or neither copy can be executed any more. A probe then reads a key that only leaders
+//! write, whose version shows which of the two is the case.
 
 use super::super::election::StepDownReason;
 use super::super::state::LeaderState;
@@ -17,7 +17,7 @@
 use crate::storage::records::{self, from_value, ProxiedMachines, Segment};
 use crate::time::Micros;
 
-/// How long the answer to a probe is awaited.
+/// Timeout of the read that probes the outcome of a transaction.
 const PROBE_TIMEOUT: Micros = Micros::from_millis(400);
 /// Pause before the next transaction after one failed on the condition on the term.
 const BACKOFF_AFTER_TERM_CHANGE: Micros = Micros::from_millis(30);
@@ -53,7 +53,7 @@
         self.answer_early_heartbeats();
     }
 
-    /// Takes the lists of machines whose heartbeats other nodes answer.
+    /// Applies the lists of machines whose heartbeats other nodes answer.
     fn on_proxied_machines(&mut self, answer: StoreResponse) {
         let StoreResponse::Rows(Rows { items, .. }) = answer else {
             return;
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Takes one such list, with the last heartbeats of its machines, unless it is unchanged.
+    /// Applies one list of proxied machines, with their last heartbeats, unless its version is
+    /// unchanged.
     fn on_proxied_machines_row(&mut self, row: Row) {
         let Some(leader) = self.leader.as_mut() else { return };
         let now = self.context.now;
@@ -112,7 +113,7 @@
         self.learn_recorded_ends(ends, revision);
     }
 
-    /// Handles that the conditions of the transaction on these keys do not hold.
+    /// Handles a conflict: the conditions of the transaction on the keys in `failed` do not hold.
     fn on_conflict(&mut self, failed: &[String]) {
         let now = self.context.now;
         let Some(leader) = self.leader.as_mut() else { return };
@@ -120,7 +121,8 @@
             return;
         };
         if pending.outcome_unknown {
-            // An earlier copy was executed, or none can be any more: the probe shows which.
+            // Either an earlier copy was executed or no copy can be executed any more; a probe
+            // shows which.
             let key = pending.probe_key();
             leader.probe(&mut self.context, key);
             return;
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Takes the answer to a probe: the value of a key that the transaction in flight writes.
+    /// Handles the answer to a probe: the value of a key that the transaction in flight writes.
     fn on_probe(&mut self, answer: StoreResponse) {
         let Some(leader) = self.leader.as_mut() else { return };
         let Some(pending) = leader.log_writer.in_flight.as_ref() else {
@@ -149,8 +151,8 @@
         let seq = pending.segments.first().map_or(0, |p| p.seq);
         match answer {
             StoreResponse::Row(row) if row.version != expected => {
-                // Only leaders write there: this one, or one of a later term, which ends this
-                // leadership.
+                // Only leaders write this key: either this leader, or one of a later term, in
+                // which case this leadership has ended.
                 let term = leader.term;
                 let is_ours = |segment: &Segment| segment.seq == seq && segment.term <= term;
                 match from_value::<Segment>(&row.value).filter(is_ours) {
@@ -158,8 +160,8 @@
                     None => self.step_down(StepDownReason::OtherLogWriter),
                 }
             }
-            // It was never executed and can't be any more, because one of its conditions has
-            // failed for good. The watches deliver the change that made it fail.
+            // The transaction was never executed and can't be any more, because one of its
+            // conditions has failed permanently. The watches deliver the change that made it fail.
             StoreResponse::Row(_) | StoreResponse::Missing { .. } => leader.undo(self.context.now),
             _ => leader.probe_later(&mut self.context, key),
         }
@@ -173,7 +175,8 @@
         tracing::debug!(?answer, outcome_unknown, "transaction not executed");
     }
 
-    /// Handles that the transaction was refused; an earlier copy may have been executed.
+    /// Handles a refusal of the transaction in flight. Its changes are queued again, unless an
+    /// earlier copy may have been executed: then the same transaction is sent again.
     fn on_refused(&mut self, context: &mut Context) {
         if !self.log_writer.is_outcome_unknown() {
             self.log_writer.segment_budget = 1;
@@ -182,7 +185,7 @@
         self.log_writer.resend_at = Some(context.now + context.jitter(BACKOFF_AFTER_REFUSAL));
     }
 
-    /// Handles that the transaction went unanswered: it is sent again.
+    /// Handles a missing answer: the outcome of the transaction is unknown, and it is sent again.
     fn on_no_answer(&mut self, context: &mut Context) {
         if let Some(pending) = self.log_writer.in_flight.as_mut() {
             pending.outcome_unknown = true;
@@ -197,7 +200,7 @@
         context.store.push(Urgency::Start, request, continuation, PROBE_TIMEOUT);
     }
 
-    /// The same after a pause.
+    /// Reads the key again after a pause.
     fn probe_later(&self, context: &mut Context, key: String) {
         let at = context.now + context.jitter(BACKOFF_BEFORE_NEXT_PROBE);
         let request = StoreRequest::Get { key };
--- a/src/coordination/log/compaction.rs
+++ b/src/coordination/log/compaction.rs
@@ -1,28 +1,33 @@
-//! Compaction: facts of the oldest segments are rewritten to new ones, until the old segments
+//! Log compaction: rewrites facts of the oldest segments to new segments, until the old segments
 //! contain nothing that is needed and their keys can be reused.
 //!
-//! Runs as the last step of each draft, in the space that newer changes leave.
+//! Compaction is the last step of drafting a transaction. It uses the space that newer changes
+//! leave in the segments of the transaction.
 
 use super::super::state::LeaderState;
 use super::super::JobId;
 use super::transaction::Draft;
 use std::collections::BTreeSet;
 
-/// Live segments, and bytes in them, that are always allowed.
+/// Number of live segments that is always allowed.
 const MIN_LIVE_SEGMENTS: usize = 48;
+/// Total size of live segments that is always allowed.
 const MIN_LIVE_BYTES: usize = 256 * 1024;
-/// A lower limit of the size of a value is taken for this one.
+/// Lower bound of the value size from which the allowed number of segments is computed.
 const MIN_VALUE_BYTES: usize = 1024;
-/// Approximate size in the log of an open job's description, and of a placement.
+/// Approximate size of an open job's description in the log.
 const JOB_BYTES: usize = 600;
+/// Approximate size of a placement in the log.
 const PLACEMENT_BYTES: usize = 30;
-/// How many times the size of all open jobs the log may have: the more, the less often each
-/// fact is rewritten.
+/// Allowed size of the log as a multiple of the size of all open jobs. A larger factor makes
+/// rewrites of each fact less frequent.
 const REWRITE_FACTOR: usize = 3;
-/// Segments that compaction may add to a transaction when it is a little behind.
+/// Number of segments that compaction may add to a transaction while fewer than
+/// `MIN_LIVE_SEGMENTS` live segments are in excess.
 const EXTRA_SEGMENTS: usize = 2;
 
-/// How many live segments are allowed for so many open jobs and placements.
+/// Returns how many live segments are allowed for these numbers of open jobs and placements, if a
+/// value of the state service holds `value_bytes`.
 pub fn segments_allowed(value_bytes: usize, open_jobs: usize, placements: usize) -> usize {
     let value_bytes = value_bytes.max(MIN_VALUE_BYTES);
     let open_bytes = open_jobs * JOB_BYTES + placements * PLACEMENT_BYTES;
@@ -30,13 +35,13 @@
     for_open.max(MIN_LIVE_SEGMENTS).max(MIN_LIVE_BYTES / value_bytes)
 }
 
-/// How many segments compaction may add to a transaction while there are `excess` live segments
-/// more than allowed.
+/// Returns how many segments compaction may add to a transaction while the number of live segments
+/// exceeds the allowed number by `excess`.
 ///
-/// Rewritten facts usually fill the segments that the transaction writes anyway: segments of
-/// their own would have to be compacted in turn. But a task range may need more than the space
-/// left in them, and when compaction is far behind, the oldest segments hold up the release of
-/// others. Then some are added.
+/// Rewritten facts usually fill the segments that the transaction writes anyway: additional
+/// segments would have to be compacted in turn. Segments are added while some are in excess,
+/// because a task range may need more than the space left in the others and because, when
+/// compaction is far behind, the oldest segments hold up the release of others.
 pub fn extra_segments(excess: usize, segment_limit: usize) -> usize {
     match excess {
         0 => 0,
@@ -45,8 +50,8 @@
     }
 }
 
-/// A fact of a job in an old segment. The order is that in which facts are rewritten: the
-/// oldest first.
+/// A fact of a job in an old segment. Candidates are ordered as they are rewritten: those in the
+/// oldest segment first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct CompactionCandidate {
     /// The sequence number of the segment.
@@ -57,14 +62,14 @@
 }
 
 impl LeaderState {
-    /// The first segment to be kept: the facts of those before it, which are too many, are to
-    /// be rewritten.
+    /// Returns the sequence number of the first segment to keep; 0 if the log is empty. Earlier
+    /// segments exceed the allowed number, and their facts are to be rewritten.
     pub(super) fn compaction_goal(&self, value_bytes: usize) -> u64 {
         let excess = self.excess_segments(value_bytes);
         self.log_writer.segments.get(excess).map_or(0, |p| p.seq)
     }
 
-    /// The number of live segments beyond those that are allowed.
+    /// Returns by how much the number of live segments exceeds the allowed number.
     fn excess_segments(&self, value_bytes: usize) -> usize {
         let placements = self.jobs.values().map(|j| j.placements.len()).sum();
         let allowed = segments_allowed(value_bytes, self.jobs.len(), placements);
@@ -87,7 +92,7 @@
         draft.pending.oldest = self.oldest_segment_after(draft);
     }
 
-    /// Facts of open jobs in segments before this one, the oldest first.
+    /// Returns the facts of open jobs in segments before `first_kept`, the oldest first.
     fn candidates_before(&self, first_kept: u64) -> Vec<CompactionCandidate> {
         let old = |segment: Option<u64>| segment.filter(|s| *s < first_kept);
         let mut facts = vec![];
@@ -113,7 +118,7 @@
         facts
     }
 
-    /// Adds the present form of a fact to the draft; false if it doesn't fit.
+    /// Adds the current form of a fact to the draft; returns false if it doesn't fit.
     fn rewrite(&mut self, draft: &mut Draft, fact: &CompactionCandidate) -> bool {
         match fact.range_index {
             None => self.write_description(draft, &fact.job),
--- a/src/coordination/log/mod.rs
+++ b/src/coordination/log/mod.rs
@@ -4,8 +4,8 @@
 //! A new leader restores its state from this log and from nothing else.
 //!
 //! The log is a sequence of segments, each stored as one value of the state service. A
-//! transaction writes all changes, of whatever jobs, to new segments, so that its cost depends
-//! on the number of changes and not on the number of jobs. At most one transaction is in flight,
+//! transaction writes the changes of all jobs to new segments, so that its cost depends on the
+//! number of changes and not on the number of jobs. At most one transaction is in flight,
 //! and each is conditional on the current term. The leader alone uses this module, from its tick
 //! (`LeaderState::write_log`) and for answers of the state service
 //! (`Controller::on_log_answer`).
@@ -18,8 +18,8 @@
 //! - `transaction` and `packing`: the parts of a transaction, and how entries are packed into
 //!   its segments;
 //! - `compaction`: rewrites the facts of the oldest segments, so that their keys can be reused;
-//! - `answers` and `outcome`: finds out whether a transaction was executed, and applies or
-//!   undoes it.
+//! - `answers` and `outcome`: determine whether a transaction was executed, and apply or undo
+//!   its changes.
 
 mod answers;
 pub mod compaction;
@@ -41,18 +41,19 @@
 use std::collections::{BTreeSet, VecDeque};
 use transaction::PendingTransaction;
 
-/// What a request to the state service was sent for.
+/// The purpose of a request to the state service, which determines how its answer is handled.
 #[derive(Clone, Debug)]
 pub enum LogContinuation {
     /// Segments of the log.
     Segments,
     /// Changes of the jobs' keys since the log was last written.
     JobChanges,
-    /// All the jobs' keys, if the service no longer has those changes.
+    /// All the jobs' keys, if the service no longer has the changes since the log was last
+    /// written.
     AllJobs,
     /// The machines whose heartbeats other nodes answer.
     ProxiedMachines,
-    /// Pages of acceptances, read to find jobs that are missing here.
+    /// Pages of acceptances, read by the audit to find accepted jobs that this leader lacks.
     Audit,
     /// The transaction in flight.
     Commit,
@@ -60,9 +61,10 @@
     Probe,
 }
 
-/// The most segments that a transaction usually writes.
+/// Maximum number of segments in a transaction, which large task ranges, ends of jobs and
+/// compaction may exceed.
 const MAX_SEGMENTS: usize = 6;
-/// How many closed jobs the leader remembers.
+/// Maximum number of closed jobs that the leader remembers.
 const MAX_CLOSED_JOBS: usize = 20_000;
 
 /// The state of the log: its segments, the transaction in flight and the changes that wait.
@@ -78,7 +80,7 @@
     resend_at: Option<Micros>,
     /// When the last new transaction was sent.
     last_sent: Micros,
-    /// By how many milliseconds the log's clock is ahead of this process's.
+    /// The log's clock minus this process's clock, in milliseconds.
     clock_offset_ms: i64,
     /// Jobs that this leader has closed: late events of their acceptance are ignored.
     closed_jobs: BTreeSet<JobId>,
@@ -92,7 +94,8 @@
     last_seq: u64,
     /// The log contains all changes of the jobs' keys up to this revision.
     seen_revision: u64,
-    /// The most segments that the next transaction writes; reduced after a refusal.
+    /// Maximum number of segments in the next transaction: reduced to one after a refusal, and
+    /// raised by one up to `MAX_SEGMENTS` after each executed transaction.
     segment_budget: usize,
     /// Task ranges with starts to be recorded, the most urgent first.
     pub starting: BTreeSet<QueuedStarts>,
@@ -102,7 +105,7 @@
     pub undescribed: BTreeSet<Undescribed>,
     /// Arrays all of whose tasks have completed, to be recorded as done.
     pub complete: BTreeSet<JobId>,
-    /// Jobs to be recorded as cancelled because a job that they need was.
+    /// Jobs to be recorded as cancelled because a job that they depend on was cancelled.
     pub withdrawn: BTreeSet<JobId>,
     /// Cancelled jobs without any placement left, to be removed from the log.
     pub ended: BTreeSet<JobId>,
@@ -127,22 +130,22 @@
         self.segments.len()
     }
 
-    /// Whether the transaction in flight may have been executed although no answer said so.
+    /// Whether the transaction in flight may have been executed without an answer to confirm it.
     fn is_outcome_unknown(&self) -> bool {
         self.in_flight.as_ref().is_some_and(|p| p.outcome_unknown)
     }
 
-    /// A time of this process's clock as milliseconds of the log's clock.
+    /// Converts a time of this process's clock to milliseconds of the log's clock.
     fn to_log_ms(&self, at: Micros) -> u64 {
         ((at.0 / 1000) as i64 + self.clock_offset_ms).max(1) as u64
     }
 
-    /// A time of the log's clock, in milliseconds, as a time of this process's clock.
+    /// Converts milliseconds of the log's clock to a time of this process's clock.
     fn local_time(&self, ms: u64) -> Micros {
         Micros((ms as i64 - self.clock_offset_ms).max(0) as u64 * 1000)
     }
 
-    /// A slot for a new segment: a free one, or else the next unused one.
+    /// Returns a slot for a new segment: a free one, or else the next unused one.
     fn take_slot(&mut self) -> FreeSlot {
         self.free.pop().unwrap_or_else(|| {
             let slot = self.slots;
@@ -151,7 +154,8 @@
         })
     }
 
-    /// Remembers that this leader has closed the job, and forgets one if there are too many.
+    /// Records that this leader has closed the job. Beyond `MAX_CLOSED_JOBS`, the jobs with the
+    /// lowest ids are dropped.
     fn remember_closed(&mut self, id: JobId) {
         self.closed_jobs.insert(id);
         while self.closed_jobs.len() > MAX_CLOSED_JOBS {
@@ -165,7 +169,7 @@
 pub struct RecordedEnds {
     /// Arrays that are done.
     pub done: Vec<JobId>,
-    /// Jobs that were cancelled with a job that they need.
+    /// Jobs that were cancelled because a job that they depend on was cancelled.
     pub withdrawn: Vec<JobId>,
 }
 
--- a/src/coordination/log/outcome.rs
+++ b/src/coordination/log/outcome.rs
@@ -48,7 +48,7 @@
 }
 
 impl LeaderState {
-    /// Queues all changes of the transaction in flight again: it was not executed.
+    /// Queues all changes of the transaction in flight again, which was not executed.
     pub(super) fn undo(&mut self, now: Micros) {
         let Some(pending) = self.log_writer.in_flight.take() else {
             return;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Queues the ends of jobs again that a transaction was to record.
+    /// Queues the ends of jobs in an unexecuted transaction again.
     fn undo_ends(&mut self, pending: &PendingTransaction) {
         for id in &pending.completed {
             let Some(job) = self.jobs.get_mut(id) else { continue };
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Queues a task range again that a transaction was to record.
+    /// Queues a task range of an unexecuted transaction again.
     fn undo_task_range(&mut self, written: WrittenTaskRange, now: Micros) {
         let from = written.range_index * self.tasks_per_range;
         let tasks = from..from + self.tasks_per_range;
@@ -172,8 +172,8 @@
                 continue;
             }
             job.states[task as usize] = TaskState::Recorded;
-            // The agent may forget the exited task now; until it has, its heartbeats list the
-            // task without a record here.
+            // The agent may discard the exited task now. Until it does, its heartbeats list the
+            // task although the leader no longer has its placement.
             let Some(placed) = job.placements.remove(&task) else {
                 continue;
             };
@@ -184,7 +184,8 @@
         }
     }
 
-    /// Sends a start whose record is durable, unless it is no longer wanted.
+    /// Queues a start whose record is durable for sending, or frees the placement if the start is
+    /// no longer wanted.
     fn apply_start(&mut self, start: WrittenStart, revision: u64, now: Micros) {
         let WrittenStart { job: id, task, attempt } = start;
         tracing::debug!(job = %id, task, attempt, term = self.term, revision, "start recorded");
@@ -202,15 +203,15 @@
         let is_kept =
             machine.is_some_and(|m| m.incarnation == placement.incarnation && m.release_requested_at.is_none());
         if !live || placement.stop_grace_s.is_some() || !is_kept {
-            // Only this leader could have sent the start, and it has not: the record is void
-            // without a heartbeat that proves it.
+            // Only this leader could have sent the start, and it has not: the record is void, and
+            // no heartbeat is needed to prove this.
             self.free(&id, task, VoidProof::NeverSent, now);
             return;
         }
         self.queue_start(&id, task);
     }
 
-    /// Removes an array that is recorded as done; its machines may forget its tasks.
+    /// Removes an array that is recorded as done; the agents may discard its tasks.
     fn close_completed(&mut self, id: &JobId, now: Micros) {
         if let Some(job) = self.jobs.remove(id) {
             tracing::debug!(job = %id, took_s = now.since(job.arrived_at).secs(), "job done");
--- a/src/coordination/log/packing.rs
+++ b/src/coordination/log/packing.rs
@@ -1,24 +1,25 @@
 //! Packs log entries into the segments that one transaction writes.
 //!
-//! A segment is one value of the state service, whose size is limited; so are the size of the
-//! transaction and the number of segments in it. An entry that doesn't fit is refused, and its
-//! caller keeps it for the next transaction.
+//! A segment is one value of the state service. The sizes of a value and of a transaction and the
+//! number of segments in a transaction are limited. The packer rejects an entry that doesn't fit,
+//! and the caller keeps the entry for the next transaction.
 
 use crate::protocol::json_size;
 use crate::storage::records::{Entry, PlacementRow, TaskRangeRecord};
 
-/// The most bytes in a transaction, below the service's limit of 64 KiB.
+/// Maximum size of a transaction, below the service's limit of 64 KiB.
 const TRANSACTION_BYTES: usize = 54 * 1024;
 /// Size of a segment without its entries.
 const SEGMENT_FRAME_BYTES: usize = 200;
-/// Size of the time of submission that a segment holds for each job that it describes.
+/// Size of the submission time that a segment holds for each job described in it.
 const SUBMISSION_TIME_BYTES: usize = 14;
-/// Size of what separates two entries.
+/// Size of the separator between two entries.
 const SEPARATOR_BYTES: usize = 2;
-/// A fragment of a task range is only begun where this much fits beside its frame.
+/// Minimum space for facts, in addition to the fragment's frame, that must be left in a segment for
+/// a task range to begin there.
 const MIN_FRAGMENT_BYTES: usize = 80;
 
-/// The size of an entry in a segment.
+/// Returns the size of an entry in a segment.
 pub fn entry_bytes(entry: &Entry) -> usize {
     json_size(entry) + SEPARATOR_BYTES
 }
@@ -27,9 +28,9 @@
 pub struct SegmentPacker {
     /// Bytes for entries in an empty segment.
     segment_bytes: usize,
-    /// The most segments, unless a single task range needs more.
+    /// Maximum number of segments, unless a single task range needs more.
     segment_budget: usize,
-    /// The most segments in any case.
+    /// Maximum number of segments in any case.
     segment_limit: usize,
     segments: Vec<Vec<Entry>>,
     /// Bytes left in the last segment.
@@ -39,8 +40,8 @@
 }
 
 impl SegmentPacker {
-    /// Packs into values of at most `value_bytes`: usually up to `segment_budget` of them, and up
-    /// to `segment_limit` for a task range that doesn't fit into so few.
+    /// Creates an empty packer for values of at most `value_bytes`. It usually fills at most
+    /// `segment_budget` segments, and at most `segment_limit` for a task range that needs more.
     pub fn new(value_bytes: usize, segment_budget: usize, segment_limit: usize) -> SegmentPacker {
         SegmentPacker {
             segment_bytes: value_bytes.saturating_sub(SEGMENT_FRAME_BYTES),
@@ -62,33 +63,34 @@
         self.segment_bytes
     }
 
-    /// The most segments in any case.
+    /// The maximum number of segments in any case.
     pub fn segment_limit(&self) -> usize {
         self.segment_limit
     }
 
-    /// The number of segments with another entry of this size.
+    /// Returns the number of segments that there would be after adding an entry of this size.
     pub fn segments_with(&self, bytes: usize) -> usize {
         self.segments.len() + usize::from(bytes > self.free_bytes)
     }
 
-    /// Lowers the limit on the number of segments to this one.
+    /// Lowers the limit, and the budget with it, to at most this number of segments.
     pub fn lower_limit(&mut self, segments: usize) {
         self.segment_limit = self.segment_limit.min(segments);
         self.segment_budget = self.segment_budget.min(segments);
     }
 
-    /// Raises the budget to this many segments, for an entry that can't wait.
+    /// Raises the budget to at least this number of segments, for an entry that can't wait.
     pub fn raise_budget(&mut self, segments: usize) {
         self.segment_budget = self.segment_budget.max(segments);
     }
 
-    /// Limits the budget to the present segments, at least one, and so many more.
+    /// Sets the budget to the current number of segments, at least one, plus `more`, within the
+    /// limit.
     pub fn allow_more_segments(&mut self, more: usize) {
         self.segment_budget = (self.segments.len().max(1) + more).min(self.segment_limit);
     }
 
-    /// The entries of each segment.
+    /// Returns the entries of each segment.
     pub fn into_segments(self) -> Vec<Vec<Entry>> {
         self.segments
     }
@@ -153,7 +155,7 @@
     }
 }
 
-/// A piece of a task range, and the index of the segment that it goes to.
+/// A part of the record of a task range, and the index of the segment that will hold it.
 struct Fragment {
     segment: usize,
     record: TaskRangeRecord,
@@ -165,7 +167,7 @@
     segment_bytes: usize,
     /// A fragment without facts.
     blank: TaskRangeRecord,
-    /// The size of such a fragment.
+    /// The size of a fragment without facts.
     frame_bytes: usize,
     segments: usize,
     free_bytes: usize,
@@ -254,7 +256,7 @@
 }
 
 impl Fact {
-    /// Its size in a list.
+    /// Returns the size of the fact as an element of a list.
     fn bytes(&self) -> usize {
         1 + match self {
             Fact::Void(range) | Fact::Done(range) => json_size(range),
@@ -263,8 +265,8 @@
     }
 }
 
-/// The facts of a task range: void placements come before new ones, because fragments are replayed
-/// in their order.
+/// Returns the facts of a task range: void placements come before new ones, because fragments are
+/// replayed in their order.
 fn facts_of(record: TaskRangeRecord) -> impl Iterator<Item = Fact> {
     let voids = record.void.into_iter().map(Fact::Void);
     let dones = record.done.into_iter().map(Fact::Done);
--- a/src/coordination/log/queues.rs
+++ b/src/coordination/log/queues.rs
@@ -1,6 +1,6 @@
 //! Entries of the queues in which changes wait for the next transactions of the log.
 //!
-//! `LogWriter` owns the queues; whatever changes a job's state fills them, and `write` empties
+//! `LogWriter` owns the queues. Code that changes a job's state fills them, and `write` empties
 //! them.
 
 use super::super::JobId;
@@ -21,7 +21,7 @@
 }
 
 impl QueuedStarts {
-    /// Starts in a task range of a job that was accepted at revision `version`.
+    /// Creates the entry of a task range whose job was accepted at revision `version`.
     pub fn new(priority: Priority, version: u64, job: JobId, range_index: u32) -> QueuedStarts {
         QueuedStarts {
             priority: Reverse(priority),
@@ -58,7 +58,7 @@
 }
 
 impl Undescribed {
-    /// A job that was accepted at revision `version`.
+    /// Creates the entry of a job that was accepted at revision `version`.
     pub fn new(version: u64, job: JobId) -> Undescribed {
         Undescribed { version, job }
     }
@@ -67,8 +67,8 @@
 /// How much this leader has written, for the periodic log message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WriteCounters {
-    /// Transactions sent, without repetitions.
+    /// Transactions sent; the second and later sends of a transaction are not counted.
     pub transactions: u64,
-    /// Changes in them.
+    /// Changes in these transactions.
     pub changes: u64,
 }
--- a/src/coordination/log/read_log.rs
+++ b/src/coordination/log/read_log.rs
@@ -1,8 +1,8 @@
 //! Reads the log at a takeover: its segments first, then the changes of the jobs' keys since
 //! the last segment was written.
 //!
-//! The reader only collects; `replay` and `restore` decide what it means. It has at most one
-//! request in flight.
+//! The reader only collects values; `replay` and `restore` interpret them. At most one request is
+//! in flight.
 
 use super::replay::{newest_seen_revision, StoredSegment};
 use super::LogContinuation;
@@ -25,7 +25,7 @@
     pub spec: Option<JobSpec>,
 }
 
-/// All that was read.
+/// The segments and job changes that were read.
 #[derive(Default)]
 pub(super) struct LogContents {
     /// The segments, in the order of their keys.
@@ -36,7 +36,7 @@
     pub changes: BTreeMap<String, JobChange>,
 }
 
-/// What is read next.
+/// The list or the changes that are read next.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum ReadStep {
     #[default]
@@ -51,7 +51,7 @@
 #[derive(Default)]
 pub(super) struct LogReader {
     step: ReadStep,
-    /// The last key that was read of the present list.
+    /// The last key read so far of the current list.
     after: String,
     /// Whether a request is in flight.
     in_flight: bool,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Takes an answer and returns whether everything has been read. After an answer without
+    /// Processes an answer and returns whether everything has been read. After an answer without
     /// content, `next_request` repeats the request.
     pub(super) fn on_answer(&mut self, continuation: &LogContinuation, answer: StoreResponse) -> bool {
         self.in_flight = false;
@@ -113,7 +113,7 @@
         }
     }
 
-    /// All that was read.
+    /// Returns everything that was read.
     pub(super) fn into_contents(self) -> LogContents {
         self.contents
     }
@@ -137,14 +137,15 @@
             (Some(slot), Some(segment)) => self.contents.segments.push(StoredSegment { slot, version, segment }),
             (slot, _) => {
                 tracing::error!(key, "malformed segment of the write-ahead log");
-                // A new segment in this slot would always fail on its condition.
+                // If this slot counted as unused, a segment would be written to it on condition
+                // that its key does not exist, which would always fail.
                 let after = slot.map_or(0, |slot| slot.saturating_add(1));
                 self.contents.first_slot_after_unreadable = self.contents.first_slot_after_unreadable.max(after);
             }
         }
     }
 
-    /// Takes a part of the list of all jobs' keys and returns whether it was the last.
+    /// Adds a part of the list of all jobs' keys and returns whether the part was the last.
     fn take_job_rows(&mut self, rows: Rows) -> bool {
         for Row { key, value, version } in &rows.items {
             self.take_job_row(key, value, *version);
@@ -155,7 +156,7 @@
         !rows.more
     }
 
-    /// Takes a page of acceptances, or a job's own key.
+    /// Adds the content of a page of acceptances or of a job's own key.
     fn take_job_row(&mut self, key: &str, value: &Value, version: u64) {
         if keys::parse_accepted(key).is_some() {
             self.take_acceptances(key, value, version);
@@ -188,7 +189,8 @@
                 phase: Phase::Pending,
                 spec: Some(spec),
             };
-            // A final phase is never replaced, in whatever order the two are read.
+            // The job's own key takes precedence in whichever order the two are read, so that its
+            // final phase is never replaced.
             self.contents.changes.entry(id).or_insert(changes);
         }
     }
--- a/src/coordination/log/replay.rs
+++ b/src/coordination/log/replay.rs
@@ -1,8 +1,8 @@
 //! Replay of the log: folds its segments into the state that they describe together.
 //!
 //! Entries of later segments replace or add to those of earlier ones. The fold is a pure function
-//! of the segments: it knows nothing of machines, clocks or the leader. `restore` builds the
-//! leader's state from its result.
+//! of the segments and independent of machines, clocks and the leader. `restore` builds the
+//! leader's state from the result.
 
 use crate::protocol::users::JobSpec;
 use crate::storage::records::{ClaimValue, Entry, PlacementRow, Segment, TaskRangeRecord};
@@ -51,14 +51,15 @@
     pub cancelled: bool,
     /// Its description.
     pub spec: JobSpec,
-    /// When it was submitted, in milliseconds of the log's clock, if the log says so.
+    /// When it was submitted, in milliseconds of the log's clock; `None` if the log doesn't contain
+    /// the time.
     pub submitted_log_ms: Option<u64>,
 }
 
 /// A task range of a job as the segments describe it together.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplayedTaskRange {
-    /// The segment with the last full record of it, to which later ones add.
+    /// The segment with its last full record, to which later records add.
     pub full_segment: Option<u64>,
     /// The highest attempt number ever used in it.
     pub last_attempt: u64,
@@ -79,7 +80,7 @@
     pub claims: BTreeMap<String, (u64, ClaimValue)>,
     /// Segments with facts that no later segment repeats, oldest first.
     pub live_segments: VecDeque<LiveSegment>,
-    /// Slots whose segments have been compacted away.
+    /// Slots of segments that compaction has made obsolete.
     pub free_slots: Vec<FreeSlot>,
     /// The first slot after all that were read.
     pub slots: u32,
@@ -87,12 +88,13 @@
     pub last_seq: u64,
     /// The log contains all changes of the jobs' keys up to this revision.
     pub seen_revision: u64,
-    /// When the last segment was written, in milliseconds of the log's clock, if it says so.
+    /// When the last segment was written, in milliseconds of the log's clock; `None` if no segment
+    /// contains the time.
     pub written_log_ms: Option<u64>,
 }
 
 impl Replay {
-    /// Folds the segments, in whatever order they were read.
+    /// Folds the segments, which may be given in any order.
     pub fn of(mut segments: Vec<StoredSegment>) -> Replay {
         segments.sort_by_key(|p| p.segment.seq);
         let oldest = segments.iter().map(|p| p.segment.oldest).max().unwrap_or(0);
@@ -185,12 +187,12 @@
     }
 }
 
-/// The revision up to which the segments contain all changes of the jobs' keys.
+/// Returns the revision up to which the segments contain all changes of the jobs' keys.
 pub fn newest_seen_revision(segments: &[StoredSegment]) -> u64 {
     segments.iter().map(|p| p.segment.seen_revision).max().unwrap_or(0)
 }
 
-/// Adds inclusive ranges to a sorted list of them, and joins those that touch.
+/// Adds inclusive ranges to a sorted list of ranges, and joins adjacent or overlapping ones.
 fn add_ranges(list: &mut Vec<(u32, u32)>, more: &[(u32, u32)]) {
     list.extend_from_slice(more);
     list.sort_unstable();
--- a/src/coordination/log/restore.rs
+++ b/src/coordination/log/restore.rs
@@ -19,9 +19,10 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How long the answer to a read is awaited.
+/// Timeout of a read of the log or of the jobs' changes.
 const READ_TIMEOUT: Micros = Micros::from_millis(1500);
-/// Later times in segments are taken to be wrong and are lowered to this one.
+/// Latest plausible time in a segment: a later one is assumed to be wrong and lowered to this
+/// time.
 const LATEST_TIME_MS: u64 = 1 << 50;
 
 impl LeaderState {
@@ -40,7 +41,7 @@
         context.store.push(Urgency::Lead, request, continuation, READ_TIMEOUT);
     }
 
-    /// Takes the answer to a read and returns whether everything has been read.
+    /// Processes the answer to a read and returns whether everything has been read.
     pub(super) fn take_log_answer(&mut self, continuation: &LogContinuation, answer: StoreResponse) -> bool {
         let Some(reader) = self.log_writer.reader.as_mut() else {
             return false;
@@ -48,7 +49,8 @@
         reader.on_answer(continuation, answer)
     }
 
-    /// Restores the state from all that was read. `gap` is about how long there was no leader.
+    /// Restores the state from everything that was read. `gap` is the approximate time without a
+    /// leader.
     pub(super) fn finish_loading(&mut self, context: &mut Context, gap: Micros) {
         let Some(reader) = self.log_writer.reader.take() else {
             return;
@@ -113,9 +115,9 @@
         }
     }
 
-    /// The job as it is described, without its placements.
+    /// Returns the job as the log describes it, without its placements.
     fn restored_job(&self, id: &str, replayed: ReplayedJob, now: Micros) -> Job {
-        // A job that needs others is blocked until the dependencies have been evaluated.
+        // A job that depends on others is blocked until the dependencies have been evaluated.
         let (spec, blocked) = match records::from_record(replayed.spec.clone()) {
             Some((spec, _)) => {
                 let blocked = !spec.needs.is_empty();
@@ -201,7 +203,7 @@
         self.on_job_event(id, changes.version, changes.key_version, value, now);
     }
 
-    /// Removes a job that an earlier leader closed, or that ended before the log named it.
+    /// Removes a job that an earlier leader closed, or that ended before the log contained it.
     fn remove_finished_job(&mut self, id: &str) {
         if let Some(job) = self.jobs.remove(id) {
             tracing::warn!(job = id, "job is done although the write-ahead log has it open");
@@ -217,7 +219,7 @@
     }
 }
 
-/// Marks the tasks of an inclusive range as recorded to be completed.
+/// Marks the waiting tasks of an inclusive range as completed and recorded in the log.
 fn restore_completed(job: &mut Job, from: u32, to: u32) {
     let last = to.min(job.spec.tasks.saturating_sub(1));
     for task in from..=last {
--- a/src/coordination/log/transaction.rs
+++ b/src/coordination/log/transaction.rs
@@ -12,7 +12,7 @@
 use ciborium::Value;
 use std::collections::BTreeSet;
 
-/// The state service accepts this many conditions for each change that it accepts.
+/// Ratio of the conditions to the changes that the state service accepts in a transaction.
 const CONDITIONS_PER_CHANGE: usize = 4;
 
 /// A segment that the transaction writes.
@@ -29,7 +29,7 @@
     pub job: JobId,
     /// The sequence number of the segment that contains it.
     pub segment: u64,
-    /// Whether the log did not have it in its present form; otherwise compaction rewrites it.
+    /// Whether the log lacked its current form; otherwise compaction rewrites it.
     pub was_due: bool,
 }
 
@@ -65,16 +65,17 @@
     pub segment: u64,
 }
 
-/// A transaction that is drafted or in flight, with all that it records.
+/// A transaction that is drafted or in flight, with all changes recorded by it.
 #[derive(Default)]
 pub(super) struct PendingTransaction {
     /// The request to the state service.
     pub txn: Transaction,
     /// The segments that it writes, in sequence.
     pub segments: Vec<WrittenSegment>,
-    /// Segments before this one are obsolete once it is executed.
+    /// Segments before this one are obsolete once the transaction is executed.
     pub oldest: u64,
-    /// The log contains all changes of the jobs' keys up to this revision once it is executed.
+    /// Once the transaction is executed, the log contains all changes of the jobs' keys up to this
+    /// revision.
     pub seen_revision: u64,
     /// Descriptions of jobs, new or rewritten.
     pub descriptions: Vec<WrittenDescription>,
@@ -84,7 +85,7 @@
     pub starts: Vec<WrittenStart>,
     /// Arrays that are recorded as done.
     pub completed: Vec<JobId>,
-    /// Jobs that are recorded as cancelled because a job that they need was.
+    /// Jobs that are recorded as cancelled because a job that they depend on was cancelled.
     pub withdrawn: Vec<JobId>,
     /// Cancelled jobs without any placement left, which are removed from the log.
     pub ended: Vec<JobId>,
@@ -92,12 +93,13 @@
     pub claims: Vec<WrittenClaim>,
     /// Ids of rental requests that are removed from the log.
     pub settled: Vec<String>,
-    /// Whether it went unanswered once: a copy of it may have been executed or still be.
+    /// Whether the transaction went unanswered once: a copy of it may have been executed, or may
+    /// be executed later.
     pub outcome_unknown: bool,
 }
 
 impl PendingTransaction {
-    /// Adds the condition that the key has this version; 0: that there is no such key.
+    /// Adds the condition that the key has this version; 0 requires that the key does not exist.
     pub(super) fn require(&mut self, key: String, version: u64) {
         self.txn.conditions.push(Condition { key, version });
     }
@@ -109,18 +111,18 @@
         self.txn.changes.push(Change::Put { key, value, lease });
     }
 
-    /// Whether it records a start of this task.
+    /// Whether the transaction records a start of this task.
     pub(super) fn records_start(&self, job: &JobId, task: u32) -> bool {
         self.starts.iter().any(|s| s.task == task && s.job == *job)
     }
 
-    /// The version that its condition on this key requires; 0 if it has none.
+    /// The version that the condition on this key requires; 0 if there is no such condition.
     pub(super) fn expected_version(&self, key: &str) -> u64 {
         let condition = self.txn.conditions.iter().find(|c| c.key == key);
         condition.map_or(0, |c| c.version)
     }
 
-    /// The key whose version shows whether it was executed: one that only the leader writes.
+    /// The key whose version shows whether the transaction was executed; only leaders write it.
     pub(super) fn probe_key(&self) -> String {
         match self.segments.first() {
             Some(segment) => keys::segment(segment.slot),
@@ -131,7 +133,7 @@
 
 /// A transaction that is being built.
 pub(super) struct Draft {
-    /// What it records so far.
+    /// The transaction as drafted so far.
     pub pending: PendingTransaction,
     /// The entries of its segments.
     pub packer: SegmentPacker,
@@ -139,7 +141,7 @@
     pub first_seq: u64,
     /// Facts of segments before this one are to be rewritten.
     pub compact_before: u64,
-    /// The most changes that the state service accepts in a transaction.
+    /// Maximum number of changes that the state service accepts in a transaction.
     pub max_changes: usize,
 }
 
@@ -152,12 +154,12 @@
         self.first_seq + index as u64
     }
 
-    /// Whether it writes the job's description.
+    /// Whether the draft writes the job's description.
     pub(super) fn describes(&self, job: &JobId) -> bool {
         self.pending.descriptions.iter().any(|d| d.job == *job)
     }
 
-    /// Whether it writes this task range of the job.
+    /// Whether the draft writes this task range of the job.
     pub(super) fn has_task_range(&self, job: &JobId, range_index: u32) -> bool {
         self.pending
             .task_ranges
@@ -165,18 +167,18 @@
             .any(|p| p.range_index == range_index && p.job == *job)
     }
 
-    /// Whether it records the end of the job.
+    /// Whether the draft records the end of the job.
     pub(super) fn ends(&self, job: &JobId) -> bool {
         let pending = &self.pending;
         pending.completed.contains(job) || pending.ended.contains(job) || pending.withdrawn.contains(job)
     }
 
-    /// Whether it has a condition on this key.
+    /// Whether the draft has a condition on this key.
     pub(super) fn has_condition(&self, key: &str) -> bool {
         self.pending.txn.conditions.iter().any(|c| c.key == key)
     }
 
-    /// Whether another condition fits, beside those on the keys of the segments.
+    /// Whether another condition fits in addition to those on the keys of the segments.
     pub(super) fn fits_condition(&self) -> bool {
         let segments = self.packer.segment_limit();
         self.pending.txn.conditions.len() + segments < self.max_conditions()
@@ -203,7 +205,7 @@
     }
 
     /// Adds the end of a job: its final phase under its key, on condition that the key has this
-    /// version, and an entry that removes it from the log. False if they don't fit.
+    /// version, and an entry that removes it from the log. Returns false if they don't fit.
     pub(super) fn add_end(&mut self, job: &JobId, key_version: u64, phase: Phase) -> bool {
         let over = Entry::Over(job.to_string());
         let segments = self.packer.segments_with(entry_bytes(&over));
@@ -219,8 +221,8 @@
         true
     }
 
-    /// Limits the number of segments, each of which takes a change and a condition, to what is
-    /// left of both.
+    /// Limits the number of segments to the changes and conditions that are left; each segment
+    /// takes one of both.
     pub(super) fn limit_segments(&mut self) {
         let txn = &self.pending.txn;
         let changes_left = self.max_changes.saturating_sub(txn.changes.len());
@@ -228,7 +230,8 @@
         self.packer.lower_limit(changes_left.min(conditions_left));
     }
 
-    /// Whether another change and another condition fit beside those of so many segments.
+    /// Whether another change and another condition fit in addition to those of this number of
+    /// segments.
     fn fits_job_end(&self, segments: usize) -> bool {
         let changes = self.pending.txn.changes.len() + 1 + segments;
         let conditions = self.pending.txn.conditions.len() + 1 + segments;
--- a/src/coordination/log/write.rs
+++ b/src/coordination/log/write.rs
@@ -21,15 +21,16 @@
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
-/// How long the answer to a transaction is awaited before its outcome counts as unknown.
+/// Timeout of a transaction, after which its outcome counts as unknown.
 const COMMIT_TIMEOUT: Micros = Micros::from_millis(700);
-/// How long an outcome may wait before it makes a transaction due.
+/// Maximum time for which the outcome of a task waits before a transaction is due.
 const MAX_OUTCOME_DELAY: Micros = Micros::from_millis(1000);
-/// Pause between transactions with starts below production priority, acceptances or ends.
+/// Minimum interval between transactions with starts below production priority, acceptances or
+/// ends.
 const BATCH_DELAY: Micros = Micros::from_millis(80);
-/// Pause between transactions with changes that nobody waits for.
+/// Minimum interval between transactions with only changes that no user waits for.
 const DEFERRED_BATCH_DELAY: Micros = Micros::from_millis(400);
-/// The most rental requests that a transaction records, and that it removes.
+/// Maximum number of rental requests that a transaction records, and that it removes.
 const MAX_CLAIM_CHANGES: usize = 20;
 /// Size of an entry that describes a job, without the description.
 const JOB_ENTRY_BYTES: usize = 50;
@@ -43,8 +44,8 @@
 }
 
 impl LeaderState {
-    /// Builds and sends the next transaction if one is due and none is in flight; sends an
-    /// unanswered one again.
+    /// Builds and sends the next transaction if one is due and none is in flight, or sends an
+    /// unanswered transaction again.
     pub fn write_log(&mut self, context: &mut Context, cluster: &ClusterConfig, election: &Election) {
         let now = context.now;
         if let Some(at) = self.log_writer.resend_at {
@@ -74,7 +75,7 @@
         self.send_first(context, pending, starts);
     }
 
-    /// Whether a change waits and the pause for changes of its urgency is over.
+    /// Whether a change waits and the interval for changes of its urgency is over.
     fn is_write_due(&self, claims: &ClaimChanges, now: Micros) -> bool {
         let log_writer = &self.log_writer;
         let first_start = log_writer.starting.first();
@@ -94,7 +95,7 @@
         soon || outcome_due || !log_writer.ended.is_empty() || !claims.settled.is_empty()
     }
 
-    /// A transaction with only the condition that this node leads the current term.
+    /// Creates a draft with only the condition that this node leads the current term.
     fn begin_draft(&self, max_changes: usize, value_bytes: usize, election: &Election) -> Draft {
         let log_writer = &self.log_writer;
         // Ends of jobs take changes of their own: some changes are reserved for them.
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Adds the ends of jobs that are cancelled because a job that they need was.
+    /// Adds the ends of jobs that are cancelled because a job that they depend on was cancelled.
     fn write_withdrawn(&mut self, draft: &mut Draft) {
         let withdrawn: Vec<JobId> = self.log_writer.withdrawn.iter().cloned().collect();
         for id in withdrawn {
@@ -239,8 +240,8 @@
         }
     }
 
-    /// Adds a task range, with its job's description if that is not in the log; false if they
-    /// don't fit.
+    /// Adds a task range, with its job's description if that is not in the log; returns false if
+    /// they don't fit.
     pub(super) fn write_task_range(&mut self, draft: &mut Draft, id: &JobId, range_index: u32) -> bool {
         let Some(job) = self.jobs.get(id) else { return true };
         if job.closing || draft.has_task_range(id, range_index) || !job.task_ranges.contains_key(&range_index) {
@@ -279,7 +280,7 @@
         true
     }
 
-    /// Starts in a task range that are not in the log.
+    /// Returns the starts in a task range that are not in the log.
     fn unrecorded_starts(&self, job: &Job, range_index: u32) -> Vec<WrittenStart> {
         let from = range_index * self.tasks_per_range;
         let to = from + self.tasks_per_range;
@@ -293,7 +294,7 @@
         unrecorded.map(|(task, p)| start(*task, p.attempt)).collect()
     }
 
-    /// Takes the changes of a task range, which is in the draft, out of the queues.
+    /// Removes the changes of a task range in the draft from the queues and returns them.
     fn take_task_range_changes(
         &mut self,
         id: &JobId,
@@ -316,8 +317,8 @@
         })
     }
 
-    /// Adds a job's description if it is not in the log in its present form, or in a segment to
-    /// be compacted; false if it doesn't fit.
+    /// Adds a job's description if the log lacks its current form or has it in a segment to be
+    /// compacted; returns false if it doesn't fit.
     pub(super) fn write_description(&mut self, draft: &mut Draft, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else { return true };
         let entry = Undescribed::new(job.acceptance_revision, id.clone());
@@ -327,7 +328,8 @@
             return true;
         }
         let Some(description) = self.description(job, draft.packer.segment_bytes()) else {
-            // Neither it nor any placement of the job is recorded, so that nothing of it starts.
+            // Neither the description nor any placement of the job is recorded, so that none of
+            // its tasks starts.
             tracing::error!(job = %id, "the description doesn't fit into a segment of the write-ahead log");
             return true;
         };
@@ -343,11 +345,11 @@
         true
     }
 
-    /// The entry that describes a job; `None` if it doesn't fit into a segment.
+    /// Returns the entry that describes a job; `None` if it doesn't fit into a segment.
     fn description(&self, job: &Job, segment_bytes: usize) -> Option<Entry> {
         let submitted_ms = self.clock_origin_ms + job.submitted_at.0 / 1000;
-        // It was accepted into a value of this size, but an older release may have accepted larger
-        // descriptions.
+        // The job was accepted into a value of this size, but an older release may have accepted
+        // larger descriptions.
         let bytes = segment_bytes.saturating_sub(JOB_ENTRY_BYTES);
         let spec = Box::new(records::to_record(&job.spec, submitted_ms, bytes)?);
         let cancelled = job.cancelled_at.is_some();
@@ -384,8 +386,8 @@
         pending
     }
 
-    /// The revision up to which the log will contain all changes of the jobs' keys: the last one
-    /// before the first change that still waits.
+    /// Returns the revision up to which the log will contain all changes of the jobs' keys: the last
+    /// one before the first change that still waits.
     fn seen_revision_after(&self, election: &Election) -> u64 {
         let change_of = |entry: &Undescribed| {
             let job = self.jobs.get(&entry.job)?;
@@ -398,7 +400,8 @@
         seen_revision.max(self.log_writer.seen_revision)
     }
 
-    /// When the jobs that these entries describe were submitted; 0 if it is not known.
+    /// Returns when the jobs that these entries describe were submitted, in milliseconds of the
+    /// log's clock; 0 if the time is not known.
     fn submission_times(&self, entries: &[Entry]) -> Vec<u64> {
         let submission_time = |entry: &Entry| {
             let job = self.jobs.get(entry.describes()?.id.as_str());
@@ -456,15 +459,15 @@
     }
 }
 
-/// Whether a task range has to be recorded in full: it never was, or in a segment that is to be
-/// compacted.
+/// Whether a task range has to be recorded in full: it has no full record, or the last one is in a
+/// segment to be compacted.
 fn needs_full_record(job: &Job, range_index: u32, compact_before: u64) -> bool {
     let task_range = job.task_ranges.get(&range_index);
     let recorded_in = task_range.and_then(|r| r.recorded_in);
     recorded_in.is_none_or(|segment| segment < compact_before)
 }
 
-/// The record of a task range: all of it, or its changes.
+/// Returns the record of a task range: the whole range if `full`, otherwise its changes.
 fn task_range_record(job: &Job, range_index: u32, tasks_per_range: u32, full: bool) -> TaskRangeRecord {
     let Some(task_range) = job.task_ranges.get(&range_index) else {
         return TaskRangeRecord::default();
