--- a/src/coordination/log/answers.rs
+++ b/src/coordination/log/answers.rs
@@ -99,7 +99,7 @@
             StoreResponse::Conflict { failed, .. } => self.on_conflict(&failed),
             StoreResponse::Refused => leader.on_refused(&mut self.context),
             StoreResponse::Malformed | StoreResponse::NoLease => {
-                tracing::error!("the state service rejects a transaction as malformed");
+                tracing::error!("the state service rejected a transaction as malformed");
                 self.step_down(StepDownReason::MalformedTransaction);
             }
             _ => leader.on_no_answer(&mut self.context),
--- a/src/coordination/log/restore.rs
+++ b/src/coordination/log/restore.rs
@@ -206,7 +206,7 @@
     /// Removes a job that an earlier leader closed, or that ended before the log contained it.
     fn remove_finished_job(&mut self, id: &str) {
         if let Some(job) = self.jobs.remove(id) {
-            tracing::warn!(job = id, "job is done although the write-ahead log has it open");
+            tracing::warn!(job = id, "job is done although the write-ahead log lists it as open");
             for (task, placement) in &job.placements {
                 let Some(machine) = self.machines.get_mut(&placement.machine) else {
                     continue;
