--- a/src/coordination/log/answers.rs
+++ b/src/coordination/log/answers.rs
@@ -44,7 +44,7 @@
 
     fn on_log_read(&mut self, continuation: &LogContinuation, answer: StoreResponse) {
         let Some(leader) = self.leader.as_mut() else { return };
-        if !leader.take_log_answer(continuation, answer) {
+        if !leader.process_read_answer(continuation, answer) {
             return;
         }
         leader.tasks_per_range = records::tasks_per_range(self.cluster.limits.present_value_bytes());
@@ -148,7 +148,7 @@
         };
         let key = pending.probe_key();
         let expected = pending.expected_version(&key);
-        let seq = pending.segments.first().map_or(0, |p| p.seq);
+        let seq = pending.segments.first().map_or(0, |s| s.seq);
         match answer {
             StoreResponse::Row(row) if row.version != expected => {
                 // Only leaders write this key: either this leader, or one of a later term, in
--- a/src/coordination/log/compaction.rs
+++ b/src/coordination/log/compaction.rs
@@ -21,7 +21,7 @@
 const PLACEMENT_BYTES: usize = 30;
 /// Allowed size of the log as a multiple of the size of all open jobs. A larger factor makes
 /// rewrites of each fact less frequent.
-const REWRITE_FACTOR: usize = 3;
+const LOG_SIZE_FACTOR: usize = 3;
 /// Number of segments that compaction may add to a transaction while fewer than
 /// `MIN_LIVE_SEGMENTS` live segments are in excess.
 const EXTRA_SEGMENTS: usize = 2;
@@ -31,8 +31,10 @@
 pub fn segments_allowed(value_bytes: usize, open_jobs: usize, placements: usize) -> usize {
     let value_bytes = value_bytes.max(MIN_VALUE_BYTES);
     let open_bytes = open_jobs * JOB_BYTES + placements * PLACEMENT_BYTES;
-    let for_open = open_bytes / value_bytes * REWRITE_FACTOR;
-    for_open.max(MIN_LIVE_SEGMENTS).max(MIN_LIVE_BYTES / value_bytes)
+    let segments_for_open = open_bytes / value_bytes * LOG_SIZE_FACTOR;
+    segments_for_open
+        .max(MIN_LIVE_SEGMENTS)
+        .max(MIN_LIVE_BYTES / value_bytes)
 }
 
 /// Returns how many segments compaction may add to a transaction while the number of live segments
@@ -64,9 +66,9 @@
 impl LeaderState {
     /// Returns the sequence number of the first segment to keep; 0 if the log is empty. Earlier
     /// segments exceed the allowed number, and their facts are to be rewritten.
-    pub(super) fn compaction_goal(&self, value_bytes: usize) -> u64 {
+    pub(super) fn first_segment_to_keep(&self, value_bytes: usize) -> u64 {
         let excess = self.excess_segments(value_bytes);
-        self.log_writer.segments.get(excess).map_or(0, |p| p.seq)
+        self.log_writer.segments.get(excess).map_or(0, |s| s.seq)
     }
 
     /// Returns by how much the number of live segments exceeds the allowed number.
@@ -131,8 +133,8 @@
     fn oldest_segment_after(&self, draft: &Draft) -> u64 {
         let pending = &draft.pending;
         let described: BTreeSet<&JobId> = pending.descriptions.iter().map(|d| &d.job).collect();
-        let rewritten = pending.task_ranges.iter().filter(|p| p.segment.is_some());
-        let task_ranges: BTreeSet<(&JobId, u32)> = rewritten.map(|p| (&p.job, p.range_index)).collect();
+        let rewritten = pending.task_ranges.iter().filter(|r| r.segment.is_some());
+        let task_ranges: BTreeSet<(&JobId, u32)> = rewritten.map(|r| (&r.job, r.range_index)).collect();
         let claims: BTreeSet<&str> = pending.claims.iter().map(|c| c.claim.as_str()).collect();
         let mut oldest = draft.first_seq;
         for (id, job) in self.jobs.iter().filter(|(id, _)| !draft.ends(id)) {
--- a/src/coordination/log/mod.rs
+++ b/src/coordination/log/mod.rs
@@ -87,9 +87,9 @@
     /// Segments with facts that no later segment repeats, oldest first.
     segments: VecDeque<LiveSegment>,
     /// Slots whose keys may be overwritten.
-    free: Vec<FreeSlot>,
-    /// How many slots were ever used; the next new slot has this number.
-    slots: u32,
+    free_slots: Vec<FreeSlot>,
+    /// The number of slots ever used, which is also the number of the next new slot.
+    slot_count: u32,
     /// The sequence number of the last segment.
     last_seq: u64,
     /// The log contains all changes of the jobs' keys up to this revision.
@@ -147,9 +147,9 @@
 
     /// Returns a slot for a new segment: a free one, or else the next unused one.
     fn take_slot(&mut self) -> FreeSlot {
-        self.free.pop().unwrap_or_else(|| {
-            let slot = self.slots;
-            self.slots += 1;
+        self.free_slots.pop().unwrap_or_else(|| {
+            let slot = self.slot_count;
+            self.slot_count += 1;
             FreeSlot { slot, version: 0 }
         })
     }
--- a/src/coordination/log/outcome.rs
+++ b/src/coordination/log/outcome.rs
@@ -26,9 +26,9 @@
             });
         }
         let oldest = pending.oldest;
-        while let Some(segment) = self.segments.front().copied().filter(|p| p.seq < oldest) {
+        while let Some(segment) = self.segments.front().copied().filter(|s| s.seq < oldest) {
             self.segments.pop_front();
-            self.free.push(FreeSlot {
+            self.free_slots.push(FreeSlot {
                 slot: segment.slot,
                 version: segment.version,
             });
@@ -38,11 +38,11 @@
     }
 
     /// Frees the slots of a transaction that was not executed.
-    fn give_back_slots(&mut self, pending: &PendingTransaction) {
+    fn release_slots(&mut self, pending: &PendingTransaction) {
         for segment in &pending.segments {
             let slot = segment.slot;
             let version = pending.expected_version(&keys::segment(slot));
-            self.free.push(FreeSlot { slot, version });
+            self.free_slots.push(FreeSlot { slot, version });
         }
     }
 }
@@ -53,7 +53,7 @@
         let Some(pending) = self.log_writer.in_flight.take() else {
             return;
         };
-        self.log_writer.give_back_slots(&pending);
+        self.log_writer.release_slots(&pending);
         self.undo_ends(&pending);
         for description in pending.descriptions {
             let job = self.jobs.get(&description.job);
@@ -78,12 +78,12 @@
                 self.log_writer.undescribed.insert(entry);
             }
         }
-        for id in &pending.withdrawn {
+        for id in &pending.cancelled_by_dependency {
             let Some(job) = self.jobs.get_mut(id) else { continue };
             job.closing = false;
             self.log_writer.withdrawn.insert(id.clone());
         }
-        for id in &pending.ended {
+        for id in &pending.fully_cancelled {
             if let Some(job) = self.jobs.get(id) {
                 let entry = Undescribed::new(job.acceptance_revision, id.clone());
                 self.log_writer.undescribed.insert(entry);
@@ -144,7 +144,11 @@
         for id in &pending.completed {
             self.close_completed(id, now);
         }
-        for id in pending.ended.into_iter().chain(pending.withdrawn.iter().cloned()) {
+        for id in pending
+            .fully_cancelled
+            .into_iter()
+            .chain(pending.cancelled_by_dependency.iter().cloned())
+        {
             self.jobs.remove(&id);
             self.log_writer.remember_closed(id);
         }
@@ -154,7 +158,7 @@
         self.provisioning.claims_dropped(&pending.settled);
         RecordedEnds {
             done: pending.completed,
-            withdrawn: pending.withdrawn,
+            withdrawn: pending.cancelled_by_dependency,
         }
     }
 
--- a/src/coordination/log/queues.rs
+++ b/src/coordination/log/queues.rs
@@ -13,7 +13,7 @@
 pub struct QueuedStarts {
     priority: Reverse<Priority>,
     /// The revision at which the job was accepted.
-    version: u64,
+    acceptance_revision: u64,
     /// The job of the task range.
     pub job: JobId,
     /// The number of the task range in its job.
@@ -21,11 +21,11 @@
 }
 
 impl QueuedStarts {
-    /// Creates the entry of a task range whose job was accepted at revision `version`.
-    pub fn new(priority: Priority, version: u64, job: JobId, range_index: u32) -> QueuedStarts {
+    /// Creates the entry of a task range whose job was accepted at revision `acceptance_revision`.
+    pub fn new(priority: Priority, acceptance_revision: u64, job: JobId, range_index: u32) -> QueuedStarts {
         QueuedStarts {
             priority: Reverse(priority),
-            version,
+            acceptance_revision,
             job,
             range_index,
         }
@@ -52,15 +52,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Undescribed {
     /// The revision at which the job was accepted.
-    pub version: u64,
+    pub acceptance_revision: u64,
     /// The job.
     pub job: JobId,
 }
 
 impl Undescribed {
-    /// Creates the entry of a job that was accepted at revision `version`.
-    pub fn new(version: u64, job: JobId) -> Undescribed {
-        Undescribed { version, job }
+    /// Creates the entry of a job that was accepted at revision `acceptance_revision`.
+    pub fn new(acceptance_revision: u64, job: JobId) -> Undescribed {
+        Undescribed {
+            acceptance_revision,
+            job,
+        }
     }
 }
 
--- a/src/coordination/log/read_log.rs
+++ b/src/coordination/log/read_log.rs
@@ -16,7 +16,7 @@
 /// The last value of a job's key, or the acceptance of a job that has no key of its own.
 pub(super) struct JobChange {
     /// The revision of the change.
-    pub version: u64,
+    pub revision: u64,
     /// The version of the job's own key; 0 if it was accepted in a page of acceptances.
     pub key_version: u64,
     /// The phase that was read.
@@ -93,13 +93,13 @@
         self.in_flight = false;
         match (continuation, answer) {
             (LogContinuation::Segments, StoreResponse::Rows(rows)) => {
-                self.take_segments(rows);
+                self.add_segments(rows);
                 false
             }
             (LogContinuation::JobChanges, StoreResponse::Events(events)) => {
                 for event in &events.events {
                     if let WatchEvent::Put { key, value, version } = event {
-                        self.take_job_row(key, value, *version);
+                        self.add_job_row(key, value, *version);
                     }
                 }
                 true
@@ -108,7 +108,7 @@
                 self.step = ReadStep::AllJobs;
                 false
             }
-            (LogContinuation::AllJobs, StoreResponse::Rows(rows)) => self.take_job_rows(rows),
+            (LogContinuation::AllJobs, StoreResponse::Rows(rows)) => self.add_job_rows(rows),
             _ => false,
         }
     }
@@ -118,12 +118,12 @@
         self.contents
     }
 
-    fn take_segments(&mut self, rows: Rows) {
+    fn add_segments(&mut self, rows: Rows) {
         if let Some(last) = rows.items.last() {
             self.after.clone_from(&last.key);
         }
         for row in rows.items {
-            self.take_segment_row(row);
+            self.add_segment_row(row);
         }
         if !rows.more {
             self.step = ReadStep::JobChanges;
@@ -131,7 +131,7 @@
         }
     }
 
-    fn take_segment_row(&mut self, row: Row) {
+    fn add_segment_row(&mut self, row: Row) {
         let Row { key, value, version } = row;
         match (keys::parse_segment(&key), from_value::<Segment>(&value)) {
             (Some(slot), Some(segment)) => self.contents.segments.push(StoredSegment { slot, version, segment }),
@@ -146,9 +146,9 @@
     }
 
     /// Adds a part of the list of all jobs' keys and returns whether the part was the last.
-    fn take_job_rows(&mut self, rows: Rows) -> bool {
+    fn add_job_rows(&mut self, rows: Rows) -> bool {
         for Row { key, value, version } in &rows.items {
-            self.take_job_row(key, value, *version);
+            self.add_job_row(key, value, *version);
         }
         if let Some(last) = rows.items.last() {
             self.after.clone_from(&last.key);
@@ -157,9 +157,9 @@
     }
 
     /// Adds the content of a page of acceptances or of a job's own key.
-    fn take_job_row(&mut self, key: &str, value: &Value, version: u64) {
+    fn add_job_row(&mut self, key: &str, value: &Value, version: u64) {
         if keys::parse_accepted(key).is_some() {
-            self.take_acceptances(key, value, version);
+            self.add_acceptances(key, value, version);
             return;
         }
         let Some(id) = key.strip_prefix(keys::JOBS) else { return };
@@ -167,31 +167,31 @@
             tracing::error!(key, "malformed job value");
             return;
         };
-        let changes = JobChange {
-            version,
+        let change = JobChange {
+            revision: version,
             key_version: version,
             phase,
             spec,
         };
-        self.contents.changes.insert(id.to_string(), changes);
+        self.contents.changes.insert(id.to_string(), change);
     }
 
-    fn take_acceptances(&mut self, key: &str, value: &Value, version: u64) {
-        let Some(segment) = from_value::<Accepted>(value) else {
+    fn add_acceptances(&mut self, key: &str, value: &Value, version: u64) {
+        let Some(page) = from_value::<Accepted>(value) else {
             tracing::error!(key, "malformed page of acceptances");
             return;
         };
-        for spec in segment.jobs {
+        for spec in page.jobs {
             let id = spec.id.clone();
-            let changes = JobChange {
-                version,
+            let change = JobChange {
+                revision: version,
                 key_version: 0,
                 phase: Phase::Pending,
                 spec: Some(spec),
             };
             // The job's own key takes precedence in whichever order the two are read, so that its
             // final phase is never replaced.
-            self.contents.changes.entry(id).or_insert(changes);
+            self.contents.changes.entry(id).or_insert(change);
         }
     }
 }
--- a/src/coordination/log/replay.rs
+++ b/src/coordination/log/replay.rs
@@ -96,15 +96,15 @@
 impl Replay {
     /// Folds the segments, which may be given in any order.
     pub fn of(mut segments: Vec<StoredSegment>) -> Replay {
-        segments.sort_by_key(|p| p.segment.seq);
-        let oldest = segments.iter().map(|p| p.segment.oldest).max().unwrap_or(0);
+        segments.sort_by_key(|s| s.segment.seq);
+        let oldest = segments.iter().map(|s| s.segment.oldest).max().unwrap_or(0);
         let mut replay = Replay {
-            slots: segments.iter().map(|p| p.slot + 1).max().unwrap_or(0),
-            last_seq: segments.last().map_or(0, |p| p.segment.seq),
+            slots: segments.iter().map(|s| s.slot + 1).max().unwrap_or(0),
+            last_seq: segments.last().map_or(0, |s| s.segment.seq),
             seen_revision: newest_seen_revision(&segments),
             written_log_ms: segments
                 .iter()
-                .map(|p| p.segment.written_log_ms)
+                .map(|s| s.segment.written_log_ms)
                 .max()
                 .filter(|ms| *ms > 0),
             ..Replay::default()
@@ -116,12 +116,12 @@
                 continue;
             }
             replay.live_segments.push_back(LiveSegment { slot, seq, version });
-            replay.take_segment(segment);
+            replay.apply_segment(segment);
         }
         replay
     }
 
-    fn take_segment(&mut self, segment: Segment) {
+    fn apply_segment(&mut self, segment: Segment) {
         let seq = segment.seq;
         let mut submission_times = segment.submitted_log_ms.into_iter();
         for entry in segment.entries {
@@ -129,11 +129,11 @@
                 Some(_) => submission_times.next().filter(|ms| *ms > 0),
                 None => None,
             };
-            self.take_entry(seq, entry, submitted_log_ms);
+            self.apply_entry(seq, entry, submitted_log_ms);
         }
     }
 
-    fn take_entry(&mut self, seq: u64, entry: Entry, submitted_log_ms: Option<u64>) {
+    fn apply_entry(&mut self, seq: u64, entry: Entry, submitted_log_ms: Option<u64>) {
         let described = |version, key_version, cancelled, spec: Box<JobSpec>| ReplayedJob {
             segment: seq,
             version,
@@ -144,12 +144,12 @@
         };
         match entry {
             Entry::Open(version, cancelled, spec) => {
-                self.take_job(described(version, version, cancelled, spec));
+                self.apply_job(described(version, version, cancelled, spec));
             }
             Entry::Accepted(version, cancelled, spec) => {
-                self.take_job(described(version, 0, cancelled, spec));
+                self.apply_job(described(version, 0, cancelled, spec));
             }
-            Entry::TaskRangeRecord(record) => self.take_task_range(seq, record),
+            Entry::TaskRangeRecord(record) => self.apply_task_range(seq, record),
             Entry::Over(id) => {
                 self.jobs.remove(&id);
                 self.task_ranges.remove(&id);
@@ -163,11 +163,11 @@
         }
     }
 
-    fn take_job(&mut self, job: ReplayedJob) {
+    fn apply_job(&mut self, job: ReplayedJob) {
         self.jobs.insert(job.spec.id.clone(), job);
     }
 
-    fn take_task_range(&mut self, seq: u64, entry: TaskRangeRecord) {
+    fn apply_task_range(&mut self, seq: u64, entry: TaskRangeRecord) {
         let task_ranges = self.task_ranges.entry(entry.job).or_default();
         let task_range = task_ranges.entry(entry.range_index).or_default();
         if entry.full {
@@ -189,7 +189,7 @@
 
 /// Returns the revision up to which the segments contain all changes of the jobs' keys.
 pub fn newest_seen_revision(segments: &[StoredSegment]) -> u64 {
-    segments.iter().map(|p| p.segment.seen_revision).max().unwrap_or(0)
+    segments.iter().map(|s| s.segment.seen_revision).max().unwrap_or(0)
 }
 
 /// Adds inclusive ranges to a sorted list of ranges, and joins adjacent or overlapping ones.
--- a/src/coordination/log/restore.rs
+++ b/src/coordination/log/restore.rs
@@ -42,7 +42,7 @@
     }
 
     /// Processes the answer to a read and returns whether everything has been read.
-    pub(super) fn take_log_answer(&mut self, continuation: &LogContinuation, answer: StoreResponse) -> bool {
+    pub(super) fn process_read_answer(&mut self, continuation: &LogContinuation, answer: StoreResponse) -> bool {
         let Some(reader) = self.log_writer.reader.as_mut() else {
             return false;
         };
@@ -59,7 +59,7 @@
         let contents = reader.into_contents();
         let mut replay = Replay::of(contents.segments);
         self.log_writer
-            .adopt(&mut replay, contents.first_slot_after_unreadable, gap, now);
+            .resume_after(&mut replay, contents.first_slot_after_unreadable, gap, now);
         for (id, job) in replay.jobs {
             let task_ranges = replay.task_ranges.remove(&id).unwrap_or_default();
             self.restore_job(&id, job, task_ranges, now);
@@ -67,8 +67,8 @@
         self.provisioning.adopt_claims(replay.claims, now);
         self.log_writer.loaded = true;
         self.needs_scheduling = true;
-        for (id, changes) in contents.changes {
-            self.apply_job_change(&id, changes, now);
+        for (id, change) in contents.changes {
+            self.apply_job_change(&id, change, now);
         }
         for event in std::mem::take(&mut self.early_events) {
             self.on_job_event(&event.id, event.version, event.key_version, event.value, now);
@@ -191,16 +191,16 @@
     }
 
     /// Applies a change of a job since the log was last written.
-    fn apply_job_change(&mut self, id: &str, changes: JobChange, now: Micros) {
-        if changes.phase == Phase::Done {
+    fn apply_job_change(&mut self, id: &str, change: JobChange, now: Micros) {
+        if change.phase == Phase::Done {
             self.remove_finished_job(id);
             return;
         }
         let value = JobValue {
-            phase: changes.phase,
-            spec: changes.spec,
+            phase: change.phase,
+            spec: change.spec,
         };
-        self.on_job_event(id, changes.version, changes.key_version, value, now);
+        self.on_job_event(id, change.revision, change.key_version, value, now);
     }
 
     /// Removes a job that an earlier leader closed, or that ended before the log contained it.
@@ -234,15 +234,15 @@
 
 impl super::LogWriter {
     /// Continues the log where the replayed segments end.
-    fn adopt(&mut self, replay: &mut Replay, first_slot_after_unreadable: u32, gap: Micros, now: Micros) {
+    fn resume_after(&mut self, replay: &mut Replay, first_slot_after_unreadable: u32, gap: Micros, now: Micros) {
         if let Some(written_log_ms) = replay.written_log_ms {
             let now_log_ms = written_log_ms.min(LATEST_TIME_MS) + gap.0 / 1000;
             self.clock_offset_ms = now_log_ms as i64 - (now.0 / 1000) as i64;
         }
         self.last_seq = replay.last_seq;
         self.seen_revision = replay.seen_revision;
-        self.slots = replay.slots.max(first_slot_after_unreadable);
+        self.slot_count = replay.slots.max(first_slot_after_unreadable);
         self.segments = std::mem::take(&mut replay.live_segments);
-        self.free = std::mem::take(&mut replay.free_slots);
+        self.free_slots = std::mem::take(&mut replay.free_slots);
     }
 }
--- a/src/coordination/log/transaction.rs
+++ b/src/coordination/log/transaction.rs
@@ -86,9 +86,9 @@
     /// Arrays that are recorded as done.
     pub completed: Vec<JobId>,
     /// Jobs that are recorded as cancelled because a job that they depend on was cancelled.
-    pub withdrawn: Vec<JobId>,
+    pub cancelled_by_dependency: Vec<JobId>,
     /// Cancelled jobs without any placement left, which are removed from the log.
-    pub ended: Vec<JobId>,
+    pub fully_cancelled: Vec<JobId>,
     /// Rental requests, new or rewritten.
     pub claims: Vec<WrittenClaim>,
     /// Ids of rental requests that are removed from the log.
@@ -164,13 +164,15 @@
         self.pending
             .task_ranges
             .iter()
-            .any(|p| p.range_index == range_index && p.job == *job)
+            .any(|r| r.range_index == range_index && r.job == *job)
     }
 
     /// Whether the draft records the end of the job.
     pub(super) fn ends(&self, job: &JobId) -> bool {
         let pending = &self.pending;
-        pending.completed.contains(job) || pending.ended.contains(job) || pending.withdrawn.contains(job)
+        pending.completed.contains(job)
+            || pending.fully_cancelled.contains(job)
+            || pending.cancelled_by_dependency.contains(job)
     }
 
     /// Whether the draft has a condition on this key.
@@ -207,13 +209,13 @@
     /// Adds the end of a job: its final phase under its key, on condition that the key has this
     /// version, and an entry that removes it from the log. Returns false if they don't fit.
     pub(super) fn add_end(&mut self, job: &JobId, key_version: u64, phase: Phase) -> bool {
-        let over = Entry::Over(job.to_string());
-        let segments = self.packer.segments_with(entry_bytes(&over));
+        let end = Entry::Over(job.to_string());
+        let segments = self.packer.segments_with(entry_bytes(&end));
         if !self.fits_job_end(segments) {
             return false;
         }
         self.packer.raise_budget(segments);
-        if self.packer.add(over).is_none() {
+        if self.packer.add(end).is_none() {
             return false;
         }
         let value = to_value(&JobValue { phase, spec: None });
--- a/src/coordination/log/write.rs
+++ b/src/coordination/log/write.rs
@@ -38,9 +38,9 @@
 /// Rental requests to be recorded in the log or removed from it.
 struct ClaimChanges {
     /// Requests to be recorded, by id.
-    wanted: Vec<(String, ClaimValue)>,
+    to_record: Vec<(String, ClaimValue)>,
     /// Ids of those to be removed.
-    settled: Vec<String>,
+    to_remove: Vec<String>,
 }
 
 impl LeaderState {
@@ -58,8 +58,8 @@
             return;
         }
         let claims = ClaimChanges {
-            wanted: self.provisioning.claims_to_record(MAX_CLAIM_CHANGES),
-            settled: self.provisioning.claims_to_drop(MAX_CLAIM_CHANGES),
+            to_record: self.provisioning.claims_to_record(MAX_CLAIM_CHANGES),
+            to_remove: self.provisioning.claims_to_drop(MAX_CLAIM_CHANGES),
         };
         if !self.is_write_due(&claims, now) {
             return;
@@ -81,7 +81,7 @@
         let first_start = log_writer.starting.first();
         let is_urgent = first_start.is_some_and(|s| s.priority() == Priority::Production);
         let ends = !log_writer.complete.is_empty() || !log_writer.withdrawn.is_empty();
-        let soon = first_start.is_some() || ends || !log_writer.undescribed.is_empty() || !claims.wanted.is_empty();
+        let soon = first_start.is_some() || ends || !log_writer.undescribed.is_empty() || !claims.to_record.is_empty();
         let pause = match (is_urgent, soon) {
             (true, _) => Micros::ZERO,
             (_, true) => BATCH_DELAY,
@@ -92,7 +92,7 @@
         }
         let first_change = log_writer.changed.front();
         let outcome_due = first_change.is_some_and(|c| now.since(c.since) > MAX_OUTCOME_DELAY);
-        soon || outcome_due || !log_writer.ended.is_empty() || !claims.settled.is_empty()
+        soon || outcome_due || !log_writer.ended.is_empty() || !claims.to_remove.is_empty()
     }
 
     /// Creates a draft with only the condition that this node leads the current term.
@@ -108,7 +108,7 @@
             pending: PendingTransaction::default(),
             packer: SegmentPacker::new(value_bytes, segment_budget, max_changes - ends),
             first_seq: log_writer.last_seq + 1,
-            compact_before: self.compaction_goal(value_bytes),
+            compact_before: self.first_segment_to_keep(value_bytes),
             max_changes,
         };
         draft.pending.txn.conditions.push(election.condition());
@@ -118,17 +118,17 @@
     /// Adds the waiting changes, the most urgent first, and returns how many starts `write_starts`
     /// has added.
     fn add_changes(&mut self, draft: &mut Draft, claims: ClaimChanges, now: Micros) -> usize {
-        for (id, value) in claims.wanted {
+        for (id, value) in claims.to_record {
             draft.add_claim(id, value);
         }
         self.write_starts(draft);
         let starts = draft.pending.starts.len();
         self.write_completed(draft);
-        self.write_withdrawn(draft);
+        self.write_cancelled_by_dependency(draft);
         draft.limit_segments();
         self.write_new_descriptions(draft);
-        self.write_ended(draft);
-        write_settled(draft, claims.settled);
+        self.write_fully_cancelled(draft);
+        write_settled(draft, claims.to_remove);
         self.write_outcomes(draft, now);
         starts
     }
@@ -165,9 +165,9 @@
     }
 
     /// Adds the ends of jobs that are cancelled because a job that they depend on was cancelled.
-    fn write_withdrawn(&mut self, draft: &mut Draft) {
-        let withdrawn: Vec<JobId> = self.log_writer.withdrawn.iter().cloned().collect();
-        for id in withdrawn {
+    fn write_cancelled_by_dependency(&mut self, draft: &mut Draft) {
+        let cancelled: Vec<JobId> = self.log_writer.withdrawn.iter().cloned().collect();
+        for id in cancelled {
             let Some(job) = self.jobs.get_mut(&id).filter(|j| j.is_live()) else {
                 self.log_writer.withdrawn.remove(&id);
                 continue;
@@ -177,7 +177,7 @@
             }
             job.closing = true;
             self.log_writer.withdrawn.remove(&id);
-            draft.pending.withdrawn.push(id);
+            draft.pending.cancelled_by_dependency.push(id);
         }
     }
 
@@ -188,7 +188,7 @@
         for id in jobs {
             let Some(job) = self.jobs.get(&id) else { continue };
             if job.cancelled_at.is_some() && job.placements.is_empty() {
-                continue; // `write_ended` records its end instead.
+                continue; // `write_fully_cancelled` records its end instead.
             }
             if !self.write_description(draft, &id) {
                 break;
@@ -197,11 +197,11 @@
     }
 
     /// Adds the ends of cancelled jobs without any placement left.
-    fn write_ended(&mut self, draft: &mut Draft) {
-        let ended: Vec<JobId> = self.log_writer.ended.iter().cloned().collect();
-        let has_ended = |job: &&Job| job.cancelled_at.is_some() && job.placements.is_empty();
-        for id in ended {
-            let Some(job) = self.jobs.get(&id).filter(has_ended) else {
+    fn write_fully_cancelled(&mut self, draft: &mut Draft) {
+        let fully_cancelled: Vec<JobId> = self.log_writer.ended.iter().cloned().collect();
+        let is_fully_cancelled = |job: &&Job| job.cancelled_at.is_some() && job.placements.is_empty();
+        for id in fully_cancelled {
+            let Some(job) = self.jobs.get(&id).filter(is_fully_cancelled) else {
                 self.log_writer.ended.remove(&id);
                 continue;
             };
@@ -211,7 +211,7 @@
             let entry = Undescribed::new(job.acceptance_revision, id.clone());
             self.log_writer.undescribed.remove(&entry);
             self.log_writer.ended.remove(&id);
-            draft.pending.ended.push(id);
+            draft.pending.fully_cancelled.push(id);
         }
     }
 
@@ -392,11 +392,11 @@
         let change_of = |entry: &Undescribed| {
             let job = self.jobs.get(&entry.job)?;
             let cancellation = job.cancel_version.filter(|_| job.cancelled_at.is_some());
-            Some(cancellation.unwrap_or(entry.version))
+            Some(cancellation.unwrap_or(entry.acceptance_revision))
         };
         let first = self.log_writer.undescribed.iter().filter_map(change_of).min();
         let known = election.jobs_seen();
-        let seen_revision = first.map_or(known, |version| known.min(version.saturating_sub(1)));
+        let seen_revision = first.map_or(known, |revision| known.min(revision.saturating_sub(1)));
         seen_revision.max(self.log_writer.seen_revision)
     }
 
@@ -421,10 +421,10 @@
             segments = pending.segments.len(),
             descriptions = pending.descriptions.len(),
             task_ranges = pending.task_ranges.len(),
-            rewritten = pending.task_ranges.iter().filter(|p| p.segment.is_some()).count(),
+            rewritten = pending.task_ranges.iter().filter(|r| r.segment.is_some()).count(),
             starts,
             completed = pending.completed.len(),
-            ended = pending.ended.len(),
+            ended = pending.fully_cancelled.len(),
             "transaction sent"
         );
         let txn = pending.txn.clone();
