--- a/crates/group-commit/src/lib.rs
+++ b/crates/group-commit/src/lib.rs
@@ -4,10 +4,10 @@
 //!
 //! This crate decides which jobs go into which page and when, and which pages may be reused. It
 //! makes no request: the caller writes a [`Batch`] on condition that the page has the batch's
-//! version and that no job of it has ended, and reports the outcome.
+//! version and that no job of the batch has ended, and reports the outcome.
 //!
-//! Invariant: a page that names an open job is never overwritten, and whatever message is lost, late
-//! or repeated, an offered job is in a page or waits.
+//! Invariant: a page that names an open job is never overwritten, and an offered job is in a page
+//! or waits, whichever messages are lost, delayed or repeated.
 //!
 //! ```
 //! use glenhaven_group_commit::{GroupCommit, PageCapacity};
@@ -35,18 +35,19 @@
 use glenhaven_time::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The most pages in flight, so that one slow answer doesn't hold up all other jobs.
+/// Maximum number of pages in flight: more than one, so that one slow answer doesn't hold up all
+/// other jobs.
 const MAX_IN_FLIGHT: usize = 3;
-/// While a page is in flight, a page that would not be half full waits this long for more jobs: a
-/// single job is written at once, under load many are written together.
+/// Maximum time for which a page that is less than half full waits for more jobs while another page
+/// is in flight. A single job is thus written at once, and under load many are written together.
 const BATCH_DELAY: Micros = Micros::from_millis(50);
 
-/// The most that a page can hold.
+/// The capacity of a page.
 #[derive(Clone, Copy, Debug)]
 pub struct PageCapacity {
-    /// Bytes for descriptions, as the state service counts them.
+    /// Maximum size of all descriptions in bytes, as the state service counts them.
     pub bytes: usize,
-    /// Jobs, each of which is a condition of its transaction.
+    /// Maximum number of jobs, each of which takes a condition of the page's transaction.
     pub jobs: usize,
 }
 
@@ -60,7 +61,7 @@
     pub slot: u32,
     /// The version that the slot must have.
     pub version: u64,
-    /// Ids and descriptions, in the order in which they were offered.
+    /// Ids and descriptions of the jobs, in the order in which they were offered.
     pub jobs: Vec<(String, J)>,
 }
 
@@ -72,7 +73,7 @@
     size: usize,
     job: J,
     offered_at: Micros,
-    /// Whether a user still waits for it.
+    /// Whether a user still waits for its acceptance.
     wanted: bool,
 }
 
@@ -82,7 +83,7 @@
     offers: Vec<Offer<J>>,
 }
 
-/// A page as it was last seen.
+/// The newest known content of a page.
 #[derive(Default)]
 struct Page {
     version: u64,
@@ -90,22 +91,23 @@
     open: BTreeSet<String>,
 }
 
-/// The acceptances of one controller.
+/// Groups the jobs that one controller accepts into pages, and tracks the pages.
 pub struct GroupCommit<J> {
     waiting: VecDeque<Offer<J>>,
     /// Pages in flight, by the number of their batch.
     in_flight: BTreeMap<u64, PageInFlight<J>>,
-    /// The number of the last batch.
+    /// The number of the last batch; 0 before the first.
     last_number: u64,
     /// Ids that wait or are in flight.
     offered: BTreeSet<String>,
-    /// All pages that were ever used, by slot.
+    /// All known pages, by slot.
     pages: BTreeMap<u32, Page>,
-    /// The pages that name an open job: more than one if an answer was lost.
+    /// The slots of the pages that name an open job, by the job's id: more than one if an answer
+    /// was lost.
     pages_of_job: BTreeMap<String, BTreeSet<u32>>,
     /// Slots that may be reused.
     free: BTreeSet<u32>,
-    /// How many slots were ever used.
+    /// The number of slots ever used, which is also the next new slot.
     slots: u32,
 }
 
@@ -125,13 +127,13 @@
 }
 
 impl<J: Clone> GroupCommit<J> {
-    /// A state in which no job waits and no page is known.
+    /// Creates a state in which no job waits and no page is known.
     pub fn new() -> GroupCommit<J> {
         GroupCommit::default()
     }
 
-    /// Offers a job for acceptance, whose description takes `size` bytes. A job that waits or is in
-    /// flight already stays as it is.
+    /// Offers a job for acceptance, whose description takes `size` bytes. The offer of a job that
+    /// already waits or is in flight stays unchanged, but a withdrawn one is wanted again.
     pub fn offer(&mut self, id: &str, size: usize, job: J, now: Micros) {
         if !self.offered.insert(id.to_string()) {
             self.set_wanted(id, true);
@@ -146,7 +148,8 @@
         });
     }
 
-    /// Withdraws a job for which no user waits any more: it is not written unless it is in flight.
+    /// Withdraws a job for which no user waits any more. A waiting job is removed; a job in flight
+    /// doesn't wait again if its page fails.
     pub fn withdraw(&mut self, id: &str) {
         if !self.offered.contains(id) {
             return;
@@ -173,12 +176,12 @@
             .any(|page| page.offers.iter().any(|o| o.id == id))
     }
 
-    /// The number of jobs that wait, without those in flight.
+    /// Returns the number of jobs that wait, without those in flight.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// The number of pages that the waiting jobs would fill.
+    /// Returns the number of pages that the waiting jobs would fill.
     pub fn pages_waiting(&self, capacity: PageCapacity) -> usize {
         let bytes: usize = self.waiting.iter().map(|o| o.size).sum();
         bytes
@@ -186,7 +189,7 @@
             .max(self.waiting.len().div_ceil(capacity.jobs.max(1)))
     }
 
-    /// The number of pages that name open jobs, and of all that were ever used.
+    /// Returns the number of pages that name open jobs, and of all known pages.
     pub fn pages(&self) -> (usize, usize) {
         (
             self.pages.values().filter(|p| !p.open.is_empty()).count(),
@@ -194,7 +197,7 @@
         )
     }
 
-    /// The next page to be written, if one should be sent now. It is in flight until
+    /// Returns the next page to be written, if one should be sent now. The page is in flight until
     /// [`committed`](GroupCommit::committed), [`failed`](GroupCommit::failed) or
     /// [`abandon`](GroupCommit::abandon) is called with its number.
     pub fn next(&mut self, capacity: PageCapacity, now: Micros) -> Option<Batch<J>> {
@@ -226,7 +229,7 @@
         })
     }
 
-    /// Takes waiting jobs, as many as fit into a page but at least one.
+    /// Removes and returns as many waiting jobs as fit into a page, but at least one.
     fn take_offers(&mut self, capacity: PageCapacity) -> Vec<Offer<J>> {
         let (mut bytes, mut offers) = (0, vec![]);
         while let Some(offer) = self.waiting.front() {
@@ -240,8 +243,8 @@
         offers
     }
 
-    /// Handles that a page in flight was written at this revision, and returns its jobs, which are
-    /// accepted.
+    /// Records that the page of batch `number` was written at this revision, and returns its jobs,
+    /// which are accepted. `is_over` returns whether a job is known to have ended.
     pub fn committed(&mut self, number: u64, revision: u64, is_over: impl Fn(&str) -> bool) -> Vec<(String, J)> {
         let Some(PageInFlight { slot, offers }) = self.in_flight.remove(&number) else {
             return vec![];
@@ -255,9 +258,9 @@
         offers.into_iter().map(|o| (o.id, o.job)).collect()
     }
 
-    /// Handles that a page in flight was not written, or that its outcome is unknown. Jobs that are
-    /// still wanted and not in `refused` wait again, before all others. If the page was written
-    /// after all, the next write fails on its version, and the caller reads the page.
+    /// Records that the page of batch `number` was not written, or that its outcome is unknown.
+    /// Jobs that are still wanted and not in `refused` wait again, before all others. If the page
+    /// was written nevertheless, the next write fails on its version, and the caller reads it.
     pub fn failed(&mut self, number: u64, refused: &[String]) {
         let Some(PageInFlight { slot, offers }) = self.in_flight.remove(&number) else {
             return;
@@ -272,8 +275,8 @@
         self.update_free(slot);
     }
 
-    /// Handles that a page in flight was rejected for good, and returns its jobs, which no longer
-    /// wait.
+    /// Records that the page of batch `number` was rejected permanently, and returns the ids of its
+    /// jobs, which no longer wait.
     pub fn abandon(&mut self, number: u64) -> Vec<String> {
         let offers = self
             .in_flight
@@ -285,8 +288,9 @@
         ids
     }
 
-    /// Takes the content of a page of this controller as the state service has it: it may have been
-    /// written by an earlier process incarnation, or late.
+    /// Records the content of a page of this controller as read from the state service, unless a
+    /// version at least as new is known. The page may have been written by an earlier process
+    /// incarnation, or by a delayed transaction.
     pub fn page_seen(&mut self, slot: u32, version: u64, jobs: &[String], is_over: impl Fn(&str) -> bool) {
         self.slots = self.slots.max(slot + 1);
         let page = self.pages.entry(slot).or_default();
@@ -306,7 +310,7 @@
         self.update_free(slot);
     }
 
-    /// Notes that a job has ended.
+    /// Records that a job has ended; pages without any other open job may be reused.
     pub fn job_ended(&mut self, id: &str) {
         for slot in self.pages_of_job.remove(id).unwrap_or_default() {
             if let Some(page) = self.pages.get_mut(&slot) {
@@ -316,8 +320,8 @@
         }
     }
 
-    /// Forgets the content of all pages, before the caller reports them again. Jobs that wait or are
-    /// in flight wait on.
+    /// Discards the content of all pages, before the caller reports them again. Waiting jobs stay,
+    /// and jobs in flight that are still wanted wait again.
     pub fn forget_pages(&mut self) {
         for number in self.in_flight.keys().copied().collect::<Vec<_>>() {
             self.failed(number, &[]);
@@ -336,7 +340,8 @@
         }
     }
 
-    /// Updates whether a slot may be reused: if its page names no open job and is not in flight.
+    /// Updates whether a slot may be reused, which requires that its page names no open job and is
+    /// not in flight.
     fn update_free(&mut self, slot: u32) {
         let empty = self.pages.get(&slot).is_some_and(|p| p.open.is_empty());
         if empty && !self.in_flight.values().any(|page| page.slot == slot) {
--- a/crates/group-commit/src/waits.rs
+++ b/crates/group-commit/src/waits.rs
@@ -3,7 +3,7 @@
 use glenhaven_time::Micros;
 use hdrhistogram::Histogram;
 
-/// Longer waits are recorded as this, a day.
+/// The longest recorded wait, a day; longer waits are recorded as this one.
 const LONGEST_MS: u64 = 24 * 3600 * 1000;
 
 /// The distribution of the waits since the last call of [`Waits::take`].
@@ -25,8 +25,8 @@
 impl Default for Waits {
     fn default() -> Self {
         // The range is fixed: with automatic resizing, `saturating_record` would not resize and
-        // would cut waits off at the first, smallest bound. Without a histogram nothing is
-        // recorded.
+        // would lower every longer wait to the initial, smallest bound. Without a histogram nothing
+        // is recorded.
         Waits(Histogram::new_with_bounds(1, LONGEST_MS, 2).ok())
     }
 }
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The waits since the last call; `None` if there were none.
+    /// Returns the distribution of the waits since the last call; `None` if there were none.
     pub fn take(&mut self) -> Option<Waited> {
         let h = self.0.as_mut().filter(|h| !h.is_empty())?;
         let waited = Waited {
@@ -57,7 +57,7 @@
 mod tests {
     use super::*;
 
-    /// A histogram with automatic resizing recorded 2 ms for every wait.
+    /// Guards against automatic resizing, with which the histogram recorded 2 ms for every wait.
     #[test]
     fn waits_are_recorded_unchanged() {
         let mut waits = Waits::default();
--- a/crates/group-commit/tests/group_commit.rs
+++ b/crates/group-commit/tests/group_commit.rs
@@ -1,5 +1,5 @@
-//! The intake against a store in which transactions are lost, refused, late or repeated,
-//! jobs end, and the controller ends and begins anew.
+//! Tests group commit against a simulated store: transactions are lost, refused or delayed, or
+//! executed without an answer; jobs end, and the controller restarts.
 
 use glenhaven_group_commit::{Batch, GroupCommit, PageCapacity, Waits};
 use glenhaven_time::Micros;
@@ -13,13 +13,13 @@
     revision: u64,
     pages: BTreeMap<u32, (u64, Vec<String>)>,
     job_ended: BTreeSet<String>,
-    /// Every job that ever stood in a page.
+    /// Every job that was ever written into a page.
     accepted: BTreeSet<String>,
 }
 
 impl Store {
-    /// Executes a page's transaction; `Err` names the jobs that are over, nobody if it is
-    /// the page's own version that has changed.
+    /// Executes the transaction of a page. `Err` contains the jobs that have ended; it is empty if
+    /// only the version of the page has changed.
     fn apply(&mut self, batch: &Batch<()>) -> Result<u64, Vec<String>> {
         let job_ended: Vec<String> = batch
             .jobs
@@ -34,7 +34,7 @@
             for job in jobs {
                 assert!(
                     self.job_ended.contains(job),
-                    "{job} is open and its page is written over"
+                    "{job} is open and its page is overwritten"
                 );
             }
         }
@@ -50,14 +50,15 @@
 enum Step {
     Offer(u8),
     Withdraw(u8),
-    /// Sends what is next, and: answered, refused, lost, executed with the answer lost.
+    /// Sends the next page, whose transaction is, by the number: 0 answered, 1 refused, 2 delayed,
+    /// 3 executed with the answer lost.
     Send(u8),
-    /// A lost one is executed now.
+    /// Executes a delayed transaction.
     Late(u8),
     Over(u8),
-    /// News reach the controller.
+    /// The controller reads the ended jobs and the pages.
     Watch,
-    /// A new life, which reads the pages.
+    /// The controller restarts without state and reads the ended jobs and the pages.
     Restart,
 }
 
@@ -80,7 +81,7 @@
 struct Play {
     store: Store,
     group_commit: GroupCommit<()>,
-    /// What the controller knows to be over.
+    /// The jobs that the controller knows to have ended.
     known_over: BTreeSet<String>,
     late: Vec<Batch<()>>,
     now: Micros,
@@ -114,12 +115,12 @@
                     for (job, _) in self.group_commit.committed(number, revision, |id| known.contains(id)) {
                         assert!(
                             self.store.accepted.contains(&job),
-                            "{job} is called accepted and is not"
+                            "{job} is returned as accepted but is in no page"
                         );
                     }
                 }
                 Err(job_ended) => {
-                    // The caller reads what made it fail.
+                    // The caller reads the changes that made the transaction fail.
                     self.group_commit.failed(number, &job_ended);
                     self.read();
                 }
@@ -183,16 +184,16 @@
                 }
             }
         }
-        // Failures stop: all that somebody waits for is accepted or over, in few pages.
+        // Once failures stop, every job that a user waits for is accepted.
         p.read();
         for _ in 0..60 {
             p.send(0);
         }
         prop_assert_eq!(p.group_commit.waiting(), 0);
         for job in &wanted {
-            prop_assert!(p.store.accepted.contains(job), "{} waits for ever", job);
+            prop_assert!(p.store.accepted.contains(job), "{} is never accepted", job);
         }
-        // A page that names nothing open is used before a new one.
+        // A page without open jobs is reused before a new one is added.
         for job in p.store.accepted.clone() {
             p.store.job_ended.insert(job);
         }
@@ -212,16 +213,16 @@
     group_commit.offer("run-0", 200, (), at(0));
     assert_eq!(group_commit.next(ROOM, at(0)).map(|b| b.jobs.len()), Some(1));
     group_commit.offer("run-1", 200, (), at(1));
-    assert!(group_commit.next(ROOM, at(1)).is_none(), "it waits for company");
+    assert!(group_commit.next(ROOM, at(1)).is_none(), "it waits for more jobs");
     for n in 2..20u8 {
         group_commit.offer(&name(n), 200, (), at(2));
     }
     assert_eq!(group_commit.next(ROOM, at(2)).map(|b| b.jobs.len()), Some(4));
     assert_eq!(group_commit.next(ROOM, at(2)).map(|b| b.jobs.len()), Some(4));
-    assert!(group_commit.next(ROOM, at(200)).is_none(), "three are on their way");
+    assert!(group_commit.next(ROOM, at(200)).is_none(), "three pages are in flight");
     group_commit.failed(2, &[]);
     let again = group_commit.next(ROOM, at(200)).map(|b| b.jobs[0].0.clone());
-    assert_eq!(again.as_deref(), Some("run-1"), "who was first stays first");
+    assert_eq!(again.as_deref(), Some("run-1"), "a failed page's jobs come first");
 }
 
 #[test]
@@ -245,7 +246,7 @@
     group_commit.forget_pages();
     let second = group_commit.next(ROOM, Micros::ZERO).map(|b| b.number);
     assert!(first.is_some() && second.is_some() && first != second);
-    // The answer to the first, which was never executed as far as the second goes.
+    // The answer to the first batch must not accept the jobs of the second.
     assert!(group_commit.committed(first.unwrap_or(0), 9, |_| false).is_empty());
     assert_eq!(
         group_commit.committed(second.unwrap_or(0), 10, |_| false),
--- a/src/coordination/log/write.rs
+++ b/src/coordination/log/write.rs
@@ -386,8 +386,8 @@
         pending
     }
 
-    /// Returns the revision up to which the log will contain all changes of the jobs' keys: the last
-    /// one before the first change that still waits.
+    /// Returns the revision up to which the log will contain all changes of the jobs' keys: the
+    /// last one before the first change that still waits.
     fn seen_revision_after(&self, election: &Election) -> u64 {
         let change_of = |entry: &Undescribed| {
             let job = self.jobs.get(&entry.job)?;
