--- a/crates/group-commit/src/lib.rs
+++ b/crates/group-commit/src/lib.rs
@@ -97,7 +97,7 @@
     /// Pages in flight, by the number of their batch.
     in_flight: BTreeMap<u64, PageInFlight<J>>,
     /// The number of the last batch; 0 before the first.
-    last_number: u64,
+    last_batch_number: u64,
     /// Ids that wait or are in flight.
     offered: BTreeSet<String>,
     /// All known pages, by slot.
@@ -108,7 +108,7 @@
     /// Slots that may be reused.
     free: BTreeSet<u32>,
     /// The number of slots ever used, which is also the next new slot.
-    slots: u32,
+    slot_count: u32,
 }
 
 impl<J> Default for GroupCommit<J> {
@@ -116,12 +116,12 @@
         GroupCommit {
             waiting: VecDeque::new(),
             in_flight: BTreeMap::new(),
-            last_number: 0,
+            last_batch_number: 0,
             offered: BTreeSet::new(),
             pages: BTreeMap::new(),
             pages_of_job: BTreeMap::new(),
             free: BTreeSet::new(),
-            slots: 0,
+            slot_count: 0,
         }
     }
 }
@@ -154,8 +154,8 @@
         if !self.offered.contains(id) {
             return;
         }
-        if let Some(at) = self.waiting.iter().position(|o| o.id == id) {
-            self.waiting.remove(at);
+        if let Some(index) = self.waiting.iter().position(|o| o.id == id) {
+            self.waiting.remove(index);
             self.offered.remove(id);
         }
         self.set_wanted(id, false);
@@ -213,13 +213,13 @@
         }
         let offers = self.take_offers(capacity);
         let slot = self.free.pop_first().unwrap_or_else(|| {
-            self.slots += 1;
-            self.slots - 1
+            self.slot_count += 1;
+            self.slot_count - 1
         });
         let version = self.pages.entry(slot).or_default().version;
         let jobs = offers.iter().map(|o| (o.id.clone(), o.job.clone())).collect();
-        self.last_number += 1;
-        let number = self.last_number;
+        self.last_batch_number += 1;
+        let number = self.last_batch_number;
         self.in_flight.insert(number, PageInFlight { slot, offers });
         Some(Batch {
             number,
@@ -244,8 +244,8 @@
     }
 
     /// Records that the page of batch `number` was written at this revision, and returns its jobs,
-    /// which are accepted. `is_over` returns whether a job is known to have ended.
-    pub fn committed(&mut self, number: u64, revision: u64, is_over: impl Fn(&str) -> bool) -> Vec<(String, J)> {
+    /// which are accepted. `has_ended` returns whether a job is known to have ended.
+    pub fn committed(&mut self, number: u64, revision: u64, has_ended: impl Fn(&str) -> bool) -> Vec<(String, J)> {
         let Some(PageInFlight { slot, offers }) = self.in_flight.remove(&number) else {
             return vec![];
         };
@@ -253,7 +253,7 @@
         for id in &ids {
             self.offered.remove(id);
         }
-        self.page_seen(slot, revision, &ids, is_over);
+        self.page_seen(slot, revision, &ids, has_ended);
         self.update_free(slot);
         offers.into_iter().map(|o| (o.id, o.job)).collect()
     }
@@ -291,15 +291,15 @@
     /// Records the content of a page of this controller as read from the state service, unless a
     /// version at least as new is known. The page may have been written by an earlier process
     /// incarnation, or by a delayed transaction.
-    pub fn page_seen(&mut self, slot: u32, version: u64, jobs: &[String], is_over: impl Fn(&str) -> bool) {
-        self.slots = self.slots.max(slot + 1);
+    pub fn page_seen(&mut self, slot: u32, version: u64, jobs: &[String], has_ended: impl Fn(&str) -> bool) {
+        self.slot_count = self.slot_count.max(slot + 1);
         let page = self.pages.entry(slot).or_default();
         if version <= page.version {
             return;
         }
         let before = std::mem::take(&mut page.open);
         page.version = version;
-        page.open = jobs.iter().filter(|id| !is_over(id)).cloned().collect();
+        page.open = jobs.iter().filter(|id| !has_ended(id)).cloned().collect();
         for id in &page.open {
             self.pages_of_job.entry(id.clone()).or_default().insert(slot);
         }
@@ -343,8 +343,8 @@
     /// Updates whether a slot may be reused, which requires that its page names no open job and is
     /// not in flight.
     fn update_free(&mut self, slot: u32) {
-        let empty = self.pages.get(&slot).is_some_and(|p| p.open.is_empty());
-        if empty && !self.in_flight.values().any(|page| page.slot == slot) {
+        let is_empty = self.pages.get(&slot).is_some_and(|p| p.open.is_empty());
+        if is_empty && !self.in_flight.values().any(|page| page.slot == slot) {
             self.free.insert(slot);
         } else {
             self.free.remove(&slot);
--- a/crates/group-commit/src/waits.rs
+++ b/crates/group-commit/src/waits.rs
@@ -4,7 +4,7 @@
 use hdrhistogram::Histogram;
 
 /// The longest recorded wait, a day; longer waits are recorded as this one.
-const LONGEST_MS: u64 = 24 * 3600 * 1000;
+const MAX_WAIT_MS: u64 = 24 * 3600 * 1000;
 
 /// The distribution of the waits since the last call of [`Waits::take`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,28 +27,28 @@
         // The range is fixed: with automatic resizing, `saturating_record` would not resize and
         // would lower every longer wait to the initial, smallest bound. Without a histogram nothing
         // is recorded.
-        Waits(Histogram::new_with_bounds(1, LONGEST_MS, 2).ok())
+        Waits(Histogram::new_with_bounds(1, MAX_WAIT_MS, 2).ok())
     }
 }
 
 impl Waits {
     /// Records one wait.
     pub fn record(&mut self, waited: Micros) {
-        if let Some(h) = &mut self.0 {
-            h.saturating_record(waited.0 / 1000);
+        if let Some(histogram) = &mut self.0 {
+            histogram.saturating_record(waited.0 / 1000);
         }
     }
 
     /// Returns the distribution of the waits since the last call; `None` if there were none.
     pub fn take(&mut self) -> Option<Waited> {
-        let h = self.0.as_mut().filter(|h| !h.is_empty())?;
+        let histogram = self.0.as_mut().filter(|h| !h.is_empty())?;
         let waited = Waited {
-            count: h.len(),
-            p50_ms: h.value_at_quantile(0.5),
-            p99_ms: h.value_at_quantile(0.99),
-            most_ms: h.max(),
+            count: histogram.len(),
+            p50_ms: histogram.value_at_quantile(0.5),
+            p99_ms: histogram.value_at_quantile(0.99),
+            most_ms: histogram.max(),
         };
-        h.reset();
+        histogram.reset();
         Some(waited)
     }
 }
--- a/crates/group-commit/tests/group_commit.rs
+++ b/crates/group-commit/tests/group_commit.rs
@@ -6,13 +6,13 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-const ROOM: PageCapacity = PageCapacity { bytes: 1000, jobs: 4 };
+const CAPACITY: PageCapacity = PageCapacity { bytes: 1000, jobs: 4 };
 
 #[derive(Default)]
 struct Store {
     revision: u64,
     pages: BTreeMap<u32, (u64, Vec<String>)>,
-    job_ended: BTreeSet<String>,
+    ended_jobs: BTreeSet<String>,
     /// Every job that was ever written into a page.
     accepted: BTreeSet<String>,
 }
@@ -21,19 +21,19 @@
     /// Executes the transaction of a page. `Err` contains the jobs that have ended; it is empty if
     /// only the version of the page has changed.
     fn apply(&mut self, batch: &Batch<()>) -> Result<u64, Vec<String>> {
-        let job_ended: Vec<String> = batch
+        let ended: Vec<String> = batch
             .jobs
             .iter()
             .map(|j| j.0.clone())
-            .filter(|j| self.job_ended.contains(j))
+            .filter(|j| self.ended_jobs.contains(j))
             .collect();
-        if !job_ended.is_empty() || self.pages.get(&batch.slot).map_or(0, |p| p.0) != batch.version {
-            return Err(job_ended);
+        if !ended.is_empty() || self.pages.get(&batch.slot).map_or(0, |p| p.0) != batch.version {
+            return Err(ended);
         }
         if let Some((_, jobs)) = self.pages.get(&batch.slot) {
             for job in jobs {
                 assert!(
-                    self.job_ended.contains(job),
+                    self.ended_jobs.contains(job),
                     "{job} is open and its page is overwritten"
                 );
             }
@@ -54,10 +54,10 @@
     /// 3 executed with the answer lost.
     Send(u8),
     /// Executes a delayed transaction.
-    Late(u8),
-    Over(u8),
+    ExecuteDelayed(u8),
+    End(u8),
     /// The controller reads the ended jobs and the pages.
-    Watch,
+    ReadStore,
     /// The controller restarts without state and reads the ended jobs and the pages.
     Restart,
 }
@@ -67,51 +67,51 @@
         6 => (0u8..40).prop_map(Step::Offer),
         1 => (0u8..40).prop_map(Step::Withdraw),
         6 => (0u8..4).prop_map(Step::Send),
-        2 => (0u8..4).prop_map(Step::Late),
-        2 => (0u8..40).prop_map(Step::Over),
-        2 => Just(Step::Watch),
+        2 => (0u8..4).prop_map(Step::ExecuteDelayed),
+        2 => (0u8..40).prop_map(Step::End),
+        2 => Just(Step::ReadStore),
         1 => Just(Step::Restart),
     ]
 }
 
-fn name(n: u8) -> String {
+fn job_id(n: u8) -> String {
     format!("run-{n}")
 }
 
-struct Play {
+struct Simulation {
     store: Store,
     group_commit: GroupCommit<()>,
     /// The jobs that the controller knows to have ended.
-    known_over: BTreeSet<String>,
-    late: Vec<Batch<()>>,
+    known_ended: BTreeSet<String>,
+    delayed: Vec<Batch<()>>,
     now: Micros,
 }
 
-impl Play {
-    fn read(&mut self) {
-        for job_ended in &self.store.job_ended {
-            if self.known_over.insert(job_ended.clone()) {
-                self.group_commit.job_ended(job_ended);
+impl Simulation {
+    fn read_store(&mut self) {
+        for job in &self.store.ended_jobs {
+            if self.known_ended.insert(job.clone()) {
+                self.group_commit.job_ended(job);
             }
         }
         for (slot, (version, jobs)) in &self.store.pages {
-            let known = &self.known_over;
+            let known = &self.known_ended;
             self.group_commit
                 .page_seen(*slot, *version, jobs, |id| known.contains(id));
         }
     }
 
-    fn send(&mut self, how: u8) -> bool {
+    fn send(&mut self, outcome: u8) -> bool {
         self.now = self.now + Micros::from_millis(60);
-        let Some(batch) = self.group_commit.next(ROOM, self.now) else {
+        let Some(batch) = self.group_commit.next(CAPACITY, self.now) else {
             return false;
         };
-        assert!(!batch.jobs.is_empty() && batch.jobs.len() <= ROOM.jobs);
+        assert!(!batch.jobs.is_empty() && batch.jobs.len() <= CAPACITY.jobs);
         let number = batch.number;
-        match how {
+        match outcome {
             0 => match self.store.apply(&batch) {
                 Ok(revision) => {
-                    let known = &self.known_over;
+                    let known = &self.known_ended;
                     for (job, _) in self.group_commit.committed(number, revision, |id| known.contains(id)) {
                         assert!(
                             self.store.accepted.contains(&job),
@@ -119,15 +119,15 @@
                         );
                     }
                 }
-                Err(job_ended) => {
+                Err(ended) => {
                     // The caller reads the changes that made the transaction fail.
-                    self.group_commit.failed(number, &job_ended);
-                    self.read();
+                    self.group_commit.failed(number, &ended);
+                    self.read_store();
                 }
             },
             1 => self.group_commit.failed(number, &[]),
             2 => {
-                self.late.push(batch);
+                self.delayed.push(batch);
                 self.group_commit.failed(number, &[]);
             }
             _ => {
@@ -144,48 +144,48 @@
 
     #[test]
     fn waiting_jobs_are_accepted_and_pages_with_open_jobs_are_never_overwritten(steps in prop::collection::vec(step(), 1..120)) {
-        let mut p = Play {
+        let mut p = Simulation {
             store: Store::default(),
             group_commit: GroupCommit::new(),
-            known_over: BTreeSet::new(),
-            late: vec![],
+            known_ended: BTreeSet::new(),
+            delayed: vec![],
             now: Micros::ZERO,
         };
         let mut wanted: BTreeSet<String> = BTreeSet::new();
         for step in steps {
             match step {
                 Step::Offer(n) => {
-                    p.group_commit.offer(&name(n), 200, (), p.now);
-                    wanted.insert(name(n));
+                    p.group_commit.offer(&job_id(n), 200, (), p.now);
+                    wanted.insert(job_id(n));
                 }
                 Step::Withdraw(n) => {
-                    p.group_commit.withdraw(&name(n));
-                    wanted.remove(&name(n));
+                    p.group_commit.withdraw(&job_id(n));
+                    wanted.remove(&job_id(n));
                 }
-                Step::Send(how) => {
-                    p.send(how);
+                Step::Send(outcome) => {
+                    p.send(outcome);
                 }
-                Step::Late(n) if !p.late.is_empty() => {
-                    let batch = p.late.remove(usize::from(n) % p.late.len());
+                Step::ExecuteDelayed(n) if !p.delayed.is_empty() => {
+                    let batch = p.delayed.remove(usize::from(n) % p.delayed.len());
                     p.store.apply(&batch).ok();
                 }
-                Step::Late(_) => {}
-                Step::Over(n) => {
-                    if p.store.accepted.contains(&name(n)) {
-                        p.store.job_ended.insert(name(n));
+                Step::ExecuteDelayed(_) => {}
+                Step::End(n) => {
+                    if p.store.accepted.contains(&job_id(n)) {
+                        p.store.ended_jobs.insert(job_id(n));
                     }
                 }
-                Step::Watch => p.read(),
+                Step::ReadStore => p.read_store(),
                 Step::Restart => {
                     p.group_commit = GroupCommit::new();
-                    p.known_over.clear();
-                    p.read();
+                    p.known_ended.clear();
+                    p.read_store();
                     wanted.clear();
                 }
             }
         }
         // Once failures stop, every job that a user waits for is accepted.
-        p.read();
+        p.read_store();
         for _ in 0..60 {
             p.send(0);
         }
@@ -195,9 +195,9 @@
         }
         // A page without open jobs is reused before a new one is added.
         for job in p.store.accepted.clone() {
-            p.store.job_ended.insert(job);
+            p.store.ended_jobs.insert(job);
         }
-        p.read();
+        p.read_store();
         let used = p.group_commit.pages();
         prop_assert_eq!(used.0, 0);
         p.group_commit.offer("run-last", 200, (), p.now);
@@ -211,17 +211,20 @@
     let mut group_commit = GroupCommit::new();
     let at = Micros::from_millis;
     group_commit.offer("run-0", 200, (), at(0));
-    assert_eq!(group_commit.next(ROOM, at(0)).map(|b| b.jobs.len()), Some(1));
+    assert_eq!(group_commit.next(CAPACITY, at(0)).map(|b| b.jobs.len()), Some(1));
     group_commit.offer("run-1", 200, (), at(1));
-    assert!(group_commit.next(ROOM, at(1)).is_none(), "it waits for more jobs");
+    assert!(group_commit.next(CAPACITY, at(1)).is_none(), "it waits for more jobs");
     for n in 2..20u8 {
-        group_commit.offer(&name(n), 200, (), at(2));
+        group_commit.offer(&job_id(n), 200, (), at(2));
     }
-    assert_eq!(group_commit.next(ROOM, at(2)).map(|b| b.jobs.len()), Some(4));
-    assert_eq!(group_commit.next(ROOM, at(2)).map(|b| b.jobs.len()), Some(4));
-    assert!(group_commit.next(ROOM, at(200)).is_none(), "three pages are in flight");
+    assert_eq!(group_commit.next(CAPACITY, at(2)).map(|b| b.jobs.len()), Some(4));
+    assert_eq!(group_commit.next(CAPACITY, at(2)).map(|b| b.jobs.len()), Some(4));
+    assert!(
+        group_commit.next(CAPACITY, at(200)).is_none(),
+        "three pages are in flight"
+    );
     group_commit.failed(2, &[]);
-    let again = group_commit.next(ROOM, at(200)).map(|b| b.jobs[0].0.clone());
+    let again = group_commit.next(CAPACITY, at(200)).map(|b| b.jobs[0].0.clone());
     assert_eq!(again.as_deref(), Some("run-1"), "a failed page's jobs come first");
 }
 
@@ -230,21 +233,21 @@
     let mut group_commit = GroupCommit::new();
     group_commit.offer("run-0", 200, (), Micros::ZERO);
     group_commit.withdraw("run-0");
-    assert!(group_commit.next(ROOM, Micros::ZERO).is_none());
+    assert!(group_commit.next(CAPACITY, Micros::ZERO).is_none());
     group_commit.offer("run-1", 200, (), Micros::ZERO);
-    assert!(group_commit.next(ROOM, Micros::ZERO).is_some());
+    assert!(group_commit.next(CAPACITY, Micros::ZERO).is_some());
     group_commit.withdraw("run-1");
     group_commit.failed(1, &[]);
-    assert!(group_commit.next(ROOM, Micros::from_millis(100)).is_none());
+    assert!(group_commit.next(CAPACITY, Micros::from_millis(100)).is_none());
 }
 
 #[test]
 fn an_outcome_applies_to_one_batch_only() {
     let mut group_commit = GroupCommit::new();
     group_commit.offer("run-0", 200, (), Micros::ZERO);
-    let first = group_commit.next(ROOM, Micros::ZERO).map(|b| b.number);
+    let first = group_commit.next(CAPACITY, Micros::ZERO).map(|b| b.number);
     group_commit.forget_pages();
-    let second = group_commit.next(ROOM, Micros::ZERO).map(|b| b.number);
+    let second = group_commit.next(CAPACITY, Micros::ZERO).map(|b| b.number);
     assert!(first.is_some() && second.is_some() && first != second);
     // The answer to the first batch must not accept the jobs of the second.
     assert!(group_commit.committed(first.unwrap_or(0), 9, |_| false).is_empty());
@@ -261,7 +264,10 @@
     for ms in 1..=100 {
         waits.record(Micros::from_millis(ms));
     }
-    let told = waits.take().expect("a hundred were recorded");
-    assert_eq!((told.count, told.p50_ms, told.p99_ms, told.most_ms), (100, 50, 99, 100));
+    let waited = waits.take().expect("a hundred were recorded");
+    assert_eq!(
+        (waited.count, waited.p50_ms, waited.p99_ms, waited.most_ms),
+        (100, 50, 99, 100)
+    );
     assert_eq!(waits.take(), None);
 }
