--- a/src/coordination/log/answers.rs
+++ b/src/coordination/log/answers.rs
@@ -109,7 +109,7 @@
     /// Applies the transaction in flight, which was executed at this revision.
     fn on_executed(&mut self, revision: u64) {
         let Some(leader) = self.leader.as_mut() else { return };
-        let ends = leader.apply(&mut self.context, revision);
+        let ends = leader.apply_transaction(&mut self.context, revision);
         self.learn_recorded_ends(ends, revision);
     }
 
@@ -127,7 +127,7 @@
             leader.probe(&mut self.context, key);
             return;
         }
-        leader.undo(now);
+        leader.undo_transaction(now);
         for id in failed.iter().filter_map(|key| key.strip_prefix(keys::JOBS)) {
             leader.cancel(id, now);
         }
@@ -162,7 +162,7 @@
             }
             // The transaction was never executed and can't be any more, because one of its
             // conditions has failed permanently. The watches deliver the change that made it fail.
-            StoreResponse::Row(_) | StoreResponse::Missing { .. } => leader.undo(self.context.now),
+            StoreResponse::Row(_) | StoreResponse::Missing { .. } => leader.undo_transaction(self.context.now),
             _ => leader.probe_later(&mut self.context, key),
         }
     }
@@ -180,7 +180,7 @@
     fn on_refused(&mut self, context: &mut Context) {
         if !self.log_writer.is_outcome_unknown() {
             self.log_writer.segment_budget = 1;
-            self.undo(context.now);
+            self.undo_transaction(context.now);
         }
         self.log_writer.resend_at = Some(context.now + context.jitter(BACKOFF_AFTER_REFUSAL));
     }
--- a/src/coordination/log/outcome.rs
+++ b/src/coordination/log/outcome.rs
@@ -49,7 +49,7 @@
 
 impl LeaderState {
     /// Queues all changes of the transaction in flight again, which was not executed.
-    pub(super) fn undo(&mut self, now: Micros) {
+    pub(super) fn undo_transaction(&mut self, now: Micros) {
         let Some(pending) = self.log_writer.in_flight.take() else {
             return;
         };
@@ -124,7 +124,7 @@
 
     /// Applies the transaction in flight, which was executed at this revision, and returns the
     /// ends of jobs that it has recorded.
-    pub(super) fn apply(&mut self, context: &mut Context, revision: u64) -> RecordedEnds {
+    pub(super) fn apply_transaction(&mut self, context: &mut Context, revision: u64) -> RecordedEnds {
         let Some(pending) = self.log_writer.in_flight.take() else {
             return RecordedEnds::default();
         };
