--- a/crates/group-commit/src/waits.rs
+++ b/crates/group-commit/src/waits.rs
@@ -3,8 +3,8 @@
 use glenhaven_time::Micros;
 use hdrhistogram::Histogram;
 
-/// Longer waits are recorded as this, a day.
-const LONGEST_MS: u64 = 24 * 3600 * 1000;
+/// The longest recorded wait, a day; longer waits are recorded as this one.
+const MAX_WAIT_MS: u64 = 24 * 3600 * 1000;
 
 /// The distribution of the waits since the last call of [`Waits::take`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,30 +25,30 @@
 impl Default for Waits {
     fn default() -> Self {
         // The range is fixed: with automatic resizing, `saturating_record` would not resize and
-        // would cut waits off at the first, smallest bound. Without a histogram nothing is
-        // recorded.
-        Waits(Histogram::new_with_bounds(1, LONGEST_MS, 2).ok())
+        // would lower every longer wait to the initial, smallest bound. Without a histogram nothing
+        // is recorded.
+        Waits(Histogram::new_with_bounds(1, MAX_WAIT_MS, 2).ok())
     }
 }
 
 impl Waits {
     /// Records one wait.
     pub fn record(&mut self, waited: Micros) {
-        if let Some(h) = &mut self.0 {
-            h.saturating_record(waited.0 / 1000);
+        if let Some(histogram) = &mut self.0 {
+            histogram.saturating_record(waited.0 / 1000);
         }
     }
 
-    /// The waits since the last call; `None` if there were none.
+    /// Returns the distribution of the waits since the last call; `None` if there were none.
     pub fn take(&mut self) -> Option<Waited> {
-        let h = self.0.as_mut().filter(|h| !h.is_empty())?;
+        let histogram = self.0.as_mut().filter(|h| !h.is_empty())?;
         let waited = Waited {
-            count: h.len(),
-            p50_ms: h.value_at_quantile(0.5),
-            p99_ms: h.value_at_quantile(0.99),
-            most_ms: h.max(),
+            count: histogram.len(),
+            p50_ms: histogram.value_at_quantile(0.5),
+            p99_ms: histogram.value_at_quantile(0.99),
+            most_ms: histogram.max(),
         };
-        h.reset();
+        histogram.reset();
         Some(waited)
     }
 }
@@ -57,7 +57,7 @@
 mod tests {
     use super::*;
 
-    /// A histogram with automatic resizing recorded 2 ms for every wait.
+    /// Guards against automatic resizing, with which the histogram recorded 2 ms for every wait.
     #[test]
     fn waits_are_recorded_unchanged() {
         let mut waits = Waits::default();
--- a/src/coordination/log/outcome.rs
+++ b/src/coordination/log/outcome.rs
@@ -26,9 +26,9 @@
             });
         }
         let oldest = pending.oldest;
-        while let Some(segment) = self.segments.front().copied().filter(|p| p.seq < oldest) {
+        while let Some(segment) = self.segments.front().copied().filter(|s| s.seq < oldest) {
             self.segments.pop_front();
-            self.free.push(FreeSlot {
+            self.free_slots.push(FreeSlot {
                 slot: segment.slot,
                 version: segment.version,
             });
@@ -38,22 +38,22 @@
     }
 
     /// Frees the slots of a transaction that was not executed.
-    fn give_back_slots(&mut self, pending: &PendingTransaction) {
+    fn release_slots(&mut self, pending: &PendingTransaction) {
         for segment in &pending.segments {
             let slot = segment.slot;
             let version = pending.expected_version(&keys::segment(slot));
-            self.free.push(FreeSlot { slot, version });
+            self.free_slots.push(FreeSlot { slot, version });
         }
     }
 }
 
 impl LeaderState {
-    /// Queues all changes of the transaction in flight again: it was not executed.
-    pub(super) fn undo(&mut self, now: Micros) {
+    /// Queues all changes of the transaction in flight again, which was not executed.
+    pub(super) fn undo_transaction(&mut self, now: Micros) {
         let Some(pending) = self.log_writer.in_flight.take() else {
             return;
         };
-        self.log_writer.give_back_slots(&pending);
+        self.log_writer.release_slots(&pending);
         self.undo_ends(&pending);
         for description in pending.descriptions {
             let job = self.jobs.get(&description.job);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Queues the ends of jobs again that a transaction was to record.
+    /// Queues the ends of jobs in an unexecuted transaction again.
     fn undo_ends(&mut self, pending: &PendingTransaction) {
         for id in &pending.completed {
             let Some(job) = self.jobs.get_mut(id) else { continue };
@@ -78,12 +78,12 @@
                 self.log_writer.undescribed.insert(entry);
             }
         }
-        for id in &pending.withdrawn {
+        for id in &pending.cancelled_by_dependency {
             let Some(job) = self.jobs.get_mut(id) else { continue };
             job.closing = false;
             self.log_writer.withdrawn.insert(id.clone());
         }
-        for id in &pending.ended {
+        for id in &pending.fully_cancelled {
             if let Some(job) = self.jobs.get(id) {
                 let entry = Undescribed::new(job.acceptance_revision, id.clone());
                 self.log_writer.undescribed.insert(entry);
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Queues a task range again that a transaction was to record.
+    /// Queues a task range of an unexecuted transaction again.
     fn undo_task_range(&mut self, written: WrittenTaskRange, now: Micros) {
         let from = written.range_index * self.tasks_per_range;
         let tasks = from..from + self.tasks_per_range;
@@ -124,7 +124,7 @@
 
     /// Applies the transaction in flight, which was executed at this revision, and returns the
     /// ends of jobs that it has recorded.
-    pub(super) fn apply(&mut self, context: &mut Context, revision: u64) -> RecordedEnds {
+    pub(super) fn apply_transaction(&mut self, context: &mut Context, revision: u64) -> RecordedEnds {
         let Some(pending) = self.log_writer.in_flight.take() else {
             return RecordedEnds::default();
         };
@@ -144,7 +144,11 @@
         for id in &pending.completed {
             self.close_completed(id, now);
         }
-        for id in pending.ended.into_iter().chain(pending.withdrawn.iter().cloned()) {
+        for id in pending
+            .fully_cancelled
+            .into_iter()
+            .chain(pending.cancelled_by_dependency.iter().cloned())
+        {
             self.jobs.remove(&id);
             self.log_writer.remember_closed(id);
         }
@@ -154,7 +158,7 @@
         self.provisioning.claims_dropped(&pending.settled);
         RecordedEnds {
             done: pending.completed,
-            withdrawn: pending.withdrawn,
+            withdrawn: pending.cancelled_by_dependency,
         }
     }
 
@@ -172,8 +176,8 @@
                 continue;
             }
             job.states[task as usize] = TaskState::Recorded;
-            // The agent may forget the exited task now; until it has, its heartbeats list the
-            // task without a record here.
+            // The agent may discard the exited task now. Until it does, its heartbeats list the
+            // task although the leader no longer has its placement.
             let Some(placed) = job.placements.remove(&task) else {
                 continue;
             };
@@ -184,7 +188,8 @@
         }
     }
 
-    /// Sends a start whose record is durable, unless it is no longer wanted.
+    /// Queues a start whose record is durable for sending, or frees the placement if the start is
+    /// no longer wanted.
     fn apply_start(&mut self, start: WrittenStart, revision: u64, now: Micros) {
         let WrittenStart { job: id, task, attempt } = start;
         tracing::debug!(job = %id, task, attempt, term = self.term, revision, "start recorded");
@@ -202,15 +207,15 @@
         let is_kept =
             machine.is_some_and(|m| m.incarnation == placement.incarnation && m.release_requested_at.is_none());
         if !live || placement.stop_grace_s.is_some() || !is_kept {
-            // Only this leader could have sent the start, and it has not: the record is void
-            // without a heartbeat that proves it.
+            // Only this leader could have sent the start, and it has not: the record is void, and
+            // no heartbeat is needed to prove this.
             self.free(&id, task, VoidProof::NeverSent, now);
             return;
         }
         self.queue_start(&id, task);
     }
 
-    /// Removes an array that is recorded as done; its machines may forget its tasks.
+    /// Removes an array that is recorded as done; the agents may discard its tasks.
     fn close_completed(&mut self, id: &JobId, now: Micros) {
         if let Some(job) = self.jobs.remove(id) {
             tracing::debug!(job = %id, took_s = now.since(job.arrived_at).secs(), "job done");
--- a/src/coordination/log/queues.rs
+++ b/src/coordination/log/queues.rs
@@ -1,6 +1,6 @@
 //! Entries of the queues in which changes wait for the next transactions of the log.
 //!
-//! `LogWriter` owns the queues; whatever changes a job's state fills them, and `write` empties
+//! `LogWriter` owns the queues. Code that changes a job's state fills them, and `write` empties
 //! them.
 
 use super::super::JobId;
@@ -13,7 +13,7 @@
 pub struct QueuedStarts {
     priority: Reverse<Priority>,
     /// The revision at which the job was accepted.
-    version: u64,
+    acceptance_revision: u64,
     /// The job of the task range.
     pub job: JobId,
     /// The number of the task range in its job.
@@ -21,11 +21,11 @@
 }
 
 impl QueuedStarts {
-    /// Starts in a task range of a job that was accepted at revision `version`.
-    pub fn new(priority: Priority, version: u64, job: JobId, range_index: u32) -> QueuedStarts {
+    /// Creates the entry of a task range whose job was accepted at revision `acceptance_revision`.
+    pub fn new(priority: Priority, acceptance_revision: u64, job: JobId, range_index: u32) -> QueuedStarts {
         QueuedStarts {
             priority: Reverse(priority),
-            version,
+            acceptance_revision,
             job,
             range_index,
         }
@@ -52,23 +52,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Undescribed {
     /// The revision at which the job was accepted.
-    pub version: u64,
+    pub acceptance_revision: u64,
     /// The job.
     pub job: JobId,
 }
 
 impl Undescribed {
-    /// A job that was accepted at revision `version`.
-    pub fn new(version: u64, job: JobId) -> Undescribed {
-        Undescribed { version, job }
+    /// Creates the entry of a job that was accepted at revision `acceptance_revision`.
+    pub fn new(acceptance_revision: u64, job: JobId) -> Undescribed {
+        Undescribed {
+            acceptance_revision,
+            job,
+        }
     }
 }
 
 /// How much this leader has written, for the periodic log message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WriteCounters {
-    /// Transactions sent, without repetitions.
+    /// Transactions sent; the second and later sends of a transaction are not counted.
     pub transactions: u64,
-    /// Changes in them.
+    /// Changes in these transactions.
     pub changes: u64,
 }
--- a/src/coordination/log/read_log.rs
+++ b/src/coordination/log/read_log.rs
@@ -1,8 +1,8 @@
 //! Reads the log at a takeover: its segments first, then the changes of the jobs' keys since
 //! the last segment was written.
 //!
-//! The reader only collects; `replay` and `restore` decide what it means. It has at most one
-//! request in flight.
+//! The reader only collects values; `replay` and `restore` interpret them. At most one request is
+//! in flight.
 
 use super::replay::{newest_seen_revision, StoredSegment};
 use super::LogContinuation;
@@ -16,7 +16,7 @@
 /// The last value of a job's key, or the acceptance of a job that has no key of its own.
 pub(super) struct JobChange {
     /// The revision of the change.
-    pub version: u64,
+    pub revision: u64,
     /// The version of the job's own key; 0 if it was accepted in a page of acceptances.
     pub key_version: u64,
     /// The phase that was read.
@@ -25,7 +25,7 @@
     pub spec: Option<JobSpec>,
 }
 
-/// All that was read.
+/// The segments and job changes that were read.
 #[derive(Default)]
 pub(super) struct LogContents {
     /// The segments, in the order of their keys.
@@ -36,7 +36,7 @@
     pub changes: BTreeMap<String, JobChange>,
 }
 
-/// What is read next.
+/// The list or the changes that are read next.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum ReadStep {
     #[default]
@@ -51,7 +51,7 @@
 #[derive(Default)]
 pub(super) struct LogReader {
     step: ReadStep,
-    /// The last key that was read of the present list.
+    /// The last key read so far of the current list.
     after: String,
     /// Whether a request is in flight.
     in_flight: bool,
@@ -87,19 +87,19 @@
         }
     }
 
-    /// Takes an answer and returns whether everything has been read. After an answer without
+    /// Processes an answer and returns whether everything has been read. After an answer without
     /// content, `next_request` repeats the request.
     pub(super) fn on_answer(&mut self, continuation: &LogContinuation, answer: StoreResponse) -> bool {
         self.in_flight = false;
         match (continuation, answer) {
             (LogContinuation::Segments, StoreResponse::Rows(rows)) => {
-                self.take_segments(rows);
+                self.add_segments(rows);
                 false
             }
             (LogContinuation::JobChanges, StoreResponse::Events(events)) => {
                 for event in &events.events {
                     if let WatchEvent::Put { key, value, version } = event {
-                        self.take_job_row(key, value, *version);
+                        self.add_job_row(key, value, *version);
                     }
                 }
                 true
@@ -108,22 +108,22 @@
                 self.step = ReadStep::AllJobs;
                 false
             }
-            (LogContinuation::AllJobs, StoreResponse::Rows(rows)) => self.take_job_rows(rows),
+            (LogContinuation::AllJobs, StoreResponse::Rows(rows)) => self.add_job_rows(rows),
             _ => false,
         }
     }
 
-    /// All that was read.
+    /// Returns everything that was read.
     pub(super) fn into_contents(self) -> LogContents {
         self.contents
     }
 
-    fn take_segments(&mut self, rows: Rows) {
+    fn add_segments(&mut self, rows: Rows) {
         if let Some(last) = rows.items.last() {
             self.after.clone_from(&last.key);
         }
         for row in rows.items {
-            self.take_segment_row(row);
+            self.add_segment_row(row);
         }
         if !rows.more {
             self.step = ReadStep::JobChanges;
@@ -131,23 +131,24 @@
         }
     }
 
-    fn take_segment_row(&mut self, row: Row) {
+    fn add_segment_row(&mut self, row: Row) {
         let Row { key, value, version } = row;
         match (keys::parse_segment(&key), from_value::<Segment>(&value)) {
             (Some(slot), Some(segment)) => self.contents.segments.push(StoredSegment { slot, version, segment }),
             (slot, _) => {
                 tracing::error!(key, "malformed segment of the write-ahead log");
-                // A new segment in this slot would always fail on its condition.
+                // If this slot counted as unused, a segment would be written to it on condition
+                // that its key does not exist, which would always fail.
                 let after = slot.map_or(0, |slot| slot.saturating_add(1));
                 self.contents.first_slot_after_unreadable = self.contents.first_slot_after_unreadable.max(after);
             }
         }
     }
 
-    /// Takes a part of the list of all jobs' keys and returns whether it was the last.
-    fn take_job_rows(&mut self, rows: Rows) -> bool {
+    /// Adds a part of the list of all jobs' keys and returns whether the part was the last.
+    fn add_job_rows(&mut self, rows: Rows) -> bool {
         for Row { key, value, version } in &rows.items {
-            self.take_job_row(key, value, *version);
+            self.add_job_row(key, value, *version);
         }
         if let Some(last) = rows.items.last() {
             self.after.clone_from(&last.key);
@@ -155,10 +156,10 @@
         !rows.more
     }
 
-    /// Takes a page of acceptances, or a job's own key.
-    fn take_job_row(&mut self, key: &str, value: &Value, version: u64) {
+    /// Adds the content of a page of acceptances or of a job's own key.
+    fn add_job_row(&mut self, key: &str, value: &Value, version: u64) {
         if keys::parse_accepted(key).is_some() {
-            self.take_acceptances(key, value, version);
+            self.add_acceptances(key, value, version);
             return;
         }
         let Some(id) = key.strip_prefix(keys::JOBS) else { return };
@@ -166,30 +167,31 @@
             tracing::error!(key, "malformed job value");
             return;
         };
-        let changes = JobChange {
-            version,
+        let change = JobChange {
+            revision: version,
             key_version: version,
             phase,
             spec,
         };
-        self.contents.changes.insert(id.to_string(), changes);
+        self.contents.changes.insert(id.to_string(), change);
     }
 
-    fn take_acceptances(&mut self, key: &str, value: &Value, version: u64) {
-        let Some(segment) = from_value::<Accepted>(value) else {
+    fn add_acceptances(&mut self, key: &str, value: &Value, version: u64) {
+        let Some(page) = from_value::<Accepted>(value) else {
             tracing::error!(key, "malformed page of acceptances");
             return;
         };
-        for spec in segment.jobs {
+        for spec in page.jobs {
             let id = spec.id.clone();
-            let changes = JobChange {
-                version,
+            let change = JobChange {
+                revision: version,
                 key_version: 0,
                 phase: Phase::Pending,
                 spec: Some(spec),
             };
-            // A final phase is never replaced, in whatever order the two are read.
-            self.contents.changes.entry(id).or_insert(changes);
+            // The job's own key takes precedence in whichever order the two are read, so that its
+            // final phase is never replaced.
+            self.contents.changes.entry(id).or_insert(change);
         }
     }
 }
--- a/src/coordination/log/restore.rs
+++ b/src/coordination/log/restore.rs
@@ -19,9 +19,10 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How long the answer to a read is awaited.
+/// Timeout of a read of the log or of the jobs' changes.
 const READ_TIMEOUT: Micros = Micros::from_millis(1500);
-/// Later times in segments are taken to be wrong and are lowered to this one.
+/// Latest plausible time in a segment: a later one is assumed to be wrong and lowered to this
+/// time.
 const LATEST_TIME_MS: u64 = 1 << 50;
 
 impl LeaderState {
@@ -40,15 +41,16 @@
         context.store.push(Urgency::Lead, request, continuation, READ_TIMEOUT);
     }
 
-    /// Takes the answer to a read and returns whether everything has been read.
-    pub(super) fn take_log_answer(&mut self, continuation: &LogContinuation, answer: StoreResponse) -> bool {
+    /// Processes the answer to a read and returns whether everything has been read.
+    pub(super) fn process_read_answer(&mut self, continuation: &LogContinuation, answer: StoreResponse) -> bool {
         let Some(reader) = self.log_writer.reader.as_mut() else {
             return false;
         };
         reader.on_answer(continuation, answer)
     }
 
-    /// Restores the state from all that was read. `gap` is about how long there was no leader.
+    /// Restores the state from everything that was read. `gap` is the approximate time without a
+    /// leader.
     pub(super) fn finish_loading(&mut self, context: &mut Context, gap: Micros) {
         let Some(reader) = self.log_writer.reader.take() else {
             return;
@@ -57,7 +59,7 @@
         let contents = reader.into_contents();
         let mut replay = Replay::of(contents.segments);
         self.log_writer
-            .adopt(&mut replay, contents.first_slot_after_unreadable, gap, now);
+            .resume_after(&mut replay, contents.first_slot_after_unreadable, gap, now);
         for (id, job) in replay.jobs {
             let task_ranges = replay.task_ranges.remove(&id).unwrap_or_default();
             self.restore_job(&id, job, task_ranges, now);
@@ -65,8 +67,8 @@
         self.provisioning.adopt_claims(replay.claims, now);
         self.log_writer.loaded = true;
         self.needs_scheduling = true;
-        for (id, changes) in contents.changes {
-            self.apply_job_change(&id, changes, now);
+        for (id, change) in contents.changes {
+            self.apply_job_change(&id, change, now);
         }
         for event in std::mem::take(&mut self.early_events) {
             self.on_job_event(&event.id, event.version, event.key_version, event.value, now);
@@ -113,9 +115,9 @@
         }
     }
 
-    /// The job as it is described, without its placements.
+    /// Returns the job as the log describes it, without its placements.
     fn restored_job(&self, id: &str, replayed: ReplayedJob, now: Micros) -> Job {
-        // A job that needs others is blocked until the dependencies have been evaluated.
+        // A job that depends on others is blocked until the dependencies have been evaluated.
         let (spec, blocked) = match records::from_record(replayed.spec.clone()) {
             Some((spec, _)) => {
                 let blocked = !spec.needs.is_empty();
@@ -189,22 +191,22 @@
     }
 
     /// Applies a change of a job since the log was last written.
-    fn apply_job_change(&mut self, id: &str, changes: JobChange, now: Micros) {
-        if changes.phase == Phase::Done {
+    fn apply_job_change(&mut self, id: &str, change: JobChange, now: Micros) {
+        if change.phase == Phase::Done {
             self.remove_finished_job(id);
             return;
         }
         let value = JobValue {
-            phase: changes.phase,
-            spec: changes.spec,
+            phase: change.phase,
+            spec: change.spec,
         };
-        self.on_job_event(id, changes.version, changes.key_version, value, now);
+        self.on_job_event(id, change.revision, change.key_version, value, now);
     }
 
-    /// Removes a job that an earlier leader closed, or that ended before the log named it.
+    /// Removes a job that an earlier leader closed, or that ended before the log contained it.
     fn remove_finished_job(&mut self, id: &str) {
         if let Some(job) = self.jobs.remove(id) {
-            tracing::warn!(job = id, "job is done although the write-ahead log has it open");
+            tracing::warn!(job = id, "job is done although the write-ahead log lists it as open");
             for (task, placement) in &job.placements {
                 let Some(machine) = self.machines.get_mut(&placement.machine) else {
                     continue;
@@ -217,7 +219,7 @@
     }
 }
 
-/// Marks the tasks of an inclusive range as recorded to be completed.
+/// Marks the waiting tasks of an inclusive range as completed and recorded in the log.
 fn restore_completed(job: &mut Job, from: u32, to: u32) {
     let last = to.min(job.spec.tasks.saturating_sub(1));
     for task in from..=last {
@@ -232,15 +234,15 @@
 
 impl super::LogWriter {
     /// Continues the log where the replayed segments end.
-    fn adopt(&mut self, replay: &mut Replay, first_slot_after_unreadable: u32, gap: Micros, now: Micros) {
+    fn resume_after(&mut self, replay: &mut Replay, first_slot_after_unreadable: u32, gap: Micros, now: Micros) {
         if let Some(written_log_ms) = replay.written_log_ms {
             let now_log_ms = written_log_ms.min(LATEST_TIME_MS) + gap.0 / 1000;
             self.clock_offset_ms = now_log_ms as i64 - (now.0 / 1000) as i64;
         }
         self.last_seq = replay.last_seq;
         self.seen_revision = replay.seen_revision;
-        self.slots = replay.slots.max(first_slot_after_unreadable);
+        self.slot_count = replay.slots.max(first_slot_after_unreadable);
         self.segments = std::mem::take(&mut replay.live_segments);
-        self.free = std::mem::take(&mut replay.free_slots);
+        self.free_slots = std::mem::take(&mut replay.free_slots);
     }
 }
--- a/src/coordination/log/write.rs
+++ b/src/coordination/log/write.rs
@@ -21,15 +21,16 @@
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
-/// How long the answer to a transaction is awaited before its outcome counts as unknown.
+/// Timeout of a transaction, after which its outcome counts as unknown.
 const COMMIT_TIMEOUT: Micros = Micros::from_millis(700);
-/// How long an outcome may wait before it makes a transaction due.
+/// Maximum time for which the outcome of a task waits before a transaction is due.
 const MAX_OUTCOME_DELAY: Micros = Micros::from_millis(1000);
-/// Pause between transactions with starts below production priority, acceptances or ends.
+/// Minimum interval between transactions with starts below production priority, acceptances or
+/// ends.
 const BATCH_DELAY: Micros = Micros::from_millis(80);
-/// Pause between transactions with changes that nobody waits for.
+/// Minimum interval between transactions with only changes that no user waits for.
 const DEFERRED_BATCH_DELAY: Micros = Micros::from_millis(400);
-/// The most rental requests that a transaction records, and that it removes.
+/// Maximum number of rental requests that a transaction records, and that it removes.
 const MAX_CLAIM_CHANGES: usize = 20;
 /// Size of an entry that describes a job, without the description.
 const JOB_ENTRY_BYTES: usize = 50;
@@ -37,14 +38,14 @@
 /// Rental requests to be recorded in the log or removed from it.
 struct ClaimChanges {
     /// Requests to be recorded, by id.
-    wanted: Vec<(String, ClaimValue)>,
+    to_record: Vec<(String, ClaimValue)>,
     /// Ids of those to be removed.
-    settled: Vec<String>,
+    to_remove: Vec<String>,
 }
 
 impl LeaderState {
-    /// Builds and sends the next transaction if one is due and none is in flight; sends an
-    /// unanswered one again.
+    /// Builds and sends the next transaction if one is due and none is in flight, or sends an
+    /// unanswered transaction again.
     pub fn write_log(&mut self, context: &mut Context, cluster: &ClusterConfig, election: &Election) {
         let now = context.now;
         if let Some(at) = self.log_writer.resend_at {
@@ -57,8 +58,8 @@
             return;
         }
         let claims = ClaimChanges {
-            wanted: self.provisioning.claims_to_record(MAX_CLAIM_CHANGES),
-            settled: self.provisioning.claims_to_drop(MAX_CLAIM_CHANGES),
+            to_record: self.provisioning.claims_to_record(MAX_CLAIM_CHANGES),
+            to_remove: self.provisioning.claims_to_drop(MAX_CLAIM_CHANGES),
         };
         if !self.is_write_due(&claims, now) {
             return;
@@ -74,13 +75,13 @@
         self.send_first(context, pending, starts);
     }
 
-    /// Whether a change waits and the pause for changes of its urgency is over.
+    /// Whether a change waits and the interval for changes of its urgency is over.
     fn is_write_due(&self, claims: &ClaimChanges, now: Micros) -> bool {
         let log_writer = &self.log_writer;
         let first_start = log_writer.starting.first();
         let is_urgent = first_start.is_some_and(|s| s.priority() == Priority::Production);
         let ends = !log_writer.complete.is_empty() || !log_writer.withdrawn.is_empty();
-        let soon = first_start.is_some() || ends || !log_writer.undescribed.is_empty() || !claims.wanted.is_empty();
+        let soon = first_start.is_some() || ends || !log_writer.undescribed.is_empty() || !claims.to_record.is_empty();
         let pause = match (is_urgent, soon) {
             (true, _) => Micros::ZERO,
             (_, true) => BATCH_DELAY,
@@ -91,10 +92,10 @@
         }
         let first_change = log_writer.changed.front();
         let outcome_due = first_change.is_some_and(|c| now.since(c.since) > MAX_OUTCOME_DELAY);
-        soon || outcome_due || !log_writer.ended.is_empty() || !claims.settled.is_empty()
+        soon || outcome_due || !log_writer.ended.is_empty() || !claims.to_remove.is_empty()
     }
 
-    /// A transaction with only the condition that this node leads the current term.
+    /// Creates a draft with only the condition that this node leads the current term.
     fn begin_draft(&self, max_changes: usize, value_bytes: usize, election: &Election) -> Draft {
         let log_writer = &self.log_writer;
         // Ends of jobs take changes of their own: some changes are reserved for them.
@@ -107,7 +108,7 @@
             pending: PendingTransaction::default(),
             packer: SegmentPacker::new(value_bytes, segment_budget, max_changes - ends),
             first_seq: log_writer.last_seq + 1,
-            compact_before: self.compaction_goal(value_bytes),
+            compact_before: self.first_segment_to_keep(value_bytes),
             max_changes,
         };
         draft.pending.txn.conditions.push(election.condition());
@@ -117,17 +118,17 @@
     /// Adds the waiting changes, the most urgent first, and returns how many starts `write_starts`
     /// has added.
     fn add_changes(&mut self, draft: &mut Draft, claims: ClaimChanges, now: Micros) -> usize {
-        for (id, value) in claims.wanted {
+        for (id, value) in claims.to_record {
             draft.add_claim(id, value);
         }
         self.write_starts(draft);
         let starts = draft.pending.starts.len();
         self.write_completed(draft);
-        self.write_withdrawn(draft);
+        self.write_cancelled_by_dependency(draft);
         draft.limit_segments();
         self.write_new_descriptions(draft);
-        self.write_ended(draft);
-        write_settled(draft, claims.settled);
+        self.write_fully_cancelled(draft);
+        write_settled(draft, claims.to_remove);
         self.write_outcomes(draft, now);
         starts
     }
@@ -163,10 +164,10 @@
         }
     }
 
-    /// Adds the ends of jobs that are cancelled because a job that they need was.
-    fn write_withdrawn(&mut self, draft: &mut Draft) {
-        let withdrawn: Vec<JobId> = self.log_writer.withdrawn.iter().cloned().collect();
-        for id in withdrawn {
+    /// Adds the ends of jobs that are cancelled because a job that they depend on was cancelled.
+    fn write_cancelled_by_dependency(&mut self, draft: &mut Draft) {
+        let cancelled: Vec<JobId> = self.log_writer.withdrawn.iter().cloned().collect();
+        for id in cancelled {
             let Some(job) = self.jobs.get_mut(&id).filter(|j| j.is_live()) else {
                 self.log_writer.withdrawn.remove(&id);
                 continue;
@@ -176,7 +177,7 @@
             }
             job.closing = true;
             self.log_writer.withdrawn.remove(&id);
-            draft.pending.withdrawn.push(id);
+            draft.pending.cancelled_by_dependency.push(id);
         }
     }
 
@@ -187,7 +188,7 @@
         for id in jobs {
             let Some(job) = self.jobs.get(&id) else { continue };
             if job.cancelled_at.is_some() && job.placements.is_empty() {
-                continue; // `write_ended` records its end instead.
+                continue; // `write_fully_cancelled` records its end instead.
             }
             if !self.write_description(draft, &id) {
                 break;
@@ -196,11 +197,11 @@
     }
 
     /// Adds the ends of cancelled jobs without any placement left.
-    fn write_ended(&mut self, draft: &mut Draft) {
-        let ended: Vec<JobId> = self.log_writer.ended.iter().cloned().collect();
-        let has_ended = |job: &&Job| job.cancelled_at.is_some() && job.placements.is_empty();
-        for id in ended {
-            let Some(job) = self.jobs.get(&id).filter(has_ended) else {
+    fn write_fully_cancelled(&mut self, draft: &mut Draft) {
+        let fully_cancelled: Vec<JobId> = self.log_writer.ended.iter().cloned().collect();
+        let is_fully_cancelled = |job: &&Job| job.cancelled_at.is_some() && job.placements.is_empty();
+        for id in fully_cancelled {
+            let Some(job) = self.jobs.get(&id).filter(is_fully_cancelled) else {
                 self.log_writer.ended.remove(&id);
                 continue;
             };
@@ -210,7 +211,7 @@
             let entry = Undescribed::new(job.acceptance_revision, id.clone());
             self.log_writer.undescribed.remove(&entry);
             self.log_writer.ended.remove(&id);
-            draft.pending.ended.push(id);
+            draft.pending.fully_cancelled.push(id);
         }
     }
 
@@ -239,8 +240,8 @@
         }
     }
 
-    /// Adds a task range, with its job's description if that is not in the log; false if they
-    /// don't fit.
+    /// Adds a task range, with its job's description if that is not in the log; returns false if
+    /// they don't fit.
     pub(super) fn write_task_range(&mut self, draft: &mut Draft, id: &JobId, range_index: u32) -> bool {
         let Some(job) = self.jobs.get(id) else { return true };
         if job.closing || draft.has_task_range(id, range_index) || !job.task_ranges.contains_key(&range_index) {
@@ -279,7 +280,7 @@
         true
     }
 
-    /// Starts in a task range that are not in the log.
+    /// Returns the starts in a task range that are not in the log.
     fn unrecorded_starts(&self, job: &Job, range_index: u32) -> Vec<WrittenStart> {
         let from = range_index * self.tasks_per_range;
         let to = from + self.tasks_per_range;
@@ -293,7 +294,7 @@
         unrecorded.map(|(task, p)| start(*task, p.attempt)).collect()
     }
 
-    /// Takes the changes of a task range, which is in the draft, out of the queues.
+    /// Removes the changes of a task range in the draft from the queues and returns them.
     fn take_task_range_changes(
         &mut self,
         id: &JobId,
@@ -316,8 +317,8 @@
         })
     }
 
-    /// Adds a job's description if it is not in the log in its present form, or in a segment to
-    /// be compacted; false if it doesn't fit.
+    /// Adds a job's description if the log lacks its current form or has it in a segment to be
+    /// compacted; returns false if it doesn't fit.
     pub(super) fn write_description(&mut self, draft: &mut Draft, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else { return true };
         let entry = Undescribed::new(job.acceptance_revision, id.clone());
@@ -327,7 +328,8 @@
             return true;
         }
         let Some(description) = self.description(job, draft.packer.segment_bytes()) else {
-            // Neither it nor any placement of the job is recorded, so that nothing of it starts.
+            // Neither the description nor any placement of the job is recorded, so that none of
+            // its tasks starts.
             tracing::error!(job = %id, "the description doesn't fit into a segment of the write-ahead log");
             return true;
         };
@@ -343,11 +345,11 @@
         true
     }
 
-    /// The entry that describes a job; `None` if it doesn't fit into a segment.
+    /// Returns the entry that describes a job; `None` if it doesn't fit into a segment.
     fn description(&self, job: &Job, segment_bytes: usize) -> Option<Entry> {
         let submitted_ms = self.clock_origin_ms + job.submitted_at.0 / 1000;
-        // It was accepted into a value of this size, but an older release may have accepted larger
-        // descriptions.
+        // The job was accepted into a value of this size, but an older release may have accepted
+        // larger descriptions.
         let bytes = segment_bytes.saturating_sub(JOB_ENTRY_BYTES);
         let spec = Box::new(records::to_record(&job.spec, submitted_ms, bytes)?);
         let cancelled = job.cancelled_at.is_some();
@@ -384,21 +386,22 @@
         pending
     }
 
-    /// The revision up to which the log will contain all changes of the jobs' keys: the last one
-    /// before the first change that still waits.
+    /// Returns the revision up to which the log will contain all changes of the jobs' keys: the
+    /// last one before the first change that still waits.
     fn seen_revision_after(&self, election: &Election) -> u64 {
         let change_of = |entry: &Undescribed| {
             let job = self.jobs.get(&entry.job)?;
             let cancellation = job.cancel_version.filter(|_| job.cancelled_at.is_some());
-            Some(cancellation.unwrap_or(entry.version))
+            Some(cancellation.unwrap_or(entry.acceptance_revision))
         };
         let first = self.log_writer.undescribed.iter().filter_map(change_of).min();
         let known = election.jobs_seen();
-        let seen_revision = first.map_or(known, |version| known.min(version.saturating_sub(1)));
+        let seen_revision = first.map_or(known, |revision| known.min(revision.saturating_sub(1)));
         seen_revision.max(self.log_writer.seen_revision)
     }
 
-    /// When the jobs that these entries describe were submitted; 0 if it is not known.
+    /// Returns when the jobs that these entries describe were submitted, in milliseconds of the
+    /// log's clock; 0 if the time is not known.
     fn submission_times(&self, entries: &[Entry]) -> Vec<u64> {
         let submission_time = |entry: &Entry| {
             let job = self.jobs.get(entry.describes()?.id.as_str());
@@ -418,10 +421,10 @@
             segments = pending.segments.len(),
             descriptions = pending.descriptions.len(),
             task_ranges = pending.task_ranges.len(),
-            rewritten = pending.task_ranges.iter().filter(|p| p.segment.is_some()).count(),
+            rewritten = pending.task_ranges.iter().filter(|r| r.segment.is_some()).count(),
             starts,
             completed = pending.completed.len(),
-            ended = pending.ended.len(),
+            ended = pending.fully_cancelled.len(),
             "transaction sent"
         );
         let txn = pending.txn.clone();
@@ -456,15 +459,15 @@
     }
 }
 
-/// Whether a task range has to be recorded in full: it never was, or in a segment that is to be
-/// compacted.
+/// Whether a task range has to be recorded in full: it has no full record, or the last one is in a
+/// segment to be compacted.
 fn needs_full_record(job: &Job, range_index: u32, compact_before: u64) -> bool {
     let task_range = job.task_ranges.get(&range_index);
     let recorded_in = task_range.and_then(|r| r.recorded_in);
     recorded_in.is_none_or(|segment| segment < compact_before)
 }
 
-/// The record of a task range: all of it, or its changes.
+/// Returns the record of a task range: the whole range if `full`, otherwise its changes.
 fn task_range_record(job: &Job, range_index: u32, tasks_per_range: u32, full: bool) -> TaskRangeRecord {
     let Some(task_range) = job.task_ranges.get(&range_index) else {
         return TaskRangeRecord::default();
