--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -1,10 +1,10 @@
-//! The controller: it passes events to the parts that own them and collects their effects.
+//! The controller: passes events to the components that handle them and collects their effects.
 //!
-//! Called by the runtime only. It decides nothing about jobs, machines or terms: those decisions
-//! belong to the election, the job API, the leader's state and the forwarder, which it owns.
+//! Only the runtime calls this module. The controller owns the election, the job API, the leader's
+//! state and the forwarder; these components make all decisions about jobs, machines and terms.
 //!
-//! Invariant: events of a batch are processed in order, then the periodic work, then requests leave
-//! the store queue; nothing is sent outside of this order.
+//! Invariant: each batch is processed in a fixed order: its events in sequence, then the periodic
+//! work, then the requests that leave the store queue. Nothing is sent outside of this order.
 
 use super::agents::HeartbeatProxy;
 use super::api::JobApi;
@@ -24,11 +24,12 @@
 use crate::time::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A controller that has processed no batch for this long, although it looks at its clocks every
-/// few milliseconds, was paused. What is queued for it is old.
+/// The time between two batches from which on the process counts as paused. Batches normally follow
+/// each other within milliseconds; events that were queued during a pause are old.
 const PROCESS_PAUSE: Micros = Micros::from_millis(900);
 
-/// A controller whose knowledge of the state service is older than this has lost the service.
+/// A controller whose last verified read of the state service is older than this has lost contact
+/// with the service.
 const STORE_LOST: Micros = Micros::from_millis(4000);
 
 /// The single owner of a controller's state.
@@ -43,17 +44,18 @@
     pub(super) attestations: CancellationAttestations,
     /// The leader's state, while this controller leads.
     pub(super) leader: Option<LeaderState>,
-    /// What each other controller last said of itself, by its name.
+    /// The last status that each other controller announced, by its name.
     pub(super) peers: BTreeMap<String, PeerStatus>,
     /// The state of the links to the other controllers.
     pub(super) peer_links: BTreeMap<String, Link>,
-    /// What is known of all links, and the requests that are forwarded.
+    /// The table of all links, and the requests that are forwarded.
     pub(super) forwarder: Forwarder,
-    /// Commands sent to agents on behalf of the leader, by this controller's number for them.
+    /// Commands sent to agents on behalf of the leader, by this controller's request number.
     pub(super) relayed_pushes: BTreeMap<u64, RelayedPush>,
-    /// The incarnation of this controller's leadership that has asked for agents' last heartbeats.
+    /// The last incarnation of this controller's leadership that has requested the agents' last
+    /// heartbeats from the other controllers.
     pub(super) last_heartbeats_requested_for: u64,
-    /// When the other controllers next learn that this one is alive.
+    /// When this controller next announces to the others that it is alive.
     pub(super) next_alive_at: Micros,
     election_started: bool,
     /// When the periodic summary is next logged.
@@ -62,22 +64,22 @@
     last_batch_at: Micros,
     /// The longest time between two batches since the last log.
     pub(super) longest_pause: Micros,
-    /// Invariants that were found broken in this incarnation of the process.
+    /// The number of invariant violations found in this incarnation of the process.
     pub(super) broken_invariants: u64,
     /// When this incarnation of the process began.
     pub(super) started_at: Micros,
-    /// When the state service lately refused changes because there were too many.
+    /// When the state service recently refused changes because of its rate limit.
     pub(super) limited_at: VecDeque<Micros>,
 }
 
 impl Controller {
-    /// A controller that knows only its settings.
+    /// Creates a controller that has only its settings; it has had no contact with any service.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Controller {
         let election = Election::new(&settings, now);
         let mut rng = fastrand::Rng::with_seed(seed);
-        // Answers to requests of an earlier incarnation of this process may still arrive, and
-        // would be taken for answers to other requests: incarnations number their requests from
-        // values that are far apart.
+        // Answers to requests of an earlier incarnation of this process may still arrive. Each
+        // incarnation starts its request numbers at a random value, so that such an answer is not
+        // taken for the answer to another request.
         let process_number = rng.u64(..);
         let node = settings.node.clone();
         let heartbeat_proxy = HeartbeatProxy::new(&settings.params.workers);
@@ -109,13 +111,13 @@
         controller
     }
 
-    /// Sets the time of day, in milliseconds since 1970, that it is at `now` on this process's
+    /// Sets the time of day, in milliseconds since 1970, that corresponds to `now` on this process's
     /// clock.
     pub fn set_time_of_day(&mut self, now: Micros, day_ms: u64) {
         self.context.clock_origin_ms = day_ms.saturating_sub(now.0 / 1000);
     }
 
-    /// Processes a batch of events and returns what is to be done outside.
+    /// Processes a batch of events and returns the resulting effects, in order.
     pub fn handle(&mut self, now: Micros, batch: Vec<Event>) -> Vec<Effect> {
         self.context.now = self.context.now.max(now);
         if !self.election_started {
@@ -141,8 +143,8 @@
         self.route_effects()
     }
 
-    /// The process did nothing for a while. Whatever timed out meanwhile says nothing about
-    /// others: their messages are processed first.
+    /// Handles a pause of this process. A timeout that expired during the pause is no evidence that
+    /// another node failed: the messages that arrived meanwhile are processed first.
     fn on_process_pause(&mut self, pause: Micros) {
         tracing::warn!(paused_s = pause.secs(), "this process was paused");
         let now = self.context.now;
@@ -164,7 +166,7 @@
                 }
             }
             Event::Link { node, link } => {
-                tracing::debug!(node, ?link, "link");
+                tracing::debug!(node, ?link, "the link to a controller has changed");
                 self.forwarder
                     .link_table
                     .record_delivery(&node, link == Link::Up, link == Link::Refused);
@@ -186,7 +188,8 @@
         }
     }
 
-    /// An answer of the state service to a request of this controller, its own or a forwarded one.
+    /// Handles an answer of the state service to one of this controller's own requests or to a
+    /// forwarded one.
     fn on_store_event(&mut self, id: u64, answer: StoreResponse) {
         let answer = self.note_limits(answer);
         let Some(answer) = self.on_direct_answer(id, answer) else {
@@ -230,23 +233,24 @@
         }
     }
 
-    /// Whether this controller takes requests of users: it does if it can decide them.
+    /// Whether this controller is ready for user requests, that is, whether it can decide them.
     ///
-    /// In an outage of the state service all controllers are alike and stay ready; one that alone
-    /// has lost the service is not, so that the balancer sends users to the others.
+    /// In an outage of the state service that affects all controllers, they all stay ready. A
+    /// controller that alone has lost the service is not ready, so that the load balancer sends
+    /// users to the others.
     fn is_ready(&self) -> bool {
         if self.cluster.catalogue.is_empty() || !self.election.is_initialized() || !self.api.is_ready() {
             return false;
         }
         let has_lost_store = self.context.now.since(self.election.verified_at()) > STORE_LOST;
         let a_peer_has_store = self.recent_peers().any(|peer| peer.store_is_current);
-        // A controller without contact to any other can't know whether they are alike: it has lost
-        // more than the service, and users should ask the others.
+        // Without contact to any other controller, this one can't determine whether the others have
+        // lost the service too. It has lost more than the service, so users should go to the others.
         let is_isolated = self.cluster.nodes() > 1 && self.recent_peers().next().is_none();
         !(has_lost_store && (a_peer_has_store || is_isolated))
     }
 
-    /// Whether this controller leads and has read the log; for tests.
+    /// Whether this controller leads and has read the write-ahead log; for tests.
     pub fn is_leader(&self) -> bool {
         self.leader.as_ref().is_some_and(|l| l.is_loaded())
     }
@@ -256,12 +260,12 @@
         &self.cluster.settings.node
     }
 
-    /// How many invariants were found broken in this incarnation of the process.
+    /// The number of invariant violations found in this incarnation of the process.
     pub fn broken_invariants(&self) -> u64 {
         self.broken_invariants
     }
 
-    /// Queues a request of the election that is sent at `at` at the earliest.
+    /// Queues a request of the election that is sent no earlier than `at`.
     pub(super) fn push_election_request_at(
         &mut self,
         at: Micros,
--- a/src/coordination/events.rs
+++ b/src/coordination/events.rs
@@ -1,6 +1,6 @@
-//! The events that go into a controller, and the effects that come out of it.
+//! The input events of a controller and its output effects.
 //!
-//! The runtime and the simulations translate between these and the outside. The cloud's requests and
+//! The runtime and the simulations translate between these types and actual I/O. Cloud requests and
 //! responses are also sent between controllers, so their serialised names are part of the protocol.
 
 use super::{api, election, log};
@@ -13,32 +13,32 @@
 use crate::transport::server::Outgoing;
 use serde::{Deserialize, Serialize};
 
-/// What a user asks over HTTP.
+/// A user's HTTP request.
 #[derive(Clone, Debug)]
 pub enum UserRequest {
-    /// Submit the jobs in this body.
+    /// Submits the jobs in this body.
     Submit(Vec<u8>),
-    /// Say how the job of this id is.
+    /// Requests the status of the job with this id.
     Poll(String),
-    /// Cancel the job of this id.
+    /// Cancels the job with this id.
     Abort(String),
-    /// Say whether this controller takes requests.
+    /// Requests whether this controller is ready for user requests.
     Ready,
 }
 
 /// A call to the cloud.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CloudRequest {
-    /// List the machine types.
+    /// Lists the machine types.
     Catalogue,
-    /// Rent machines.
+    /// Rents machines.
     #[serde(rename = "Rent")]
     Provision(ProvisionRequest),
-    /// Return machines.
+    /// Releases machines.
     Release(MachineNames),
-    /// List rented machines.
+    /// Lists rented machines.
     List {
-        /// The name after which the list goes on; empty for its beginning.
+        /// The name after which the page starts; empty for the first page.
         after: String,
     },
 }
@@ -52,31 +52,31 @@
     Rented(Vec<String>),
     /// The machines are being returned.
     Released,
-    /// A page of the list of rented machines.
+    /// One page of the list of rented machines.
     List(ListPage),
-    /// The cloud has no such machine at present.
+    /// The cloud has no capacity for such a machine at present.
     NoCapacity,
-    /// The cloud considers the request malformed.
+    /// The cloud rejected the request as malformed.
     Malformed,
-    /// Not executed: too many calls, an outage, or the call was never sent.
+    /// The call was not executed: too many calls, an outage, or it was never sent.
     Refused,
-    /// No usable answer; the call may have been executed, or may be later.
+    /// There was no usable answer; the call may have been executed, or may still be executed later.
     Unknown,
 }
 
-/// Something that happened outside.
+/// An input of the controller.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A user's request.
     User {
-        /// The number under which it is answered.
+        /// The request number to answer.
         id: u64,
-        /// What is asked.
+        /// The request.
         request: UserRequest,
     },
     /// An agent's heartbeat.
     Heartbeat {
-        /// The number under which it is answered.
+        /// The request number to answer.
         id: u64,
         /// What the agent reports.
         heartbeat: Heartbeat,
@@ -97,62 +97,62 @@
     },
     /// An agent's answer to commands that were pushed to it.
     PushedCommands {
-        /// The number of the push.
+        /// The number of the push request.
         id: u64,
         /// The result.
         answer: PushResult,
     },
-    /// A message of another controller.
+    /// A message from another controller.
     Peer(PeerMessage),
-    /// The link to another controller has changed.
+    /// A change of the link to another controller.
     Link {
         /// The other controller's name.
         node: String,
-        /// How the link is now.
+        /// The new state of the link.
         link: Link,
     },
 }
 
-/// Something to be done outside.
+/// An output of the controller, which the runtime carries out.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Answer a user or an agent.
+    /// Answers a user or an agent.
     Reply {
         /// The number of the request that is answered.
         id: u64,
         /// The answer.
         answer: Outgoing,
     },
-    /// Send a request to the state service.
+    /// Sends a request to the state service.
     Store {
-        /// The number under which its answer is expected.
+        /// The request number that the answer will carry.
         id: u64,
         /// The request.
         request: StoreRequest,
-        /// How long the answer is waited for.
+        /// The time after which a missing answer is given up.
         timeout: Micros,
     },
-    /// Make a call to the cloud.
+    /// Makes a call to the cloud.
     Cloud {
-        /// The number under which its answer is expected.
+        /// The request number that the answer will carry.
         id: u64,
         /// The call.
         request: CloudRequest,
-        /// How long the answer is waited for.
+        /// The time after which a missing answer is given up.
         timeout: Micros,
     },
-    /// Push commands to an agent.
+    /// Pushes commands to an agent.
     PushedCommands {
-        /// The number under which its answer is expected.
+        /// The request number that the answer will carry.
         id: u64,
         /// The agent's address.
         addr: String,
         /// The commands.
         body: PushedCommands,
-        /// How long the answer is waited for.
+        /// The time after which a missing answer is given up.
         timeout: Micros,
     },
-    /// Send a message to another controller.
+    /// Sends a message to another controller.
     Peer {
         /// The other controller's name.
         to: String,
@@ -161,13 +161,13 @@
     },
 }
 
-/// The part of the controller that waits for an answer of the state service, and for what.
+/// The component that handles an answer of the state service, with what it needs to continue.
 #[derive(Clone, Debug)]
 pub enum Continuation {
     /// The election.
     Election(election::ElectionContinuation),
     /// The job API.
     Api(api::ApiContinuation),
-    /// The write-ahead log of the leadership with this incarnation.
+    /// The write-ahead log of the leadership with this incarnation number.
     Log(u64, log::LogContinuation),
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,11 +1,11 @@
-//! The coordinator: the single owner of a controller's state.
+//! The controller's logic: a deterministic state machine that is the single owner of its state.
 //!
-//! [`Controller`] takes batches of [`Event`]s with the time and returns [`Effect`]s. The runtime is
-//! its only caller. There is no I/O, clock or global randomness inside, so that the same events
-//! give the same effects in a simulation as in a process.
+//! [`Controller`] takes batches of [`Event`]s with the current time and returns [`Effect`]s. The
+//! runtime is its only caller outside of simulations. There is no I/O, clock or global randomness
+//! here, so the same events give the same effects in a simulation as in a process.
 //!
-//! Each module below owns one concern of the controller or of the leader; [`state`] holds what a
-//! leader knows of jobs and machines.
+//! Each submodule owns one concern of the controller or of the leader; [`state`] holds the leader's
+//! jobs and machines.
 
 pub mod agents;
 pub mod api;
@@ -43,5 +43,5 @@
 pub use events::{CloudRequest, CloudResponse, Continuation, Effect, Event, PushResult, UserRequest};
 use std::rc::Rc;
 
-/// A job's id.
+/// The id of a job.
 pub type JobId = Rc<str>;
