--- a/src/coordination/forwarding.rs
+++ b/src/coordination/forwarding.rs
@@ -1,14 +1,15 @@
-//! Routes around links that fail: requests to the state service and the cloud, and messages to
-//! controllers, that are sent through another controller.
+//! Routing around failed links: requests to the state service and the cloud, and messages to
+//! controllers, are sent through another controller where the direct link is down.
 //!
-//! Called by the controller with the effects of each batch, and with the answers and messages that
-//! may belong to forwarded requests. It owns the table of links and the requests that are on their
-//! way, this controller's own and those of others. It decides how something is sent, never whether
-//! it may be: terms, conditions, fencing tokens and names of rentals travel with what they belong
-//! to, and a forwarded request that is late or lost is as good as late or lost on the network.
+//! The controller passes the effects of each batch to this module, and the answers and messages that
+//! may belong to forwarded requests. The [`Forwarder`] owns the table of links and the requests in
+//! flight, this controller's own and those of others. It determines the route of a request, never
+//! whether the request is allowed: terms, conditions, fencing tokens and names of rentals are part
+//! of the request, and a delayed or lost forwarded request has the same effect as one that was
+//! delayed or lost on the network.
 //!
 //! Invariant: at most one hop. A request or message that came through another controller is never
-//! passed on.
+//! forwarded again.
 
 use super::election::{Role, StepDownReason};
 use super::{CloudRequest, CloudResponse, Controller, Effect, Event};
@@ -20,39 +21,39 @@
 use glenhaven_connectivity::{Handover, HandoverPolicy, Host, LinkObservation, LinkState, LinkTable, Route};
 use std::collections::BTreeMap;
 
-/// Requests of others that are on their way from here at a time; more are refused.
+/// The most requests of other controllers in flight from here at a time; more are refused.
 const MAX_FORWARDED: usize = 48;
-/// A request that took longer to get here is not made: its sender may have been deposed meanwhile,
-/// or has given up.
+/// A request that took longer than this to arrive is not made: its sender may have been deposed
+/// meanwhile, or has given up on the request.
 const MAX_DELAY: Micros = Micros::from_millis(1500);
 /// A link that is down is probed this often, so that its recovery is noticed.
 const DOWN_PROBES: ProbeTiming = ProbeTiming {
     period: Micros::from_millis(400),
     timeout: Micros::from_millis(350),
 };
-/// A link that has failed once is probed more often until it is known to be down or not: an idle
-/// controller would learn it only with its next requests.
+/// A link that has failed once is probed more often until its state is determined: an idle
+/// controller would otherwise detect a failure only with its next requests.
 const SUSPECT_PROBES: ProbeTiming = ProbeTiming {
     period: Micros::from_millis(120),
     timeout: Micros::from_millis(150),
 };
-/// A service that this controller hardly needs is probed this often.
+/// How often a failing link to a service that this controller rarely needs is probed.
 const IDLE_PROBE_PERIOD: Micros = Micros::from_millis(5000);
 /// The largest answer that fits into a frame between controllers, in bytes.
 const MAX_ANSWER_BYTES: usize = 900 * 1024;
-/// Heartbeats count as a link to an agent for this many heartbeat periods.
+/// A heartbeat shows a working link to its agent for this many heartbeat periods and two seconds.
 const HEARTBEAT_PERIODS: f64 = 1.25;
-/// What a clock may drift between two messages, which are half a second apart, in microseconds.
+/// The largest clock drift between two messages, which are half a second apart, in microseconds.
 const CLOCK_DRIFT: i64 = 500;
 
-/// How often a failing link is probed, and how long an answer is waited for.
+/// The period and the timeout of the probes of a failing link.
 #[derive(Clone, Copy)]
 struct ProbeTiming {
     period: Micros,
     timeout: Micros,
 }
 
-/// The service that a request number belongs to.
+/// The service that a request was sent to. Each service has its own request numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Service {
     State,
@@ -68,21 +69,21 @@
     }
 }
 
-/// A request that this controller sent to a service itself.
+/// A request that this controller sent to a service directly.
 struct SentRequest {
     sent_at: Micros,
-    /// A watch waits by itself: how long it took says nothing about the link.
+    /// Whether the request is a watch, whose duration is no measure of the link's round trip.
     is_watch: bool,
     origin: RequestOrigin,
 }
 
-/// Who waits for the answer to a request.
+/// Where the answer to a request goes.
 enum RequestOrigin {
-    /// This controller.
+    /// To this controller.
     Own,
-    /// Nobody: it only shows whether the link has recovered.
+    /// Nowhere: the answer only shows whether the link has recovered.
     Probe,
-    /// Another controller.
+    /// To the controller that forwarded the request.
     Forwarded(ForwardedId),
 }
 
@@ -95,36 +96,36 @@
     id: u64,
 }
 
-/// The clock of another controller relative to this one, as far as messages tell.
+/// The clock of another controller relative to this one, estimated from its messages.
 struct ClockOffset {
-    /// The least difference between receiving a message here and sending it there, in
-    /// microseconds.
+    /// The least difference between the time of receipt on this controller's clock and the time of
+    /// sending on the other's, in microseconds.
     least: i64,
     /// That controller's clock at its last message, in microseconds.
     sender_clock: u64,
 }
 
-/// The links as they are known here, and the requests on their way.
+/// The links as observed by this controller, and the requests in flight.
 pub struct Forwarder {
-    /// A number of this process incarnation: answers to an earlier one's requests are dropped.
+    /// The number of this process incarnation; answers to requests of an earlier one are dropped.
     process_number: u64,
-    /// What is known of all links.
+    /// The state of all links.
     pub link_table: LinkTable,
     handover: HandoverPolicy,
     /// Requests sent from here, own and forwarded, by this controller's number for them.
     sent: BTreeMap<(Service, u64), SentRequest>,
-    /// Own requests that another controller was asked to make, and until when each is waited for.
+    /// Own requests that were delegated to another controller, with the time at which each expires.
     delegated: BTreeMap<(Service, u64), Micros>,
     clocks: BTreeMap<String, ClockOffset>,
     next_probe_at: BTreeMap<Service, Micros>,
-    /// Since when this controller has led with the write-ahead log read.
+    /// Since when this controller has led with the write-ahead log loaded.
     led_since: Option<Micros>,
     /// Whether the link to a service was last logged as down.
     logged_down: BTreeMap<Service, bool>,
 }
 
 impl Forwarder {
-    /// A forwarder that knows of no link.
+    /// Creates a forwarder without any observed link.
     pub fn new(node: &str, process_number: u64) -> Forwarder {
         Forwarder {
             process_number,
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Another controller says that it is alive and how its links are. `sender_clock`: its steady
-    /// clock, in microseconds.
+    /// Records another controller's announcement with its observed links. `sender_clock` is the
+    /// sender's steady clock, in microseconds.
     pub fn on_alive(&mut self, node: &str, sender_clock: u64, links: &[LinkObservation], now: Micros) {
         self.link_table.record_contact(node, now);
         self.link_table.record_observations(node, links, now);
@@ -150,7 +151,7 @@
                 clock.least = clock.least.min(offset) + CLOCK_DRIFT;
                 clock.sender_clock = sender_clock;
             }
-            // A new process incarnation starts its clock again.
+            // A new process incarnation restarts its clock.
             _ => {
                 let clock = ClockOffset {
                     least: offset,
@@ -161,8 +162,8 @@
         }
     }
 
-    /// Whether a message sent at `sender_clock` took too long to get here. The answer may be too
-    /// strict; it is never a proof.
+    /// Whether a message sent at `sender_clock` took too long to arrive. This is an estimate, which
+    /// may reject a message that was in time; it proves nothing.
     fn is_late(&self, node: &str, sender_clock: u64, now: Micros) -> bool {
         let Some(clock) = self.clocks.get(node) else {
             return true;
@@ -170,7 +171,7 @@
         now.0 as i64 - sender_clock as i64 - clock.least > MAX_DELAY.0 as i64
     }
 
-    /// Whether messages reach a controller, directly or through another one.
+    /// Whether a controller can be reached, directly or through another one.
     pub fn reaches(&self, node: &str, now: Micros) -> bool {
         let host = Host::Node(node.to_string());
         match self.link_table.own_link(&host, now) {
@@ -181,12 +182,12 @@
     }
 
     /// Whether answers of the state service reach this controller, directly or through another one.
-    /// If not, what is sent there may still be executed.
+    /// If not, requests to the service may still be executed.
     pub fn receives_store_answers(&self, now: Micros) -> bool {
         self.link_table.route(&Host::State, now) != Route::Nowhere || self.link_table.is_recovering(&Host::State)
     }
 
-    /// Requests of other controllers that are on their way from here.
+    /// The number of other controllers' requests in flight from here.
     fn forwarded_requests(&self) -> usize {
         let is_forwarded = |sent: &&SentRequest| matches!(sent.origin, RequestOrigin::Forwarded(_));
         self.sent.values().filter(is_forwarded).count()
@@ -194,7 +195,7 @@
 }
 
 impl Controller {
-    /// Sends the effects of the batch over the links that work.
+    /// Returns the effects of the batch, routed over working links.
     pub(super) fn route_effects(&mut self) -> Vec<Effect> {
         let decided = std::mem::take(&mut self.context.effects);
         let mut routed = Vec::with_capacity(decided.len());
@@ -210,7 +211,7 @@
         routed
     }
 
-    /// Notes a request that is sent from here.
+    /// Records a request that is sent directly from here.
     fn note_sent(&mut self, service: Service, id: u64, is_watch: bool, origin: RequestOrigin) {
         let sent = SentRequest {
             sent_at: self.context.now,
@@ -221,7 +222,7 @@
     }
 
     fn route_store_request(&mut self, id: u64, request: StoreRequest, timeout: Micros) -> Effect {
-        // A request that is noted already is a forwarded one or a probe: it is sent from here.
+        // A request that is already recorded is a forwarded one or a probe: it is sent directly.
         if !self.forwarder.sent.contains_key(&(Service::State, id)) {
             if let Some(via) = self.route_via(&Host::State) {
                 let request = ForwardedBody::State(to_cbor(&request));
@@ -244,8 +245,8 @@
         Effect::Cloud { id, request, timeout }
     }
 
-    /// The controller through which a host is reached; `None`: it is reached directly or not at
-    /// all.
+    /// The controller through which a host is reached; `None` if the host is reached directly or not
+    /// at all.
     fn route_via(&self, host: &Host) -> Option<String> {
         match self.forwarder.link_table.route(host, self.context.now) {
             Route::Via(node) if self.cluster.settings.operator.ways_by_others => Some(node),
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Asks another controller to make a request.
+    /// Delegates a request to another controller.
     fn delegate(&mut self, to: String, service: Service, id: u64, request: ForwardedBody, timeout: Micros) -> Effect {
         let until = self.context.now + timeout;
         self.forwarder.delegated.insert((service, id), until);
@@ -269,8 +270,8 @@
         Effect::Peer { to, message }
     }
 
-    /// Messages that somebody waits for go through a third controller where there is no link; those
-    /// that are repeated anyway do not.
+    /// Routes a message to a controller. Without a direct link, a message that the recipient or the
+    /// sender waits for goes through a third controller; messages that are repeated anyway do not.
     fn route_peer_message(&self, to: String, message: PeerMessage) -> Effect {
         let is_awaited = matches!(
             message,
@@ -292,8 +293,8 @@
         }
     }
 
-    /// An answer of the state service to a request sent from here. Returns it if it is for this
-    /// controller.
+    /// Handles an answer of the state service to a request sent directly from here. Returns the
+    /// answer if this controller made the request, and `None` if it was a probe or a forwarded one.
     pub(super) fn on_direct_answer(&mut self, id: u64, answer: StoreResponse) -> Option<StoreResponse> {
         let Some(sent) = self.forwarder.sent.remove(&(Service::State, id)) else {
             return Some(answer);
@@ -314,7 +315,8 @@
         }
     }
 
-    /// The same for an answer of the cloud.
+    /// Handles an answer of the cloud in the same way as
+    /// [`on_direct_answer`](Controller::on_direct_answer) handles one of the state service.
     pub(super) fn on_direct_call(&mut self, id: u64, answer: CloudResponse) -> Option<CloudResponse> {
         let Some(sent) = self.forwarder.sent.remove(&(Service::Cloud, id)) else {
             return Some(answer);
@@ -331,7 +333,7 @@
         }
     }
 
-    /// Sends the answer to a forwarded request back.
+    /// Returns the answer to a forwarded request to the controller that forwarded it.
     fn return_forwarded(&mut self, request: ForwardedId, answer: ForwardedBody) {
         let message = PeerMessage::ForwardedResponse {
             life: request.process_number,
@@ -342,7 +344,7 @@
         self.context.effects.push(Effect::Peer { to, message });
     }
 
-    /// Records what an answer, or its absence, says about the link to a service.
+    /// Records the link to a service as working or failed, by an answer or its absence.
     fn note_link(&mut self, service: Service, sent: &SentRequest, has_failed: bool) {
         let now = self.context.now;
         let links = &mut self.forwarder.link_table;
@@ -358,7 +360,7 @@
         }
     }
 
-    /// A message about something that is forwarded or relayed.
+    /// Handles a message about a forwarded request or a relayed message.
     pub(super) fn on_forwarded(&mut self, message: PeerMessage) {
         match message {
             PeerMessage::ForwardRequest { .. } => self.on_forward_request(message),
@@ -373,7 +375,7 @@
                 }
             }
             PeerMessage::RelayedMessage(body) => match bitcode::decode::<PeerMessage>(&body) {
-                // One hop: a relayed message makes this controller neither relay nor forward.
+                // At most one hop: a relayed message must not cause another relay or forward.
                 Ok(
                     PeerMessage::RelayMessage { .. }
                     | PeerMessage::RelayedMessage(_)
@@ -386,7 +388,7 @@
         }
     }
 
-    /// Another controller asks for a request that it can't make itself.
+    /// Handles a request that another controller can't make itself.
     fn on_forward_request(&mut self, message: PeerMessage) {
         let PeerMessage::ForwardRequest {
             node,
@@ -400,8 +402,9 @@
         else {
             return;
         };
-        // A call to the cloud carries no condition: a leader that is known to be deposed makes none.
-        // A request to the state service does, and it is how the sender learns of a later term.
+        // A call to the cloud has no condition, so it is refused for a leader that is known to be
+        // deposed. A request to the state service is conditional, and its answer informs the sender
+        // of a later term.
         let is_deposed = matches!(what, ForwardedBody::Cloud(_)) && term < self.election.term();
         let is_allowed = self.cluster.settings.operator.ways_by_others && self.is_peer(&node);
         let is_refused = !is_allowed
@@ -443,7 +446,7 @@
         self.context.effects.push(Effect::Cloud { id, request, timeout });
     }
 
-    /// Answers a forwarded request that was not made: a refusal says that it was never executed.
+    /// Refuses a forwarded request; a refusal means that the request was never executed.
     fn refuse_forwarded(&mut self, request: ForwardedId, what: &ForwardedBody) {
         let refusal = match what {
             ForwardedBody::State(_) => ForwardedBody::State(to_cbor(&StoreResponse::Refused)),
@@ -452,13 +455,13 @@
         self.return_forwarded(request, refusal);
     }
 
-    /// The answer to a request that another controller made for this one.
+    /// Handles the answer to a request that another controller made for this one.
     fn on_forwarded_response(&mut self, id: u64, answer: ForwardedBody) {
         let service = match &answer {
             ForwardedBody::State(_) => Service::State,
             ForwardedBody::Cloud(_) => Service::Cloud,
         };
-        // The answer came too late, or twice.
+        // Ignores an answer that came after the timeout, or a duplicate.
         if self.forwarder.delegated.remove(&(service, id)).is_none() {
             return;
         }
@@ -474,7 +477,7 @@
         }
     }
 
-    /// How this controller's links are, for the others.
+    /// The states of this controller's links, for its announcement to the others.
     pub(super) fn observed_links(&mut self) -> Vec<LinkObservation> {
         let now = self.context.now;
         let heartbeat_s = self.cluster.settings.params.workers.report_s;
@@ -500,7 +503,7 @@
         links.observations(now)
     }
 
-    /// Probes links that fail, gives up on delegated requests without an answer, and checks whether
+    /// Probes failing links, gives up on delegated requests without an answer, and checks whether
     /// another controller should lead.
     pub(super) fn run_link_probes(&mut self) {
         self.expire_delegated();
@@ -542,20 +545,20 @@
         let was_down = self.forwarder.logged_down.insert(service, down).unwrap_or(false);
         if down != was_down {
             let route = self.forwarder.link_table.route(&host, now);
-            tracing::info!(?host, down, way = ?route, "a link has changed");
+            tracing::info!(?host, down, way = ?route, "the link to a service has changed");
             if service == Service::State && matches!(route, Route::Via(_)) {
                 self.api.reset_outage();
             }
         }
     }
 
-    /// Probes the link to a service if it fails and it is time to.
+    /// Probes the link to a service if the link is failing and a probe is due.
     fn probe_if_due(&mut self, service: Service) {
         let now = self.context.now;
         let host = service.host();
         let is_down = self.forwarder.link_table.own_link(&host, now) == LinkState::Down;
         let timing = if is_down { DOWN_PROBES } else { SUSPECT_PROBES };
-        // Hardly anybody but the leader needs the cloud, which takes few calls.
+        // Mostly the leader needs the cloud, whose rate limit allows few calls.
         let is_needed = service == Service::State || self.election.role() == Role::Leader;
         let period = if is_needed { timing.period } else { IDLE_PROBE_PERIOD };
         let due_at = self.forwarder.next_probe_at.get(&service);
@@ -603,25 +606,25 @@
             }
         };
         let others = self.cluster.settings.peers.len() as u32;
-        // Counted only where the decision depends on it: it looks at every machine, and the policy
-        // decides after every batch.
+        // Counted only if the decision depends on the number: the count goes through all machines,
+        // and the policy decides after every batch.
         let machines = || self.leader.as_ref().map_or(0, |l| l.working_machines());
         let links = &self.forwarder.link_table;
         let handover = self.forwarder.handover.decide(links, others, machines, led_since, now);
         if let Some(Handover { to, reason }) = handover {
             let why = reason.as_str();
-            tracing::warn!(term = self.election.term(), to, why, "giving up the lead");
+            tracing::warn!(term = self.election.term(), to, why, "giving up the leadership");
             self.give_up_lead(to, StepDownReason::HandsOver(reason));
         }
     }
 
-    /// Whether this controller gave up the leadership a moment ago.
+    /// Whether this controller gave up the leadership recently.
     pub(super) fn gave_up_lead_recently(&self) -> bool {
         self.forwarder.handover.gave_up_recently(self.context.now)
     }
 }
 
-/// The agents of a zone that send their heartbeats here.
+/// The agents of a zone that send their heartbeats to this controller.
 #[derive(Clone, Copy, Default)]
 struct ZoneAgents {
     count: u32,
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -1,26 +1,26 @@
-//! The one place that decides whether a response may renew an agent's lease, and what such a
-//! response says of cancelled jobs.
+//! Lease renewal: decides whether a response may renew an agent's lease, and which stops of
+//! cancelled jobs such a response contains. No other module renews leases.
 //!
-//! Invariant: if a user was told of a cancellation at time C, no task of the job runs, and none can
-//! start any more, at C + `cancel_s`. Each response that renews a lease rests on a time K, the
-//! cancellation watermark: reads of the state service that were sent at K or later prove the term,
-//! and every cancellation that was confirmed to a user before K. The lease that it renews ends by
-//! K + `cancel_s`, also with drifting clocks.
+//! Invariant: if a cancellation was confirmed to a user at time C, then at C + `cancel_s` no task of
+//! the job runs and none can start any more. Each response that renews a lease is based on a time K,
+//! the cancellation watermark: reads of the state service that were sent at K or later prove the
+//! term, and every cancellation that was confirmed to a user before K. The renewed lease ends by
+//! K + `cancel_s`, also with clock drift.
 //!
-//! - If C is after K, the lease ends in time by itself.
+//! - If C is after K, the lease expires in time without further action.
 //! - If C is before K, the cancellation is known here and the response stops the job's tasks. A start
 //!   that may still be in flight is either refused by the agent, because of the response's higher
 //!   fencing token, or the response renews no lease beyond C + `cancel_s`.
 //!
-//! `docs/design/renewals.md` goes through every path.
+//! `docs/design/renewals.md` covers every path.
 //!
-//! K is the time of the last read of the state service. While that does not answer, the leader's K
-//! can advance by attestations of all other controllers: each attests, in answer to one request,
-//! which cancellations it may have confirmed, and that it knows no later term. Only controllers
-//! confirm cancellations. A controller that does not answer, or whose process began after what this
-//! node has read, may have confirmed any cancellation: then K does not advance. A follower has no
-//! such K, because it does not know which starts of the leader are in flight; it relies on the leader
-//! to raise the term.
+//! K is the time of the last read of the state service. While the service does not answer, the
+//! leader's K can advance by attestations of all other controllers: in answer to one request, each
+//! attests which cancellations it may have confirmed, and that it has seen no later term. Only
+//! controllers confirm cancellations. A controller that does not answer, or whose process started
+//! after the revision that this node has read, may have confirmed any cancellation: then K does not
+//! advance. A follower's K does not advance by attestations, because a follower has no record of the
+//! leader's starts that are in flight; it relies on the leader to raise the term.
 
 use super::api::JobApi;
 use super::election::{Election, Role};
@@ -35,30 +35,30 @@
 
 /// The most commands in one message, well under the limit of 64 KiB for responses.
 pub const MAX_COMMANDS: usize = 300;
-/// Without an answer of the state service for this long, the leader requests attestations.
+/// The time without an answer of the state service after which the leader requests attestations.
 const ATTEST_AFTER: Micros = Micros::from_millis(2500);
-/// Pause between two requests of attestations.
+/// The time between two rounds of attestation requests.
 const ATTEST_INTERVAL: Micros = Micros::from_millis(1000);
-/// The most cancellations in one attestation, well under the limit of a frame.
+/// The most cancellations in one attestation, well under the size limit of a frame.
 const MAX_ATTESTED: usize = 8000;
-/// How long a start that is no longer wanted is waited for before the term is raised.
+/// How long the leader waits for a cancelled start to be confirmed before it raises the term.
 const START_SETTLE_TIME: Micros = Micros::from_millis(3000);
 
-/// The attestations of the other controllers while the state service does not answer.
+/// The other controllers' attestations of cancellations while the state service does not answer.
 pub struct CancellationAttestations {
     /// The number of the last round of requests.
     round: u64,
-    /// When its requests were sent.
+    /// When the requests of the last round were sent.
     round_sent_at: Micros,
-    /// The controllers that have not answered it yet.
+    /// The controllers that have not answered the last round yet.
     unanswered: BTreeSet<String>,
     next_round_at: Micros,
-    /// When the requests of the last round were sent that all controllers have answered.
+    /// When the requests of the last completely answered round were sent.
     cancellation_watermark: Micros,
 }
 
 impl CancellationAttestations {
-    /// No attestations yet.
+    /// Creates the state without any attestation.
     pub fn new(now: Micros) -> CancellationAttestations {
         CancellationAttestations {
             round: 0,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The cancellation watermark K: every cancellation that was confirmed before it is known here.
+    /// The cancellation watermark K: every cancellation that was confirmed before K is known here.
     pub fn cancellation_watermark(&self, election: &Election) -> Micros {
         match election.role() {
             Role::Leader => election.verified_at().max(self.cancellation_watermark),
@@ -77,13 +77,13 @@
         }
     }
 
-    /// Whether a lease that is renewed now ends by K + `cancel_s`.
+    /// Whether a lease that is renewed at `now` ends by K + `cancel_s`.
     pub fn may_renew(&self, election: &Election, cluster: &ClusterConfig, now: Micros) -> bool {
         election.is_initialized() && now.since(self.cancellation_watermark(election)) < cluster.knowledge_limit()
     }
 
-    /// A response to this heartbeat that renews the agent's lease, if one may be given. `commands`
-    /// are those of the leader.
+    /// Returns a response to this heartbeat that renews the agent's lease, or `None` if the lease
+    /// may not be renewed. `commands` are the leader's commands for the agent.
     pub fn renewal(
         &self,
         election: &Election,
@@ -104,15 +104,15 @@
         })
     }
 
-    /// Begins a round of requests to these peers.
+    /// Begins a round of attestation requests to these peers.
     pub fn begin_round(&mut self, round: u64, peers: impl Iterator<Item = String>, now: Micros) {
         self.round = round;
         self.round_sent_at = now;
         self.unanswered = peers.collect();
     }
 
-    /// Takes the attestation of a node that knows this term, and returns whether K has advanced. One
-    /// of a later term than this node knows is ignored.
+    /// Records a node's attestation and returns whether K has advanced. An attestation under a later
+    /// term than this node's is ignored.
     pub fn on_answer(&mut self, election: &Election, node: &str, round: u64, term: u64) -> bool {
         let is_current = round == self.round && term <= election.term();
         if !is_current || !self.unanswered.remove(node) || !self.unanswered.is_empty() {
@@ -123,8 +123,8 @@
     }
 }
 
-/// A response that the agent has to drop: it renews no lease, and no other controller answers the
-/// heartbeat in place of this one.
+/// Returns a response that the agent has to drop: it renews no lease, and keeps other controllers
+/// from answering the heartbeat in place of this one.
 pub fn non_renewing_response() -> HeartbeatResponse {
     HeartbeatResponse {
         fencing_token: 0,
@@ -132,7 +132,8 @@
     }
 }
 
-/// Adds a stop without grace of every task in the heartbeat whose job is known to be cancelled.
+/// Adds an immediate stop (no grace period) for every task in the heartbeat whose job is known to
+/// be cancelled.
 pub fn add_stops_of_cancelled(api: &JobApi, heartbeat: &Heartbeat, commands: &mut Vec<AgentCommand>) {
     for t in heartbeat.tasks.iter().filter(|t| t.phase != TaskPhase::Exited) {
         let cancelled =
@@ -149,10 +150,12 @@
 }
 
 impl LeaderState {
-    /// Determines the machines that may still have, or get, a task of a cancelled job. A start under
-    /// the present term whose task was never seen may arrive at any time, also at a machine that
-    /// only another controller reaches: after a raise of the term, the response of any controller
-    /// raises the machine's fencing token, which makes it refuse the start.
+    /// Determines the machines that may still have, or get, a task of a cancelled job.
+    ///
+    /// A start that was sent under the current term and whose task was never reported may arrive at
+    /// any time, also at a machine that only another controller reaches. Such a start makes the
+    /// leader raise the term: then the response of any controller raises the machine's fencing
+    /// token, which makes the agent refuse the start.
     pub fn update_unsettled_machines(&mut self, now: Micros) {
         self.unsettled_machines.clear();
         let mut start_in_flight = false;
@@ -171,9 +174,10 @@
         }
     }
 
-    /// Whether a response to this heartbeat would let a start that may still be in flight run too
-    /// long after its job was cancelled: its fencing token would not make the agent refuse that
-    /// start, and the lease would outlast the time within which the task has to end.
+    /// Whether the lease must not be renewed in answer to this heartbeat, because a start of a
+    /// cancelled job may still be in flight and its task could then run for too long: the response's
+    /// fencing token would not make the agent refuse the start, and the renewed lease would outlast
+    /// the time within which the task has to end.
     pub fn must_let_lease_lapse(&self, cluster: &ClusterConfig, heartbeat: &Heartbeat, now: Micros) -> bool {
         let name: MachineId = heartbeat.machine.as_str().into();
         if !self.unsettled_machines.contains(&name) {
@@ -182,8 +186,8 @@
         let Some(machine) = self.machines.get(&name) else {
             return false;
         };
-        // The bound is that for unknown cancellations, with the time up to which the cancellation
-        // was not confirmed as K.
+        // The bound is the same as for unknown cancellations; the time up to which this cancellation
+        // was certainly not confirmed takes the place of K.
         let too_long = |unconfirmed_until: Micros| now.since(unconfirmed_until) >= cluster.knowledge_limit();
         machine.tasks.iter().any(|(id, task)| {
             let Some(job) = self.jobs.get(id).filter(|j| j.cancelled_at.is_some()) else {
@@ -217,8 +221,8 @@
         }
         self.attestations.next_round_at = now + ATTEST_INTERVAL;
         let peers = &self.cluster.settings.peers;
-        // A controller with an earlier release can't attest, and without it the others' attestations
-        // prove nothing.
+        // A controller with an earlier release can't attest, and an incomplete set of attestations
+        // proves nothing.
         if !peers
             .iter()
             .all(|p| self.election.release(&p.node) >= RELEASE_ATTESTATIONS)
@@ -241,9 +245,12 @@
         }
     }
 
-    /// Answers the request of another controller for the cancellations after the revision `seen` that
-    /// are known here. An earlier incarnation of this process may have confirmed cancellations
-    /// before the revision at which this one began to read: of those it can attest nothing.
+    /// Answers another controller's request for the cancellations after the revision `seen` that are
+    /// known here.
+    ///
+    /// An earlier incarnation of this process may have confirmed cancellations before the revision
+    /// at which this incarnation began to read. This incarnation can't attest those, so it does not
+    /// answer if `seen` is before that revision.
     pub(super) fn on_attestation_request(&mut self, node: String, round: u64, seen: u64) {
         if self.election.first_read_revision().is_none_or(|from| seen < from) {
             return;
@@ -260,8 +267,8 @@
         self.context.effects.push(Effect::Peer { to: node, message });
     }
 
-    /// Takes the attestation of another controller, with cancellations that it has read from the
-    /// state service.
+    /// Handles the attestation of another controller, with the cancellations that the other
+    /// controller has read from the state service.
     pub(super) fn on_attestation(&mut self, node: &str, round: u64, term: u64, cancelled: Vec<(String, u64)>) {
         let now = self.context.now;
         for (job, version) in cancelled {
@@ -282,8 +289,8 @@
         }
     }
 
-    /// Tells the leader the present watermark: cancellations that it learns from now on were not
-    /// confirmed before.
+    /// Sets the leader's watermark to the current one: cancellations that the leader learns of from
+    /// now on were not confirmed before that time.
     pub(super) fn update_leader_watermark(&mut self) {
         let proven = self.attestations.cancellation_watermark(&self.election);
         if let Some(leader) = self.leader.as_mut() {
--- a/src/coordination/tick.rs
+++ b/src/coordination/tick.rs
@@ -1,7 +1,7 @@
-//! What a controller does after every batch of events: the periodic work of its parts.
+//! The periodic work of a controller's components, which runs after every batch of events.
 //!
-//! Called by [`Controller::handle`]. The order of the steps is fixed: the election comes before
-//! whatever depends on who leads, and the leader acts last.
+//! Called by [`Controller::handle`]. The order of the steps is fixed: the election runs before
+//! the steps that depend on which controller leads, and the leader's own work runs last.
 
 use super::agents::LeaseRenewer;
 use super::election::Role;
@@ -9,13 +9,13 @@
 use crate::protocol::peer::PeerMessage;
 use crate::time::Micros;
 
-/// A controller not heard from for longer than this is not expected to answer agents.
+/// A controller without a message for longer than this is not expected to answer agents.
 const CONTACT_TIMEOUT: Micros = Micros::from_millis(1600);
-/// How often this controller says to the others that it is alive.
+/// How often this controller announces to the others that it is alive.
 const ALIVE_PERIOD: Micros = Micros::from_millis(500);
-/// Knowledge of the state service that is older than this is not called current.
+/// A last verified read of the state service that is older than this is not announced as current.
 const CURRENT: Micros = Micros::from_millis(2500);
-/// How often a summary is logged.
+/// How often the summary is logged.
 const LOG_PERIOD: Micros = Micros::from_millis(10_000);
 
 impl Controller {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Tells the other controllers that this one is alive, and how it is.
+    /// Announces to the other controllers that this one is alive, with its status and links.
     fn announce_alive(&mut self) {
         let now = self.context.now;
         let leads = self.election.role() == Role::Leader;
@@ -69,7 +69,7 @@
         self.broadcast(&message);
     }
 
-    /// Sends the counts of jobs that changed to the other controllers, which show them to users.
+    /// Sends the changed task counts of jobs to the other controllers, which report them to users.
     fn publish_progress(&mut self) {
         let Some(leader) = self.leader.as_mut() else { return };
         let changed = leader.changed_progress();
@@ -79,8 +79,8 @@
     }
 
     /// Logs the term this controller acts under, the revision up to which it has read the state
-    /// service, how long answers took, and how long this process did nothing: the last two tell a
-    /// slow service from a controller that waits for a processor.
+    /// service, how long answers took, and the longest pause of this process. The last two
+    /// distinguish a slow service from a controller that waits for a processor.
     fn log_state_service(&mut self) {
         let longest_pause = std::mem::take(&mut self.longest_pause);
         tracing::info!(
@@ -94,7 +94,7 @@
         );
     }
 
-    /// Logs what the job API accepted, answered and refused since the last time.
+    /// Logs what the job API has accepted, answered and refused since the last summary.
     fn log_api(&mut self) {
         if let Some(waited) = self.api.take_waits() {
             let (open, pages) = self.api.pages();
@@ -102,19 +102,19 @@
         }
         let (answered, asked_anew) = self.api.take_answered();
         if !answered.is_empty() {
-            tracing::info!(?answered, asked_anew, "answers, by what they rested on");
+            tracing::info!(?answered, asked_anew, "answered user requests, by the source of the proof");
         }
         let refused = self.api.take_refusals();
         if !refused.is_empty() {
             let (open, pages) = self.api.pages();
-            tracing::info!(?refused, open, pages, "requests were refused");
+            tracing::info!(?refused, open, pages, "refused user requests, by reason");
         }
     }
 
     fn log_leader(&mut self) {
         let Some(leader) = self.leader.as_mut() else { return };
         if let Some(waited) = leader.blocked_jobs.take_waits() {
-            tracing::info!(?waited, "tasks of jobs that waited for others began");
+            tracing::info!(?waited, "tasks of jobs with dependencies started; time since the last dependency was done");
         }
         leader.log_summary(&self.cluster, self.context.now);
         leader.log_slo_accounting(&self.cluster, self.context.now);
@@ -127,7 +127,7 @@
             leader.load(&mut self.context);
             return;
         }
-        // After a pause of the process, another controller may lead by now.
+        // After a pause of the process, another controller may have become the leader.
         if self.election.is_lease_unverified() {
             return;
         }
@@ -140,7 +140,7 @@
         leader.check_invariants(&self.cluster, now);
         self.broken_invariants += std::mem::take(&mut leader.invariants.broken);
         leader.schedule(&mut self.context, &self.cluster);
-        // A leader that may have been deposed returns no machines: the next one may be using them.
+        // A leader that may have been deposed releases no machines: its successor may be using them.
         if holds_lease {
             leader.run_provisioning(&mut self.context, &self.cluster, &mut self.cloud_calls);
         }
