--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -1,10 +1,10 @@
-//! Jobs with dependencies on the leader: they are blocked until all their dependencies are done,
-//! cancelled with any of these, and pass their priority and deadline on to them (priority
+//! The leader's handling of jobs with dependencies. Such a job is blocked until all its dependencies
+//! are done, is cancelled with any of them, and passes its priority and deadline on to them (priority
 //! inheritance).
 //!
-//! The graph belongs to the job API and contains only committed facts; this module applies its
-//! changes to the leader's jobs, once in each tick. A blocked job is not described in the
-//! write-ahead log: every node reads it from the pages of acceptances, and so does a new leader.
+//! The job API owns the dependency graph, which contains only committed facts; this module applies
+//! the graph's changes to the leader's jobs, once in each tick. A blocked job is not described in the
+//! write-ahead log: every node, also a new leader, reads it from the pages of acceptances.
 
 use super::api::{DependentJob, JobApi};
 use super::log::queues::Undescribed;
@@ -16,11 +16,12 @@
 use glenhaven_group_commit::{Waited, Waits};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Inherited priorities and deadlines are recomputed after this long, and when the graph changes.
+/// Inherited priorities and deadlines are recomputed this often, and when the graph changes.
 const INHERITANCE_INTERVAL: Micros = Micros::from_millis(2000);
-/// The time that a job takes beside its tasks and their image: commits, commands and heartbeats.
+/// The time that a job takes in addition to running its tasks and fetching their image: commits,
+/// commands and heartbeats.
 const STAGE_OVERHEAD_S: f64 = 3.0;
-/// The longest of a job's tasks takes about this many times as long as the estimate.
+/// The typical ratio of a job's longest task duration to the estimated one.
 const LONGEST_TASK_FACTOR: f64 = 1.4;
 
 /// The leader's state of jobs with dependencies.
@@ -28,12 +29,13 @@
 pub struct BlockedJobs {
     /// Blocked jobs whose state in the graph has to be checked.
     to_check: BTreeSet<JobId>,
-    /// Whether the blocked jobs that the job API knows were adopted.
+    /// Whether the blocked jobs in the job API's dependency graph have been adopted.
     adopted: bool,
     next_inheritance_at: Micros,
     /// Jobs that have an inherited priority or deadline.
     inheriting: BTreeSet<JobId>,
-    /// How long tasks of such jobs waited from the end of the last dependency to their start.
+    /// How long tasks of jobs with dependencies waited from the end of the last dependency to their
+    /// start.
     waits: Waits,
 }
 
@@ -43,7 +45,8 @@
         self.waits.record(after);
     }
 
-    /// How long such tasks waited since the last call.
+    /// Returns how long tasks waited after the last dependency, for the tasks recorded since the last
+    /// call.
     pub fn take_waits(&mut self) -> Option<Waited> {
         self.waits.take()
     }
@@ -62,8 +65,8 @@
         self.jobs.insert(job.id.clone(), job);
     }
 
-    /// A time of day, in milliseconds since 1970, on this process's clock; `now` if it is 0, which
-    /// means that it is not known.
+    /// Converts a time of day, in milliseconds since 1970, to a time on this process's clock, at most
+    /// `now`. Returns `now` if `day_ms` is 0, which means that the time of day is unknown.
     pub fn submission_time(&self, day_ms: u64, now: Micros) -> Micros {
         match day_ms {
             0 => now,
@@ -71,9 +74,9 @@
         }
     }
 
-    /// Adopts, once for each leadership, the jobs with dependencies that the job API knows: those
-    /// that the write-ahead log does not describe, and the dependencies that an older release left
-    /// out there.
+    /// Adopts, once for each leadership, the jobs with dependencies from the job API's dependency
+    /// graph: those that the write-ahead log does not describe, and for the others the dependencies
+    /// that an older release did not write to the log.
     fn adopt_blocked_jobs(&mut self, api: &JobApi, now: Micros) {
         self.blocked_jobs.adopted = true;
         for (id, dependent) in api.dependency_graph().jobs() {
@@ -104,10 +107,14 @@
                 }
             }
         }
-        tracing::info!(waiting = self.blocked_jobs.to_check.len(), "blocked jobs adopted");
+        tracing::info!(
+            waiting = self.blocked_jobs.to_check.len(),
+            "adopted the blocked jobs of the dependency graph"
+        );
     }
 
-    /// Unblocks a job whose dependencies are all recorded as done: for the scheduler it arrives now.
+    /// Unblocks a job whose dependencies are all recorded as done. The scheduler treats the job as
+    /// arriving at `now`.
     fn unblock(&mut self, id: &JobId, now: Micros) {
         let order = self.last_acceptance_revision;
         let Some(job) = self.jobs.get_mut(id).filter(|j| j.blocked) else {
@@ -133,7 +140,7 @@
         self.blocked_jobs.to_check.extend(blocked.map(|j| j.id.clone()));
     }
 
-    /// Queues the record that a blocked job is cancelled with one of its dependencies.
+    /// Queues the record of a blocked job's cancellation because of a cancelled dependency.
     fn cancel_with_dependency(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id).filter(|j| j.blocked && j.is_live()) else {
             return;
@@ -142,7 +149,7 @@
         self.log_writer.withdrawn.insert(id.clone());
     }
 
-    /// How long a job takes from its start to its end, about.
+    /// The estimated time from a job's start to its end.
     fn stage_duration(&self, cluster: &ClusterConfig, spec: &JobSpec) -> Micros {
         let rate = cluster
             .catalogue
@@ -153,8 +160,8 @@
         Micros::from_secs(run_s + spec.image_gb / rate + STAGE_OVERHEAD_S)
     }
 
-    /// Sets the priority and deadline that jobs inherit from those that depend on them, and removes
-    /// them from jobs that inherit nothing any more.
+    /// Sets the priorities and deadlines that jobs inherit from the jobs that depend on them, and
+    /// resets those of jobs that inherit nothing any more.
     fn inherit_priorities(&mut self, api: &JobApi, cluster: &ClusterConfig) {
         let due = |spec: &JobSpec, submitted_at: Micros| spec.deadline_s.map(|d| submitted_at + Micros::from_secs(d));
         let inherited: BTreeMap<&str, Inherited<Priority>> = api.dependency_graph().inherit(
@@ -194,7 +201,7 @@
             return;
         };
         if !leader.blocked_jobs.adopted {
-            // Jobs that other nodes accepted are known once all pages have been read.
+            // The jobs that other nodes accepted are complete once all pages have been read.
             if !self.api.is_ready() {
                 return;
             }
@@ -209,9 +216,9 @@
             match self.api.dependency_graph().state(&id) {
                 Some(DependencyState::Ready) => leader.unblock(&id, now),
                 Some(DependencyState::Cancelled) => leader.cancel_with_dependency(&id),
-                // The graph reports when that changes.
+                // The graph reports a change of this state.
                 Some(DependencyState::Blocked | DependencyState::Undetermined) => {}
-                // The page that accepts it, or its end, has yet to be read here.
+                // The page that accepts the job, or the job's end, has not been read here yet.
                 None => {
                     if leader.jobs.get(&id).is_some_and(|j| j.blocked && j.is_live()) {
                         leader.blocked_jobs.to_check.insert(id);
@@ -225,8 +232,8 @@
         }
     }
 
-    /// Tells the job API of ends that the leader has recorded, so that jobs which depend on these
-    /// follow at once.
+    /// Passes the ends of jobs that the leader has recorded to the job API, so that dependent jobs are
+    /// unblocked or cancelled at once.
     pub(super) fn learn_recorded_ends(&mut self, ends: super::log::RecordedEnds, revision: u64) {
         for id in ends.done {
             self.api.learn(&id, revision, crate::protocol::users::Phase::Done);
--- a/src/coordination/invariants.rs
+++ b/src/coordination/invariants.rs
@@ -1,7 +1,7 @@
-//! The leader's invariants, checked while it runs.
+//! Runtime checks of the leader's invariants.
 //!
-//! Called by the leader's periodic work. A broken invariant is logged as an error, with the
-//! decisions that led to it, and counted; it never ends the process and changes no decision.
+//! Called by the leader's periodic work. A violation is logged as an error, with the decisions that
+//! led to it, and counted; a violation never ends the process and changes no decision.
 
 use super::decision_log::Decisions;
 use super::scheduling::orphaned_attempt_specs;
@@ -12,25 +12,25 @@
 
 /// How often the invariants are checked.
 const CHECK_PERIOD: Micros = Micros::from_millis(2000);
-/// Rounding changes sums of cores by less than this.
+/// The tolerance for rounding errors in sums of cores.
 const ROUNDING: f64 = 1e-6;
 
-/// The CPUs and GPUs of a team's tasks that machines list.
+/// The CPUs and GPUs of a team's tasks that machines list in their heartbeats.
 type ListedUse = (f64, f64);
 
-/// What was found broken, and the latest decisions.
+/// The violations found, and the latest decisions about attempts.
 pub struct InvariantMonitor {
     /// The latest decisions about attempts.
     pub(super) decisions: Decisions,
     next_check: Micros,
-    /// Broken invariants that the controller has not counted yet.
+    /// Violations that have not yet been added to the controller's count.
     pub(super) broken: u64,
     /// Teams whose listed tasks exceeded their limits at the last check.
     over_limit: BTreeSet<String>,
 }
 
 impl InvariantMonitor {
-    /// A monitor that has found nothing broken.
+    /// Creates a monitor without any violation.
     pub fn new(now: Micros) -> InvariantMonitor {
         InvariantMonitor {
             decisions: Decisions::default(),
@@ -42,7 +42,7 @@
 }
 
 impl LeaderState {
-    /// Checks the invariants, if it is time to.
+    /// Checks the invariants, if a check is due.
     pub fn check_invariants(&mut self, cluster: &ClusterConfig, now: Micros) {
         if now < self.invariants.next_check {
             return;
@@ -54,7 +54,8 @@
     }
 
     /// Checks that no team's tasks, as machines have listed them since this leadership began, exceed
-    /// its limit. What an earlier heartbeat lists may have ended before something else began.
+    /// the team's limit. Earlier heartbeats don't count: a task that they list may have ended before
+    /// another one began.
     fn check_quotas(&mut self, cluster: &ClusterConfig) {
         let listed = self.listed_use();
         let exceeds = |team: &str| {
@@ -72,7 +73,7 @@
         self.invariants.over_limit.retain(|team| over.contains(team));
     }
 
-    /// What the tasks that machines list use, by team, with a record or without.
+    /// The resources of the tasks that machines list, by team, including tasks without a record.
     fn listed_use(&self) -> BTreeMap<String, ListedUse> {
         let mut listed: BTreeMap<String, ListedUse> = BTreeMap::new();
         let mut add = |team: &str, cpus: f64, gpus: f64| {
@@ -106,17 +107,17 @@
             "machines list more of a team's tasks than its limit allows"
         );
         for decision in self.invariants.decisions.of_team(team) {
-            tracing::info!(team, ?decision, "a decision before it");
+            tracing::info!(team, ?decision, "a decision before the violation");
         }
     }
 }
 
-/// Whether a job's running count of held tasks equals what its placements say.
+/// Whether a job's count of held tasks equals the number of its active placements.
 fn is_count_consistent(job: &Job) -> bool {
     let records = job.active_placements().count();
     let is_consistent = records == job.held_tasks as usize;
     if !is_consistent {
-        tracing::error!(job = %job.id, held = job.held_tasks, records, "a job's count differs from its records");
+        tracing::error!(job = %job.id, held = job.held_tasks, records, "a job's count of held tasks differs from its records");
     }
     is_consistent
 }
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -1,8 +1,10 @@
-//! What this controller knows of the other controllers, and the messages they send.
+//! The status of the other controllers, and the dispatch of their messages.
 //!
-//! Called by the controller for each message of a peer. It keeps what peers say of themselves and
-//! passes everything else to the part it is for. What a peer says is a hint: it proves neither who
-//! leads nor that anything was executed.
+//! The controller calls this module for each message from a peer. The module stores the status that
+//! peers announce and passes all other messages to the component that handles them.
+//!
+//! Invariant: a peer's status is only a hint; it proves neither who leads nor that anything was
+//! executed.
 
 use super::election::StepDownReason;
 use super::{Controller, Effect};
@@ -10,30 +12,32 @@
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
-/// A peer not heard from for longer than this says nothing about whether the service is lost.
+/// The status of a peer without a message for longer than this does not count in determining
+/// whether the state service is lost.
 const RECENT_CONTACT: Micros = Micros::from_millis(2000);
-/// A peer not heard from for longer than this is no member of a next term, nor taken for a leader.
+/// A peer without a message for longer than this is not a member of the next term and is not
+/// considered to be the leader.
 const MEMBER_CONTACT: Micros = Micros::from_millis(3000);
 
-/// What a peer last said of itself.
+/// The last status that a peer announced.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerStatus {
-    /// When it last said so.
+    /// When the announcement was received.
     pub last_contact: Micros,
-    /// Whether its knowledge of the state service is current.
+    /// Whether the peer's last verified read of the state service is recent.
     pub store_is_current: bool,
-    /// The term that it knows.
+    /// The latest term that the peer has seen.
     pub term: u64,
-    /// Whether it leads that term.
+    /// Whether the peer leads that term.
     pub leads: bool,
-    /// Changes to the state service that it wants to make each second.
+    /// The changes to the state service that the peer wants to make each second.
     pub wanted_changes_per_s: f64,
-    /// Agents that send their heartbeats to it.
+    /// The number of agents that send their heartbeats to the peer.
     pub reporting_agents: u32,
-    /// Its steady clock, in microseconds. A clock that goes back is that of a new incarnation of
-    /// its process.
+    /// The peer's steady clock, in microseconds. A clock that goes back belongs to a new incarnation
+    /// of the peer's process.
     pub sender_clock: u64,
-    /// When this incarnation of it was first heard from.
+    /// When the first announcement of this incarnation of the peer was received.
     pub known_since: Micros,
 }
 
@@ -42,12 +46,12 @@
 pub(super) struct RelayedPush {
     /// The controller that waits for the result.
     pub requester: String,
-    /// Its number for the commands.
+    /// The requester's number for the commands.
     pub request_id: u64,
 }
 
 impl Controller {
-    /// A message of another controller.
+    /// Handles a message from another controller.
     pub(super) fn on_peer(&mut self, message: PeerMessage) {
         match message {
             PeerMessage::Alive { .. } => self.on_alive(message),
@@ -82,14 +86,14 @@
             | PeerMessage::RelayedMessage(_) => self.on_forwarded(message),
             PeerMessage::TransferLeadership { node, term, to } => {
                 if term == self.election.term() {
-                    tracing::info!(node, to, "the leader transfers the leadership");
+                    tracing::info!(node, to, "the leader transfers the leadership to another controller");
                     self.election.prefer_successor(to, self.context.now);
                 }
             }
         }
     }
 
-    /// A controller says that it is alive, and how it is.
+    /// Handles the announcement of a controller that it is alive, with its status.
     fn on_alive(&mut self, message: PeerMessage) {
         let PeerMessage::Alive {
             node,
@@ -121,18 +125,19 @@
             self.peers.insert(node, status);
         }
         if leads && term > self.election.term() && self.leader.is_some() {
-            // The state service, which alone could say otherwise, does not answer this controller.
-            // A leader that stayed would keep agents here that the new leader takes for dead.
+            // Only the state service could refute the peer's claim, and the service does not answer
+            // this controller. A leader that stayed would keep agents here that the new leader
+            // considers dead.
             self.step_down(StepDownReason::LaterTermAtPeer);
         }
     }
 
-    /// Whether the settings name another controller like this.
+    /// Whether the settings list another controller with this name.
     pub(super) fn is_peer(&self, node: &str) -> bool {
         self.cluster.settings.peers.iter().any(|p| p.node == node)
     }
 
-    /// What peers heard from lately said of themselves.
+    /// The status of the peers that have sent a message recently.
     pub(super) fn recent_peers(&self) -> impl Iterator<Item = &PeerStatus> {
         let now = self.context.now;
         self.peers
@@ -140,7 +145,7 @@
             .filter(move |peer| now.since(peer.last_contact) < RECENT_CONTACT)
     }
 
-    /// A peer that leads a later term than the one known here.
+    /// The peer that leads the latest term, if that term is later than this controller's.
     pub(super) fn later_leader(&self) -> Option<String> {
         let now = self.context.now;
         let leads_later = |peer: &PeerStatus| {
@@ -153,7 +158,8 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// The names of this controller and of those heard from lately: the members of the next term.
+    /// The members of the next term: the names of this controller and of the peers that have sent a
+    /// message recently.
     pub(super) fn members(&self) -> Vec<String> {
         let now = self.context.now;
         let mut names: BTreeSet<String> = self
--- a/src/coordination/reservation.rs
+++ b/src/coordination/reservation.rs
@@ -1,8 +1,8 @@
-//! Machines that are left to become empty for tasks that nearly fill one.
+//! Reservation of machines, which are drained for tasks that nearly fill one.
 //!
-//! Called at the start of a scheduling pass, which starts nothing else on a reserved machine. Which
-//! machines are reserved is decided by `glenhaven-reservation`; this module says which jobs and
-//! machines come into question. Nothing is preempted for a reservation.
+//! Called at the start of a scheduling pass, which starts no tasks of other jobs on a reserved
+//! machine. The crate `glenhaven-reservation` decides which machines are reserved; this module
+//! determines the candidate jobs and machines. Nothing is preempted for a reservation.
 
 use super::scheduling::allowed;
 use super::state::{Job, LeaderState, Machine, MachineId};
@@ -12,17 +12,17 @@
 use glenhaven_reservation::{ReservableMachine, ReservationPolicy, WaitingJob};
 use std::cmp::Reverse;
 
-/// A task is large if it takes this share of the largest machine that it may run on.
+/// A task is large if it takes at least this share of every machine type on which it fits.
 const LARGE_SHARE: f64 = 0.5;
-/// Large tasks wait this long before a machine is reserved for any: most find one, and a boot is
-/// over by then.
+/// How long a job's large tasks wait before a machine is reserved for the job. Most such tasks are
+/// placed within this time, which also covers the boot of a new machine.
 const PATIENCE: Micros = Micros::from_millis(30_000);
-/// Share of all machines that is reserved at most.
+/// The largest share of the eligible machines that is reserved.
 const MAX_SHARE: f64 = 0.1;
-/// The time between two decisions.
+/// The time between two decisions about reservations.
 const INTERVAL: Micros = Micros::from_millis(500);
 
-/// The machines that are reserved.
+/// The reserved machines, and the policy that decides about them.
 #[derive(Default)]
 pub struct Reservations {
     policy: ReservationPolicy<MachineId, JobId>,
@@ -30,13 +30,13 @@
 }
 
 impl Reservations {
-    /// Whether a machine is reserved for another job.
+    /// Whether a machine is reserved for a job other than `job`.
     pub fn is_reserved_against(&self, machine: &MachineId, job: &JobId) -> bool {
         self.policy.reserved_for(machine).is_some_and(|j| j != job)
     }
 }
 
-/// Whether an empty machine of this type fits a task of the job.
+/// Whether a task of the job fits on an empty machine of this type.
 fn fits(job: &Job, machine_type: &MachineType) -> bool {
     machine_type.cpus >= job.spec.cpus && machine_type.gpus >= job.spec.gpus && machine_type.memory >= job.spec.memory
 }
@@ -51,7 +51,7 @@
         .is_some_and(|least| least >= LARGE_SHARE)
 }
 
-/// Whether no machine has had capacity for a job for so long that one is reserved.
+/// Whether a job has found no capacity for long enough that a machine is reserved for it.
 fn is_stuck(job: &Job, now: Micros) -> bool {
     job.may_run()
         && !job.waiting.is_empty()
@@ -60,7 +60,7 @@
 }
 
 impl LeaderState {
-    /// Decides which machines are reserved, and for whom, if it is time.
+    /// Decides which machines are reserved, and for which jobs, if a decision is due.
     pub fn reserve_machines(&mut self, cluster: &ClusterConfig, now: Micros) {
         if now < self.reservations.next_decision_at {
             return;
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The jobs with large tasks that have waited for long, in the order of the queue.
+    /// The jobs with large tasks that have found no capacity for long, in the order of the queue.
     fn stuck_large_jobs(&self, cluster: &ClusterConfig, now: Micros) -> Vec<WaitingJob<JobId>> {
         let stuck = self.jobs.values().filter(|j| is_stuck(j, now));
         let mut large: Vec<&Job> = stuck.filter(|j| is_large(cluster, j)).collect();
@@ -108,7 +108,7 @@
             .collect()
     }
 
-    /// Machines that become empty in time: not those with services.
+    /// The machines that become empty eventually, which excludes those with tasks of services.
     fn reservable_machines(&self, cluster: &ClusterConfig, now: Micros) -> Vec<ReservableMachine<MachineId>> {
         let silence = Self::work_silence(cluster);
         let becomes_empty = |m: &&Machine| m.accepts_work(now, silence) && m.service_tasks == 0;
--- a/src/coordination/tick.rs
+++ b/src/coordination/tick.rs
@@ -102,7 +102,11 @@
         }
         let (answered, asked_anew) = self.api.take_answered();
         if !answered.is_empty() {
-            tracing::info!(?answered, asked_anew, "answered user requests, by the source of the proof");
+            tracing::info!(
+                ?answered,
+                asked_anew,
+                "answered user requests, by the source of the proof"
+            );
         }
         let refused = self.api.take_refusals();
         if !refused.is_empty() {
@@ -114,7 +118,10 @@
     fn log_leader(&mut self) {
         let Some(leader) = self.leader.as_mut() else { return };
         if let Some(waited) = leader.blocked_jobs.take_waits() {
-            tracing::info!(?waited, "tasks of jobs with dependencies started; time since the last dependency was done");
+            tracing::info!(
+                ?waited,
+                "tasks of jobs with dependencies started; time since the last dependency was done"
+            );
         }
         leader.log_summary(&self.cluster, self.context.now);
         leader.log_slo_accounting(&self.cluster, self.context.now);
--- a/src/coordination/timing.rs
+++ b/src/coordination/timing.rs
@@ -1,82 +1,88 @@
-//! The timeouts after which something is decided without a message from the other side, in one
-//! place, each with its reason.
+//! The timeouts after which a controller acts without a message from the other side, each with its
+//! reason.
 //!
-//! They follow from the platform's settings or from what the protocol says of agents and the cloud.
-//! None of them proves anything: a placement, a machine or a term is never given up by time alone.
+//! The timeouts follow from the platform's settings or from the protocol's rules for agents and the
+//! cloud.
+//!
+//! Invariant: a timeout proves nothing; a placement, a machine or a term is never given up because
+//! of elapsed time alone.
 
 use crate::settings::Workers;
 use crate::time::Micros;
 
-/// An agent gives up on an answer after 4 s and tries the next controller a second later
-/// (protocol): after twice that, the second one it tries has received its heartbeat.
+/// The time within which an agent fails over to another controller. By the protocol, an agent gives
+/// up on an answer after 4 s and tries the next controller 1 s later; after twice that time, the
+/// second controller it tries has received its heartbeat.
 pub const AGENT_FAILOVER: Micros = Micros::from_millis(10_000);
-/// An agent that was redirected to a controller it can't reach is back after these 5 s and the half
-/// second that it may take to try; the rest is for the network.
+/// The time within which an agent that was redirected to a controller it can't reach returns: 5 s
+/// for the failed attempt, up to 0.5 s until the agent makes it, and the rest for the network.
 pub const REDIRECT_RETURN: Micros = Micros::from_millis(8_000);
-/// A forwarded heartbeat waits this long for the leader's answer. The agent waits 4 s: it is to have
-/// an answer of this controller's own well before.
+/// How long a forwarded heartbeat waits for the leader's answer. The agent waits 4 s and must get an
+/// answer from this controller itself well before that.
 pub const HEARTBEAT_FORWARD: Micros = Micros::from_millis(1_500);
-/// A type, zone and kind without capacity is asked for again after this long: capacity shows only
-/// when it is asked for, and each retry costs one of few calls.
+/// The time after which a machine type, zone and kind (spot or on demand) without capacity is
+/// requested again. Only a request shows whether there is capacity, and each retry uses one of the
+/// few calls that the cloud accepts.
 pub const CAPACITY_RETRY: Micros = Micros::from_millis(8_000);
-/// A machine on which tasks fail is in quarantine for this long: several boot times, so that it is
-/// replaced rather than waited for.
+/// How long a machine on which tasks fail stays in quarantine: several boot times, so that the
+/// machine is replaced rather than waited for.
 pub const QUARANTINE: Micros = Micros::from_millis(120_000);
-/// A machine in quarantine is released after this long, which is time for a job to turn out to be
-/// the cause.
+/// How long a machine is in quarantine before it is released. Within this time, failures on other
+/// machines show whether a job, rather than the machine, is the cause.
 pub const QUARANTINE_RELEASE: Micros = Micros::from_millis(15_000);
-/// A slow machine gets nothing new for this long and is then tried again: about what a boot and a
-/// task take, so that trying it again costs no more than replacing it.
+/// How long a slow machine gets no new tasks before it is tried again: about the time of a boot and
+/// a task, so that another attempt costs no more than a replacement.
 pub const SLOW_MACHINE: Micros = Micros::from_millis(60_000);
 
-/// A controller known for less than this has just started: agents are not redirected to it yet,
-/// since one that crashes repeatedly has always just started.
+/// How long a controller must have been running before agents are redirected to it. This excludes a
+/// controller that crashes repeatedly, which never runs for this long.
 pub const CONTROLLER_SETTLED: Micros = Micros::from_millis(10_000);
-/// A process that starts so soon after its last start crashes repeatedly.
+/// A process that starts within this time of its previous start counts as crashing repeatedly.
 pub const CRASH_LOOP: Micros = Micros::from_millis(10_000);
-/// For this long, a process that crashes repeatedly lets others take the lead first.
+/// How long a process that crashes repeatedly leaves the leadership to other controllers.
 pub const CRASH_LOOP_DEFERENCE: Micros = Micros::from_millis(20_000);
 
-/// A controller's word that it answers a machine's heartbeats counts for this long; it repeats it
-/// every two seconds.
+/// How long a controller's announcement that it answers a machine's heartbeats is valid. The
+/// announcement is repeated every 2 s.
 pub const PROXY_ANNOUNCEMENT: Micros = Micros::from_millis(5_000);
 
-/// Heartbeats may be a quarter of their period late, and a message is now and then lost and sent
-/// again: a machine without one for three periods and this is silent.
+/// The time beyond three heartbeat periods after which a machine is silent. A heartbeat may be a
+/// quarter of its period late, and a message is sometimes lost and sent again.
 const HEARTBEAT_SLACK: Micros = Micros::from_millis(3_000);
 
-/// A machine without a heartbeat for this long is silent.
+/// The time without a heartbeat after which a machine is silent.
 pub fn silent(workers: &Workers) -> Micros {
     Micros::from_secs(workers.report_s * 3.0) + HEARTBEAT_SLACK
 }
 
-/// After this long without a heartbeat, one that was due did not arrive, neither here nor, if its
-/// controller failed, at the next one.
+/// The time without a heartbeat after which a due heartbeat has certainly been missed: it has not
+/// arrived here, nor at the next controller if the agent's controller failed.
 pub fn heartbeat_missed(workers: &Workers) -> Micros {
     Micros::from_secs(workers.report_s * 1.25 + 1.5) + Micros(AGENT_FAILOVER.0 / 2)
 }
 
-/// A machine without a heartbeat for this long gets no new work: a healthy one has sent one more,
-/// even if one was lost.
+/// The time without a heartbeat after which a machine gets no new work. A healthy machine has sent
+/// another heartbeat by then, even if one was lost.
 pub fn no_new_work(workers: &Workers) -> Micros {
     Micros::from_secs(workers.report_s * 2.0 + 1.0)
 }
 
-/// Work that is not known to be bound to spot machines is left on a silent machine until its lease
-/// is about to end: it most likely still runs, and can't start elsewhere any sooner.
+/// The time without a heartbeat after which a silent machine's lease is about to end. Work that is
+/// not known to be on a spot machine is left there until then: it most likely still runs, and could
+/// not start elsewhere any sooner.
 pub fn lease_end(workers: &Workers) -> Micros {
     silent(workers).max(Micros::from_secs(workers.lease_s - 1.0))
 }
 
-/// How long a machine whose heartbeats only another controller receives is left alone. Nothing new
-/// starts there, so it is not kept for ever; every short partition is over within the time that a
-/// cancelled task may take to be gone.
+/// How long a machine is kept while only another controller receives its heartbeats. Nothing new
+/// starts on such a machine, so it is not kept indefinitely. The time within which a cancelled task
+/// must end, `cancel_s`, is longer than any short partition.
 pub fn proxied_machine(workers: &Workers) -> Micros {
     Micros::from_secs(workers.cancel_s)
 }
 
-/// How long agents are not redirected to a controller that agents could not reach: until every one
-/// that was redirected there is back, or has lost its lease and restarted.
+/// How long agents are not redirected to a controller that agents could not reach: until every agent
+/// that was redirected there has returned, or has lost its lease and restarted.
 pub fn unreachable_controller(workers: &Workers) -> Micros {
     Micros::from_secs(workers.lease_s) + AGENT_FAILOVER + AGENT_FAILOVER
 }
