--- a/src/coordination/audit.rs
+++ b/src/coordination/audit.rs
@@ -1,9 +1,9 @@
-//! The acceptance audit: no accepted job is lost.
+//! The acceptance audit, which finds accepted jobs that the leader has lost.
 //!
-//! Periodically the leader compares the open jobs that its own job API knows from the acceptance
-//! pages with the jobs it holds. A job that is missing in two consecutive audits is read again from
-//! the state service and taken up. The comparison is in memory; only if something is missing does it
-//! cost requests, one for each thousand pages.
+//! Periodically, the leader compares the open jobs that its own job API has read from the acceptance
+//! pages with the jobs in its state. A job that is missing in two consecutive audits is read again
+//! from the state service and added to the leader's state. The comparison is in memory; only a
+//! missing job costs requests, one for each thousand pages.
 
 use super::log::LogContinuation;
 use super::state::LeaderState;
@@ -16,24 +16,25 @@
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
-/// How often the audit runs. A job that is on its way during one audit has arrived by the next.
+/// How often the audit runs. A job that is still being read during one audit has been added by the
+/// next.
 const AUDIT_PERIOD: Micros = Micros::from_millis(8000);
 
 /// The state of the audit.
 #[derive(Default)]
 pub struct Audit {
-    /// When it runs next.
+    /// When the audit runs next.
     next_at: Micros,
     /// Jobs that were missing in the last audit.
     missing: BTreeSet<String>,
     /// Jobs that are being read again.
     wanted: BTreeSet<String>,
-    /// The acceptance pages are being read.
+    /// Whether the acceptance pages are being read.
     is_reading: bool,
 }
 
 impl LeaderState {
-    /// The open jobs that this leader neither holds nor has closed.
+    /// The open jobs that are not in the leader's state and that the leader has not closed.
     fn missing_jobs(&self, open: impl Iterator<Item = impl AsRef<str>>) -> BTreeSet<String> {
         let known = |id: &str| self.jobs.contains_key(id) || self.log_writer.is_closed(id);
         open.filter(|id| !known(id.as_ref()))
@@ -43,7 +44,7 @@
 }
 
 impl Controller {
-    /// Compares the open jobs with those the leader holds, if it is time to.
+    /// Compares the open jobs with those in the leader's state, if an audit is due.
     pub(super) fn run_acceptance_audit(&mut self) {
         let now = self.context.now;
         let Some(leader) = self.leader.as_mut().filter(|l| l.is_loaded()) else {
@@ -62,7 +63,7 @@
         }
         tracing::warn!(
             jobs = still_missing.len(),
-            "accepted jobs are missing here; their pages are read again"
+            "the leader's state lacks accepted jobs; their pages are read again"
         );
         leader.audit.wanted = still_missing;
         leader.audit.is_reading = true;
@@ -79,7 +80,8 @@
             .push(Urgency::User, request, continuation, Micros::from_millis(1500));
     }
 
-    /// Acceptance pages that were read. Without an answer, the next audit reads them again.
+    /// Handles the acceptance pages that were read. Without an answer, the next audit reads them
+    /// again.
     pub(super) fn on_audit(&mut self, answer: StoreResponse) {
         let now = self.context.now;
         let Some(leader) = self.leader.as_mut() else { return };
--- a/src/coordination/cluster_config.rs
+++ b/src/coordination/cluster_config.rs
@@ -1,7 +1,7 @@
-//! Settings and facts about the cluster that every part of a controller reads.
+//! The settings and the cluster-wide facts that all components of a controller read.
 //!
-//! The settings don't change while the process runs; the catalogue and the limits are updated by
-//! the parts that learn of them.
+//! The settings don't change while the process runs. The catalogue and the limits are updated by
+//! the components that receive new values.
 
 use crate::protocol::cloud::MachineType;
 use crate::settings::{Settings, Team};
@@ -9,20 +9,20 @@
 use glenhaven_store_limits::Limits;
 use std::collections::BTreeMap;
 
-/// Settings and facts that every part reads.
+/// The settings and facts that all components read.
 pub struct ClusterConfig {
     /// This controller's settings.
     pub settings: Settings,
     /// The cloud's machine types by name; empty until the cloud has answered.
     pub catalogue: BTreeMap<String, MachineType>,
-    /// What the state service accepts.
+    /// The limits of the state service.
     pub limits: Limits,
-    /// A controller that is alive and not known to run this release or a later one.
+    /// A running controller that has not announced this release or a later one, if there is any.
     pub lagging: Option<String>,
 }
 
 impl ClusterConfig {
-    /// What is known at the start: the settings.
+    /// Creates the configuration at the start of the process, which contains only the settings.
     pub fn new(settings: Settings) -> ClusterConfig {
         ClusterConfig {
             limits: settings.params.state.limits(),
@@ -37,16 +37,16 @@
         self.settings.peers.len() + 1
     }
 
-    /// The age from which on knowledge of the term and of cancellations is too old for answering
-    /// heartbeats: a lease renewed at the last moment still ends before a cancellation that is
-    /// unknown here is due. The margin covers clock drift.
+    /// The age at which the last verified read of the term and of cancellations is too old for
+    /// renewing leases: a lease renewed just before this age still ends within `cancel_s` of a
+    /// cancellation that is unknown here. The margin covers clock drift.
     pub fn knowledge_limit(&self) -> Micros {
         let workers = &self.settings.params.workers;
         Micros::from_secs((workers.cancel_s - workers.lease_s) * 0.99 - 1.0)
     }
 
-    /// The limits of a team for CPUs and GPUs, infinite where the settings say 0, which means no
-    /// limit. A team that the settings don't name has a limit of 0.
+    /// The limits of a team for CPUs and GPUs. A limit of 0 in the settings means no limit, which is
+    /// returned as infinity. A team that is not in the settings has a limit of 0.
     pub fn limits(&self, team: &str) -> (f64, f64) {
         let or_infinite = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
         self.team(team).map_or((0.0, 0.0), |team| {
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -1,10 +1,11 @@
-//! The leader's handling of jobs with dependencies. Such a job is blocked until all its dependencies
-//! are done, is cancelled with any of them, and passes its priority and deadline on to them (priority
-//! inheritance).
+//! The leader's handling of jobs with dependencies.
+//!
+//! Such a job is blocked until all its dependencies are done, is cancelled with any of them, and
+//! passes its priority and deadline on to them (priority inheritance).
 //!
 //! The job API owns the dependency graph, which contains only committed facts; this module applies
-//! the graph's changes to the leader's jobs, once in each tick. A blocked job is not described in the
-//! write-ahead log: every node, also a new leader, reads it from the pages of acceptances.
+//! the graph's changes to the leader's jobs, once in each tick. A blocked job is not described in
+//! the write-ahead log: every node, also a new leader, reads it from the pages of acceptances.
 
 use super::api::{DependentJob, JobApi};
 use super::log::queues::Undescribed;
@@ -45,8 +46,7 @@
         self.waits.record(after);
     }
 
-    /// Returns how long tasks waited after the last dependency, for the tasks recorded since the last
-    /// call.
+    /// Returns how long the tasks recorded since the last call waited after the last dependency.
     pub fn take_waits(&mut self) -> Option<Waited> {
         self.waits.take()
     }
@@ -65,8 +65,8 @@
         self.jobs.insert(job.id.clone(), job);
     }
 
-    /// Converts a time of day, in milliseconds since 1970, to a time on this process's clock, at most
-    /// `now`. Returns `now` if `day_ms` is 0, which means that the time of day is unknown.
+    /// Converts a time of day, in milliseconds since 1970, to a time on this process's clock that is
+    /// at most `now`. Returns `now` if `day_ms` is 0, which means that the time of day is unknown.
     pub fn submission_time(&self, day_ms: u64, now: Micros) -> Micros {
         match day_ms {
             0 => now,
@@ -232,8 +232,8 @@
         }
     }
 
-    /// Passes the ends of jobs that the leader has recorded to the job API, so that dependent jobs are
-    /// unblocked or cancelled at once.
+    /// Passes the ends of jobs that the leader has recorded to the job API, so that dependent jobs
+    /// are unblocked or cancelled at once.
     pub(super) fn learn_recorded_ends(&mut self, ends: super::log::RecordedEnds, revision: u64) {
         for id in ends.done {
             self.api.learn(&id, revision, crate::protocol::users::Phase::Done);
--- a/src/coordination/fault_injection.rs
+++ b/src/coordination/fault_injection.rs
@@ -1,16 +1,16 @@
-//! Faults that are injected on request, to show that the soak test finds them.
+//! Faults that are injected on request, to show that the soak test detects them.
 //!
-//! Only a build with the feature `planted-faults` has them, and only the one that the environment
-//! variable `GLENHAVEN_PLANTED` names is active. Without the feature none is compiled in.
+//! Only builds with the feature `planted-faults` contain these faults, and only the fault that the
+//! environment variable `GLENHAVEN_PLANTED` names is active.
 
 /// A fault that can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum InjectedFault {
-    /// The record of a task that is asked to stop is freed at once.
+    /// The record of a task that is requested to stop is freed at once.
     FreesWithoutProof,
-    /// A record that a new leader finds in the log is not charged to its team.
+    /// A record that a new leader finds in the write-ahead log is not charged to its team.
     ForgetsChargeAtTakeover,
-    /// A leader sends the starts that an earlier one recorded.
+    /// A leader sends the starts that an earlier leader recorded.
     SendsInheritedStarts,
 }
 
--- a/src/coordination/objectives.rs
+++ b/src/coordination/objectives.rs
@@ -1,8 +1,9 @@
-//! The objectives of jobs, by their users and the operators, and whether they are met.
+//! The service-level objectives of jobs, set by users and operators, and whether jobs meet them.
 //!
-//! The leader's ticks and the completion of jobs settle objectives; `glenhaven-objectives` keeps the
-//! accounts, which the decision about on-demand machines and the log read. Nothing here decides what
-//! runs.
+//! An objective is settled when it is determined to be met or missed, by the leader's periodic work
+//! or by the completion of the job. The crate `glenhaven-objectives` accounts for the settled
+//! objectives; the decision about on-demand machines and the log use this accounting. This module
+//! makes no scheduling decisions.
 //!
 //! Invariant: an objective of a job is settled at most once.
 
@@ -16,25 +17,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// The share of jobs that is to meet an objective which names none.
+/// The share of jobs that must meet an objective whose settings give no share.
 const DEFAULT_SHARE: f64 = 0.9;
-/// Within how many seconds work without any objective is to be done.
+/// The time within which work without any objective should be done, in seconds.
 pub const NO_HURRY_S: f64 = 300.0;
 
-/// A time that a job is to meet.
+/// A time by which a job must be done, or must have started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JobObjective {
-    /// Its number among those of the job's class.
+    /// The objective's number among those of the job's class.
     pub number: usize,
-    /// Seconds from the job's arrival on.
+    /// The due time, in seconds after the job's arrival.
     pub due_s: f64,
-    /// Whether its tasks have to run by then, rather than to be done.
+    /// Whether the tasks must have started by the due time, rather than be done.
     pub starts: bool,
-    /// The share of the class's jobs that is to meet it.
+    /// The share of the class's jobs that must meet the objective.
     pub share: f64,
-    /// Whether it is known to be met or missed.
+    /// Whether the objective has been determined to be met or missed.
     pub settled: bool,
-    /// Whether machines were rented because a projection said that it would be met.
+    /// Whether machines were rented because a projection showed that the objective would be met.
     pub committed: bool,
 }
 
@@ -59,7 +60,7 @@
     committed: bool,
 }
 
-/// Why a class misses its objectives, as far as it shows at present.
+/// The apparent reason why a class misses its objectives at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MissedReason {
     NothingWaits,
@@ -87,10 +88,11 @@
     }
 }
 
-/// The objectives of a job: those of the operators for its class, or else its user's deadline, or
-/// else that an array does not wait for ever.
+/// Returns the objectives of a job: those that the operators set for its class, else its user's
+/// deadline, else a default due time for arrays, so that an array does not wait indefinitely.
 ///
-/// `deadline_s`: how many seconds after the job's arrival so many times its user's deadline is over.
+/// `deadline_s` maps a multiple of the user's deadline to the seconds after the job's arrival at
+/// which it is reached; `None` without a deadline.
 pub fn objectives_of(
     cluster: &ClusterConfig,
     spec: &JobSpec,
@@ -118,15 +120,15 @@
 }
 
 impl Job {
-    /// Whether every task of it runs or has run.
+    /// Whether every task of the job is running or has run.
     fn all_started(&self) -> bool {
         let has_run =
             |p: &Placement| p.running_since.is_some() || matches!(p.phase, PlacementPhase::Seen(TaskPhase::Running));
         self.waiting.is_empty() && self.placements.values().all(has_run)
     }
 
-    /// Settles the objectives that are met or missed by now. A miss that is not to be counted is
-    /// settled as well, but left out of the result.
+    /// Settles and returns the objectives that are met or missed at `now`. Unless `counts_misses`,
+    /// a miss is settled as well, but is left out of the result.
     fn settle_due_objectives(&mut self, counts_misses: bool, now: Micros) -> Vec<Settled> {
         let age_s = now.since(self.arrived_at).secs();
         let all_started = self.all_started();
@@ -152,14 +154,15 @@
 }
 
 impl LeaderState {
-    /// Accounts for jobs that are new, and settles the objectives that are met or missed by now.
+    /// Accounts for new jobs, and settles the objectives that are met or missed at `now`.
     pub fn update_slo_accounting(&mut self, cluster: &ClusterConfig, now: Micros) {
         self.account_for_new_jobs(cluster, now);
         let usage = team_use(&self.jobs);
         let mut settled = vec![];
         for job in self.jobs.values_mut().filter(|j| !j.blocked && j.is_live()) {
-            // What fails everywhere, or waits for its own team's limit, does not miss its objectives
-            // because of others; nobody knows when a job of an earlier leader arrived.
+            // A job that fails everywhere or waits for its own team's limit does not miss its
+            // objectives because of a lack of capacity. The arrival time of a job that an earlier
+            // leader accepted may be unknown.
             let is_limited = waits_for_limit(cluster, job, &usage);
             let counts_misses = !(job.arrival_unknown || job.is_suspect(now) || is_limited);
             settled.extend(job.settle_due_objectives(counts_misses, now));
@@ -192,7 +195,7 @@
         }
     }
 
-    /// Every task of an array has completed: settles the objectives that are not settled yet.
+    /// Settles the remaining objectives of a job whose tasks have all completed.
     pub fn record_objectives_met(&mut self, id: &str, now: Micros) {
         let Some(job) = self.jobs.get_mut(id).filter(|j| !j.arrival_unknown) else {
             return;
@@ -213,8 +216,8 @@
         }
     }
 
-    /// Logs for operators which objectives are missed, and what each class and team asked for, got
-    /// and waited for.
+    /// Logs the missed objectives, and for each class and team the requested cores, the started
+    /// cores and the waiting times.
     pub fn log_slo_accounting(&self, cluster: &ClusterConfig, now: Micros) {
         for missed in self.slo.missed_objectives(&self.open_objectives(cluster), now) {
             tracing::info!(
@@ -242,7 +245,7 @@
         }
     }
 
-    /// The objectives of the classes of which a job is open; those of one of its jobs are taken for each class.
+    /// The objectives of the classes with open jobs. Those of one job represent its class.
     fn open_objectives(&self, cluster: &ClusterConfig) -> Vec<Objective> {
         let mut objectives = vec![];
         let mut seen = BTreeSet::new();
@@ -274,7 +277,7 @@
     }
 }
 
-/// Whether its team's limit stops a job.
+/// Whether a job is waiting because of its team's limit.
 fn waits_for_limit(cluster: &ClusterConfig, job: &Job, usage: &BTreeMap<String, TeamUsage>) -> bool {
     let (limit, _) = cluster.limits(&job.spec.team);
     let used = usage.get(&job.spec.team).map_or(0.0, |usage| usage.cpus);
--- a/src/coordination/replica_status.rs
+++ b/src/coordination/replica_status.rs
@@ -1,40 +1,41 @@
-//! The state of the replicas of services: how many serve, and what each of the others waits for.
+//! The status of the replicas of services: the number that serve, and the states of the others.
 //!
-//! Called by the leader's periodic work, for the log only. It reads facts and changes none.
+//! Called by the leader's periodic work, for the log only. This module changes no state except the
+//! time of its next log line.
 
 use super::state::{LeaderState, Machine, MachineState, Placement, PlacementPhase};
 use super::ClusterConfig;
 use crate::protocol::agents::TaskPhase;
 use crate::time::Micros;
 
-/// Replicas by their state.
+/// The number of replicas in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Replicas {
     /// On machines that send heartbeats.
     pub serving: u32,
-    /// On silent machines, or in a zone that is cut off: most likely they run.
+    /// On silent machines, or in a zone that is cut off; these replicas most likely still run.
     pub unreachable: u32,
-    /// On machines that are being released; the cloud has yet to confirm that they are gone.
+    /// On machines that are being released, whose release the cloud has not confirmed yet.
     pub leaving: u32,
-    /// Asked to stop.
+    /// Requested to stop.
     pub stopping: u32,
     /// Waiting for their image on a machine.
     pub fetching: u32,
-    /// Not yet recorded, or started and not yet reported by the machine.
+    /// Being recorded, or started but not yet reported by the machine.
     pub starting: u32,
     /// Without a machine.
     pub waiting: u32,
 }
 
 impl Replicas {
-    /// Those that don't serve, or may not.
+    /// The number of replicas that don't serve, or may not serve.
     pub fn missing(&self) -> u32 {
         self.unreachable + self.leaving + self.stopping + self.fetching + self.starting + self.waiting
     }
 }
 
 impl LeaderState {
-    /// The states of the replicas of live services.
+    /// Counts the replicas of live services by state.
     pub fn replicas(&self, cluster: &ClusterConfig, now: Micros) -> Replicas {
         let silence = Self::work_silence(cluster);
         let mut all = Replicas::default();
@@ -66,7 +67,7 @@
         all
     }
 
-    /// Logs them each second while replicas are missing.
+    /// Logs the number of replicas in each state, once a second while replicas are missing.
     pub fn log_replicas(&mut self, cluster: &ClusterConfig, now: Micros) {
         if now < self.failures.next_replica_log || !tracing::enabled!(tracing::Level::DEBUG) {
             return;
--- a/src/coordination/store_queue.rs
+++ b/src/coordination/store_queue.rs
@@ -1,11 +1,11 @@
-//! The queue of requests to the state service: it keeps to the controller's rates and sends the
-//! most urgent requests first.
+//! The queue of requests to the state service: a priority queue that keeps within the controller's
+//! rate limits.
 //!
-//! Every part of a controller pushes its requests here; the controller takes those that may be
-//! sent after each batch. The queue knows nothing about what a request is for: it hands back the
-//! continuation that came with it, when the answer comes or the request has expired.
+//! All components of a controller push their requests here; after each batch, the controller takes
+//! the requests that may be sent. The queue is independent of the purpose of a request: each request
+//! has a continuation, which the queue returns when the answer arrives or the request expires.
 //!
-//! Invariant: each pushed continuation is handed back exactly once.
+//! Invariant: each pushed continuation is returned exactly once.
 
 use crate::protocol::store::StoreRequest;
 use crate::time::Micros;
@@ -26,32 +26,32 @@
     Later,
 }
 
-/// The share of the buckets that each urgency leaves to more urgent ones.
+/// The share of the buckets that each urgency leaves to more urgent requests.
 const RESERVE: [f64; 4] = [0.0, 0.04, 0.08, 0.2];
-/// Requests in flight, not counting watches; keeps sockets and memory bounded.
+/// The most requests in flight, not counting watches. The limit bounds sockets and memory.
 const MAX_IN_FLIGHT: usize = 24;
-/// A request that has waited for longer is not sent any more: whoever pushed it has given up, or
-/// decides anew.
+/// The time after which a waiting request expires and is not sent any more: the component that
+/// pushed the request has given up by then, or decides again.
 const EXPIRY: Micros = Micros::from_millis(4000);
-/// A rate grows from its least to its most in this many seconds without a refusal.
+/// The time without a refusal in which a rate grows from its least to its most, in seconds.
 const GROWTH_S: f64 = 8.0;
-/// Rates are raised at most this often, in seconds.
+/// The shortest time between two raises of the rates, in seconds.
 const GROWTH_STEP_S: f64 = 0.25;
-/// A refusal multiplies a rate by this.
+/// The factor by which a refusal multiplies a rate.
 const DECREASE: f64 = 0.6;
 /// The half-life of the measured demand for changes, in seconds.
 const DEMAND_HALF_LIFE_S: f64 = 1.5;
 
-/// The rate that is always allowed, and the one that it may grow to, in a second.
+/// The bounds of a rate, per second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Growth {
-    /// Always allowed.
+    /// The rate that is always allowed.
     pub least: f64,
-    /// Allowed while the state service refuses nothing.
+    /// The highest rate, which is reached while the state service refuses nothing.
     pub most: f64,
 }
 
-/// A rate that grows while nothing is refused, and the bucket that keeps to it.
+/// A rate that grows while nothing is refused, and the token bucket that enforces it.
 struct AdaptiveRate {
     bucket: Bucket,
     bounds: Growth,
@@ -80,25 +80,25 @@
         self.bucket.set_rate(rate, now);
     }
 
-    /// Raises the rate by what this span without a refusal allows.
+    /// Raises the rate in proportion to a span without a refusal, in seconds.
     fn grow(&mut self, span_s: f64, now: Micros) {
         let Growth { least, most } = self.bounds;
         let raised = self.current + (most - least) * span_s / GROWTH_S;
         self.set(raised.clamp(least, most), now);
     }
 
-    /// Lowers the rate after a refusal, and empties the bucket a little.
+    /// Lowers the rate after a refusal, and removes one token from the bucket.
     fn on_refusal(&mut self, now: Micros) {
         self.bucket.spill(1.0, now);
         self.set((self.current * DECREASE).max(self.bounds.least), now);
     }
 }
 
-/// How many changes a second this controller wants to make.
+/// The number of changes a second that this controller wants to make.
 struct ChangeDemand {
     /// Changes pushed since the last measurement.
     pushed: f64,
-    /// The decayed rate up to the last measurement, in changes a second.
+    /// The decaying average up to the last measurement, in changes a second.
     per_s: f64,
     measured_at: Micros,
 }
@@ -117,16 +117,16 @@
     }
 }
 
-/// A request that waits to be sent.
+/// A request that is waiting to be sent.
 struct Queued<W> {
     request: StoreRequest,
     continuation: W,
     timeout: Micros,
-    /// When it was first seen waiting.
+    /// When the request was first found waiting; the time until its expiry counts from then.
     queued_at: Option<Micros>,
 }
 
-/// A request that is to be queued later.
+/// A request that is queued at a later time.
 struct Delayed<W> {
     urgency: Urgency,
     queued: Queued<W>,
@@ -139,27 +139,27 @@
     sent_at: Micros,
 }
 
-/// The queue; `W` says what the answer to a request is for.
+/// The queue of requests. `W` is the type of the continuation of a request.
 pub struct StoreQueue<W> {
     requests: AdaptiveRate,
     changes: AdaptiveRate,
     /// When the rates were last raised or lowered.
     rates_changed_at: Micros,
-    /// Waiting requests, by urgency.
+    /// The waiting requests, by urgency.
     queues: [VecDeque<Queued<W>>; 4],
-    /// Requests to be queued later, by time and number.
+    /// The requests that are queued later, by time and number.
     delayed: BTreeMap<(Micros, u64), Delayed<W>>,
     in_flight: BTreeMap<u64, InFlight<W>>,
     watches_in_flight: usize,
-    /// How long requests other than watches took that were answered since the last log.
+    /// The round-trip times of the requests answered since the last log, not counting watches.
     round_trips: Waits,
     last_id: u64,
     demand: ChangeDemand,
-    /// Changes that wait outside this queue until they may be sent.
+    /// The number of changes that wait outside this queue until they may be sent.
     held_back_changes: f64,
 }
 
-/// How many changes a request makes.
+/// The number of changes that a request makes.
 fn changes(request: &StoreRequest) -> f64 {
     match request {
         StoreRequest::Transaction(txn) => txn.changes.len() as f64,
@@ -168,7 +168,7 @@
 }
 
 impl<W> StoreQueue<W> {
-    /// An empty queue with fixed rates of requests and changes a second.
+    /// Creates an empty queue with fixed rates of requests and changes a second.
     pub fn new(requests_per_s: f64, changes_per_s: f64, now: Micros) -> Self {
         StoreQueue {
             requests: AdaptiveRate::new(requests_per_s, now),
@@ -189,20 +189,20 @@
         }
     }
 
-    /// Changes a second that this controller wants to make, including what waits here.
+    /// The changes a second that this controller wants to make, including those that are waiting.
     pub fn wants(&mut self, now: Micros) -> f64 {
         let per_s = self.demand.measure(now);
         let waiting: f64 = self.queues.iter().flatten().map(|q| changes(&q.request)).sum();
         per_s + waiting + self.held_back_changes
     }
 
-    /// Sets how many changes wait elsewhere until [`write_allowed`](StoreQueue::write_allowed)
-    /// says that they may be sent.
+    /// Sets the number of changes that wait elsewhere until
+    /// [`write_allowed`](StoreQueue::write_allowed) permits them.
     pub fn set_held_back_changes(&mut self, changes: f64) {
         self.held_back_changes = changes;
     }
 
-    /// Sets the rate of changes and leaves that of requests.
+    /// Sets a fixed rate of changes; the rate of requests stays.
     pub fn set_write_rate(&mut self, rate: f64, now: Micros) {
         let bounds = Growth {
             least: rate,
@@ -218,8 +218,9 @@
         self.changes.set_bounds(changes, now);
     }
 
-    /// Raises the rates little by little. Controllers that are refused fall back, so that together
-    /// they settle near the service's limits wherever users come.
+    /// Raises the rates gradually. Controllers whose requests are refused lower their rates, so that
+    /// all controllers together converge near the service's limits, however users are distributed
+    /// over them.
     fn grow(&mut self, now: Micros) {
         let span_s = now.since(self.rates_changed_at).secs();
         if span_s < GROWTH_STEP_S {
@@ -230,7 +231,7 @@
         self.changes.grow(span_s, now);
     }
 
-    /// Queues a request. `timeout`: how long its answer is waited for once it is sent.
+    /// Queues a request. `timeout` is the time to wait for the answer after the request is sent.
     pub fn push(&mut self, urgency: Urgency, request: StoreRequest, continuation: W, timeout: Micros) {
         self.demand.pushed += changes(&request);
         self.queues[urgency as usize].push_back(Queued {
@@ -253,18 +254,18 @@
         self.delayed.insert((at, self.last_id), Delayed { urgency, queued });
     }
 
-    /// How many requests of users wait here; whether more are accepted is decided by it.
+    /// The number of waiting user requests, which determines whether more are accepted.
     pub fn user_backlog(&self) -> usize {
         self.queues[Urgency::User as usize].len()
     }
 
-    /// Whether a transaction of `changes` changes could be sent now.
+    /// Whether the rate of changes allows a transaction of `changes` changes now.
     pub fn write_allowed(&mut self, changes: f64, urgency: Urgency, now: Micros) -> bool {
         self.changes.bucket.allows(changes, RESERVE[urgency as usize], now)
     }
 
-    /// Removes requests that have waited for too long, as they do while the process is paused, and
-    /// returns what they were for. They were never sent.
+    /// Removes the requests that have waited for too long, for instance during a pause of the
+    /// process, and returns their continuations. These requests were never sent.
     pub fn expire(&mut self, now: Micros) -> Vec<W> {
         let mut expired = vec![];
         for queue in &mut self.queues {
@@ -280,13 +281,13 @@
         expired
     }
 
-    /// How long the requests took that were answered since the last call, not counting watches. A
-    /// request without an answer counts with its timeout.
+    /// Returns the round-trip times of the requests answered since the last call, not counting
+    /// watches. A request without an answer counts with its timeout.
     pub fn take_round_trips(&mut self) -> Option<Waited> {
         self.round_trips.take()
     }
 
-    /// A number for a request that does not go through this queue.
+    /// Returns a number for a request that does not go through this queue.
     pub fn reserve_request_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
@@ -303,13 +304,13 @@
         }
     }
 
-    /// Takes out the requests that may be sent now, with their numbers and timeouts.
+    /// Removes and returns the requests that may be sent now, with their numbers and timeouts.
     pub fn pump(&mut self, now: Micros) -> Vec<(u64, StoreRequest, Micros)> {
         self.grow(now);
         self.queue_delayed(now);
         let mut out = vec![];
-        // A large transaction that the rate does not allow yet saves up for it: smaller ones that
-        // are less urgent would keep it waiting for ever.
+        // While a large transaction waits for the rate of changes to allow it, no less urgent
+        // transaction is sent: smaller ones would otherwise starve it.
         let mut is_saving = false;
         for (level, reserve) in RESERVE.iter().enumerate() {
             while let Some(head) = self.queues[level].front() {
@@ -336,7 +337,7 @@
         out
     }
 
-    /// Counts a request as sent; returns its number, the request and its timeout.
+    /// Records a request as sent; returns its number, the request and its timeout.
     fn send(&mut self, queued: Queued<W>, is_watch: bool, now: Micros) -> (u64, StoreRequest, Micros) {
         self.last_id += 1;
         self.watches_in_flight += usize::from(is_watch);
@@ -349,8 +350,9 @@
         (self.last_id, queued.request, queued.timeout)
     }
 
-    /// What an answer is for; `None` if no such request is in flight. A refusal lowers the rates,
-    /// so that controllers whose shares add up to too much slow down together.
+    /// Records an answer and returns the request's continuation; `None` if no such request is in
+    /// flight. A refusal lowers the rates, so that controllers whose shares together exceed the
+    /// service's limits all slow down.
     pub fn answered(&mut self, id: u64, is_refused: bool, now: Micros) -> Option<W> {
         let answered = self.in_flight.remove(&id)?;
         if answered.is_watch {
--- a/src/coordination/store_rates.rs
+++ b/src/coordination/store_rates.rs
@@ -1,8 +1,10 @@
 //! This controller's share of the rates that the state service accepts.
 //!
 //! Called by the controller when its role changes, when it announces itself, and for each answer
-//! of the state service. It sets the rates of the store queue; it never holds back a request
-//! itself. All controllers' shares of changes together stay below the limit.
+//! of the state service. This module sets the rates of the store queue; it never holds back a
+//! request itself.
+//!
+//! Invariant: the shares of changes of all controllers together stay below the limit.
 
 use super::election::Role;
 use super::peers::PeerStatus;
@@ -11,20 +13,22 @@
 use crate::protocol::store::StoreResponse;
 use crate::time::Micros;
 
-/// So many changes refused within `LIMITED_WITHIN`, although all controllers together make fewer
-/// than the present limit allows, show that a lower limit applies.
+/// The number of refused changes within `LIMITED_WITHIN` that shows that a lower limit applies,
+/// since all controllers together make fewer changes than the present limit allows.
 const LIMITED: usize = 3;
+/// The time span in which refused changes are counted.
 const LIMITED_WITHIN: Micros = Micros::from_millis(4000);
-/// A controller not heard from for longer than this counts as wanting an even share.
+/// A controller without a message for longer than this counts as wanting an even share.
 const WANTS_KNOWN: Micros = Micros::from_millis(2500);
 
 impl Controller {
-    /// Sets what this controller may always ask of the state service, and what it may grow to while
-    /// the service refuses nothing: users come to the controllers unevenly.
+    /// Sets the rates that this controller may always use, and those that it may grow to while the
+    /// state service refuses nothing. The rates may grow because users are distributed unevenly over
+    /// the controllers.
     ///
-    /// Changes of all controllers together stay below the limit. At the limit, the service would
-    /// accept the job submissions, one change each, and refuse the leader's larger transactions
-    /// again and again.
+    /// The changes of all controllers together stay below the limit. At the limit, the service would
+    /// accept the job submissions, one change each, and repeatedly refuse the leader's larger
+    /// transactions.
     pub(super) fn set_rates(&mut self) {
         let all_requests = self.cluster.limits.requests_per_s();
         let all_changes = self.cluster.limits.changes_per_s();
@@ -41,8 +45,8 @@
                 },
             )
         } else {
-            // With two controllers, the even share of the one that doesn't lead is more than what
-            // one of many may grow to.
+            // With only two controllers, the even share of the follower exceeds the 30 % that
+            // otherwise bounds the growth, so the even share is the bound.
             let even = all_requests * 0.55 / others;
             (
                 Growth {
@@ -58,10 +62,12 @@
         self.context.store.set_rates(requests, changes, self.context.now);
     }
 
-    /// Sets this controller's share of the changes that the state service accepts, by what each
-    /// controller said it wants; returns how many changes a second this one wants.
+    /// Sets this controller's share of the changes that the state service accepts, according to the
+    /// demand that each controller has announced. Returns this controller's demand, in changes a
+    /// second.
     ///
-    /// Users come to the controllers unevenly, and the leader does not always need its share.
+    /// The share follows the demand because users are distributed unevenly over the controllers, and
+    /// because the leader does not always need its share.
     pub(super) fn update_change_share(&mut self) -> f64 {
         let now = self.context.now;
         let own = self.context.store.wants(now);
@@ -70,7 +76,7 @@
         own
     }
 
-    /// This controller's share of the changes, in changes a second, if it wants `own`.
+    /// This controller's share of the changes for a demand of `own`, both in changes a second.
     fn change_share(&self, own: f64) -> f64 {
         let now = self.context.now;
         let all = self.cluster.limits.changes_used();
@@ -97,13 +103,15 @@
             .filter(|peer| !peer.leads)
             .map(|peer| peer.wanted_changes_per_s);
         let demand: f64 = wanted_by_others.sum::<f64>() + own + unknown * even;
-        // A part of the share is even, so that a sudden need is met before others learn of it.
+        // A part of the share is even, so that a sudden demand is met before the other controllers
+        // receive its announcement.
         let by_demand = if demand > 0.01 { own / demand } else { 1.0 / others };
         rest * (0.4 / others + 0.6 * by_demand)
     }
 
-    /// Counts a change refused because there are too many. Several in a short time show that the
-    /// lower limits apply. Returns the answer as the rest of the controller sees it.
+    /// Counts a request that the state service refused because of its limit on changes; several such
+    /// refusals in a short time show that the lower limits apply. Returns the answer for the rest of
+    /// the controller, in which such a refusal is an ordinary one.
     pub(super) fn note_limits(&mut self, answer: StoreResponse) -> StoreResponse {
         if answer != StoreResponse::Limited {
             return answer;
@@ -120,7 +128,7 @@
         if self.limited_at.len() >= LIMITED && self.cluster.limits.lower() {
             tracing::warn!(
                 changes_per_s = self.cluster.limits.changes_per_s(),
-                "changes are refused: the lower limits of the state service hold"
+                "changes are refused: the lower limits of the state service apply"
             );
             self.set_rates();
         }
--- a/src/coordination/summary.rs
+++ b/src/coordination/summary.rs
@@ -1,7 +1,7 @@
-//! The leader's periodic summary in the log: machines, the write-ahead log, and what each team holds
-//! and waits for.
+//! The leader's periodic summary in the log: machines, the write-ahead log, and the cores that each
+//! team holds and waits for.
 //!
-//! Called by the controller's periodic work. It reads facts and changes none.
+//! Called by the controller's periodic work. This module changes no state.
 
 use super::state::{Job, LeaderState, MachineState, Placement, PlacementPhase};
 use super::ClusterConfig;
@@ -9,21 +9,22 @@
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
-/// Rounding changes sums of cores by less than this.
+/// The tolerance for rounding errors in sums of cores.
 const ROUNDING: f64 = 1e-6;
 
-/// What a team's jobs hold and wait for, in cores, and how long the oldest has waited.
+/// The cores that a team's jobs hold and wait for, and the longest waiting time.
 #[derive(Clone, Copy, Debug, Default)]
 struct TeamUsage {
-    /// What counts towards the team's limit.
+    /// The cores that count towards the team's limit.
     held: f64,
-    /// Of `held`: starts that are recorded or being recorded and that no machine has reported.
+    /// The part of `held` for starts that are recorded or being recorded and that no machine has
+    /// reported.
     unreported: f64,
-    /// Of `held`: tasks that were asked to stop.
+    /// The part of `held` for tasks that have been requested to stop.
     stopping: f64,
-    /// Recorded tasks that have exited and count no longer.
+    /// The cores of recorded tasks that have exited, which no longer count towards the limit.
     exited: f64,
-    /// What the waiting tasks need.
+    /// The cores that the waiting tasks need.
     waiting: f64,
     /// How long the oldest job with waiting tasks has waited.
     oldest_wait: Micros,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// What each team that has jobs holds and waits for.
+    /// The use of each team that has jobs.
     fn team_usage(&self, now: Micros) -> BTreeMap<&str, TeamUsage> {
         let mut usage: BTreeMap<&str, TeamUsage> = BTreeMap::new();
         for job in self.jobs.values() {
@@ -74,7 +75,7 @@
         usage
     }
 
-    /// Records of earlier leaders that no machine has confirmed or disproved.
+    /// The number of earlier leaders' records that no machine has confirmed or disproved.
     fn unconfirmed_inherited_records(&self) -> usize {
         let placements = self.jobs.values().flat_map(|job| job.placements.values());
         placements
@@ -134,14 +135,15 @@
             );
         }
         if team.cpus_max > 0.0 && usage.held > team.cpus_max + ROUNDING {
-            // Records of an earlier leader, some of which are not proven void yet: nothing of the
-            // team starts until they are. The tasks that machines list are checked in `invariants`.
+            // This happens with records of an earlier leader, some of which are not proven void yet.
+            // No task of the team starts until they are. The module `invariants` checks the tasks
+            // that machines list against the limit.
             tracing::warn!(
                 team = team.name,
                 term = self.term,
                 holds_cpus = usage.held,
                 limit = team.cpus_max,
-                "a team's records are more than its limit: it gets no start"
+                "a team's recorded tasks exceed its limit: none of its tasks start until they no longer do"
             );
         }
     }
