--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -137,7 +137,7 @@
         for continuation in self.context.store.expire(self.context.now) {
             self.on_store_answer(continuation, StoreResponse::Refused);
         }
-        for (id, request, timeout) in self.context.store.pump(self.context.now) {
+        for (id, request, timeout) in self.context.store.take_sendable(self.context.now) {
             self.context.effects.push(Effect::Store { id, request, timeout });
         }
         self.route_effects()
@@ -161,7 +161,7 @@
             Event::Heartbeat { id, heartbeat } => self.on_heartbeat(id, heartbeat),
             Event::Store { id, answer } => self.on_store_event(id, answer),
             Event::Cloud { id, answer } => {
-                if let Some(answer) = self.on_direct_call(id, answer) {
+                if let Some(answer) = self.take_own_cloud_answer(id, answer) {
                     self.on_cloud(id, answer);
                 }
             }
@@ -191,8 +191,8 @@
     /// Handles an answer of the state service to one of this controller's own requests or to a
     /// forwarded one.
     fn on_store_event(&mut self, id: u64, answer: StoreResponse) {
-        let answer = self.note_limits(answer);
-        let Some(answer) = self.on_direct_answer(id, answer) else {
+        let answer = self.record_limit_refusal(answer);
+        let Some(answer) = self.take_own_store_answer(id, answer) else {
             return;
         };
         let is_refused = matches!(answer, StoreResponse::Refused);
--- a/src/coordination/forwarding.rs
+++ b/src/coordination/forwarding.rs
@@ -100,7 +100,7 @@
 struct ClockOffset {
     /// The least difference between the time of receipt on this controller's clock and the time of
     /// sending on the other's, in microseconds.
-    least: i64,
+    min_offset: i64,
     /// That controller's clock at its last message, in microseconds.
     sender_clock: u64,
 }
@@ -148,13 +148,13 @@
         let offset = now.0 as i64 - sender_clock as i64;
         match self.clocks.get_mut(node) {
             Some(clock) if sender_clock >= clock.sender_clock => {
-                clock.least = clock.least.min(offset) + CLOCK_DRIFT;
+                clock.min_offset = clock.min_offset.min(offset) + CLOCK_DRIFT;
                 clock.sender_clock = sender_clock;
             }
             // A new process incarnation restarts its clock.
             _ => {
                 let clock = ClockOffset {
-                    least: offset,
+                    min_offset: offset,
                     sender_clock,
                 };
                 self.clocks.insert(node.to_string(), clock);
@@ -168,7 +168,7 @@
         let Some(clock) = self.clocks.get(node) else {
             return true;
         };
-        now.0 as i64 - sender_clock as i64 - clock.least > MAX_DELAY.0 as i64
+        now.0 as i64 - sender_clock as i64 - clock.min_offset > MAX_DELAY.0 as i64
     }
 
     /// Whether a controller can be reached, directly or through another one.
@@ -212,7 +212,7 @@
     }
 
     /// Records a request that is sent directly from here.
-    fn note_sent(&mut self, service: Service, id: u64, is_watch: bool, origin: RequestOrigin) {
+    fn record_sent(&mut self, service: Service, id: u64, is_watch: bool, origin: RequestOrigin) {
         let sent = SentRequest {
             sent_at: self.context.now,
             is_watch,
@@ -229,7 +229,7 @@
                 return self.delegate(via, Service::State, id, request, timeout);
             }
             let is_watch = matches!(request, StoreRequest::Watch { .. });
-            self.note_sent(Service::State, id, is_watch, RequestOrigin::Own);
+            self.record_sent(Service::State, id, is_watch, RequestOrigin::Own);
         }
         Effect::Store { id, request, timeout }
     }
@@ -240,7 +240,7 @@
                 let request = ForwardedBody::Cloud(to_cbor(&request));
                 return self.delegate(via, Service::Cloud, id, request, timeout);
             }
-            self.note_sent(Service::Cloud, id, false, RequestOrigin::Own);
+            self.record_sent(Service::Cloud, id, false, RequestOrigin::Own);
         }
         Effect::Cloud { id, request, timeout }
     }
@@ -295,12 +295,12 @@
 
     /// Handles an answer of the state service to a request sent directly from here. Returns the
     /// answer if this controller made the request, and `None` if it was a probe or a forwarded one.
-    pub(super) fn on_direct_answer(&mut self, id: u64, answer: StoreResponse) -> Option<StoreResponse> {
+    pub(super) fn take_own_store_answer(&mut self, id: u64, answer: StoreResponse) -> Option<StoreResponse> {
         let Some(sent) = self.forwarder.sent.remove(&(Service::State, id)) else {
             return Some(answer);
         };
         let has_failed = matches!(answer, StoreResponse::Refused | StoreResponse::Unknown);
-        self.note_link(Service::State, &sent, has_failed);
+        self.record_link_result(Service::State, &sent, has_failed);
         match sent.origin {
             RequestOrigin::Own => Some(answer),
             RequestOrigin::Probe => None,
@@ -315,14 +315,14 @@
         }
     }
 
-    /// Handles an answer of the cloud in the same way as
-    /// [`on_direct_answer`](Controller::on_direct_answer) handles one of the state service.
-    pub(super) fn on_direct_call(&mut self, id: u64, answer: CloudResponse) -> Option<CloudResponse> {
+    /// Handles an answer of the cloud like
+    /// [`take_own_store_answer`](Controller::take_own_store_answer) for the state service.
+    pub(super) fn take_own_cloud_answer(&mut self, id: u64, answer: CloudResponse) -> Option<CloudResponse> {
         let Some(sent) = self.forwarder.sent.remove(&(Service::Cloud, id)) else {
             return Some(answer);
         };
         let has_failed = matches!(answer, CloudResponse::Refused | CloudResponse::Unknown);
-        self.note_link(Service::Cloud, &sent, has_failed);
+        self.record_link_result(Service::Cloud, &sent, has_failed);
         match sent.origin {
             RequestOrigin::Own => Some(answer),
             RequestOrigin::Probe => None,
@@ -345,7 +345,7 @@
     }
 
     /// Records the link to a service as working or failed, by an answer or its absence.
-    fn note_link(&mut self, service: Service, sent: &SentRequest, has_failed: bool) {
+    fn record_link_result(&mut self, service: Service, sent: &SentRequest, has_failed: bool) {
         let now = self.context.now;
         let links = &mut self.forwarder.link_table;
         if has_failed {
@@ -436,13 +436,13 @@
     fn forward_to_store(&mut self, forwarded: ForwardedId, request: StoreRequest, timeout: Micros) {
         let id = self.context.store.reserve_request_id();
         let is_watch = matches!(request, StoreRequest::Watch { .. });
-        self.note_sent(Service::State, id, is_watch, RequestOrigin::Forwarded(forwarded));
+        self.record_sent(Service::State, id, is_watch, RequestOrigin::Forwarded(forwarded));
         self.context.effects.push(Effect::Store { id, request, timeout });
     }
 
     fn forward_to_cloud(&mut self, forwarded: ForwardedId, request: CloudRequest, timeout: Micros) {
         let id = self.context.id();
-        self.note_sent(Service::Cloud, id, false, RequestOrigin::Forwarded(forwarded));
+        self.record_sent(Service::Cloud, id, false, RequestOrigin::Forwarded(forwarded));
         self.context.effects.push(Effect::Cloud { id, request, timeout });
     }
 
@@ -573,13 +573,13 @@
         match service {
             Service::State => {
                 let id = self.context.store.reserve_request_id();
-                self.note_sent(service, id, false, RequestOrigin::Probe);
+                self.record_sent(service, id, false, RequestOrigin::Probe);
                 let request = StoreRequest::Get { key: keys::TERM.into() };
                 self.context.effects.push(Effect::Store { id, request, timeout });
             }
             Service::Cloud => {
                 let id = self.context.id();
-                self.note_sent(service, id, false, RequestOrigin::Probe);
+                self.record_sent(service, id, false, RequestOrigin::Probe);
                 let request = CloudRequest::Catalogue;
                 self.context.effects.push(Effect::Cloud { id, request, timeout });
             }
--- a/src/coordination/reservation.rs
+++ b/src/coordination/reservation.rs
@@ -16,11 +16,11 @@
 const LARGE_SHARE: f64 = 0.5;
 /// How long a job's large tasks wait before a machine is reserved for the job. Most such tasks are
 /// placed within this time, which also covers the boot of a new machine.
-const PATIENCE: Micros = Micros::from_millis(30_000);
+const RESERVATION_DELAY: Micros = Micros::from_millis(30_000);
 /// The largest share of the eligible machines that is reserved.
-const MAX_SHARE: f64 = 0.1;
+const MAX_RESERVED_SHARE: f64 = 0.1;
 /// The time between two decisions about reservations.
-const INTERVAL: Micros = Micros::from_millis(500);
+const DECISION_INTERVAL: Micros = Micros::from_millis(500);
 
 /// The reserved machines, and the policy that decides about them.
 #[derive(Default)]
@@ -55,7 +55,9 @@
 fn is_stuck(job: &Job, now: Micros) -> bool {
     job.may_run()
         && !job.waiting.is_empty()
-        && job.unplaceable_since.is_some_and(|at| now.since(at) > PATIENCE)
+        && job
+            .unplaceable_since
+            .is_some_and(|at| now.since(at) > RESERVATION_DELAY)
         && !job.is_suspect(now)
 }
 
@@ -65,7 +67,7 @@
         if now < self.reservations.next_decision_at {
             return;
         }
-        self.reservations.next_decision_at = now + INTERVAL;
+        self.reservations.next_decision_at = now + DECISION_INTERVAL;
         let waiting = self.stuck_large_jobs(cluster, now);
         if waiting.is_empty() && self.reservations.policy.is_empty() {
             return;
@@ -81,7 +83,7 @@
                 && allowed(&job.spec, &machine.machine_type, &machine.zone, machine.spot)
                 && !job.failed_machines.contains(name)
         };
-        let max = ((machines.len() as f64 * MAX_SHARE) as usize).max(1);
+        let max = ((machines.len() as f64 * MAX_RESERVED_SHARE) as usize).max(1);
         let policy = &mut self.reservations.policy;
         let before = policy.len();
         policy.decide(&waiting, &machines, suits, max);
--- a/src/coordination/store_queue.rs
+++ b/src/coordination/store_queue.rs
@@ -27,34 +27,34 @@
 }
 
 /// The share of the buckets that each urgency leaves to more urgent requests.
-const RESERVE: [f64; 4] = [0.0, 0.04, 0.08, 0.2];
+const RESERVED_SHARES: [f64; 4] = [0.0, 0.04, 0.08, 0.2];
 /// The most requests in flight, not counting watches. The limit bounds sockets and memory.
 const MAX_IN_FLIGHT: usize = 24;
 /// The time after which a waiting request expires and is not sent any more: the component that
 /// pushed the request has given up by then, or decides again.
 const EXPIRY: Micros = Micros::from_millis(4000);
-/// The time without a refusal in which a rate grows from its least to its most, in seconds.
+/// The time without a refusal in which a rate grows from its minimum to its maximum, in seconds.
 const GROWTH_S: f64 = 8.0;
 /// The shortest time between two raises of the rates, in seconds.
 const GROWTH_STEP_S: f64 = 0.25;
 /// The factor by which a refusal multiplies a rate.
-const DECREASE: f64 = 0.6;
+const REFUSAL_FACTOR: f64 = 0.6;
 /// The half-life of the measured demand for changes, in seconds.
 const DEMAND_HALF_LIFE_S: f64 = 1.5;
 
 /// The bounds of a rate, per second.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Growth {
+pub struct RateBounds {
     /// The rate that is always allowed.
-    pub least: f64,
+    pub min: f64,
     /// The highest rate, which is reached while the state service refuses nothing.
-    pub most: f64,
+    pub max: f64,
 }
 
 /// A rate that grows while nothing is refused, and the token bucket that enforces it.
 struct AdaptiveRate {
     bucket: Bucket,
-    bounds: Growth,
+    bounds: RateBounds,
     current: f64,
 }
 
@@ -62,17 +62,14 @@
     fn new(rate: f64, now: Micros) -> AdaptiveRate {
         AdaptiveRate {
             bucket: Bucket::new(rate, now),
-            bounds: Growth {
-                least: rate,
-                most: rate,
-            },
+            bounds: RateBounds { min: rate, max: rate },
             current: rate,
         }
     }
 
-    fn set_bounds(&mut self, bounds: Growth, now: Micros) {
+    fn set_bounds(&mut self, bounds: RateBounds, now: Micros) {
         self.bounds = bounds;
-        self.set(bounds.least, now);
+        self.set(bounds.min, now);
     }
 
     fn set(&mut self, rate: f64, now: Micros) {
@@ -82,15 +79,15 @@
 
     /// Raises the rate in proportion to a span without a refusal, in seconds.
     fn grow(&mut self, span_s: f64, now: Micros) {
-        let Growth { least, most } = self.bounds;
-        let raised = self.current + (most - least) * span_s / GROWTH_S;
-        self.set(raised.clamp(least, most), now);
+        let RateBounds { min, max } = self.bounds;
+        let raised = self.current + (max - min) * span_s / GROWTH_S;
+        self.set(raised.clamp(min, max), now);
     }
 
     /// Lowers the rate after a refusal, and removes one token from the bucket.
     fn on_refusal(&mut self, now: Micros) {
         self.bucket.spill(1.0, now);
-        self.set((self.current * DECREASE).max(self.bounds.least), now);
+        self.set((self.current * REFUSAL_FACTOR).max(self.bounds.min), now);
     }
 }
 
@@ -190,7 +187,7 @@
     }
 
     /// The changes a second that this controller wants to make, including those that are waiting.
-    pub fn wants(&mut self, now: Micros) -> f64 {
+    pub fn change_demand(&mut self, now: Micros) -> f64 {
         let per_s = self.demand.measure(now);
         let waiting: f64 = self.queues.iter().flatten().map(|q| changes(&q.request)).sum();
         per_s + waiting + self.held_back_changes
@@ -204,15 +201,12 @@
 
     /// Sets a fixed rate of changes; the rate of requests stays.
     pub fn set_write_rate(&mut self, rate: f64, now: Micros) {
-        let bounds = Growth {
-            least: rate,
-            most: rate,
-        };
+        let bounds = RateBounds { min: rate, max: rate };
         self.changes.set_bounds(bounds, now);
     }
 
     /// Sets this controller's share of the service's limits for requests and changes.
-    pub fn set_rates(&mut self, requests: Growth, changes: Growth, now: Micros) {
+    pub fn set_rates(&mut self, requests: RateBounds, changes: RateBounds, now: Micros) {
         self.rates_changed_at = now;
         self.requests.set_bounds(requests, now);
         self.changes.set_bounds(changes, now);
@@ -261,7 +255,9 @@
 
     /// Whether the rate of changes allows a transaction of `changes` changes now.
     pub fn write_allowed(&mut self, changes: f64, urgency: Urgency, now: Micros) -> bool {
-        self.changes.bucket.allows(changes, RESERVE[urgency as usize], now)
+        self.changes
+            .bucket
+            .allows(changes, RESERVED_SHARES[urgency as usize], now)
     }
 
     /// Removes the requests that have waited for too long, for instance during a pause of the
@@ -305,14 +301,14 @@
     }
 
     /// Removes and returns the requests that may be sent now, with their numbers and timeouts.
-    pub fn pump(&mut self, now: Micros) -> Vec<(u64, StoreRequest, Micros)> {
+    pub fn take_sendable(&mut self, now: Micros) -> Vec<(u64, StoreRequest, Micros)> {
         self.grow(now);
         self.queue_delayed(now);
         let mut out = vec![];
         // While a large transaction waits for the rate of changes to allow it, no less urgent
         // transaction is sent: smaller ones would otherwise starve it.
         let mut is_saving = false;
-        for (level, reserve) in RESERVE.iter().enumerate() {
+        for (level, reserve) in RESERVED_SHARES.iter().enumerate() {
             while let Some(head) = self.queues[level].front() {
                 let cost = changes(&head.request);
                 let is_watch = matches!(head.request, StoreRequest::Watch { .. });
--- a/src/coordination/store_rates.rs
+++ b/src/coordination/store_rates.rs
@@ -8,18 +8,18 @@
 
 use super::election::Role;
 use super::peers::PeerStatus;
-use super::store_queue::Growth;
+use super::store_queue::RateBounds;
 use super::Controller;
 use crate::protocol::store::StoreResponse;
 use crate::time::Micros;
 
-/// The number of refused changes within `LIMITED_WITHIN` that shows that a lower limit applies,
-/// since all controllers together make fewer changes than the present limit allows.
-const LIMITED: usize = 3;
+/// The number of refused changes within `LIMIT_REFUSAL_WINDOW` that shows that a lower limit
+/// applies, since all controllers together make fewer changes than the present limit allows.
+const LIMIT_REFUSALS: usize = 3;
 /// The time span in which refused changes are counted.
-const LIMITED_WITHIN: Micros = Micros::from_millis(4000);
+const LIMIT_REFUSAL_WINDOW: Micros = Micros::from_millis(4000);
 /// A controller without a message for longer than this counts as wanting an even share.
-const WANTS_KNOWN: Micros = Micros::from_millis(2500);
+const DEMAND_MAX_AGE: Micros = Micros::from_millis(2500);
 
 impl Controller {
     /// Sets the rates that this controller may always use, and those that it may grow to while the
@@ -35,13 +35,13 @@
         let others = (self.cluster.nodes() - 1).max(1) as f64;
         let (requests, changes) = if self.leader.is_some() {
             (
-                Growth {
-                    least: all_requests * 0.4,
-                    most: all_requests * 0.6,
+                RateBounds {
+                    min: all_requests * 0.4,
+                    max: all_requests * 0.6,
                 },
-                Growth {
-                    least: all_changes * 0.45,
-                    most: all_changes * 0.45,
+                RateBounds {
+                    min: all_changes * 0.45,
+                    max: all_changes * 0.45,
                 },
             )
         } else {
@@ -49,13 +49,13 @@
             // otherwise bounds the growth, so the even share is the bound.
             let even = all_requests * 0.55 / others;
             (
-                Growth {
-                    least: even,
-                    most: even.max(all_requests * 0.3),
+                RateBounds {
+                    min: even,
+                    max: even.max(all_requests * 0.3),
                 },
-                Growth {
-                    least: all_changes * 0.35 / others,
-                    most: all_changes * 0.5 / others,
+                RateBounds {
+                    min: all_changes * 0.35 / others,
+                    max: all_changes * 0.5 / others,
                 },
             )
         };
@@ -70,7 +70,7 @@
     /// because the leader does not always need its share.
     pub(super) fn update_change_share(&mut self) -> f64 {
         let now = self.context.now;
-        let own = self.context.store.wants(now);
+        let own = self.context.store.change_demand(now);
         let share = self.change_share(own);
         self.context.store.set_write_rate(share, now);
         own
@@ -82,7 +82,7 @@
         let all = self.cluster.limits.changes_used();
         let others = (self.cluster.nodes() - 1).max(1) as f64;
         let even = all * 0.5 / others;
-        let is_known = |peer: &&PeerStatus| now.since(peer.last_contact) < WANTS_KNOWN;
+        let is_known = |peer: &&PeerStatus| now.since(peer.last_contact) < DEMAND_MAX_AGE;
         let peers = &self.cluster.settings.peers;
         let known: Vec<&PeerStatus> = peers
             .iter()
@@ -112,7 +112,7 @@
     /// Counts a request that the state service refused because of its limit on changes; several such
     /// refusals in a short time show that the lower limits apply. Returns the answer for the rest of
     /// the controller, in which such a refusal is an ordinary one.
-    pub(super) fn note_limits(&mut self, answer: StoreResponse) -> StoreResponse {
+    pub(super) fn record_limit_refusal(&mut self, answer: StoreResponse) -> StoreResponse {
         if answer != StoreResponse::Limited {
             return answer;
         }
@@ -121,11 +121,11 @@
         while self
             .limited_at
             .front()
-            .is_some_and(|at| now.since(*at) > LIMITED_WITHIN)
+            .is_some_and(|at| now.since(*at) > LIMIT_REFUSAL_WINDOW)
         {
             self.limited_at.pop_front();
         }
-        if self.limited_at.len() >= LIMITED && self.cluster.limits.lower() {
+        if self.limited_at.len() >= LIMIT_REFUSALS && self.cluster.limits.lower() {
             tracing::warn!(
                 changes_per_s = self.cluster.limits.changes_per_s(),
                 "changes are refused: the lower limits of the state service apply"
--- a/src/coordination/tick.rs
+++ b/src/coordination/tick.rs
@@ -14,7 +14,7 @@
 /// How often this controller announces to the others that it is alive.
 const ALIVE_PERIOD: Micros = Micros::from_millis(500);
 /// A last verified read of the state service that is older than this is not announced as current.
-const CURRENT: Micros = Micros::from_millis(2500);
+const STORE_CURRENT_AGE: Micros = Micros::from_millis(2500);
 /// How often the summary is logged.
 const LOG_PERIOD: Micros = Micros::from_millis(10_000);
 
@@ -59,7 +59,7 @@
         let message = PeerMessage::Alive {
             node: self.cluster.settings.node.clone(),
             term: self.election.term(),
-            fresh: now.since(self.election.verified_at()) < CURRENT,
+            fresh: now.since(self.election.verified_at()) < STORE_CURRENT_AGE,
             leads,
             wants: (self.update_change_share() * 1000.0).min(4e9) as u32,
             serves: self.heartbeat_proxy.agent_count(now, leads),
