--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -41,7 +41,7 @@
 const ATTEST_INTERVAL: Micros = Micros::from_millis(1000);
 /// The most cancellations in one attestation, well under the size limit of a frame.
 const MAX_ATTESTED: usize = 8000;
-/// How long the leader waits for a cancelled start to be confirmed before it raises the term.
+/// How long after the request to stop a cancelled start the leader waits before raising the term.
 const START_SETTLE_TIME: Micros = Micros::from_millis(3000);
 
 /// The other controllers' attestations of cancellations while the state service does not answer.
