--- a/src/coordination/scheduling/best_fit.rs
+++ b/src/coordination/scheduling/best_fit.rs
@@ -1,10 +1,10 @@
-//! Best fit: the machine on which the next task of a job is to start.
+//! Best-fit placement: selects the machine for the next task of a job.
 //!
-//! Called by the start of tasks for one task at a time; it decides, and changes nothing but the
-//! pass's notes on what it need not look at again. A machine has to fit the task and to be allowed
-//! for it. Of those the largest kind wins, then the machine that is held the least longer because
-//! of this task, by its run time and by fetching its image, and then the first in order: tasks
-//! gather on the same machines, and the others become idle and can be returned.
+//! The search runs for one task at a time. It starts nothing, and changes only what the pass caches
+//! to skip searches that would fail again. A machine must have enough free capacity and be allowed
+//! for the job. Among these machines the largest kind wins, then the machine whose occupancy the
+//! task extends the least (by its run time and its image fetch), then the first by name. Tasks are
+//! therefore packed onto the same machines, and the other machines become idle and can be returned.
 
 use super::super::reservation::Reservations;
 use super::super::state::{Job, Machine, MachineId, MachineKind};
@@ -16,23 +16,24 @@
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Steps in which it is compared how much longer a machine would be held.
+/// Granularity at which the extra occupancy of machines is compared.
 const HOLD_STEP: Micros = Micros::from_millis(4000);
-/// Users wait for a service while its image is fetched: that costs so many times as much as a
-/// machine that is held longer.
+/// Weight of a service's image fetch relative to extra machine occupancy: users wait for the
+/// service while its image is fetched.
 const SERVICE_FETCH_WEIGHT: u64 = 20;
-/// How many machines that would be held no longer are compared by their images before the search
-/// ends.
+/// Number of compared candidates after which the search of a kind ends at a machine whose occupancy
+/// the task does not extend.
 const MAX_COMPARED: usize = 12;
 
-/// What the best fit for a job's next task depends on besides the pass.
+/// Inputs of the best-fit search for a job's next task, besides the pass.
 pub(super) struct BestFitRequest<'a> {
     pub(super) job: &'a Job,
-    /// Whether the job, and not machines, seems to be why its tasks fail: it may be tried anywhere.
+    /// Whether the job itself, rather than the machines, seems to cause the failures of its tasks;
+    /// the job may then retry on any machine.
     pub(super) is_suspect: bool,
-    /// Whether the job only takes capacity that other work leaves.
+    /// Whether the job uses only capacity that other work leaves free.
     pub(super) best_effort: bool,
-    /// Tasks of the job in each zone, if it has a rule about zones.
+    /// Number of the job's tasks in each zone; empty if the job has no zone rule.
     pub(super) task_zones: &'a BTreeMap<String, u32>,
     pub(super) kind_groups: &'a KindGroups,
     pub(super) kinds: &'a [MachineKind],
@@ -42,7 +43,7 @@
     pub(super) reservations: &'a Reservations,
 }
 
-/// The machine for a task.
+/// The machine selected for a task.
 #[derive(Clone, Copy)]
 pub(super) struct BestFit {
     /// Index in the pass's list of candidates.
@@ -72,12 +73,12 @@
             .is_some_and(|locations| locations.contains(machine))
     }
 
-    /// Whether the job may be tried on a machine, given where it failed.
+    /// Whether the job may start on a machine, given the machines where its tasks failed.
     fn may_retry_on(&self, machine: &MachineId) -> bool {
         self.is_suspect || !self.job.failed_machines.contains(machine)
     }
 
-    /// Whether a machine is reserved for another job; production does not care.
+    /// Whether a machine is reserved for another job; production jobs ignore reservations.
     fn is_reserved(&self, machine: &MachineId) -> bool {
         !self.is_production() && self.reservations.is_reserved_against(machine, &self.job.id)
     }
@@ -92,9 +93,9 @@
         !is_barred
     }
 
-    /// How much longer a machine is held because it has to fetch the image first, in half steps:
-    /// not at all if it has the image, hardly if it already fetches it for another task, and the
-    /// longer the more it has to fetch, since fetches share the machine's rate.
+    /// Extra occupancy of a machine due to the image fetch, in half steps of [`HOLD_STEP`]: zero if
+    /// the machine has the image, one if it already fetches the image for another task, and
+    /// otherwise more with each pending fetch, since fetches share the machine's bandwidth.
     fn fetch_half_steps(&self, candidate: &CandidateMachine) -> u64 {
         if self.has_image(&candidate.name) {
             return 0;
@@ -110,7 +111,7 @@
         (fetch.0 / HOLD_STEP.0 + 1) * 2 * (1 + candidate.pending_fetches as u64)
     }
 
-    /// Cost of a machine that would be held `longer_steps` longer because of the task's run time.
+    /// Cost of a machine whose occupancy the run time of the task extends by `longer_steps` steps.
     fn cost(&self, candidate: &CandidateMachine, longer_steps: u64) -> u64 {
         let weight = if self.job.is_service() { SERVICE_FETCH_WEIGHT } else { 1 };
         longer_steps * 2 + self.fetch_half_steps(candidate) * weight
@@ -118,7 +119,7 @@
 }
 
 impl Pass {
-    /// The best machine for the job's next task; `None` if there is none now.
+    /// Returns the best machine for the job's next task, or `None` if no machine suits it now.
     pub(super) fn best_fit(&mut self, request: &BestFitRequest) -> Option<BestFit> {
         for group in [&request.kind_groups.preferred, &request.kind_groups.fallback] {
             let admitted: Vec<usize> = group
@@ -155,8 +156,8 @@
         (request.is_production() || kind.spot || preserves_reserve) && request.zone_admits(&kind.zone)
     }
 
-    /// Whether a best-effort task of this size that was no longer found no machine of the
-    /// on-demand kinds in this pass.
+    /// Whether an on-demand kind need not be searched for a best-effort job, because a task of the
+    /// same size and no longer estimate has already found no on-demand machine in this pass.
     fn is_known_to_fail(&self, request: &BestFitRequest, kind: &MachineKind) -> bool {
         let shortest_failed = self.best_effort_failed.get(&request.size());
         request.best_effort
@@ -164,8 +165,9 @@
             && shortest_failed.is_some_and(|estimate_s| request.job.spec.estimate_s >= *estimate_s)
     }
 
-    /// For a replica of a service: a machine of these kinds that has the image, so that it starts
-    /// at once. Services stay together: their machines are the last that can be returned.
+    /// Returns a machine of these kinds that has the image of a service, so that a replica starts
+    /// at once. Machines that already run services come first, because machines with services are
+    /// the last that can be returned.
     fn candidate_with_image(&self, request: &BestFitRequest, kinds: &[usize]) -> Option<usize> {
         let locations = request.image_locations.into_iter().flatten();
         let ranked = locations.filter_map(|name| {
@@ -178,8 +180,8 @@
         ranked.min().map(|(_, _, index)| index)
     }
 
-    /// The machine of the largest kind with enough free that costs the least, and of those the
-    /// first in order. `kinds` is sorted by size, the largest first.
+    /// Returns the candidate with the lowest cost among the largest kinds that have one, and the
+    /// first in order among equals. `kinds` is sorted by size, the largest first.
     fn cheapest_candidate(&mut self, request: &BestFitRequest, kinds: &[usize]) -> Option<usize> {
         let spec = &request.job.spec;
         let task_end = self.now + expected_duration(spec);
@@ -217,8 +219,8 @@
         best.map(|best| best.candidate)
     }
 
-    /// Position of the first candidate of a kind that may fit tasks of this size. Those before it
-    /// are too full, and stay so for the rest of the pass: starts only take.
+    /// Position of the first candidate of a kind that may fit tasks of this size. The candidates
+    /// before it are too full, and stay so while the pass starts tasks: starts only use capacity.
     fn skip_full(&mut self, request: &BestFitRequest, kind: usize) -> usize {
         let kinds = request.kinds.len();
         let full = self.full.entry(request.size()).or_insert_with(|| vec![0; kinds]);
@@ -229,9 +231,10 @@
         full[kind]
     }
 
-    /// Whether the job may start on a machine on which it fits: not if that is reserved for
-    /// another, not where it failed, and beside services only if enough is left for their next
-    /// replicas, which would spread over all machines otherwise.
+    /// Whether the job may start on a machine that has enough free capacity. The machine must not
+    /// be reserved for another job, nor be one where the job failed. On an on-demand machine that
+    /// runs services, work below production must leave enough free cores for the next replicas of
+    /// services, which would otherwise spread over all machines.
     fn accepts(&self, request: &BestFitRequest, candidate: &CandidateMachine) -> bool {
         if request.is_reserved(&candidate.name) || !request.may_retry_on(&candidate.name) {
             return false;
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -1,8 +1,8 @@
-//! The machines that a scheduling pass may place tasks on, with what is free on each.
+//! The machines that a scheduling pass may place tasks on, with the free capacity of each.
 //!
-//! A pass takes the list once, at its start, and counts down from it as it places tasks; the
-//! machines themselves are updated by the placement. The list is in the order of the machines'
-//! names, and [`Machine::candidate`] is the machine's index in it until the next pass.
+//! A pass builds the list once, at its start, and subtracts the resources of each task that it
+//! places; placements also update the machines themselves. The list is sorted by machine name, and
+//! [`Machine::candidate_index`] is the machine's index in the list until the next pass.
 
 use super::super::state::{LeaderState, Machine, MachineId, MachineKind};
 use super::super::ClusterConfig;
@@ -12,22 +12,23 @@
 use crate::protocol::users::JobSpec;
 use crate::time::Micros;
 
-/// A machine that takes new tasks, and what is free on it during a pass.
+/// A machine that accepts new tasks, with its free capacity during a pass.
 pub(super) struct CandidateMachine {
     pub(super) name: MachineId,
-    /// Index of its kind in the scheduler's list of kinds.
+    /// Index of the machine's kind in the scheduler's list of kinds.
     pub(super) kind: usize,
     pub(super) free: Resources,
-    /// When the last task on it is expected to end.
+    /// When the last task on the machine is expected to end.
     pub(super) busy_until: Micros,
-    /// Whether replicas of services run on it.
+    /// Whether replicas of services run on the machine.
     pub(super) runs_services: bool,
-    /// Images that it has yet to fetch for tasks placed on it.
+    /// Number of images that are still to be fetched for tasks placed on the machine.
     pub(super) pending_fetches: usize,
 }
 
 impl LeaderState {
-    /// Index of the kind with this type, zone and sort of rental; it is added if it is new.
+    /// Returns the index of the kind with this machine type, zone and rental model (spot or
+    /// on-demand), and adds the kind if it is new.
     pub(super) fn kind_index(&mut self, machine_type: &MachineType, zone: &str, spot: bool) -> usize {
         let same = |k: &MachineKind| k.machine_type == machine_type.name && k.zone == zone && k.spot == spot;
         self.scheduler.kinds.iter().position(same).unwrap_or_else(|| {
@@ -44,7 +45,7 @@
         })
     }
 
-    /// The machines that take new tasks now, and what is free on each, in the order of their names.
+    /// Returns the machines that accept new tasks now, with their free capacity, sorted by name.
     pub(super) fn candidates(&mut self, cluster: &ClusterConfig, now: Micros) -> Vec<CandidateMachine> {
         self.assign_kinds(cluster);
         let silence = Self::work_silence(cluster);
@@ -85,7 +86,7 @@
     }
 }
 
-/// What is free on a machine of this kind.
+/// Returns the candidate for a machine of this kind.
 fn candidate(machine: &Machine, kind_index: usize, kind: &MachineKind) -> CandidateMachine {
     CandidateMachine {
         name: machine.name.clone(),
@@ -110,8 +111,8 @@
 }
 
 impl KindGroups {
-    /// Within a group the largest kind comes first, and equal ones always in the same order, so
-    /// that the last machines of the order become idle when there is less to do.
+    /// Returns the kinds that a job may use. Within a group the largest kind comes first, and equal
+    /// kinds keep a fixed order, so that the machines at the end become idle when demand falls.
     pub(super) fn of(spec: &JobSpec, kinds: &[MachineKind]) -> KindGroups {
         let (mut preferred, mut fallback) = (vec![], vec![]);
         for (i, kind) in kinds.iter().enumerate() {
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -36,24 +36,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Tasks started in one pass; the rest follow with the next, moments later.
+/// Maximum number of tasks started in one pass; the remaining tasks start in the next pass, which
+/// runs after [`MIN_PASS_INTERVAL`].
 const MAX_STARTS: usize = 400;
 /// The least time between two passes: changes within it are handled together.
 const MIN_PASS_INTERVAL: Micros = Micros::from_millis(40);
 /// The time after which a pass runs although nothing has changed.
 const MAX_PASS_INTERVAL: Micros = Micros::from_millis(500);
-/// The time between two estimates of demand.
+/// The time between two estimates of demand, in seconds.
 const ESTIMATE_INTERVAL_S: f64 = 1.0;
 /// The time between two attempts at preemption.
 const PREEMPTION_INTERVAL: Micros = Micros::from_millis(200);
-/// Machines examined for preemption in one pass; the rest wait for the next.
+/// Number of examined machines after which a pass attempts no preemption for further jobs; these
+/// jobs wait for the next attempt.
 const MAX_PREEMPTION_EXAMINED: usize = 4000;
-/// Work within its team's guarantee waits this long for capacity to become idle before work beyond
-/// other guarantees is preempted for it.
+/// Work within its team's guarantee waits this long for capacity to become idle before it may use
+/// slots outside its pool and preempt work beyond other teams' guarantees. Other work below
+/// production waits for the same time before it may preempt.
 const GUARANTEE_PATIENCE: Micros = Micros::from_millis(1500);
 /// A service waits this long for a machine that has its image.
 const IMAGE_PATIENCE: Micros = Micros::from_millis(2000);
-/// Part of the cores of all services that is kept free for their next replicas.
+/// Fraction of the cores of all services that is kept free for their next replicas.
 const SERVICE_RESERVE: f64 = 0.15;
 
 /// Numbers of slots: a slot is a core, or a GPU for work that uses GPUs.
@@ -84,7 +87,7 @@
     }
 }
 
-/// What the scheduler keeps between its passes.
+/// The state that the scheduler keeps between passes.
 pub struct Scheduler {
     estimate: Estimate,
     next_estimate_at: Micros,
@@ -92,7 +95,7 @@
     pub(super) pools: BTreeMap<Rc<ClassKey>, u32>,
     /// Slots in no pool.
     pub(super) helpers: SlotCounts,
-    /// Kinds of machines seen so far; machines name theirs by index.
+    /// Kinds of machines seen so far; a machine refers to its kind by index.
     kinds: Vec<MachineKind>,
     /// When a pass is due at the latest.
     next_pass_at: Micros,
@@ -102,7 +105,7 @@
 }
 
 impl Scheduler {
-    /// No pools, no kinds; the first pass is due at once.
+    /// Creates a scheduler without pools and kinds, whose first pass is due at once.
     pub fn new(now: Micros) -> Scheduler {
         Scheduler {
             estimate: Estimate::default(),
@@ -138,8 +141,8 @@
         self.resize_pools_if_due(cluster, &candidates, now);
         let mut pass = self.new_pass(candidates, now);
         let queue = self.job_queue(cluster, now);
-        // The urgent come before all others: capacity freed for them by preemption must not be
-        // taken by what was preempted.
+        // Urgent jobs come first, so that preempted tasks do not take the capacity that was freed
+        // for these jobs.
         self.start_urgent(&mut pass, cluster, &queue);
         self.start_in_pools(&mut pass, cluster, &queue);
         self.start_on_helpers(&mut pass, cluster, &queue);
@@ -166,7 +169,8 @@
     }
 
     /// Starts production and high-priority work, and work within its team's guarantee that has
-    /// waited, in its pool or on any other slots: it does not wait for a split that is out of date.
+    /// waited, in its pool or on any other slots: this work does not wait until an outdated split
+    /// into pools is recomputed.
     fn start_urgent(&mut self, pass: &mut Pass, cluster: &ClusterConfig, queue: &JobQueue) {
         for id in &queue.order {
             let Some(job) = self.jobs.get(id) else { continue };
@@ -179,17 +183,18 @@
         }
     }
 
-    /// Starts what its class's pool has slots for, oldest first. This is also the pull of the
-    /// paper's third rule: what waits for the helpers and what waits at all is one queue.
+    /// Starts jobs for which their class's pool has slots, in the order of the queue. This step is
+    /// also the pull of the paper's third rule, since the jobs that wait for the helpers and all
+    /// other waiting jobs form one queue.
     fn start_in_pools(&mut self, pass: &mut Pass, cluster: &ClusterConfig, queue: &JobQueue) {
         for id in &queue.order {
             self.start_job(pass, cluster, id, SlotSource::Pool);
         }
     }
 
-    /// Starts what the helpers have slots for, first come, first served. A job that fits on no
-    /// machine, or that its team's limit stops, lets the next one pass: the paper's servers are
-    /// alike, these are not.
+    /// Starts jobs for which the helpers have slots, first come, first served. A job that fits on
+    /// no machine or exceeds its team's limit does not block the jobs behind it: the paper's
+    /// servers are identical, these machines are not.
     fn start_on_helpers(&mut self, pass: &mut Pass, cluster: &ClusterConfig, queue: &JobQueue) {
         let mut closed = BTreeSet::new();
         for id in &queue.order {
@@ -202,7 +207,8 @@
         }
     }
 
-    /// Starts what has waited on idle slots of pools whose classes have nothing waiting.
+    /// Starts jobs that have waited for the configured time (`borrow_after_s`) on idle slots of
+    /// pools whose classes have no waiting tasks.
     fn start_on_borrowed_slots(&mut self, pass: &mut Pass, cluster: &ClusterConfig, queue: &JobQueue) {
         let patience = Micros::from_secs(cluster.settings.operator.borrow_after_s);
         let queued_classes: BTreeSet<Rc<ClassKey>> = self
@@ -220,7 +226,8 @@
         }
     }
 
-    /// Half the idle slots of pools whose classes have nothing waiting, less what is borrowed.
+    /// Half the idle slots of pools whose classes have no waiting tasks, less the slots that are
+    /// already borrowed.
     fn borrowable_slots(&self, pass: &Pass, gpu: bool, queued_classes: &BTreeSet<Rc<ClassKey>>) -> u32 {
         let pools = self.scheduler.pools.iter();
         let idle: u32 = pools
@@ -234,8 +241,8 @@
         idle.saturating_sub(borrowed)
     }
 
-    /// Cores of on-demand machines kept free of arrays, so that a service starts without waiting
-    /// for a boot.
+    /// Number of cores on on-demand machines that are kept free of arrays, so that a service starts
+    /// without waiting for a machine to boot.
     pub fn service_reserve(&self) -> f64 {
         let mut service_cpus = 0.0;
         let mut largest: f64 = 0.0;
--- a/src/coordination/scheduling/pass.rs
+++ b/src/coordination/scheduling/pass.rs
@@ -1,7 +1,7 @@
-//! What one scheduling pass counts: free capacity, slots and quota used, and what it has learnt.
+//! The counts of one scheduling pass: free capacity, slots and quota used, and failed searches.
 //!
-//! A pass is made anew each time from the leader's state and dropped at its end. Its counts follow
-//! every start at once, so that the next start sees what the one before it took.
+//! Each pass builds its counts from the leader's state and drops them at its end. Every start is
+//! charged to the counts at once, so that the next start sees the capacity that is left.
 
 use super::super::state::{LeaderState, MachineKind};
 use super::best_fit::BestFit;
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What a task takes of a machine, in a form that can be compared exactly.
+/// The resources of one task as bit patterns, which can be compared exactly.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TaskSize {
     cpus_bits: u64,
@@ -25,7 +25,7 @@
 }
 
 impl TaskSize {
-    /// What one task of the job takes.
+    /// Returns the size of one task of the job.
     pub(super) fn of(spec: &JobSpec) -> TaskSize {
         TaskSize {
             cpus_bits: spec.cpus.to_bits(),
@@ -55,24 +55,24 @@
     pub(super) candidates: Vec<CandidateMachine>,
     /// Indices of the candidates of each kind, in order.
     pub(super) by_kind: Vec<Vec<usize>>,
-    /// For tasks of a size, how many candidates of each kind from the first on are too full.
+    /// For each task size, the number of leading candidates of each kind that are too full.
     pub(super) full: BTreeMap<TaskSize, Vec<usize>>,
     /// For best-effort tasks of a size, the shortest run time in seconds for which no on-demand
     /// machine was found in this pass.
     pub(super) best_effort_failed: BTreeMap<TaskSize, f64>,
     /// CPUs that each team uses beyond its guarantee; set before preemption.
     pub(super) cpus_over_guarantee: BTreeMap<String, f64>,
-    /// What teams use, with the starts of this pass.
+    /// What teams use, including the starts of this pass.
     pub(super) quota: QuotaLedger,
     /// Slots used in each class's pool.
     pub(super) pool_slots_used: BTreeMap<Rc<ClassKey>, u32>,
-    /// Slots used on the helpers, those borrowed from pools included.
+    /// Slots used on the helpers, including slots borrowed from pools.
     pub(super) helper_slots_used: SlotCounts,
     /// Cores of on-demand machines that are kept free for services.
     pub(super) service_reserve: f64,
     /// Free cores on on-demand machines.
     pub(super) on_demand_free_cpus: f64,
-    /// The part of them on machines that run services.
+    /// Free cores on on-demand machines that run services.
     pub(super) service_machine_free_cpus: f64,
     /// Tasks started in this pass.
     pub(super) starts: usize,
@@ -118,7 +118,7 @@
 }
 
 impl LeaderState {
-    /// A pass over these candidates, with what jobs hold already charged.
+    /// Creates a pass over these candidates; the slots and quota that jobs hold are charged.
     pub(super) fn new_pass(&self, candidates: Vec<CandidateMachine>, now: Micros) -> Pass {
         let kinds = &self.scheduler.kinds;
         let on_demand = || candidates.iter().filter(|c| !kinds[c.kind].spot);
--- a/src/coordination/scheduling/pool_sizing.rs
+++ b/src/coordination/scheduling/pool_sizing.rs
@@ -1,7 +1,7 @@
 //! Splits the slots of the machines that are up into class pools and helpers, by estimated demand.
 //!
-//! Called by the scheduling pass at its interval; the split itself is that of [`super::pools`].
-//! Changes nothing but the scheduler's estimate, pools and helpers: a task that runs keeps its
+//! The scheduling pass resizes the pools once per interval; [`super::pools`] computes the split.
+//! Resizing changes only the scheduler's estimate, pools and helpers: a running task keeps its
 //! slots even if its pool shrinks.
 
 use super::super::state::LeaderState;
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 
 impl LeaderState {
-    /// Updates the estimate of demand and makes the split anew.
+    /// Updates the estimate of demand and recomputes the split.
     pub(super) fn resize_pools(&mut self, cluster: &ClusterConfig, candidates: &[CandidateMachine], now: Micros) {
         let demanded_slots = self.demanded_slots(now);
         let half_life_s = cluster.settings.operator.estimate_s;
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Slots that the jobs of each class hold and ask for. What waits is demand as well: with
-    /// machines that come and go, the slots held only say what was served.
+    /// Slots that the jobs of each class hold and request. Waiting tasks count as demand too: as
+    /// machines join and leave, the held slots only show how much demand was served.
     fn demanded_slots(&self, now: Micros) -> BTreeMap<Rc<ClassKey>, f64> {
         let mut demanded: BTreeMap<Rc<ClassKey>, f64> = BTreeMap::new();
         for job in self.jobs.values() {
@@ -44,14 +44,14 @@
         demanded
     }
 
-    /// Cores, or GPUs, of these machines in all.
+    /// Total number of cores, or of GPUs, of these machines.
     fn slots(&self, candidates: &[CandidateMachine], gpu: bool) -> f64 {
         let kinds = candidates.iter().map(|c| &self.scheduler.kinds[c.kind]);
         kinds.map(|kind| if gpu { kind.gpus } else { kind.cpus }).sum()
     }
 
-    /// Limits classes that have low-priority work only to the slots that the others leave: a
-    /// backlog of low priority, however large, would hold most of the slots against them otherwise.
+    /// Limits the demand of classes with only low-priority work to the slots that the other classes
+    /// leave. Otherwise a large low-priority backlog would get most of the slots.
     fn limit_low_priority(
         &self,
         demands: &mut [(Rc<ClassKey>, Demand)],
--- a/src/coordination/scheduling/pools.rs
+++ b/src/coordination/scheduling/pools.rs
@@ -1,7 +1,8 @@
 //! Balanced Splitting: how slots are split into class pools and helpers, and how the demand behind
 //! the split is estimated.
 //!
-//! A model without knowledge of jobs and machines, in the terms of the paper (`docs/DESIGN.md`).
+//! The model depends on no types of jobs or machines, and uses the terms of the paper
+//! (`docs/DESIGN.md`).
 //!
 //! Invariant: the pools never hold more slots in all than there are.
 
@@ -9,14 +10,15 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Rounding must not put a step on the wrong side: steps lie where a product is a whole number.
+/// Tolerance for floating-point rounding: a pool grows where a product reaches a whole number, and
+/// rounding must not put the product on the wrong side of such a step.
 const ROUNDING: f64 = 1e-9;
-/// How far below a step ψ is taken: the largest value is approached from below.
+/// Distance below a step at which ψ is taken: the valid values approach the step from below.
 const BELOW_STEP: f64 = 1e-7;
-/// Decayed demand below this many slot-seconds is forgotten.
+/// Decayed demand of at most this many slot-seconds is dropped.
 const FORGOTTEN_SLOT_S: f64 = 1e-3;
 
-/// A class in the sense of the paper: jobs of one need and one kind of run time.
+/// A class in the sense of the paper: jobs with the same need and the same kind of run time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassKey {
     /// Whether a slot is a GPU rather than a core.
@@ -57,8 +59,8 @@
     pub psi: f64,
 }
 
-/// Splits `slots` slots by demand. What is left over are the helpers: at least as many as the
-/// largest need, unless the split is exact or there are fewer slots than that.
+/// Splits `slots` slots by demand. The slots that are left over are the helpers: at least as many
+/// as the largest need, unless the split is exact or `slots` is smaller than the largest need.
 pub fn split(slots: u32, demands: &[Demand]) -> Split {
     let total_load: f64 = demands.iter().map(|d| d.load.max(0.0)).sum();
     if slots == 0 || total_load <= 0.0 {
@@ -82,11 +84,11 @@
     if is_exact || leaves_helpers(1.0) {
         return split_at(1.0);
     }
-    // The left-over shrinks only where some floor steps up, so the largest x lies just below one of
-    // the steps, and `leaves_helpers` is monotone over them.
+    // The number of helpers shrinks only where some floor steps up, so the largest x lies just
+    // below one of the steps, and `leaves_helpers` is monotone over the steps.
     let steps = steps(slots, demands, total_load);
     let first_too_large = steps.partition_point(|&x| leaves_helpers(x));
-    // Every class with a step there keeps the job before it.
+    // Just below the step, every class that steps up there has one job less.
     let psi = steps.get(first_too_large).map_or(1.0, |x| (x - BELOW_STEP).max(0.0));
     split_at(psi)
 }
@@ -114,8 +116,8 @@
 }
 
 impl Estimate {
-    /// Adds the slots that each class has held and asked for since the last call, and lets older
-    /// demand decay with the given half life.
+    /// Adds the slots that each class has held and requested since the last call, and decays older
+    /// demand with the given half life.
     pub fn observe(&mut self, demanded_slots: &BTreeMap<Rc<ClassKey>, f64>, half_life_s: f64, now: Micros) {
         let span_s = self.last_observed_at.map_or(0.0, |at| now.since(at).secs());
         self.last_observed_at = Some(now);
@@ -130,8 +132,9 @@
             .retain(|class, sum| *sum > FORGOTTEN_SLOT_S || demanded_slots.contains_key(class));
     }
 
-    /// The demand of each class: its decayed average, or what it holds and asks for now if that is
-    /// more, so that a burst widens its pool at once. A class without history gets an even part.
+    /// Returns the demand of each class: its decayed average, or the slots that it holds and
+    /// requests now if they are more, so that a burst widens its pool at once. A class without any
+    /// demand gets the average of the classes that have some.
     pub fn demands(
         &self,
         demanded_slots: &BTreeMap<Rc<ClassKey>, f64>,
