--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -1,10 +1,10 @@
-//! Preemption: which tasks are stopped so that work which comes before them can start.
+//! Preemption: selects running tasks to stop so that waiting work with precedence can start.
 //!
-//! The last step of a scheduling pass. Victims are asked to stop here; the waiting tasks start in a
-//! later pass, when the agents' heartbeats show that capacity is free.
+//! Preemption is the last step of a scheduling pass. It only requests that the victims stop; the
+//! waiting tasks start in a later pass, when the agents' heartbeats show that capacity is free.
 //!
-//! Invariant: a task is stopped only if that lets a waiting one start, and work of a priority is
-//! never stopped for work of a lower one.
+//! Invariant: a task is stopped only if that lets a waiting task start, and never for work of a
+//! lower priority.
 
 use super::super::state::{Job, LeaderState, MachineId, Placement, PlacementPhase};
 use super::super::{ClusterConfig, JobId};
@@ -20,24 +20,25 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// Only what has run for less than this is stopped for a guarantee: older work loses more than the
-/// guarantee gains, and capacity becomes idle soon enough.
+/// Time after its placement during which a task is young. Only young tasks are stopped for a
+/// guarantee: older tasks lose more work than the guarantee gains, and capacity becomes idle soon
+/// enough.
 const YOUNG: Micros = Micros::from_millis(4000);
-/// Waiting tasks of one job that work is preempted for in one pass.
+/// Maximum number of waiting tasks of one job for which work is preempted in one pass.
 const MAX_TASKS: usize = 64;
-/// Grace that a victim gets to save its work, in multiples of what its job says it needs.
+/// Time that a victim gets to save its work, as a multiple of the time that its job declares.
 const GRACE_FACTOR: f64 = 1.2;
 
 /// A task that may be stopped.
 struct Victim {
-    /// Whether it has not been asked to stop yet.
+    /// Whether the task has not been requested to stop yet.
     is_running: bool,
     priority: Priority,
     placed_at: Micros,
     team: String,
     job: JobId,
     task: u32,
-    /// What it gives back.
+    /// The resources that stopping the task frees.
     resources: Resources,
 }
 
@@ -48,12 +49,13 @@
 }
 
 impl Victim {
-    /// Tasks that are already asked to stop come first, then the lowest and youngest.
+    /// Sorts tasks that are already stopping first, then by priority, lowest first, and within a
+    /// priority by age, youngest first.
     fn sort(victims: &mut [Victim]) {
         victims.sort_by_key(|v| (v.is_running, v.priority, Reverse(v.placed_at)));
     }
 
-    /// The preemption of this task; `None` if it is asked to stop already.
+    /// Returns the preemption of this task, or `None` if the task is already stopping.
     fn preemption(self) -> Option<Preemption> {
         self.is_running.then_some(Preemption {
             job: self.job,
@@ -63,9 +65,9 @@
 }
 
 impl LeaderState {
-    /// Preempts work for what is still waiting, if enough time has passed since the last attempt:
-    /// freed capacity shows in the heartbeats of its machines, and before they come the same
-    /// victims would be found again.
+    /// Preempts work for jobs that still wait, if [`PREEMPTION_INTERVAL`] has passed since the last
+    /// attempt: machines report freed capacity in their heartbeats, and an attempt before those
+    /// would find the same victims again.
     pub(super) fn preempt_if_due(&mut self, pass: &mut Pass, cluster: &ClusterConfig, queue: &JobQueue) {
         if pass.now < self.scheduler.next_preemption_at {
             return;
@@ -90,8 +92,9 @@
         }
     }
 
-    /// Stops work so that waiting tasks of this job can start, unless enough is being stopped
-    /// already. What was started last is stopped first: it loses the least.
+    /// Stops work so that waiting tasks of this job can start, unless enough tasks are already
+    /// stopping. Within a priority the task that was placed last stops first: it loses the least
+    /// work.
     fn preempt_for(&mut self, pass: &mut Pass, cluster: &ClusterConfig, id: &JobId, guaranteed: &BTreeSet<JobId>) {
         let Some(job) = self.jobs.get(id) else { return };
         let preemptions = if pass.quota.admits(cluster, &job.spec) {
@@ -107,8 +110,8 @@
         }
     }
 
-    /// Victims on machines that the job may use, where its team's limit admits it. Machines that
-    /// have a service's image come first.
+    /// Selects victims on the machines that a job may use, if its team's limit admits the job.
+    /// Machines that have a service's image come first.
     fn preemptions_on_machines(
         &self,
         pass: &mut Pass,
@@ -138,7 +141,7 @@
         preemptions
     }
 
-    /// Candidates that have the image of a service; none for other jobs.
+    /// Returns the candidates that have the image of a service; none for other jobs.
     fn candidates_with_image(&self, job: &Job) -> BTreeSet<usize> {
         match self.image_locations.get(job.spec.image.as_str()) {
             Some(locations) if job.is_service() => locations
@@ -149,8 +152,9 @@
         }
     }
 
-    /// Victims for a job that its team's limit stops: only work of its own team helps, and only
-    /// production may preempt it, if a machine has enough free for a task.
+    /// Selects victims for a job that exceeds its team's limit. Only stopping work of its own team
+    /// lets the job start; only production may preempt that work, and only if a machine has enough
+    /// free capacity for a task.
     fn preemptions_in_own_team(&self, pass: &mut Pass, cluster: &ClusterConfig, job: &Job) -> Vec<Preemption> {
         if job.priority != Priority::Production {
             return vec![];
@@ -163,8 +167,8 @@
         self.own_team_victims(&pass.quota, cluster, job)
     }
 
-    /// Work of lower priority of the job's own team: as much as lets its tasks start, and nothing
-    /// if none could start even so.
+    /// Selects work of lower priority of the job's own team: as much as lets the job's tasks start,
+    /// and nothing for a task that could not start even then.
     fn own_team_victims(&self, quota: &QuotaLedger, cluster: &ClusterConfig, job: &Job) -> Vec<Preemption> {
         let mut victims: Vec<Victim> = self
             .machines
@@ -188,14 +192,14 @@
         preemptions
     }
 
-    /// Whether a job's tasks may run on a candidate, whatever is free there.
+    /// Whether a job's tasks may run on a candidate, regardless of its free capacity.
     fn allows(&self, spec: &JobSpec, candidate: &CandidateMachine) -> bool {
         let kind = &self.scheduler.kinds[candidate.kind];
         allowed(spec, &kind.machine_type, &kind.zone, kind.spot)
     }
 
-    /// Tasks on a machine that may be stopped, in the order in which they are: those that are
-    /// asked to stop already, and those that `is_preemptible` says.
+    /// Returns the tasks on a machine that are already stopping or that satisfy `is_preemptible`,
+    /// in the order in which they are to be stopped.
     fn victims(&self, machine: &MachineId, is_preemptible: impl Fn(&Job, &Placement) -> bool) -> Vec<Victim> {
         let Some(machine) = self.machines.get(machine) else {
             return vec![];
@@ -223,8 +227,8 @@
         victims
     }
 
-    /// Whether a machine that has the service's image could take a task of it if work of lower
-    /// priority stopped: that is faster than fetching the image elsewhere.
+    /// Whether a machine that has the service's image would have room for a task of the service if
+    /// work of lower priority stopped: preemption is faster than fetching the image elsewhere.
     pub(super) fn preemption_beats_fetch(&self, candidates: &[CandidateMachine], job: &Job) -> bool {
         let Some(locations) = self.image_locations.get(job.spec.image.as_str()) else {
             return false;
@@ -251,9 +255,9 @@
     }
 }
 
-/// Whether work may be preempted for a job: for production at once; after a wait for high priority
-/// and for work within its team's guarantee, and for all but low priority if low-priority work
-/// runs.
+/// Whether work may be preempted for a job: at once for production, and after
+/// [`GUARANTEE_PATIENCE`] for high priority, for work within its team's guarantee and, if
+/// low-priority work runs, for all work above low priority.
 fn is_entitled_to_preempt(job: &Job, is_guaranteed: bool, any_low: bool, now: Micros) -> bool {
     if job.waiting.is_empty() || job.is_suspect(now) {
         return false;
@@ -264,8 +268,11 @@
         || (has_waited && (is_guaranteed || job.priority == Priority::High || reclaims_from_low))
 }
 
-/// Whether a task of `other` may be stopped for `job`: one of lower priority that can still be done
-/// in its time, or a young one beyond its team's guarantee for work within a guarantee.
+/// Whether a task of `other` may be stopped for `job`.
+///
+/// The task may be stopped if its priority is lower and, unless `job` is production, the task is
+/// young or best effort and can still be done in time. For a `job` within its team's guarantee, a
+/// young task of another team beyond that team's guarantee may be stopped too.
 fn is_preemptible_by(
     pass: &Pass,
     cluster: &ClusterConfig,
@@ -289,9 +296,9 @@
             && over_guarantee())
 }
 
-/// Takes victims on one machine, the first of the list first, until each of up to `wanted` tasks
-/// fits; counts down `wanted`. What is taken for a task that does not fit in the end runs on, but
-/// stays counted as free for the rest of the pass.
+/// Selects victims on one machine, in the order of the list, until up to `wanted` tasks fit, and
+/// decrements `wanted` for each of these tasks. Victims selected for a task that does not fit in
+/// the end keep running, but their resources stay counted as free for the rest of the pass.
 fn free_capacity(
     pass: &mut Pass,
     candidate: usize,
@@ -323,7 +330,7 @@
     preemptions
 }
 
-/// What a team uses beyond its limit; below zero its limit has that much left.
+/// What a team uses beyond its limit; a negative value is the part of the limit that is left.
 struct LimitExcess {
     cpus: f64,
     gpus: f64,
@@ -349,8 +356,8 @@
         self.gpus += spec.gpus;
     }
 
-    /// Removes tasks, the first of the list first, until nothing is in excess, and returns their
-    /// indices in ascending order. Those that use nothing of what is in excess are passed over.
+    /// Removes tasks, in the order of the list, until nothing is in excess, and returns their
+    /// indices in ascending order. Tasks that use none of the resources in excess are skipped.
     fn remove(&mut self, victims: &[Victim]) -> Vec<usize> {
         let mut removed = vec![];
         for (index, victim) in victims.iter().enumerate() {
--- a/src/coordination/scheduling/queue.rs
+++ b/src/coordination/scheduling/queue.rs
@@ -1,7 +1,7 @@
-//! The order in which a scheduling pass looks at the jobs that wait, and which of them are within
+//! The order in which a scheduling pass examines the waiting jobs, and which of them are within
 //! their team's guarantee.
 //!
-//! Reads the leader's state and decides the order only; what starts is decided by the pass.
+//! The queue only reads the leader's state and decides the order; the pass decides what starts.
 
 use super::super::state::{Job, LeaderState};
 use super::super::{ClusterConfig, JobId};
@@ -13,7 +13,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The jobs with waiting tasks, in the order in which they are looked at.
+/// The jobs with waiting tasks, in the order in which a pass examines them.
 pub(super) struct JobQueue {
     pub(super) order: Vec<JobId>,
     /// Jobs within their team's guarantee, whether they wait or not.
@@ -29,7 +29,7 @@
     beyond_guarantee: bool,
     /// How many of its deadlines it can no longer meet.
     missed_deadlines: u8,
-    /// The job's age: the revision at which it came.
+    /// The job's age: the revision at which the job arrived.
     order: u64,
 }
 
@@ -58,8 +58,8 @@
         }
     }
 
-    /// How many seconds a machine that is up needs to have the image: none if any machine has it
-    /// already.
+    /// Time until some machine has the job's image, in seconds: zero if any machine already has it,
+    /// and the fetch at the highest rate in the catalogue otherwise.
     fn fetch_s(&self, cluster: &ClusterConfig, spec: &JobSpec) -> f64 {
         let locations = self.image_locations.get(spec.image.as_str());
         if locations.is_some_and(|machines| !machines.is_empty()) {
@@ -69,7 +69,8 @@
         spec.image_gb / rates.fold(0.01, f64::max)
     }
 
-    /// Jobs that fit into their team's guarantee together with the team's earlier unfinished ones.
+    /// Returns the jobs that fit into their team's guarantee together with the team's earlier
+    /// unfinished jobs.
     pub fn within_guarantee(&self, cluster: &ClusterConfig) -> BTreeSet<JobId> {
         let teams = &cluster.settings.params.teams;
         if teams.iter().all(|t| t.cpus <= 0.0 && t.gpus <= 0.0) {
--- a/src/coordination/scheduling/quota.rs
+++ b/src/coordination/scheduling/quota.rs
@@ -1,10 +1,11 @@
 //! What each team uses, and whether its limit admits one more task.
 //!
-//! This is the one place that decides it, for starts as well as for the preemption of a team's own
-//! work. A pass builds one ledger from the leader's state and charges every start to it.
+//! This module alone decides whether a limit admits a task, for starts as well as for the
+//! preemption of a team's own work. A pass builds one ledger from the leader's state and charges
+//! every start to it.
 //!
 //! Invariant: usage is never counted too low. A placement is counted until it is proven void, and
-//! an attempt that a machine lists without a record is counted like a placement.
+//! an attempt that a machine reports and that has no record is counted like a placement.
 
 use super::super::agents::parse_task;
 use super::super::state::{Job, Machine, MachineId};
@@ -30,14 +31,14 @@
     }
 }
 
-/// The usage of all teams, as far as the leader knows it.
+/// The usage of all teams, as recorded by the leader and reported by machines.
 pub(super) struct QuotaLedger {
     usage: BTreeMap<String, TeamUsage>,
 }
 
 impl QuotaLedger {
     /// Counts every placement that is not proven void, and every orphaned attempt that a machine
-    /// lists.
+    /// reports.
     pub(super) fn of(jobs: &BTreeMap<JobId, Job>, machines: &BTreeMap<MachineId, Machine>) -> QuotaLedger {
         let mut ledger = QuotaLedger { usage: team_use(jobs) };
         for spec in orphaned_attempt_specs(jobs, machines) {
@@ -84,8 +85,9 @@
     usage
 }
 
-/// The specs of the attempts that machines list and no record explains, as far as their jobs are
-/// open; a spec is repeated for each attempt.
+/// Returns the job specs of the orphaned attempts: attempts that machines report and no record
+/// explains. Attempts of jobs that are no longer open are left out; a spec is repeated for each
+/// attempt.
 pub fn orphaned_attempt_specs<'a>(
     jobs: &'a BTreeMap<JobId, Job>,
     machines: &'a BTreeMap<MachineId, Machine>,
--- a/src/coordination/scheduling/rules.rs
+++ b/src/coordination/scheduling/rules.rs
@@ -1,7 +1,7 @@
 //! Rules about one job: where it may run, when it has to start, and how long it is expected to run.
 //!
-//! Functions of the job and the settings, called by the scheduler and by provisioning. They decide
-//! nothing and change nothing.
+//! The scheduler and provisioning call these functions of the job and the settings. The functions
+//! change no state.
 
 use super::super::state::{Job, Machine, MachineId};
 use super::super::ClusterConfig;
@@ -11,7 +11,7 @@
 
 /// How long a replica of a service is expected to run.
 const SERVICE_DURATION: Micros = Micros::from_millis(600_000);
-/// How long after its last deadline a job lets others go first.
+/// How long after the latest start for its last deadline a late job ranks behind other jobs.
 const MAX_YIELD: Micros = Micros::from_millis(120_000);
 /// How long before its latest start low-priority work is no longer best effort.
 const BEST_EFFORT_MARGIN: Micros = Micros::from_millis(60_000);
@@ -59,9 +59,9 @@
     Some(due - Micros::from_secs(job.spec.estimate_s))
 }
 
-/// Whether a job is best effort, and takes only capacity that other work leaves: low-priority work
-/// that may use spot machines and still has time. On an on-demand machine it starts only where
-/// other work holds the machine at least as long.
+/// Whether a job is best effort and uses only capacity that other work leaves: low-priority work
+/// that may use spot machines and still has time. On an on-demand machine a best-effort task starts
+/// only where other work holds the machine at least as long.
 pub fn is_best_effort(cluster: &ClusterConfig, job: &Job, now: Micros) -> bool {
     let late = match latest_start(cluster, job) {
         Some(at) => now + BEST_EFFORT_MARGIN >= at,
@@ -70,9 +70,11 @@
     job.priority == Priority::Low && job.spec.spot && !late
 }
 
-/// How many of its deadlines a job can no longer meet. In the queue it lets others go first that
-/// still can meet theirs: time spent on it would make them late as well. Not for ever: some time
-/// after the last deadline it counts as missing none, and its age decides again.
+/// Returns how many of its deadlines a job can no longer meet.
+///
+/// In the queue the job ranks behind jobs that can still meet their deadlines: starting it first
+/// would make them late as well. [`MAX_YIELD`] after the latest start for its last deadline, the
+/// job counts as missing none, so that it is not delayed without limit, and its age decides again.
 pub(super) fn missed_deadlines(cluster: &ClusterConfig, job: &Job, fetch_s: f64, now: Micros) -> u8 {
     let deadlines_s = completion_deadlines_s(cluster, job);
     let latest_start =
@@ -82,7 +84,7 @@
         return 0;
     }
     let completions = deadlines_s.iter().filter(|d| now > latest_start(**d)).count();
-    // Deadlines for the start of tasks: what waits for longer has missed them.
+    // Deadlines for the start of tasks: a job that has waited for longer has missed them.
     let objectives = cluster.settings.params.objectives.iter();
     let starts = objectives
         .filter(|o| !job.is_service() && o.kind == "wait" && o.class == job.spec.class)
@@ -124,7 +126,7 @@
     Some(zones)
 }
 
-/// How long a task of the job is expected to hold its machine. For a service no estimate is given.
+/// How long a task of the job is expected to hold its machine. Services have no estimate.
 pub(super) fn expected_duration(spec: &JobSpec) -> Micros {
     match spec.shape {
         Shape::Service => SERVICE_DURATION,
--- a/src/coordination/scheduling/starts.rs
+++ b/src/coordination/scheduling/starts.rs
@@ -30,15 +30,15 @@
     Otherwise,
 }
 
-/// What holds for all starts of a job in one call.
+/// The conditions that apply to all starts of a job in one call.
 struct StartPlan {
-    /// Only machines that have the image are used: it is worth waiting for one.
+    /// Whether only machines that have the image are used, because waiting for one pays off.
     only_with_image: bool,
     best_effort: bool,
     is_suspect: bool,
-    /// Tasks of the job in each zone; empty if it has no rule about zones.
+    /// Number of the job's tasks in each zone; empty if the job has no zone rule.
     task_zones: BTreeMap<String, u32>,
-    /// Found when first needed.
+    /// Computed on first use.
     kind_groups: Option<KindGroups>,
 }
 
@@ -48,12 +48,12 @@
     task: u32,
     fit: BestFit,
     source: SlotSource,
-    /// What the team used before it.
+    /// What the team used before this start.
     team_usage: TeamUsage,
 }
 
 impl LeaderState {
-    /// Starts tasks of a job, the first waiting one first, until something stops it.
+    /// Starts tasks of a job, in the order in which they wait, until no more can start.
     pub(super) fn start_job(
         &mut self,
         pass: &mut Pass,
@@ -69,7 +69,7 @@
             let Some(task) = job.waiting.first().copied() else {
                 break;
             };
-            // A job that fails everywhere is tried with one task at a time.
+            // A job that fails everywhere is retried with one task at a time.
             if pass.starts >= MAX_STARTS || (plan.is_suspect && job.held_tasks > 0) {
                 break;
             }
@@ -106,14 +106,15 @@
         StartsEnded::Otherwise
     }
 
-    /// What holds for all starts of the job; `None` if it cannot start anything now.
+    /// Returns the conditions for all starts of the job, or `None` if it cannot start a task now.
     fn plan_starts(&self, pass: &Pass, cluster: &ClusterConfig, id: &JobId) -> Option<StartPlan> {
         let job = self.jobs.get(id)?;
         let only_with_image = job.priority == Priority::Production
             && job.is_service()
             && pass.now.since(job.arrived_at) < IMAGE_PATIENCE
             && self.preemption_beats_fetch(&pass.candidates, job);
-        // To find out where its tasks are looks at all of them: only for a rule about zones.
+        // Counting the tasks in each zone visits all tasks of the job, so this is done only for a
+        // job with a zone rule.
         let task_zones = if job.spec.one_zone || job.spec.spread {
             zones_of(job, &self.machines)?
         } else {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// The machine for the job's next task.
+    /// Selects the machine for the job's next task.
     fn fit_next_task(&self, pass: &mut Pass, job: &Job, plan: &mut StartPlan) -> Option<BestFit> {
         let kinds = &self.scheduler.kinds;
         let kind_groups = plan.kind_groups.get_or_insert_with(|| KindGroups::of(&job.spec, kinds));
@@ -174,7 +175,8 @@
         pass.starts += 1;
     }
 
-    /// Makes the placement of a start and queues it for the log; `None` if the machine is gone.
+    /// Creates the placement of a start and queues it for the log. Returns `None` if the machine is
+    /// gone.
     fn place_task(&mut self, pass: &mut Pass, cluster: &ClusterConfig, start: &Start) -> Option<()> {
         let job = self.jobs.get_mut(start.job)?;
         let candidate = &mut pass.candidates[start.fit.candidate];
@@ -221,7 +223,7 @@
     }
 }
 
-/// Gives a task its next attempt and queues its range to be committed to the log.
+/// Returns the number of a task's next attempt and queues its range to be committed to the log.
 fn queue_attempt(job: &mut Job, task: u32, tasks_per_range: u32, log_writer: &mut LogWriter) -> u64 {
     let range_number = task / tasks_per_range;
     let range = job.task_ranges.entry(range_number).or_default();
@@ -232,7 +234,7 @@
     range.last_attempt
 }
 
-/// Logs what allowed a start, and returns it for the list of decisions.
+/// Logs the usage and the limit that allowed a start, and returns them for the list of decisions.
 fn log_start(job: &Job, placement: &Placement, cluster: &ClusterConfig, start: &Start, term: u64) -> Decided {
     let held = (start.team_usage.cpus, start.team_usage.gpus);
     let limit = cluster.limits(&job.spec.team);
