--- a/crates/objectives/src/account.rs
+++ b/crates/objectives/src/account.rs
@@ -1,31 +1,33 @@
-//! The account of one class or one team.
+//! The SLO account of one class or one team.
 
 use crate::{Decayed, Inflow};
 use glenhaven_time::Micros;
 use hdrhistogram::Histogram;
 
-/// The longest wait that is told apart.
+/// The longest recorded wait; longer waits count as this one.
 const MAX_WAIT_MS: u64 = 3_600_000;
-/// Significant digits of waits.
+/// Significant decimal digits of recorded waits.
 const WAIT_DIGITS: u8 = 2;
-/// Objectives of a class that are counted.
+/// Maximum number of objectives of a class that are counted.
 const MAX_OBJECTIVES: usize = 16;
-/// The least and the greatest ratio of run times to their estimates.
+/// Lower bound of the ratio of run times to their estimates.
 const MIN_BIAS: f64 = 0.4;
+/// Upper bound of the ratio of run times to their estimates.
 const MAX_BIAS: f64 = 2.5;
-/// Before anything is known, projections are trusted as if so many commitments had been met.
+/// Number of met commitments that the share of met commitments starts with, so that projections are
+/// trusted before any commitment has been settled.
 const PRIOR_COMMITMENTS: f64 = 2.0;
-/// Tasks that must have run for a bias to be known.
+/// Completed tasks, as a decayed count, below which the bias is unknown.
 const MIN_RUNS: f64 = 5.0;
 
-/// What a class or team asked for, got and waited for of late.
+/// What a class or team recently requested and received, and how long its tasks waited.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Summary {
     /// Name of the class or team.
     pub name: String,
-    /// Cores of jobs that arrived, for a second.
+    /// Cores of jobs that arrived, per second.
     pub requested_cores_per_s: f64,
-    /// Cores of tasks that started, for a second.
+    /// Cores of tasks that started, per second.
     pub started_cores_per_s: f64,
     /// Median wait of the tasks that started, in seconds.
     pub wait_p50_s: f64,
@@ -33,20 +35,21 @@
     pub wait_p99_s: f64,
 }
 
-/// How jobs settled one objective.
+/// Decayed numbers of jobs that have met and missed one objective.
 #[derive(Clone, Debug, Default)]
 struct SettledJobs {
     met: Decayed,
     missed: Decayed,
 }
 
-/// How many jobs have met and missed an objective of late.
+/// Numbers of jobs that have recently met and missed one objective, decayed to one time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Outcomes {
     pub(crate) met: f64,
     pub(crate) missed: f64,
 }
 
+/// The decayed counts and the waits of one class or one team.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Account {
     jobs: Decayed,
@@ -54,24 +57,27 @@
     /// Sum of the estimated run times of jobs.
     estimated_run_s: Decayed,
     started_cores: Decayed,
-    /// Of completed tasks: their estimated and their real run times, and their number.
+    /// Sum of the estimated run times of completed tasks.
     completed_estimated_s: Decayed,
+    /// Sum of the actual run times of completed tasks.
     completed_ran_s: Decayed,
+    /// Number of completed tasks.
     completed: Decayed,
-    /// By number of the objective.
+    /// Indexed by the number of the objective.
     objectives: Vec<SettledJobs>,
     waits: Waits,
-    /// Objectives that rentals were committed to, and those of them that were met.
+    /// Number of settled commitments: objectives that rented machines were projected to meet.
     commitments: Decayed,
+    /// Number of settled commitments that were met.
     commitments_met: Decayed,
 }
 
-/// Waits of this half life and the one before.
+/// Waits of the current and the previous half life.
 #[derive(Clone, Debug, Default)]
 struct Waits {
     current: Option<Histogram<u32>>,
     previous: Option<Histogram<u32>>,
-    /// When the current one began.
+    /// When the current half life began.
     since: Micros,
 }
 
@@ -89,7 +95,7 @@
         }
     }
 
-    /// Zero if nothing is known.
+    /// Returns a quantile of the waits in seconds, or zero if there are none.
     fn quantile_s(&self, quantile: f64) -> f64 {
         let mut both = match (&self.current, &self.previous) {
             (Some(current), _) => current.clone(),
@@ -104,6 +110,7 @@
 }
 
 impl Account {
+    /// Records the arrival of a job; the job's age reduces its weight.
     pub(crate) fn arrived(&mut self, cores: f64, run_s: f64, age: Micros, half_life: Micros, now: Micros) {
         let weight = 0.5f64.powf(age.secs() / half_life.secs().max(1e-6));
         self.jobs.add(weight, half_life, now);
@@ -111,21 +118,25 @@
         self.estimated_run_s.add(run_s * weight, half_life, now);
     }
 
+    /// Records the start of a task.
     pub(crate) fn started(&mut self, cores: f64, waited: Micros, half_life: Micros, now: Micros) {
         self.started_cores.add(cores, half_life, now);
         self.waits.add(waited, half_life, now);
     }
 
+    /// Records whether a job met an objective that a projection predicted it would meet.
     pub(crate) fn commitment_settled(&mut self, met: bool, half_life: Micros, now: Micros) {
         self.commitments.add(1.0, half_life, now);
         self.commitments_met.add(if met { 1.0 } else { 0.0 }, half_life, now);
     }
 
+    /// Returns the share of commitments that were met, including [`PRIOR_COMMITMENTS`].
     pub(crate) fn trust(&self, half_life: Micros, now: Micros) -> f64 {
         let with_prior = |sum: &Decayed| sum.get(half_life, now) + PRIOR_COMMITMENTS;
         (with_prior(&self.commitments_met) / with_prior(&self.commitments)).min(1.0)
     }
 
+    /// Records whether a job met an objective; objectives above [`MAX_OBJECTIVES`] are ignored.
     pub(crate) fn settled(&mut self, number: usize, met: bool, half_life: Micros, now: Micros) {
         if number >= MAX_OBJECTIVES {
             return;
@@ -137,6 +148,7 @@
         if met { &mut jobs.met } else { &mut jobs.missed }.add(1.0, half_life, now);
     }
 
+    /// Returns the outcomes of an objective, or `None` if none has been recorded.
     pub(crate) fn outcomes(&self, number: usize, half_life: Micros, now: Micros) -> Option<Outcomes> {
         let jobs = self.objectives.get(number)?;
         Some(Outcomes {
@@ -145,6 +157,7 @@
         })
     }
 
+    /// Records the estimated and the actual run time of a completed task.
     pub(crate) fn ran(&mut self, estimated_s: f64, ran_s: f64, half_life: Micros, now: Micros) {
         if estimated_s > 0.0 && ran_s.is_finite() {
             self.completed_estimated_s.add(estimated_s, half_life, now);
@@ -153,8 +166,9 @@
         }
     }
 
+    /// Returns the ratio of actual to estimated run times, within bounds; 1 if too few tasks ran.
     pub(crate) fn bias(&self) -> f64 {
-        // All three decay alike, so their ratios need no time.
+        // The three sums decay equally, so their ratios don't depend on the time.
         let undecayed = |sum: &Decayed| sum.get(Micros(u64::MAX), Micros::ZERO);
         let estimated_s = undecayed(&self.completed_estimated_s);
         let ran_s = undecayed(&self.completed_ran_s);
@@ -164,6 +178,7 @@
         (ran_s / estimated_s).clamp(MIN_BIAS, MAX_BIAS)
     }
 
+    /// Returns how much work arrives.
     pub(crate) fn inflow(&self, half_life: Micros, now: Micros) -> Inflow {
         let jobs = self.jobs.get(half_life, now);
         Inflow {
@@ -177,6 +192,7 @@
         }
     }
 
+    /// Returns the rates and the quantiles of the waits.
     pub(crate) fn summary(&self, name: &str, half_life: Micros, now: Micros) -> Summary {
         Summary {
             name: name.to_string(),
--- a/crates/objectives/src/lib.rs
+++ b/crates/objectives/src/lib.rs
@@ -1,13 +1,13 @@
-//! SLO accounting: what each class and each team asked for, what it got, how long it waited and
-//! which objectives it missed, over the last minutes.
+//! SLO accounting: what each class and each team requested and received, how long its tasks waited
+//! and which objectives it missed, over the last minutes.
 //!
-//! A scheduler reports arrivals, starts and settled objectives, and asks how urgent an objective is
-//! and how far estimates and projections can be trusted. The crate is pure: it does no I/O and reads
+//! A scheduler records arrivals, starts and settled objectives, and queries how urgent an objective
+//! is and how reliable estimates and projections are. The crate is pure: it does no I/O and reads
 //! no clock.
 //!
-//! Counts decay with a half life, so that an old burst is forgotten. The number of classes and teams
-//! that are told apart is bounded: names that users choose cannot use up memory; what exceeds the
-//! bound is counted together.
+//! Counts decay with a half life, so that an old burst loses its effect. Invariant: the number of
+//! classes and of teams with an account of their own is bounded, so that names chosen by users
+//! cannot exhaust the memory; names beyond the bound share one account.
 //!
 //! ```
 //! use glenhaven_objectives::{Objective, SloAccounting};
@@ -18,7 +18,7 @@
 //! slo.arrived("scan", "blue", 40.0, 12.0, Micros::ZERO, now);
 //! slo.settled("scan", 0, false, now);
 //! slo.settled("scan", 0, true, now);
-//! // Half were missed: nothing is more urgent.
+//! // Half of the jobs missed the objective: its urgency is at the maximum.
 //! assert_eq!(slo.urgency("scan", 0, 0.9, now), 4.0);
 //! let objectives = [Objective { class: "scan".into(), number: 0, share: 0.9 }];
 //! assert_eq!(slo.missed_objectives(&objectives, now)[0].met_share, 0.5);
@@ -35,51 +35,52 @@
 use glenhaven_time::Micros;
 use std::collections::BTreeMap;
 
-/// Classes, and teams, that are told apart.
+/// Maximum number of classes, and of teams, with an account of their own.
 const MAX_NAMES: usize = 64;
-/// The name under which the others are counted.
+/// Name of the account that further classes, or teams, share.
 const OTHERS: &str = "(others)";
-/// Least [`SloAccounting::urgency`]: an objective that is met is still worth meeting.
+/// Lower bound of [`SloAccounting::urgency`]: an objective that is met is still worth meeting.
 const MIN_URGENCY: f64 = 0.25;
-/// Greatest [`SloAccounting::urgency`]: one objective must not outweigh everything else.
+/// Upper bound of [`SloAccounting::urgency`]: one objective must not outweigh everything else.
 const MAX_URGENCY: f64 = 4.0;
-/// An objective that less than half of the jobs meet has failed: below this share its urgency rises.
+/// Share of met jobs below which the urgency of an objective rises above 1: an objective that less
+/// than half of the jobs meet has failed.
 const NEAR_HALF: f64 = 0.7;
-/// Fewer settled jobs than this say nothing about a share.
+/// Settled jobs, as a decayed count, below which the share of met jobs is unknown.
 const MIN_SETTLED: f64 = 1.0;
 
-/// An operators' objective: this share of a class's jobs is to meet it.
+/// An objective set by the operators, which a share of the jobs of a class should meet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objective {
     /// The class.
     pub class: String,
-    /// Its number among the objectives of the class.
+    /// Number of the objective among the objectives of the class.
     pub number: usize,
-    /// The share of jobs that is to meet it, between 0 and 1.
+    /// The share of jobs that should meet the objective, between 0 and 1.
     pub share: f64,
 }
 
-/// An objective that fewer jobs meet than should.
+/// An objective that a smaller share of jobs meets than expected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MissedObjective {
     /// The class.
     pub class: String,
-    /// Its number among the objectives of the class.
+    /// Number of the objective among the objectives of the class.
     pub number: usize,
-    /// The share of jobs that met it of late.
+    /// The share of jobs that recently met the objective, between 0 and 1.
     pub met_share: f64,
-    /// The share of jobs that is to meet it.
+    /// The share of jobs that should meet the objective, between 0 and 1.
     pub expected_share: f64,
 }
 
-/// How much work of a class arrives.
+/// Rate at which work of a class arrives.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Inflow {
-    /// Jobs that arrive in a second.
+    /// Jobs that arrive per second.
     pub jobs_per_s: f64,
-    /// Cores that their tasks take.
+    /// Cores that the tasks of the arriving jobs take, per second.
     pub cores_per_s: f64,
-    /// The mean run time of their tasks as estimated by their owners, in seconds.
+    /// Mean over the arriving jobs of the run time of a task as estimated by users, in seconds.
     pub run_s: f64,
 }
 
@@ -92,7 +93,7 @@
 }
 
 impl SloAccounting {
-    /// No accounts yet; what is added counts half after `half_life`.
+    /// Creates an accounting without accounts; recorded amounts count half after `half_life`.
     pub fn new(half_life: Micros) -> SloAccounting {
         SloAccounting {
             half_life,
@@ -101,6 +102,7 @@
         }
     }
 
+    /// Returns the account of a name, or the shared account if there are [`MAX_NAMES`] others.
     fn account<'a>(accounts: &'a mut BTreeMap<String, Account>, name: &str) -> &'a mut Account {
         let is_full = accounts.len() >= MAX_NAMES && !accounts.contains_key(name);
         let name = if is_full { OTHERS } else { name };
@@ -115,8 +117,8 @@
         ]
     }
 
-    /// A job arrived `age` ago, whose tasks take so many cores in all and are estimated to run for
-    /// so long.
+    /// Records a job that arrived `age` ago, whose tasks take `cores` cores in total and are
+    /// estimated to run for `run_s` seconds.
     pub fn arrived(&mut self, class: &str, team: &str, cores: f64, run_s: f64, age: Micros, now: Micros) {
         let half_life = self.half_life;
         for account in self.both(class, team) {
@@ -124,7 +126,7 @@
         }
     }
 
-    /// A task that takes so many cores started after waiting for so long.
+    /// Records the start of a task that takes `cores` cores and `waited` before its start.
     pub fn started(&mut self, class: &str, team: &str, cores: f64, waited: Micros, now: Micros) {
         let half_life = self.half_life;
         for account in self.both(class, team) {
@@ -132,47 +134,50 @@
         }
     }
 
-    /// A job has met, or missed, one of its class's objectives.
+    /// Records that a job has met, or missed, one of its class's objectives.
     pub fn settled(&mut self, class: &str, number: usize, met: bool, now: Micros) {
         Self::account(&mut self.classes, class).settled(number, met, self.half_life, now);
     }
 
-    /// A job has met, or missed, an objective that a projection said it would meet.
+    /// Records that a job has met, or missed, an objective that a projection predicted to be met.
     pub fn commitment_settled(&mut self, class: &str, met: bool, now: Micros) {
         Self::account(&mut self.classes, class).commitment_settled(met, self.half_life, now);
     }
 
-    /// The share of the commitments to a class that were met of late; 1 before there were any.
+    /// Returns the share of commitments to a class that were recently met; 1 if there are none.
     pub fn trust(&self, class: &str, now: Micros) -> f64 {
         let account = self.classes.get(class);
         account.map_or(1.0, |account| account.trust(self.half_life, now))
     }
 
-    /// A task of this class, estimated to run for so long, ran for so long.
+    /// Records that a task of this class, estimated to run for `estimated_s` seconds, ran for
+    /// `ran_s` seconds.
     pub fn ran(&mut self, class: &str, estimated_s: f64, ran_s: f64, now: Micros) {
         Self::account(&mut self.classes, class).ran(estimated_s, ran_s, self.half_life, now);
     }
 
-    /// How many times as long as estimated tasks of the class run, within bounds; 1 if too few ran.
+    /// Returns the ratio of actual to estimated run times of the class's tasks, within bounds; 1 if
+    /// too few tasks have completed.
     pub fn bias(&self, class: &str) -> f64 {
         self.classes.get(class).map_or(1.0, Account::bias)
     }
 
-    /// How much work of each class arrives, as far as any has of late.
+    /// Returns the rates at which work arrives, for each class with an account.
     pub fn inflows(&self, now: Micros) -> impl Iterator<Item = (&str, Inflow)> {
         self.classes
             .iter()
             .map(move |(name, account)| (name.as_str(), account.inflow(self.half_life, now)))
     }
 
-    /// How much work of one class arrives.
+    /// Returns the rate at which work of one class arrives.
     pub fn inflow(&self, class: &str, now: Micros) -> Inflow {
         let account = self.classes.get(class);
         account.map_or(Inflow::default(), |account| account.inflow(self.half_life, now))
     }
 
-    /// How many times as much as usual meeting an objective is worth: less where fewer jobs miss it
-    /// than may, more where nearly half of them do. `share`: the share that is to meet it.
+    /// Returns the factor by which the value of meeting an objective changes: less than 1 where
+    /// fewer jobs miss the objective than may, more than 1 where nearly half of them do. `share` is
+    /// the share of jobs that should meet the objective.
     pub fn urgency(&self, class: &str, number: usize, share: f64, now: Micros) -> f64 {
         let Some(met_share) = self.met_share(class, number, now) else {
             return 1.0;
@@ -185,15 +190,16 @@
         ((1.0 - met_share) / may_miss).clamp(MIN_URGENCY, 1.0)
     }
 
-    /// The share of a class's jobs that met an objective of late; `None` if too few have settled it.
+    /// Returns the share of a class's jobs that recently met an objective; `None` if too few jobs
+    /// have settled it.
     pub fn met_share(&self, class: &str, number: usize, now: Micros) -> Option<f64> {
         let account = self.classes.get(class)?;
         let Outcomes { met, missed } = account.outcomes(number, self.half_life, now)?;
         (met + missed >= MIN_SETTLED).then(|| met / (met + missed))
     }
 
-    /// Those of the objectives that fewer jobs meet than should, the one with the greatest shortfall
-    /// first.
+    /// Returns the objectives that a smaller share of jobs meets than expected, the one with the
+    /// greatest shortfall relative to the expected share first.
     pub fn missed_objectives(&self, objectives: &[Objective], now: Micros) -> Vec<MissedObjective> {
         let mut missed: Vec<MissedObjective> = objectives
             .iter()
@@ -212,12 +218,12 @@
         missed
     }
 
-    /// What each class asked for, got and waited for, in the order of their names.
+    /// Returns the summary of each class, sorted by name.
     pub fn classes(&self, now: Micros) -> Vec<Summary> {
         self.summaries(&self.classes, now)
     }
 
-    /// The same of each team.
+    /// Returns the summary of each team, sorted by name.
     pub fn teams(&self, now: Micros) -> Vec<Summary> {
         self.summaries(&self.teams, now)
     }
--- a/crates/objectives/tests/accounting.rs
+++ b/crates/objectives/tests/accounting.rs
@@ -1,4 +1,4 @@
-//! Classes that miss their objectives are told apart from those that ask for much.
+//! Rates, run times, waits and missed objectives of classes and teams.
 
 use glenhaven_objectives::{Objective, SloAccounting};
 use glenhaven_time::Micros;
@@ -82,14 +82,17 @@
     for i in 0..3 {
         slo.started("scan", "blue", 1.0, at(2.0), at(200.0 + f64::from(i) * 70.0));
     }
-    assert!(slo.teams(at(341.0))[0].wait_p99_s < 3.0, "the long one is forgotten");
+    assert!(
+        slo.teams(at(341.0))[0].wait_p99_s < 3.0,
+        "the long wait no longer counts"
+    );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(64) })]
 
-    /// Names that users choose do not use up memory, and nothing they say makes a
-    /// number that is none.
+    /// Names that users choose do not exhaust the memory, and no estimate of theirs makes a result
+    /// that is not a number.
     #[test]
     fn names_are_bounded(names in proptest::collection::vec("[a-z]{1,12}", 1..400), run_s in 0.0f64..1e9) {
         let mut slo = SloAccounting::new(at(60.0));
--- a/crates/reservation/src/lib.rs
+++ b/crates/reservation/src/lib.rs
@@ -1,11 +1,13 @@
 //! Reservation of machines for tasks that nearly fill one.
 //!
-//! Small tasks take every core that becomes idle, so that a large one would be passed over for ever.
-//! For large tasks that have waited for long, machines are reserved, one for each task, until what
-//! runs there has ended. Nothing is preempted.
+//! Small tasks take every core that becomes idle, and would starve large tasks. For large tasks
+//! that have waited for long, machines are reserved, one for each task, until the tasks that run on
+//! the machines have ended. Nothing is preempted.
 //!
-//! The oldest job comes first, and the machine that is expected to be empty soonest. Never more than
-//! a part of all machines is reserved: a reserved machine earns nothing meanwhile.
+//! Jobs are served in the order of the queue, and the machine that is expected to be empty soonest
+//! is reserved first. Invariant: a decision leaves at most the given number of machines reserved.
+//! The caller keeps this number to a part of all machines, because the free capacity of a reserved
+//! machine is idle in the meantime.
 //!
 //! The crate is pure: it does no I/O and reads no clock.
 //!
@@ -25,12 +27,12 @@
 use glenhaven_time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job with large tasks that has waited for long.
+/// A job with large tasks that have waited for long.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitingJob<J> {
     /// The job.
     pub job: J,
-    /// How many of its tasks wait.
+    /// Number of the job's tasks that wait.
     pub tasks: usize,
 }
 
@@ -39,11 +41,11 @@
 pub struct ReservableMachine<M> {
     /// The machine.
     pub machine: M,
-    /// When its last task is expected to end.
+    /// When the last task on the machine is expected to end.
     pub empty_at: Micros,
 }
 
-/// Which machine is reserved for which job.
+/// The reserved machines, each with the job that it is reserved for.
 #[derive(Clone, Debug)]
 pub struct ReservationPolicy<M, J> {
     reserved: BTreeMap<M, J>,
@@ -58,14 +60,16 @@
 }
 
 impl<M: Ord + Clone, J: PartialEq + Clone> ReservationPolicy<M, J> {
-    /// Nothing is reserved.
+    /// Creates a policy without reservations.
     pub fn new() -> ReservationPolicy<M, J> {
         ReservationPolicy::default()
     }
 
-    /// Decides anew, for these jobs in the order of the queue, which of these machines are reserved,
-    /// at most `max` of them. A machine stays reserved as long as its job waits and it suits the
-    /// job: a machine that changes from job to job would become empty for nobody.
+    /// Updates the reservations for these jobs, given in the order of the queue, and machines.
+    ///
+    /// At most `max` machines are reserved. `suits` returns whether a machine suits a job. A
+    /// reservation stays as long as its job waits and the machine suits the job, because a machine
+    /// whose reservation moved between jobs would not become empty for any of them.
     pub fn decide(
         &mut self,
         jobs: &[WaitingJob<J>],
@@ -93,8 +97,8 @@
         }
     }
 
-    /// Drops the reservations that no longer hold, and returns for how many tasks of each job no
-    /// machine is reserved.
+    /// Drops the reservations that no longer apply, and returns the number of tasks of each job for
+    /// which no machine is reserved.
     fn retain_suitable(
         &mut self,
         jobs: &[WaitingJob<J>],
@@ -120,12 +124,12 @@
         unserved
     }
 
-    /// The job for which a machine is reserved.
+    /// Returns the job for which a machine is reserved.
     pub fn reserved_for(&self, machine: &M) -> Option<&J> {
         self.reserved.get(machine)
     }
 
-    /// How many machines are reserved.
+    /// Number of reserved machines.
     pub fn len(&self) -> usize {
         self.reserved.len()
     }
--- a/crates/reservation/tests/reservation.rs
+++ b/crates/reservation/tests/reservation.rs
@@ -1,4 +1,4 @@
-//! What holds whatever waits and whichever machines there are.
+//! Properties of reservations for any waiting jobs and any machines.
 
 use glenhaven_reservation::{ReservableMachine, ReservationPolicy, WaitingJob};
 use glenhaven_time::Micros;
@@ -7,8 +7,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(400) })]
 
-    /// Never more than the maximum, for no job more than its tasks, only machines that suit and
-    /// are there; first come first served; and what was reserved before stays with its job.
+    /// At most the maximum number of machines is reserved, for each job at most one per task, and
+    /// only machines that are present and suit the job. No job lacks a suitable machine below the
+    /// maximum, and earlier reservations stay with their job.
     #[test]
     fn reserves_what_it_may(
         rounds in prop::collection::vec((prop::collection::vec((0u8..6, 1usize..4), 0..5),
@@ -51,7 +52,7 @@
                     let Some(job) = before.reserved_for(m) else { continue };
                     let tasks = waits.iter().find(|w| w.job == *job).map_or(0, |w| w.tasks);
                     if of(&before, *job) <= tasks {
-                        prop_assert_eq!(policy.reserved_for(m), Some(job), "it changed hands");
+                        prop_assert_eq!(policy.reserved_for(m), Some(job), "the reservation moved to another job");
                     }
                 }
             }
