--- a/crates/objectives/src/account.rs
+++ b/crates/objectives/src/account.rs
@@ -18,7 +18,7 @@
 /// trusted before any commitment has been settled.
 const PRIOR_COMMITMENTS: f64 = 2.0;
 /// Completed tasks, as a decayed count, below which the bias is unknown.
-const MIN_RUNS: f64 = 5.0;
+const MIN_COMPLETED: f64 = 5.0;
 
 /// What a class or team recently requested and received, and how long its tasks waited.
 #[derive(Clone, Debug, PartialEq)]
@@ -60,7 +60,7 @@
     /// Sum of the estimated run times of completed tasks.
     completed_estimated_s: Decayed,
     /// Sum of the actual run times of completed tasks.
-    completed_ran_s: Decayed,
+    completed_actual_s: Decayed,
     /// Number of completed tasks.
     completed: Decayed,
     /// Indexed by the number of the objective.
@@ -78,14 +78,14 @@
     current: Option<Histogram<u32>>,
     previous: Option<Histogram<u32>>,
     /// When the current half life began.
-    since: Micros,
+    began_at: Micros,
 }
 
 impl Waits {
     fn add(&mut self, waited: Micros, half_life: Micros, now: Micros) {
-        if now.since(self.since) > half_life {
+        if now.since(self.began_at) > half_life {
             self.previous = self.current.take();
-            self.since = now;
+            self.began_at = now;
         }
         if self.current.is_none() {
             self.current = Histogram::new_with_max(MAX_WAIT_MS, WAIT_DIGITS).ok();
@@ -161,7 +161,7 @@
     pub(crate) fn ran(&mut self, estimated_s: f64, ran_s: f64, half_life: Micros, now: Micros) {
         if estimated_s > 0.0 && ran_s.is_finite() {
             self.completed_estimated_s.add(estimated_s, half_life, now);
-            self.completed_ran_s.add(ran_s.max(0.0), half_life, now);
+            self.completed_actual_s.add(ran_s.max(0.0), half_life, now);
             self.completed.add(1.0, half_life, now);
         }
     }
@@ -171,8 +171,8 @@
         // The three sums decay equally, so their ratios don't depend on the time.
         let undecayed = |sum: &Decayed| sum.get(Micros(u64::MAX), Micros::ZERO);
         let estimated_s = undecayed(&self.completed_estimated_s);
-        let ran_s = undecayed(&self.completed_ran_s);
-        if undecayed(&self.completed) < MIN_RUNS || estimated_s <= 0.0 {
+        let ran_s = undecayed(&self.completed_actual_s);
+        if undecayed(&self.completed) < MIN_COMPLETED || estimated_s <= 0.0 {
             return 1.0;
         }
         (ran_s / estimated_s).clamp(MIN_BIAS, MAX_BIAS)
--- a/crates/objectives/src/lib.rs
+++ b/crates/objectives/src/lib.rs
@@ -36,7 +36,7 @@
 use std::collections::BTreeMap;
 
 /// Maximum number of classes, and of teams, with an account of their own.
-const MAX_NAMES: usize = 64;
+const MAX_ACCOUNTS: usize = 64;
 /// Name of the account that further classes, or teams, share.
 const OTHERS: &str = "(others)";
 /// Lower bound of [`SloAccounting::urgency`]: an objective that is met is still worth meeting.
@@ -45,7 +45,7 @@
 const MAX_URGENCY: f64 = 4.0;
 /// Share of met jobs below which the urgency of an objective rises above 1: an objective that less
 /// than half of the jobs meet has failed.
-const NEAR_HALF: f64 = 0.7;
+const MIN_SAFE_SHARE: f64 = 0.7;
 /// Settled jobs, as a decayed count, below which the share of met jobs is unknown.
 const MIN_SETTLED: f64 = 1.0;
 
@@ -102,15 +102,15 @@
         }
     }
 
-    /// Returns the account of a name, or the shared account if there are [`MAX_NAMES`] others.
+    /// Returns the account of a name, or the shared account if there are [`MAX_ACCOUNTS`] others.
     fn account<'a>(accounts: &'a mut BTreeMap<String, Account>, name: &str) -> &'a mut Account {
-        let is_full = accounts.len() >= MAX_NAMES && !accounts.contains_key(name);
+        let is_full = accounts.len() >= MAX_ACCOUNTS && !accounts.contains_key(name);
         let name = if is_full { OTHERS } else { name };
         accounts.entry(name.to_string()).or_default()
     }
 
     /// The accounts of a class and of a team.
-    fn both(&mut self, class: &str, team: &str) -> [&mut Account; 2] {
+    fn accounts_of(&mut self, class: &str, team: &str) -> [&mut Account; 2] {
         [
             Self::account(&mut self.classes, class),
             Self::account(&mut self.teams, team),
@@ -121,7 +121,7 @@
     /// estimated to run for `run_s` seconds.
     pub fn arrived(&mut self, class: &str, team: &str, cores: f64, run_s: f64, age: Micros, now: Micros) {
         let half_life = self.half_life;
-        for account in self.both(class, team) {
+        for account in self.accounts_of(class, team) {
             account.arrived(cores, run_s, age, half_life, now);
         }
     }
@@ -129,7 +129,7 @@
     /// Records the start of a task that takes `cores` cores and `waited` before its start.
     pub fn started(&mut self, class: &str, team: &str, cores: f64, waited: Micros, now: Micros) {
         let half_life = self.half_life;
-        for account in self.both(class, team) {
+        for account in self.accounts_of(class, team) {
             account.started(cores, waited, half_life, now);
         }
     }
@@ -182,8 +182,8 @@
         let Some(met_share) = self.met_share(class, number, now) else {
             return 1.0;
         };
-        if met_share < NEAR_HALF {
-            let shortfall = (NEAR_HALF - met_share) / (NEAR_HALF - 0.5);
+        if met_share < MIN_SAFE_SHARE {
+            let shortfall = (MIN_SAFE_SHARE - met_share) / (MIN_SAFE_SHARE - 0.5);
             return (1.0 + shortfall * (MAX_URGENCY - 1.0)).min(MAX_URGENCY);
         }
         let may_miss = (1.0 - share).max(0.001);
--- a/src/coordination/scheduling/best_fit.rs
+++ b/src/coordination/scheduling/best_fit.rs
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Granularity at which the extra occupancy of machines is compared.
-const HOLD_STEP: Micros = Micros::from_millis(4000);
+const OCCUPANCY_STEP: Micros = Micros::from_millis(4000);
 /// Weight of a service's image fetch relative to extra machine occupancy: users wait for the
 /// service while its image is fetched.
 const SERVICE_FETCH_WEIGHT: u64 = 20;
@@ -89,12 +89,12 @@
         let max_per_zone = spec.tasks.div_ceil(2);
         let has_other_zone = || self.task_zones.keys().any(|z| *z != zone);
         let is_full = || self.task_zones.get(zone).copied().unwrap_or(0) >= max_per_zone;
-        let is_barred = (spec.one_zone && has_other_zone()) || (spec.spread && is_full());
-        !is_barred
+        let is_excluded = (spec.one_zone && has_other_zone()) || (spec.spread && is_full());
+        !is_excluded
     }
 
-    /// Extra occupancy of a machine due to the image fetch, in half steps of [`HOLD_STEP`]: zero if
-    /// the machine has the image, one if it already fetches the image for another task, and
+    /// Extra occupancy of a machine due to the image fetch, in half steps of [`OCCUPANCY_STEP`]:
+    /// zero if the machine has the image, one if it already fetches the image for another task, and
     /// otherwise more with each pending fetch, since fetches share the machine's bandwidth.
     fn fetch_half_steps(&self, candidate: &CandidateMachine) -> u64 {
         if self.has_image(&candidate.name) {
@@ -108,13 +108,13 @@
         }
         let rate = self.kinds[candidate.kind].fetch_gb_per_s.max(0.01);
         let fetch = Micros::from_secs(self.job.spec.image_gb / rate);
-        (fetch.0 / HOLD_STEP.0 + 1) * 2 * (1 + candidate.pending_fetches as u64)
+        (fetch.0 / OCCUPANCY_STEP.0 + 1) * 2 * (1 + candidate.pending_fetches as u64)
     }
 
-    /// Cost of a machine whose occupancy the run time of the task extends by `longer_steps` steps.
-    fn cost(&self, candidate: &CandidateMachine, longer_steps: u64) -> u64 {
+    /// Cost of a machine whose occupancy the run time of the task extends by `extra_steps` steps.
+    fn cost(&self, candidate: &CandidateMachine, extra_steps: u64) -> u64 {
         let weight = if self.job.is_service() { SERVICE_FETCH_WEIGHT } else { 1 };
-        longer_steps * 2 + self.fetch_half_steps(candidate) * weight
+        extra_steps * 2 + self.fetch_half_steps(candidate) * weight
     }
 }
 
@@ -198,11 +198,11 @@
                 if !candidate.free.fits(spec) || !self.accepts(request, candidate) {
                     continue;
                 }
-                let longer_steps = task_end.since(candidate.busy_until).0 / HOLD_STEP.0;
-                if request.best_effort && !kind.spot && longer_steps > 0 {
+                let extra_steps = task_end.since(candidate.busy_until).0 / OCCUPANCY_STEP.0;
+                if request.best_effort && !kind.spot && extra_steps > 0 {
                     continue;
                 }
-                let cost = request.cost(candidate, longer_steps);
+                let cost = request.cost(candidate, extra_steps);
                 if best.as_ref().is_none_or(|b| (cost, index) < (b.cost, b.candidate)) {
                     best = Some(BestCandidate {
                         machine_cpus: kind.cpus,
@@ -211,7 +211,7 @@
                     });
                 }
                 compared += 1;
-                if cost == 0 || (longer_steps == 0 && compared >= MAX_COMPARED) {
+                if cost == 0 || (extra_steps == 0 && compared >= MAX_COMPARED) {
                     break;
                 }
             }
@@ -223,12 +223,18 @@
     /// before it are too full, and stay so while the pass starts tasks: starts only use capacity.
     fn skip_full(&mut self, request: &BestFitRequest, kind: usize) -> usize {
         let kinds = request.kinds.len();
-        let full = self.full.entry(request.size()).or_insert_with(|| vec![0; kinds]);
+        let full_prefix = self
+            .full_prefixes
+            .entry(request.size())
+            .or_insert_with(|| vec![0; kinds]);
         let fits = |index: &usize| self.candidates[*index].free.fits(&request.job.spec);
-        while self.by_kind[kind].get(full[kind]).is_some_and(|index| !fits(index)) {
-            full[kind] += 1;
+        while self.by_kind[kind]
+            .get(full_prefix[kind])
+            .is_some_and(|index| !fits(index))
+        {
+            full_prefix[kind] += 1;
         }
-        full[kind]
+        full_prefix[kind]
     }
 
     /// Whether the job may start on a machine that has enough free capacity. The machine must not
@@ -240,7 +246,8 @@
             return false;
         }
         let spot = request.kinds[candidate.kind].spot;
-        let beside_services = candidate.runs_services && !request.is_production() && !spot;
-        !beside_services || self.service_machine_free_cpus - request.job.spec.cpus >= self.service_reserve - EPSILON
+        let shares_with_services = candidate.runs_services && !request.is_production() && !spot;
+        !shares_with_services
+            || self.service_machine_free_cpus - request.job.spec.cpus >= self.service_reserve - EPSILON
     }
 }
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -48,11 +48,11 @@
     /// Returns the machines that accept new tasks now, with their free capacity, sorted by name.
     pub(super) fn candidates(&mut self, cluster: &ClusterConfig, now: Micros) -> Vec<CandidateMachine> {
         self.assign_kinds(cluster);
-        let silence = Self::work_silence(cluster);
+        let max_silence = Self::work_silence(cluster);
         let mut candidates = Vec::with_capacity(self.machines.len());
         for machine in self.machines.values_mut() {
             machine.candidate_index = None;
-            if !machine.accepts_work(now, silence) || self.failures.zones.is_cut(&machine.zone) {
+            if !machine.accepts_work(now, max_silence) || self.failures.zones.is_cut(&machine.zone) {
                 continue;
             }
             let Some(kind) = machine.kind_index else { continue };
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -32,7 +32,7 @@
 use queue::JobQueue;
 pub use quota::{orphaned_attempt_specs, team_use, TeamUsage};
 pub use rules::{allowed, is_best_effort, latest_start, open_zones};
-use starts::StartsEnded;
+use starts::StartOutcome;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -53,11 +53,11 @@
 /// Work within its team's guarantee waits this long for capacity to become idle before it may use
 /// slots outside its pool and preempt work beyond other teams' guarantees. Other work below
 /// production waits for the same time before it may preempt.
-const GUARANTEE_PATIENCE: Micros = Micros::from_millis(1500);
+const GUARANTEE_WAIT: Micros = Micros::from_millis(1500);
 /// A service waits this long for a machine that has its image.
-const IMAGE_PATIENCE: Micros = Micros::from_millis(2000);
+const IMAGE_WAIT: Micros = Micros::from_millis(2000);
 /// Fraction of the cores of all services that is kept free for their next replicas.
-const SERVICE_RESERVE: f64 = 0.15;
+const SERVICE_RESERVE_FRACTION: f64 = 0.15;
 
 /// Numbers of slots: a slot is a core, or a GPU for work that uses GPUs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -174,7 +174,7 @@
     fn start_urgent(&mut self, pass: &mut Pass, cluster: &ClusterConfig, queue: &JobQueue) {
         for id in &queue.order {
             let Some(job) = self.jobs.get(id) else { continue };
-            let waited = pass.now.since(job.arrived_at) >= GUARANTEE_PATIENCE;
+            let waited = pass.now.since(job.arrived_at) >= GUARANTEE_WAIT;
             let guaranteed = queue.guaranteed.contains(id) && waited;
             if job.priority >= Priority::High || guaranteed {
                 self.start_job(pass, cluster, id, SlotSource::Pool);
@@ -200,7 +200,7 @@
         for id in &queue.order {
             let gpu = self.jobs.get(id).is_some_and(|j| j.spec.gpus > 0.0);
             if !closed.contains(&gpu)
-                && self.start_job(pass, cluster, id, SlotSource::Helpers) == StartsEnded::OutOfSlots
+                && self.start_job(pass, cluster, id, SlotSource::Helpers) == StartOutcome::OutOfSlots
             {
                 closed.insert(gpu);
             }
@@ -210,7 +210,7 @@
     /// Starts jobs that have waited for the configured time (`borrow_after_s`) on idle slots of
     /// pools whose classes have no waiting tasks.
     fn start_on_borrowed_slots(&mut self, pass: &mut Pass, cluster: &ClusterConfig, queue: &JobQueue) {
-        let patience = Micros::from_secs(cluster.settings.operator.borrow_after_s);
+        let min_wait = Micros::from_secs(cluster.settings.operator.borrow_after_s);
         let queued_classes: BTreeSet<Rc<ClassKey>> = self
             .jobs
             .values()
@@ -219,7 +219,7 @@
             .collect();
         for id in &queue.order {
             let Some(job) = self.jobs.get(id) else { continue };
-            if pass.now.since(job.arrived_at) >= patience {
+            if pass.now.since(job.arrived_at) >= min_wait {
                 let max_slots = self.borrowable_slots(pass, job.spec.gpus > 0.0, &queued_classes);
                 self.start_job(pass, cluster, id, SlotSource::Borrowed { max_slots });
             }
@@ -254,6 +254,6 @@
             service_cpus += (job.held_tasks as usize + job.waiting.len()) as f64 * job.spec.cpus;
             largest = largest.max(job.spec.cpus);
         }
-        (service_cpus * SERVICE_RESERVE).max(2.0 * largest)
+        (service_cpus * SERVICE_RESERVE_FRACTION).max(2.0 * largest)
     }
 }
--- a/src/coordination/scheduling/pass.rs
+++ b/src/coordination/scheduling/pass.rs
@@ -56,7 +56,7 @@
     /// Indices of the candidates of each kind, in order.
     pub(super) by_kind: Vec<Vec<usize>>,
     /// For each task size, the number of leading candidates of each kind that are too full.
-    pub(super) full: BTreeMap<TaskSize, Vec<usize>>,
+    pub(super) full_prefixes: BTreeMap<TaskSize, Vec<usize>>,
     /// For best-effort tasks of a size, the shortest run time in seconds for which no on-demand
     /// machine was found in this pass.
     pub(super) best_effort_failed: BTreeMap<TaskSize, f64>,
@@ -129,7 +129,7 @@
         let mut pass = Pass {
             now,
             by_kind,
-            full: BTreeMap::new(),
+            full_prefixes: BTreeMap::new(),
             best_effort_failed: BTreeMap::new(),
             cpus_over_guarantee: BTreeMap::new(),
             quota: QuotaLedger::of(&self.jobs, &self.machines),
--- a/src/coordination/scheduling/pools.rs
+++ b/src/coordination/scheduling/pools.rs
@@ -12,11 +12,11 @@
 
 /// Tolerance for floating-point rounding: a pool grows where a product reaches a whole number, and
 /// rounding must not put the product on the wrong side of such a step.
-const ROUNDING: f64 = 1e-9;
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 /// Distance below a step at which ψ is taken: the valid values approach the step from below.
-const BELOW_STEP: f64 = 1e-7;
+const STEP_MARGIN: f64 = 1e-7;
 /// Decayed demand of at most this many slot-seconds is dropped.
-const FORGOTTEN_SLOT_S: f64 = 1e-3;
+const MIN_SLOT_SECONDS: f64 = 1e-3;
 
 /// A class in the sense of the paper: jobs with the same need and the same kind of run time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -46,7 +46,7 @@
 
     /// How many jobs the class's pool holds at `x`: floor(x·k/n_i·ϱ_i/ϱ).
     fn jobs(&self, x: f64, slots: u32, total_load: f64) -> u32 {
-        (self.exact_jobs(x, slots, total_load) + ROUNDING).floor() as u32
+        (self.exact_jobs(x, slots, total_load) + ROUNDING_TOLERANCE).floor() as u32
     }
 }
 
@@ -77,7 +77,7 @@
     };
     let is_exact = demands.iter().all(|d| {
         let jobs = d.exact_jobs(1.0, slots, total_load);
-        (jobs - jobs.round()).abs() < ROUNDING
+        (jobs - jobs.round()).abs() < ROUNDING_TOLERANCE
     });
     let largest_need = demands.iter().map(|d| d.need).max().unwrap_or(0);
     let leaves_helpers = |x: f64| pool_slots_at(x).iter().sum::<u32>() + largest_need <= slots;
@@ -89,7 +89,7 @@
     let steps = steps(slots, demands, total_load);
     let first_too_large = steps.partition_point(|&x| leaves_helpers(x));
     // Just below the step, every class that steps up there has one job less.
-    let psi = steps.get(first_too_large).map_or(1.0, |x| (x - BELOW_STEP).max(0.0));
+    let psi = steps.get(first_too_large).map_or(1.0, |x| (x - STEP_MARGIN).max(0.0));
     split_at(psi)
 }
 
@@ -129,7 +129,7 @@
             *self.slot_seconds.entry(class.clone()).or_default() += slots * span_s;
         }
         self.slot_seconds
-            .retain(|class, sum| *sum > FORGOTTEN_SLOT_S || demanded_slots.contains_key(class));
+            .retain(|class, sum| *sum > MIN_SLOT_SECONDS || demanded_slots.contains_key(class));
     }
 
     /// Returns the demand of each class: its decayed average, or the slots that it holds and
@@ -142,7 +142,7 @@
     ) -> Vec<(Rc<ClassKey>, Demand)> {
         let average = |sum: f64| sum * std::f64::consts::LN_2 / half_life_s;
         let nonzero: Vec<f64> = self.slot_seconds.values().copied().filter(|s| *s > 0.0).collect();
-        let even = if nonzero.is_empty() {
+        let default_load = if nonzero.is_empty() {
             1.0
         } else {
             average(nonzero.iter().sum::<f64>() / nonzero.len() as f64)
@@ -152,7 +152,7 @@
             .map(|(class, sum)| {
                 let now = demanded_slots.get(class).copied().unwrap_or(0.0);
                 let load = average(*sum).max(now);
-                let load = if load > 0.0 { load } else { even };
+                let load = if load > 0.0 { load } else { default_load };
                 (class.clone(), Demand { need: class.need, load })
             })
             .collect()
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -13,7 +13,7 @@
 use super::queue::JobQueue;
 use super::quota::QuotaLedger;
 use super::rules::{allowed, is_best_effort};
-use super::{EPSILON, GUARANTEE_PATIENCE, MAX_PREEMPTION_EXAMINED, PREEMPTION_INTERVAL};
+use super::{EPSILON, GUARANTEE_WAIT, MAX_PREEMPTION_EXAMINED, PREEMPTION_INTERVAL};
 use crate::coordination::state::Resources;
 use crate::protocol::users::{JobSpec, Priority};
 use crate::time::Micros;
@@ -23,9 +23,9 @@
 /// Time after its placement during which a task is young. Only young tasks are stopped for a
 /// guarantee: older tasks lose more work than the guarantee gains, and capacity becomes idle soon
 /// enough.
-const YOUNG: Micros = Micros::from_millis(4000);
+const MAX_YOUNG_AGE: Micros = Micros::from_millis(4000);
 /// Maximum number of waiting tasks of one job for which work is preempted in one pass.
-const MAX_TASKS: usize = 64;
+const MAX_TASKS_PER_JOB: usize = 64;
 /// Time that a victim gets to save its work, as a multiple of the time that its job declares.
 const GRACE_FACTOR: f64 = 1.2;
 
@@ -77,7 +77,7 @@
             let over = usage.cpus - cluster.guarantee(team).0;
             pass.cpus_over_guarantee.insert(team.clone(), over);
         }
-        let any_low = self
+        let low_priority_runs = self
             .jobs
             .values()
             .any(|j| j.held_tasks > 0 && j.priority == Priority::Low && !j.is_service());
@@ -86,7 +86,7 @@
                 break;
             }
             let Some(job) = self.jobs.get(id) else { continue };
-            if is_entitled_to_preempt(job, queue.guaranteed.contains(id), any_low, pass.now) {
+            if is_entitled_to_preempt(job, queue.guaranteed.contains(id), low_priority_runs, pass.now) {
                 self.preempt_for(pass, cluster, id, &queue.guaranteed);
             }
         }
@@ -119,7 +119,7 @@
         job: &Job,
         guaranteed: &BTreeSet<JobId>,
     ) -> Vec<Preemption> {
-        let mut wanted = job.waiting.len().min(MAX_TASKS);
+        let mut wanted = job.waiting.len().min(MAX_TASKS_PER_JOB);
         let mut preemptions = vec![];
         let with_image = self.candidates_with_image(job);
         let others = (0..pass.candidates.len()).filter(|i| !with_image.contains(i));
@@ -179,7 +179,7 @@
         Victim::sort(&mut victims);
         let mut excess = LimitExcess::of(quota, cluster, &job.spec);
         let mut preemptions = vec![];
-        for _ in 0..job.waiting.len().min(MAX_TASKS) {
+        for _ in 0..job.waiting.len().min(MAX_TASKS_PER_JOB) {
             excess.add(&job.spec);
             let useful = excess.remove(&victims);
             if excess.is_over() {
@@ -256,14 +256,14 @@
 }
 
 /// Whether work may be preempted for a job: at once for production, and after
-/// [`GUARANTEE_PATIENCE`] for high priority, for work within its team's guarantee and, if
+/// [`GUARANTEE_WAIT`] for high priority, for work within its team's guarantee and, if
 /// low-priority work runs, for all work above low priority.
-fn is_entitled_to_preempt(job: &Job, is_guaranteed: bool, any_low: bool, now: Micros) -> bool {
+fn is_entitled_to_preempt(job: &Job, is_guaranteed: bool, low_priority_runs: bool, now: Micros) -> bool {
     if job.waiting.is_empty() || job.is_suspect(now) {
         return false;
     }
-    let has_waited = now.since(job.arrived_at) >= GUARANTEE_PATIENCE;
-    let reclaims_from_low = any_low && job.priority > Priority::Low;
+    let has_waited = now.since(job.arrived_at) >= GUARANTEE_WAIT;
+    let reclaims_from_low = low_priority_runs && job.priority > Priority::Low;
     job.priority == Priority::Production
         || (has_waited && (is_guaranteed || job.priority == Priority::High || reclaims_from_low))
 }
@@ -281,7 +281,7 @@
     other: &Job,
     placement: &Placement,
 ) -> bool {
-    let is_young = pass.now.since(placement.placed_at) < YOUNG;
+    let is_young = pass.now.since(placement.placed_at) < MAX_YOUNG_AGE;
     let can_spare = job.priority == Priority::Production || is_young || is_best_effort(cluster, other, pass.now);
     let over_guarantee = || {
         let over = pass.cpus_over_guarantee.get(&other.spec.team);
--- a/src/coordination/scheduling/queue.rs
+++ b/src/coordination/scheduling/queue.rs
@@ -26,11 +26,11 @@
     /// Whether the job fails everywhere.
     is_suspect: bool,
     priority: Reverse<Priority>,
-    beyond_guarantee: bool,
+    is_beyond_guarantee: bool,
     /// How many of its deadlines it can no longer meet.
     missed_deadlines: u8,
     /// The job's age: the revision at which the job arrived.
-    order: u64,
+    queue_order: u64,
 }
 
 impl LeaderState {
@@ -52,9 +52,9 @@
         Rank {
             is_suspect: job.is_suspect(now),
             priority: Reverse(job.priority),
-            beyond_guarantee: !guaranteed.contains(&job.id),
+            is_beyond_guarantee: !guaranteed.contains(&job.id),
             missed_deadlines: missed_deadlines(cluster, job, self.fetch_s(cluster, &job.spec), now),
-            order: job.queue_order,
+            queue_order: job.queue_order,
         }
     }
 
--- a/src/coordination/scheduling/rules.rs
+++ b/src/coordination/scheduling/rules.rs
@@ -12,11 +12,11 @@
 /// How long a replica of a service is expected to run.
 const SERVICE_DURATION: Micros = Micros::from_millis(600_000);
 /// How long after the latest start for its last deadline a late job ranks behind other jobs.
-const MAX_YIELD: Micros = Micros::from_millis(120_000);
+const MAX_LATE_DEMOTION: Micros = Micros::from_millis(120_000);
 /// How long before its latest start low-priority work is no longer best effort.
 const BEST_EFFORT_MARGIN: Micros = Micros::from_millis(60_000);
 /// How long after its arrival low-priority work without a deadline is no longer best effort.
-const BEST_EFFORT_PATIENCE: Micros = Micros::from_millis(150_000);
+const MAX_BEST_EFFORT_WAIT: Micros = Micros::from_millis(150_000);
 
 /// Whether a job's tasks may run on machines like this one.
 pub fn allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
@@ -65,7 +65,7 @@
 pub fn is_best_effort(cluster: &ClusterConfig, job: &Job, now: Micros) -> bool {
     let late = match latest_start(cluster, job) {
         Some(at) => now + BEST_EFFORT_MARGIN >= at,
-        None => now.since(job.arrived_at) > BEST_EFFORT_PATIENCE,
+        None => now.since(job.arrived_at) > MAX_BEST_EFFORT_WAIT,
     };
     job.priority == Priority::Low && job.spec.spot && !late
 }
@@ -73,14 +73,15 @@
 /// Returns how many of its deadlines a job can no longer meet.
 ///
 /// In the queue the job ranks behind jobs that can still meet their deadlines: starting it first
-/// would make them late as well. [`MAX_YIELD`] after the latest start for its last deadline, the
-/// job counts as missing none, so that it is not delayed without limit, and its age decides again.
+/// would make them late as well. [`MAX_LATE_DEMOTION`] after the latest start for its last
+/// deadline, the job counts as missing none, so that it is not delayed without limit, and its age
+/// decides again.
 pub(super) fn missed_deadlines(cluster: &ClusterConfig, job: &Job, fetch_s: f64, now: Micros) -> u8 {
     let deadlines_s = completion_deadlines_s(cluster, job);
     let latest_start =
         |deadline_s: f64| job.arrived_at + Micros::from_secs((deadline_s - job.spec.estimate_s - fetch_s).max(0.0));
     let last_s = deadlines_s.iter().copied().fold(0.0, f64::max);
-    if now > latest_start(last_s) + MAX_YIELD {
+    if now > latest_start(last_s) + MAX_LATE_DEMOTION {
         return 0;
     }
     let completions = deadlines_s.iter().filter(|d| now > latest_start(**d)).count();
--- a/src/coordination/scheduling/starts.rs
+++ b/src/coordination/scheduling/starts.rs
@@ -16,14 +16,14 @@
 use super::pools::ClassKey;
 use super::quota::TeamUsage;
 use super::rules::{is_best_effort, zones_of};
-use super::{IMAGE_PATIENCE, MAX_STARTS};
+use super::{IMAGE_WAIT, MAX_STARTS};
 use crate::protocol::users::Priority;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// Why no more tasks of a job are started.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum StartsEnded {
+pub(super) enum StartOutcome {
     /// The slot source has no slots left for the job.
     OutOfSlots,
     /// Nothing waits, the team's limit or the pass's is reached, or no machine fits.
@@ -60,9 +60,9 @@
         cluster: &ClusterConfig,
         id: &JobId,
         source: SlotSource,
-    ) -> StartsEnded {
+    ) -> StartOutcome {
         let Some(mut plan) = self.plan_starts(pass, cluster, id) else {
-            return StartsEnded::Otherwise;
+            return StartOutcome::Otherwise;
         };
         let mut slots_taken = 0;
         while let Some(job) = self.jobs.get(id) {
@@ -74,7 +74,7 @@
                 break;
             }
             if !self.has_slots(pass, &job.class, source, slots_taken) {
-                return StartsEnded::OutOfSlots;
+                return StartOutcome::OutOfSlots;
             }
             if !pass.quota.admits(cluster, &job.spec) {
                 break;
@@ -103,7 +103,7 @@
                 break;
             }
         }
-        StartsEnded::Otherwise
+        StartOutcome::Otherwise
     }
 
     /// Returns the conditions for all starts of the job, or `None` if it cannot start a task now.
@@ -111,7 +111,7 @@
         let job = self.jobs.get(id)?;
         let only_with_image = job.priority == Priority::Production
             && job.is_service()
-            && pass.now.since(job.arrived_at) < IMAGE_PATIENCE
+            && pass.now.since(job.arrived_at) < IMAGE_WAIT
             && self.preemption_beats_fetch(&pass.candidates, job);
         // Counting the tasks in each zone visits all tasks of the job, so this is done only for a
         // job with a zone rule.
