--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -6,9 +6,9 @@
 //!
 //! The leader calls [`LeaderState::schedule`] on every tick; it runs a pass when one is due. The
 //! scheduler decides in memory only: the log commits its placements and the agents' outboxes send
-//! them. It must not do I/O and must not start what a team's limit does not admit.
+//! them. The scheduler must do no I/O and must start no task that a team's limit does not admit.
 //!
-//! Invariant: within a pass every decision sees the counts as the decisions before it left them.
+//! Invariant: within a pass each decision uses the counts that the earlier decisions left.
 
 mod best_fit;
 mod candidates;
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -256,8 +256,8 @@
 }
 
 /// Whether work may be preempted for a job: at once for production, and after
-/// [`GUARANTEE_WAIT`] for high priority, for work within its team's guarantee and, if
-/// low-priority work runs, for all work above low priority.
+/// [`GUARANTEE_WAIT`] for high priority, for work within its team's guarantee and, if low-priority
+/// work runs, for all work above low priority.
 fn is_entitled_to_preempt(job: &Job, is_guaranteed: bool, low_priority_runs: bool, now: Micros) -> bool {
     if job.waiting.is_empty() || job.is_suspect(now) {
         return false;
@@ -270,9 +270,10 @@
 
 /// Whether a task of `other` may be stopped for `job`.
 ///
-/// The task may be stopped if its priority is lower and, unless `job` is production, the task is
-/// young or best effort and can still be done in time. For a `job` within its team's guarantee, a
-/// young task of another team beyond that team's guarantee may be stopped too.
+/// The task may be stopped if its priority is lower and, unless `job` is production, it is young,
+/// or best effort and can therefore still be done in time. For a `job` within its team's guarantee,
+/// a young task of another team may be stopped too, if its priority is no higher, its job is not
+/// within that team's guarantee, and that team exceeds its guarantee by at least the task's cores.
 fn is_preemptible_by(
     pass: &Pass,
     cluster: &ClusterConfig,
--- a/src/coordination/scheduling/queue.rs
+++ b/src/coordination/scheduling/queue.rs
@@ -27,7 +27,7 @@
     is_suspect: bool,
     priority: Reverse<Priority>,
     is_beyond_guarantee: bool,
-    /// How many of its deadlines it can no longer meet.
+    /// Number of the job's deadlines that it can no longer meet.
     missed_deadlines: u8,
     /// The job's age: the revision at which the job arrived.
     queue_order: u64,
