--- a/crates/provisioning/src/lib.rs
+++ b/crates/provisioning/src/lib.rs
@@ -9,17 +9,17 @@
 //! now, and values and prices are money.
 //!
 //! ```
-//! use glenhaven_provisioning::{advise, Arrival, Due, Offer, Supply, Work};
+//! use glenhaven_provisioning::{advise, FutureCapacity, Deadline, Offer, Supply, QueueEntry};
 //!
 //! // Two hundred cores wait, a hundred become free in a minute; half a minute from now is early
 //! // enough.
-//! let waiting = Work {
+//! let waiting = QueueEntry {
 //!     cores: 200.0,
 //!     run_s: 40.0,
-//!     dues: vec![Due { start_by_s: 45.0, value: 5.0 }],
-//!     ..Work::default()
+//!     deadlines: vec![Deadline { start_by_s: 45.0, value: 5.0 }],
+//!     ..QueueEntry::default()
 //! };
-//! let supply = Supply { free_cores: 0.0, arrivals: vec![Arrival { at_s: 60.0, cores: 100.0 }] };
+//! let supply = Supply { free_cores: 0.0, upcoming: vec![FutureCapacity { at_s: 60.0, cores: 100.0 }] };
 //! let offer = Offer { ready_s: 30.0, price: 0.07 / 3600.0, idle_s: 10.0, max_cores: 1000.0 };
 //! let advice = advise(&[waiting], &supply, &offer);
 //! assert!(advice.cores >= 190.0 && advice.cores <= 200.0);
@@ -38,13 +38,13 @@
 const HORIZON_S: f64 = 180.0;
 const STEPS: usize = (HORIZON_S / STEP_S) as usize;
 /// A machine is held until the last of its tasks ends: for so many mean run times.
-const HELD_RUNS: f64 = 2.0;
+const HELD_RUN_TIMES: f64 = 2.0;
 /// Amounts of capacity that are compared, as parts of all that could be of use.
-const PARTS: [f64; 8] = [0.06, 0.12, 0.2, 0.3, 0.45, 0.6, 0.8, 1.0];
+const CANDIDATE_SHARES: [f64; 8] = [0.06, 0.12, 0.2, 0.3, 0.45, 0.6, 0.8, 1.0];
 
 /// A time by which the last task of some work has to have started.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Due {
+pub struct Deadline {
     /// Seconds from now; negative if it is missed already.
     pub start_by_s: f64,
     /// Value of meeting it.
@@ -53,33 +53,33 @@
 
 /// An entry of the queue: work that waits, or is expected.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Work {
+pub struct QueueEntry {
     /// Cores that its tasks take in all.
     pub cores: f64,
     /// How long a task holds its cores, the fetch of its image included.
     pub run_s: f64,
     /// When it arrives; zero or less if it waits already.
-    pub from_s: f64,
+    pub arrival_s: f64,
     /// By when it has to have started.
-    pub dues: Vec<Due>,
+    pub deadlines: Vec<Deadline>,
 }
 
-impl Work {
+impl QueueEntry {
     /// How many of the times are missed by a start then.
-    fn missed_dues(&self, start_s: f64) -> usize {
-        self.dues.iter().filter(|d| d.start_by_s < start_s).count()
+    fn missed_deadlines(&self, start_s: f64) -> usize {
+        self.deadlines.iter().filter(|d| d.start_by_s < start_s).count()
     }
 
     /// Value of the times that are missed if the last task starts then.
     fn missed_value(&self, start_s: f64) -> f64 {
-        let missed = self.dues.iter().filter(|d| d.start_by_s < start_s);
+        let missed = self.deadlines.iter().filter(|d| d.start_by_s < start_s);
         missed.map(|d| d.value).sum()
     }
 }
 
 /// Cores that become free or have booted.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Arrival {
+pub struct FutureCapacity {
     /// Seconds from now.
     pub at_s: f64,
     /// How many cores.
@@ -92,7 +92,7 @@
     /// Free now; negative if other work takes more.
     pub free_cores: f64,
     /// What becomes free later, in any order.
-    pub arrivals: Vec<Arrival>,
+    pub upcoming: Vec<FutureCapacity>,
 }
 
 /// What can be rented.
@@ -110,11 +110,11 @@
 
 /// One of the times of one entry of the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MetDue {
+pub struct MetDeadline {
     /// Index of the entry.
-    pub work: usize,
-    /// Index of the time in [`Work::dues`].
-    pub due: usize,
+    pub entry: usize,
+    /// Index of the time in [`QueueEntry::deadlines`].
+    pub deadline: usize,
 }
 
 /// What to rent.
@@ -127,7 +127,7 @@
     /// What it is expected to cost beyond what the same work costs anyhow.
     pub cost: f64,
     /// The times that are expected to be met with the rental only.
-    pub met: Vec<MetDue>,
+    pub met: Vec<MetDeadline>,
 }
 
 /// The outcome of a projection.
@@ -143,20 +143,20 @@
 }
 
 /// The step in which a time lies.
-fn step_of(time_s: f64) -> usize {
+fn step_at(time_s: f64) -> usize {
     ((time_s.max(0.0) / STEP_S).ceil() as usize).min(STEPS)
 }
 
 /// A projection of the queue as a fluid.
 struct Projection<'a> {
-    work: &'a [Work],
+    queue: &'a [QueueEntry],
     ready_s: f64,
     /// Cores that are free.
     free: f64,
     /// Cores that become free in each step.
     arriving: [f64; STEPS + 1],
     /// Cores of each entry that have not started.
-    left: Vec<f64>,
+    unstarted: Vec<f64>,
     is_clear: bool,
     outcome: Outcome,
 }
@@ -164,26 +164,26 @@
 impl<'a> Projection<'a> {
     /// With so many cores rented that are ready at about `ready_s`. Boots differ: some are ready
     /// sooner than most, and some later.
-    fn new(work: &'a [Work], supply: &Supply, rented_cores: f64, ready_s: f64) -> Projection<'a> {
+    fn new(queue: &'a [QueueEntry], supply: &Supply, rented_cores: f64, ready_s: f64) -> Projection<'a> {
         let mut arriving = [0.0; STEPS + 1];
-        for arrival in &supply.arrivals {
-            arriving[step_of(arrival.at_s)] += arrival.cores;
+        for capacity in &supply.upcoming {
+            arriving[step_at(capacity.at_s)] += capacity.cores;
         }
         for factor in BOOT_FACTORS {
-            arriving[step_of(ready_s * factor)] += rented_cores / BOOT_FACTORS.len() as f64;
+            arriving[step_at(ready_s * factor)] += rented_cores / BOOT_FACTORS.len() as f64;
         }
         Projection {
-            work,
+            queue,
             ready_s,
             free: supply.free_cores.max(0.0),
             arriving,
-            left: work.iter().map(|w| w.cores.max(0.0)).collect(),
+            unstarted: queue.iter().map(|entry| entry.cores.max(0.0)).collect(),
             is_clear: false,
             outcome: Outcome {
                 missed_value: 0.0,
                 clear_s: HORIZON_S,
                 waiting_when_ready: 0.0,
-                last_start_s: vec![HORIZON_S; work.len()],
+                last_start_s: vec![HORIZON_S; queue.len()],
             },
         }
     }
@@ -191,7 +191,7 @@
     /// Projects the queue, the first entry first, except that work which has missed more of its
     /// times lets the others go first.
     fn run(mut self) -> Outcome {
-        let max_missed = self.work.iter().map(|w| w.dues.len()).max().unwrap_or(0);
+        let max_missed = self.queue.iter().map(|entry| entry.deadlines.len()).max().unwrap_or(0);
         for step in 0..=STEPS {
             let now_s = step as f64 * STEP_S;
             self.free += self.arriving[step];
@@ -199,39 +199,39 @@
                 if self.free <= EPSILON {
                     break;
                 }
-                self.start_entries(step, now_s, missed);
+                self.start_tasks(step, now_s, missed);
             }
             if now_s >= self.ready_s {
-                self.note_waiting(now_s);
+                self.record_waiting(now_s);
             }
         }
         // What still waits misses what is due by then.
-        for (work, left) in self.work.iter().zip(&self.left) {
-            if *left > 0.0 {
-                self.outcome.missed_value += work.missed_value(HORIZON_S);
+        for (entry, unstarted) in self.queue.iter().zip(&self.unstarted) {
+            if *unstarted > 0.0 {
+                self.outcome.missed_value += entry.missed_value(HORIZON_S);
             }
         }
         self.outcome
     }
 
     /// Starts what has missed so many of its times, as far as cores are free.
-    fn start_entries(&mut self, step: usize, now_s: f64, missed: usize) {
-        for (index, work) in self.work.iter().enumerate() {
-            let left = &mut self.left[index];
-            if *left <= 0.0 || work.from_s > now_s || work.missed_dues(now_s) != missed {
+    fn start_tasks(&mut self, step: usize, now_s: f64, missed: usize) {
+        for (index, entry) in self.queue.iter().enumerate() {
+            let unstarted = &mut self.unstarted[index];
+            if *unstarted <= 0.0 || entry.arrival_s > now_s || entry.missed_deadlines(now_s) != missed {
                 continue;
             }
-            let starting = left.min(self.free);
-            *left -= starting;
+            let starting = unstarted.min(self.free);
+            *unstarted -= starting;
             self.free -= starting;
-            let end = step_of(now_s + work.run_s);
+            let end = step_at(now_s + entry.run_s);
             if end > step && end < STEPS {
                 self.arriving[end] += starting;
             }
-            if *left <= EPSILON {
-                *left = 0.0;
+            if *unstarted <= EPSILON {
+                *unstarted = 0.0;
                 self.outcome.last_start_s[index] = now_s;
-                self.outcome.missed_value += work.missed_value(now_s);
+                self.outcome.missed_value += entry.missed_value(now_s);
             }
             if self.free <= EPSILON {
                 break;
@@ -240,11 +240,11 @@
     }
 
     /// Notes what still waits, once rented capacity would be ready.
-    fn note_waiting(&mut self, now_s: f64) {
-        let entries = self.left.iter().zip(self.work);
+    fn record_waiting(&mut self, now_s: f64) {
+        let entries = self.unstarted.iter().zip(self.queue);
         let waiting: f64 = entries
-            .filter(|(_, work)| work.from_s <= now_s)
-            .map(|(left, _)| left)
+            .filter(|(_, entry)| entry.arrival_s <= now_s)
+            .map(|(unstarted, _)| unstarted)
             .sum();
         if now_s < self.ready_s + STEP_S {
             self.outcome.waiting_when_ready = waiting;
@@ -260,15 +260,15 @@
 }
 
 /// The times that are met with more capacity and missed without.
-fn met_dues(work: &[Work], without: &Outcome, with: &Outcome) -> Vec<MetDue> {
+fn met_deadlines(queue: &[QueueEntry], without: &Outcome, with: &Outcome) -> Vec<MetDeadline> {
     let mut met = vec![];
-    for (index, entry) in work.iter().enumerate() {
+    for (index, entry) in queue.iter().enumerate() {
         let (late_s, early_s) = (without.last_start_s[index], with.last_start_s[index]);
-        for (due_index, due) in entry.dues.iter().enumerate() {
-            if due.start_by_s < late_s && due.start_by_s >= early_s {
-                met.push(MetDue {
-                    work: index,
-                    due: due_index,
+        for (deadline_index, deadline) in entry.deadlines.iter().enumerate() {
+            if deadline.start_by_s < late_s && deadline.start_by_s >= early_s {
+                met.push(MetDeadline {
+                    entry: index,
+                    deadline: deadline_index,
                 });
             }
         }
@@ -277,23 +277,23 @@
 }
 
 /// How much to rent now for work in the order of its queue.
-pub fn advise(work: &[Work], supply: &Supply, offer: &Offer) -> Advice {
-    if work.is_empty() || offer.max_cores <= 0.0 || offer.ready_s >= HORIZON_S {
+pub fn advise(queue: &[QueueEntry], supply: &Supply, offer: &Offer) -> Advice {
+    if queue.is_empty() || offer.max_cores <= 0.0 || offer.ready_s >= HORIZON_S {
         return Advice::default();
     }
-    let without = Projection::new(work, supply, 0.0, offer.ready_s).run();
+    let without = Projection::new(queue, supply, 0.0, offer.ready_s).run();
     // More than what waits when it would be ready is of no use.
     let useful_cores = without.waiting_when_ready.min(offer.max_cores);
     if useful_cores <= 0.0 || without.missed_value <= 0.0 {
         return Advice::default();
     }
-    let total_cores: f64 = work.iter().map(|w| w.cores).sum();
-    let mean_run_s = work.iter().map(|w| w.cores * w.run_s).sum::<f64>() / total_cores.max(1e-9);
+    let total_cores: f64 = queue.iter().map(|entry| entry.cores).sum();
+    let mean_run_s = queue.iter().map(|entry| entry.cores * entry.run_s).sum::<f64>() / total_cores.max(1e-9);
     let mut best = Advice::default();
-    for part in PARTS {
-        let cores = useful_cores * part;
-        let with = Projection::new(work, supply, cores, offer.ready_s).run();
-        let held_s = with.clear_s.max(offer.ready_s) + mean_run_s * HELD_RUNS + offer.idle_s;
+    for share in CANDIDATE_SHARES {
+        let cores = useful_cores * share;
+        let with = Projection::new(queue, supply, cores, offer.ready_s).run();
+        let held_s = with.clear_s.max(offer.ready_s) + mean_run_s * HELD_RUN_TIMES + offer.idle_s;
         let cost = cores * offer.price * held_s;
         let benefit = without.missed_value - with.missed_value;
         if benefit - cost > best.benefit - best.cost {
@@ -301,7 +301,7 @@
                 cores,
                 benefit,
                 cost,
-                met: met_dues(work, &without, &with),
+                met: met_deadlines(queue, &without, &with),
             };
         }
     }
--- a/src/coordination/provisioning/claims.rs
+++ b/src/coordination/provisioning/claims.rs
@@ -33,7 +33,7 @@
     pub(super) value: ClaimValue,
     pub(super) state: ClaimState,
     /// The page of the log that records it, if one does.
-    pub(super) page: Option<u64>,
+    pub(super) segment: Option<u64>,
     /// When it may be requested, again after an answer that did not decide it.
     pub(super) retry_at: Micros,
 }
@@ -43,12 +43,12 @@
     /// gives the names of their machines or, if they were never requested, rents them now.
     /// `claims`: by name, the page that records each and its value.
     pub fn adopt_claims(&mut self, claims: BTreeMap<String, (u64, ClaimValue)>, now: Micros) {
-        for (id, (page, value)) in claims {
+        for (id, (segment, value)) in claims {
             self.claims.push(Claim {
                 id,
                 value,
                 state: ClaimState::Recorded,
-                page: (page > 0).then_some(page),
+                segment: (segment > 0).then_some(segment),
                 retry_at: now,
             });
         }
@@ -65,9 +65,9 @@
     }
 
     /// The record of a claim is committed in this page of the log.
-    pub fn claim_recorded(&mut self, id: &str, page: u64) {
+    pub fn claim_recorded(&mut self, id: &str, segment: u64) {
         if let Some(claim) = self.claims.iter_mut().find(|c| c.id == id) {
-            claim.page = (page > 0).then_some(page);
+            claim.segment = (segment > 0).then_some(segment);
             if matches!(claim.state, ClaimState::Unrecorded) {
                 claim.state = ClaimState::Recorded;
             }
@@ -75,10 +75,10 @@
     }
 
     /// Unsettled claims that are recorded in pages before this one.
-    pub fn claims_before(&self, page: u64) -> Vec<(String, ClaimValue)> {
+    pub fn claims_before(&self, segment: u64) -> Vec<(String, ClaimValue)> {
         self.claims
             .iter()
-            .filter(|c| c.page.is_some_and(|p| p < page) && !matches!(c.state, ClaimState::Settled))
+            .filter(|c| c.segment.is_some_and(|s| s < segment) && !matches!(c.state, ClaimState::Settled))
             .map(|c| (c.id.clone(), c.value.clone()))
             .collect()
     }
@@ -88,7 +88,7 @@
         self.claims
             .iter()
             .filter(|c| !except.contains(c.id.as_str()))
-            .filter_map(|c| c.page)
+            .filter_map(|c| c.segment)
             .min()
     }
 
@@ -108,8 +108,8 @@
     }
 
     /// Claims whose machines are on their way, and not named yet.
-    pub fn coming(&self) -> impl Iterator<Item = &ClaimValue> {
-        let is_coming = |state: &ClaimState| {
+    pub fn unanswered_claims(&self) -> impl Iterator<Item = &ClaimValue> {
+        let is_unanswered = |state: &ClaimState| {
             matches!(
                 state,
                 ClaimState::Unrecorded | ClaimState::Recorded | ClaimState::Requested
@@ -117,7 +117,7 @@
         };
         self.claims
             .iter()
-            .filter(move |c| is_coming(&c.state))
+            .filter(move |c| is_unanswered(&c.state))
             .map(|c| &c.value)
     }
 }
--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -14,26 +14,26 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::Priority;
 use crate::time::Micros;
-use glenhaven_provisioning::{advise, Arrival, Due, MetDue, Offer, Supply, Work};
+use glenhaven_provisioning::{advise, Deadline, FutureCapacity, MetDeadline, Offer, QueueEntry, Supply};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 /// Entries of the queue that are projected one by one; what comes after them is merged into the
 /// last.
 const MAX_ENTRIES: usize = 250;
-/// Jobs of up to so many cores that came within [`MERGED_ARRIVALS_S`] of each other are merged into
+/// Jobs of up to so many cores that came within [`MERGE_STEP_S`] of each other are merged into
 /// one entry: there may be thousands.
-const MERGED_CORES: f64 = 8.0;
-/// See [`MERGED_CORES`].
-const MERGED_ARRIVALS_S: f64 = 4.0;
+const MAX_MERGED_CORES: f64 = 8.0;
+/// See [`MAX_MERGED_CORES`].
+const MERGE_STEP_S: f64 = 4.0;
 /// A job that has missed all of its objectives is to start within this: it must not wait for ever.
 const ALL_MISSED_START_S: f64 = 60.0;
 /// The value of that in relation to an objective that can still be met.
-const ALL_MISSED_WORTH: f64 = 0.25;
+const ALL_MISSED_VALUE_FACTOR: f64 = 0.25;
 /// Arrivals that are expected are merged into entries of so many seconds.
 const EXPECTED_STEP_S: f64 = 10.0;
 /// How far ahead arrivals are expected.
-const EXPECTED_S: f64 = 120.0;
+const EXPECTED_HORIZON_S: f64 = 120.0;
 /// Boots under way are counted on after so many times their nominal time.
 const BOOT_FACTOR: f64 = 1.1;
 /// The longest that an image is expected to be fetched.
@@ -82,7 +82,7 @@
     /// an objective says how long its tasks may wait, as long as most of what such rentals committed
     /// to came true. Other work has time: it gets machines for its backlog, which costs far less
     /// for each job that is in time.
-    pub fn must_not_wait(&self, cluster: &ClusterConfig, class: &str, now: Micros) -> bool {
+    pub fn is_latency_sensitive(&self, cluster: &ClusterConfig, class: &str, now: Micros) -> bool {
         let mut objectives = cluster.settings.params.objectives.iter();
         let has_wait_objective = objectives.any(|o| o.class == class && o.kind == "wait");
         has_wait_objective && self.slo.trust(class, now) >= MIN_TRUST
@@ -92,7 +92,7 @@
     /// none of those is to be had. `reserved_cores` of the capacity that is free or on its way are
     /// for other work.
     pub fn on_demand_cost_benefit(&self, cluster: &ClusterConfig, reserved_cores: f64, now: Micros) -> OnDemandAdvice {
-        Projection::new(self, cluster, now).map_or_else(OnDemandAdvice::default, |p| p.advise(reserved_cores))
+        CostBenefitModel::new(self, cluster, now).map_or_else(OnDemandAdvice::default, |p| p.advise(reserved_cores))
     }
 
     /// Marks the objectives that a rental is expected to let jobs meet: whether they are met shows
@@ -140,38 +140,38 @@
 }
 
 /// What the advice is computed from.
-struct Projection<'a> {
+struct CostBenefitModel<'a> {
     leader: &'a LeaderState,
     cluster: &'a ClusterConfig,
     now: Micros,
     market: Market,
     /// Classes that have work waiting which may use spot machines, and whether they must not wait.
-    must_not_wait: BTreeMap<&'a str, bool>,
+    latency_sensitive: BTreeMap<&'a str, bool>,
     /// Value of meeting objectives in all, for a second.
     value_per_s: f64,
 }
 
-impl<'a> Projection<'a> {
+impl<'a> CostBenefitModel<'a> {
     /// `None` if nothing that waits is worth a projection.
-    fn new(leader: &'a LeaderState, cluster: &'a ClusterConfig, now: Micros) -> Option<Projection<'a>> {
+    fn new(leader: &'a LeaderState, cluster: &'a ClusterConfig, now: Micros) -> Option<CostBenefitModel<'a>> {
         let market = Market::of(leader, cluster)?;
-        let mut must_not_wait: BTreeMap<&str, bool> = BTreeMap::new();
+        let mut latency_sensitive: BTreeMap<&str, bool> = BTreeMap::new();
         for job in leader.jobs.values().filter(|j| j.spec.spot && !j.waiting.is_empty()) {
             let class = job.spec.class.as_str();
-            must_not_wait
+            latency_sensitive
                 .entry(class)
-                .or_insert_with(|| leader.must_not_wait(cluster, class, now));
+                .or_insert_with(|| leader.is_latency_sensitive(cluster, class, now));
         }
-        if !must_not_wait.values().any(|must_not_wait| *must_not_wait) {
+        if !latency_sensitive.values().any(|is_sensitive| *is_sensitive) {
             return None;
         }
         let value_per_s = value_per_s(leader, cluster, &market);
-        Some(Projection {
+        Some(CostBenefitModel {
             leader,
             cluster,
             now,
             market,
-            must_not_wait,
+            latency_sensitive,
             value_per_s,
         })
     }
@@ -216,7 +216,7 @@
 
     /// Value of one job of the class meeting the objective.
     fn value(&self, class: &str, objective: &JobObjective) -> f64 {
-        if !self.must_not_wait.get(class).copied().unwrap_or(false) {
+        if !self.latency_sensitive.get(class).copied().unwrap_or(false) {
             return 0.0;
         }
         let jobs_per_s = self.leader.slo.inflow(class, self.now).jobs_per_s;
@@ -260,11 +260,11 @@
             if cores <= 0.0 {
                 continue;
             }
-            let work = Work {
+            let work = QueueEntry {
                 cores,
                 run_s: self.hold_s(job),
-                from_s: 0.0,
-                dues: vec![],
+                arrival_s: 0.0,
+                deadlines: vec![],
             };
             self.add_waiting(&mut queue, waiting_job, work);
         }
@@ -278,18 +278,18 @@
     }
 
     /// Adds what waits of one job, merged with what is alike.
-    fn add_waiting(&self, queue: &mut Queue<'a>, waiting_job: &WaitingJob<'a>, mut work: Work) {
+    fn add_waiting(&self, queue: &mut Queue<'a>, waiting_job: &WaitingJob<'a>, mut work: QueueEntry) {
         let job = waiting_job.job;
         let age_s = self.now.since(job.arrived_at).secs();
-        let (dues, objectives) = self.start_times(job, work.run_s, age_s);
-        let merge_key = (work.cores <= MERGED_CORES).then(|| MergeKey {
+        let (deadlines, objectives) = self.start_times(job, work.run_s, age_s);
+        let merge_key = (work.cores <= MAX_MERGED_CORES).then(|| MergeKey {
             priority: job.priority,
             is_guaranteed: waiting_job.is_guaranteed,
             class: &job.spec.class,
-            arrival_step: (age_s / MERGED_ARRIVALS_S) as u64,
-            dues: dues.len(),
+            arrival_step: (age_s / MERGE_STEP_S) as u64,
+            deadlines: deadlines.len(),
         });
-        work.dues = dues;
+        work.deadlines = deadlines;
         let member = Member {
             job: job.id.clone(),
             objectives,
@@ -299,8 +299,8 @@
 
     /// By when the job's last task has to start for each objective that it can still meet, and the
     /// numbers of these objectives. If it can meet none, one time in place of all.
-    fn start_times(&self, job: &Job, hold_s: f64, age_s: f64) -> (Vec<Due>, Vec<usize>) {
-        let mut dues: Vec<Due> = vec![];
+    fn start_times(&self, job: &Job, hold_s: f64, age_s: f64) -> (Vec<Deadline>, Vec<usize>) {
+        let mut deadlines: Vec<Deadline> = vec![];
         let mut numbers = vec![];
         let mut max_value: f64 = 0.0;
         for objective in job.objectives.iter().flatten() {
@@ -309,17 +309,17 @@
             let before_s = if objective.starts { self.fetch_s(job) } else { hold_s };
             let start_by_s = objective.due_s - age_s - before_s;
             if start_by_s >= 0.0 {
-                dues.push(Due { start_by_s, value });
+                deadlines.push(Deadline { start_by_s, value });
                 numbers.push(objective.number);
             }
         }
-        if dues.is_empty() {
-            dues.push(Due {
+        if deadlines.is_empty() {
+            deadlines.push(Deadline {
                 start_by_s: ALL_MISSED_START_S,
-                value: max_value * ALL_MISSED_WORTH,
+                value: max_value * ALL_MISSED_VALUE_FACTOR,
             });
         }
-        (dues, numbers)
+        (deadlines, numbers)
     }
 
     /// Adds the arrivals that are expected meanwhile, which take their part of the capacity; the
@@ -338,22 +338,22 @@
         for (class, job) in youngest {
             let inflow = self.leader.slo.inflow(class, self.now);
             let run_s = inflow.run_s * self.leader.slo.bias(class) + self.fetch_s(job);
-            let mut from_s = EXPECTED_STEP_S / 2.0;
-            while from_s < EXPECTED_S {
-                let dues = job.objectives.iter().flatten().map(|objective| {
+            let mut arrival_s = EXPECTED_STEP_S / 2.0;
+            while arrival_s < EXPECTED_HORIZON_S {
+                let deadlines = job.objectives.iter().flatten().map(|objective| {
                     let before_s = if objective.starts { self.fetch_s(job) } else { run_s };
-                    Due {
-                        start_by_s: from_s + objective.due_s - before_s,
+                    Deadline {
+                        start_by_s: arrival_s + objective.due_s - before_s,
                         value: self.value(class, objective) * inflow.jobs_per_s * EXPECTED_STEP_S,
                     }
                 });
-                queue.entries.push(Work {
+                queue.entries.push(QueueEntry {
                     cores: inflow.cores_per_s * EXPECTED_STEP_S,
                     run_s,
-                    from_s,
-                    dues: dues.collect(),
+                    arrival_s,
+                    deadlines: deadlines.collect(),
                 });
-                from_s += EXPECTED_STEP_S;
+                arrival_s += EXPECTED_STEP_S;
             }
         }
     }
@@ -362,7 +362,7 @@
     fn supply(&self, reserved_cores: f64) -> Supply {
         let mut supply = Supply {
             free_cores: -reserved_cores,
-            arrivals: vec![],
+            upcoming: vec![],
         };
         let zones = &self.leader.failures.zones;
         let silence = LeaderState::work_silence(self.cluster);
@@ -371,29 +371,29 @@
                 continue;
             };
             if machine.state == MachineState::Booting {
-                supply.arrivals.push(self.booting_cores(machine, machine_type));
+                supply.upcoming.push(self.booting_cores(machine, machine_type));
             } else if machine.accepts_work(self.now, silence) {
                 supply.free_cores += machine_type.cpus - machine.used.cpus;
                 self.add_cores_of_running_tasks(&mut supply, machine);
             }
         }
-        let claims = self.leader.provisioning.coming();
+        let claims = self.leader.provisioning.unanswered_claims();
         for claim in claims.filter(|c| !zones.is_cut(&c.zone)) {
             if let Some(machine_type) = self.cluster.catalogue.get(&claim.machine_type) {
                 let cores = machine_type.cpus * f64::from(claim.count);
                 let at_s = machine_type.boot_s * BOOT_FACTOR;
-                supply.arrivals.push(Arrival { at_s, cores });
+                supply.upcoming.push(FutureCapacity { at_s, cores });
             }
         }
         supply
     }
 
     /// When a booting machine is ready, and with how many cores it is counted.
-    fn booting_cores(&self, machine: &Machine, machine_type: &MachineType) -> Arrival {
+    fn booting_cores(&self, machine: &Machine, machine_type: &MachineType) -> FutureCapacity {
         let age = self.now.since(machine.known_since);
         let profile = self.leader.provisioning.boot_times.profile(machine);
         let counted = profile.counted_share(age, machine_type.boot_s);
-        Arrival {
+        FutureCapacity {
             at_s: (machine_type.boot_s * BOOT_FACTOR - age.secs()).max(1.0),
             cores: machine_type.cpus * counted,
         }
@@ -410,7 +410,7 @@
             };
             let ran_s = self.now.since(placement.placed_at).secs();
             let remaining_s = (self.hold_s(job) - ran_s).max(MIN_REMAINING_S);
-            supply.arrivals.push(Arrival {
+            supply.upcoming.push(FutureCapacity {
                 at_s: remaining_s,
                 cores: job.spec.cpus,
             });
@@ -452,10 +452,10 @@
     priority: Priority,
     is_guaranteed: bool,
     class: &'a str,
-    /// Age of the jobs in steps of [`MERGED_ARRIVALS_S`].
+    /// Age of the jobs in steps of [`MERGE_STEP_S`].
     arrival_step: u64,
     /// How many times by which to start they have.
-    dues: usize,
+    deadlines: usize,
 }
 
 /// A job that is part of an entry.
@@ -468,7 +468,7 @@
 /// The queue that is projected.
 #[derive(Default)]
 struct Queue<'a> {
-    entries: Vec<Work>,
+    entries: Vec<QueueEntry>,
     /// The jobs of each entry; expected arrivals, at the end of the entries, have none.
     members: Vec<Vec<Member>>,
     mergeable: BTreeMap<MergeKey<'a>, usize>,
@@ -477,14 +477,14 @@
 impl<'a> Queue<'a> {
     /// Merges work into the entry with its key, or into the last one if there are enough entries;
     /// else makes a new entry.
-    fn add(&mut self, merge_key: Option<MergeKey<'a>>, work: Work, member: Member) {
-        let alike = merge_key.as_ref().and_then(|key| self.mergeable.get(key).copied());
+    fn add(&mut self, merge_key: Option<MergeKey<'a>>, work: QueueEntry, member: Member) {
+        let matching = merge_key.as_ref().and_then(|key| self.mergeable.get(key).copied());
         let is_full = self.entries.len() >= MAX_ENTRIES;
-        if let Some(index) = alike.or(is_full.then(|| self.entries.len() - 1)) {
+        if let Some(index) = matching.or(is_full.then(|| self.entries.len() - 1)) {
             let entry = &mut self.entries[index];
             entry.cores += work.cores;
-            for (sum, due) in entry.dues.iter_mut().zip(&work.dues) {
-                sum.value += due.value;
+            for (sum, deadline) in entry.deadlines.iter_mut().zip(&work.deadlines) {
+                sum.value += deadline.value;
             }
             self.members[index].push(member);
             return;
@@ -497,11 +497,11 @@
     }
 
     /// The objectives behind these times.
-    fn commitments(&self, met: &[MetDue]) -> Vec<Commitment> {
+    fn commitments(&self, met: &[MetDeadline]) -> Vec<Commitment> {
         let mut commitments = vec![];
-        for MetDue { work, due } in met {
-            for member in self.members.get(*work).into_iter().flatten() {
-                commitments.extend(member.objectives.get(*due).map(|objective| Commitment {
+        for MetDeadline { entry, deadline } in met {
+            for member in self.members.get(*entry).into_iter().flatten() {
+                commitments.extend(member.objectives.get(*deadline).map(|objective| Commitment {
                     job: member.job.clone(),
                     objective: *objective,
                 }));
--- a/src/coordination/provisioning/demand.rs
+++ b/src/coordination/provisioning/demand.rs
@@ -28,12 +28,12 @@
 /// Cores by sort of rental: of work that needs on-demand machines and of work that may use spot
 /// machines, or of on-demand machines and of spot machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct CoresByRental {
+pub(super) struct CoresByCapacityType {
     pub(super) on_demand: f64,
     pub(super) spot: f64,
 }
 
-impl CoresByRental {
+impl CoresByCapacityType {
     /// Cores of both sorts.
     pub(super) fn total(&self) -> f64 {
         self.on_demand + self.spot
@@ -51,8 +51,8 @@
 /// What one team holds and waits for.
 #[derive(Default)]
 struct TeamDemand {
-    held: CoresByRental,
-    waiting: CoresByRental,
+    held: CoresByCapacityType,
+    waiting: CoresByCapacityType,
 }
 
 /// What the backlog of work that may use spot machines and has time adds up to, in cores.
@@ -65,28 +65,28 @@
     /// Freed while a machine boots.
     freed: f64,
     /// Held and waiting with low priority.
-    low: f64,
+    low_priority: f64,
     /// Held and waiting in all.
     total: f64,
     /// Held and waiting of other work, which must not wait.
-    urgent: f64,
+    latency_sensitive: f64,
 }
 
 impl Backlog {
     /// Cores that the backlog needs.
     fn needed_cores(&self) -> f64 {
-        let least = (self.total - self.low).max(0.0) / BACKLOG_FACTOR;
+        let minimum = (self.total - self.low_priority).max(0.0) / BACKLOG_FACTOR;
         if self.in_time > self.freed {
-            least.max((self.held + self.in_time - self.freed).min(self.total))
+            minimum.max((self.held + self.in_time - self.freed).min(self.total))
         } else {
-            least
+            minimum
         }
     }
 }
 
 impl LeaderState {
     /// Cores that work holds and waits for, as far as the teams' limits let it run.
-    pub(super) fn demand(&self, cluster: &ClusterConfig, now: Micros) -> CoresByRental {
+    pub(super) fn demand(&self, cluster: &ClusterConfig, now: Micros) -> CoresByCapacityType {
         let mut by_team: BTreeMap<&str, TeamDemand> = BTreeMap::new();
         for job in self.jobs.values() {
             let cores = effective_cores(&job.spec, cluster);
@@ -95,7 +95,7 @@
             *team.held.of_mut(job.spec.spot) += f64::from(job.held_tasks) * cores;
             *team.waiting.of_mut(job.spec.spot) += waiting * cores;
         }
-        let mut demand = CoresByRental::default();
+        let mut demand = CoresByCapacityType::default();
         for (team, TeamDemand { held, waiting }) in by_team {
             let left_of_limit = (cluster.limits(team).0 - held.on_demand - held.spot).max(0.0);
             let waiting_on_demand = waiting.on_demand.min(left_of_limit);
@@ -113,8 +113,8 @@
         cluster: &ClusterConfig,
         had_agent_contact: bool,
         now: Micros,
-    ) -> CoresByRental {
-        let mut supply = CoresByRental::default();
+    ) -> CoresByCapacityType {
+        let mut supply = CoresByCapacityType::default();
         for machine in self.machines.values() {
             let Some(machine_type) = cluster.catalogue.get(&machine.machine_type) else {
                 continue;
@@ -130,7 +130,7 @@
                 *supply.of_mut(machine.spot) += machine_type.cpus * counted;
             }
         }
-        let claims = self.provisioning.coming();
+        let claims = self.provisioning.unanswered_claims();
         for claim in claims.filter(|c| !self.failures.zones.is_cut(&c.zone)) {
             if let Some(machine_type) = cluster.catalogue.get(&claim.machine_type) {
                 *supply.of_mut(claim.spot) += machine_type.cpus * f64::from(claim.count);
@@ -161,32 +161,32 @@
         let boot_times_s: Vec<f64> = cluster.catalogue.values().map(|t| t.boot_s).collect();
         let mean_boot_s = boot_times_s.iter().sum::<f64>() / boot_times_s.len().max(1) as f64;
         let mut backlog = Backlog::default();
-        let mut must_not_wait: BTreeMap<&str, bool> = BTreeMap::new();
+        let mut latency_sensitive: BTreeMap<&str, bool> = BTreeMap::new();
         for job in self.jobs.values().filter(|j| j.spec.spot) {
             let class = job.spec.class.as_str();
-            let is_urgent = *must_not_wait
+            let is_class_sensitive = *latency_sensitive
                 .entry(class)
-                .or_insert_with(|| self.must_not_wait(cluster, class, now));
-            if is_urgent {
+                .or_insert_with(|| self.is_latency_sensitive(cluster, class, now));
+            if is_class_sensitive {
                 let cores = effective_cores(&job.spec, cluster);
                 let held = f64::from(job.held_tasks) * cores;
-                backlog.urgent += held + waiting_demand(cluster, job, now) * cores;
+                backlog.latency_sensitive += held + waiting_demand(cluster, job, now) * cores;
             } else {
                 add_to_backlog(&mut backlog, cluster, job, mean_boot_s, now);
             }
         }
-        backlog.needed_cores() - (available_cores - backlog.urgent).max(0.0)
+        backlog.needed_cores() - (available_cores - backlog.latency_sensitive).max(0.0)
     }
 
     /// Cores held in zones that are cut off by work that is not to be moved yet.
-    pub(super) fn cores_staying_in_cut_zones(&self, cluster: &ClusterConfig, now: Micros) -> CoresByRental {
+    pub(super) fn cores_staying_in_cut_zones(&self, cluster: &ClusterConfig, now: Micros) -> CoresByCapacityType {
         let evacuations: BTreeMap<&str, Evacuation> = self
             .machines
             .values()
             .filter(|m| self.failures.zones.is_cut(&m.zone))
             .map(|m| (&*m.zone, self.evacuation(cluster, &m.zone, now)))
             .collect();
-        let mut staying = CoresByRental::default();
+        let mut staying = CoresByCapacityType::default();
         for machine in self.machines.values() {
             let Some(evacuation) = evacuations.get(&*machine.zone) else {
                 continue;
@@ -230,7 +230,7 @@
         backlog.in_time += task_demand(cluster, job, now) * cores;
     }
     if job.priority == Priority::Low {
-        backlog.low += held + task_demand(cluster, job, now) * cores;
+        backlog.low_priority += held + task_demand(cluster, job, now) * cores;
     }
 }
 
--- a/src/coordination/provisioning/failed_machines.rs
+++ b/src/coordination/provisioning/failed_machines.rs
@@ -20,7 +20,7 @@
 
 /// Why a machine is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum GiveUpReason {
+enum ReleaseReason {
     NeverBooted,
     WorkFitsElsewhere,
     ServicesFitElsewhere,
@@ -29,20 +29,20 @@
     CancelledTaskNotStopped,
 }
 
-impl GiveUpReason {
+impl ReleaseReason {
     fn as_str(self) -> &'static str {
         match self {
-            GiveUpReason::NeverBooted => "it never booted",
-            GiveUpReason::WorkFitsElsewhere => "its zone is cut off, and its work fits elsewhere",
-            GiveUpReason::ServicesFitElsewhere => "it is silent, and its services fit elsewhere",
-            GiveUpReason::Silent => "it is silent",
-            GiveUpReason::Interrupted => "the cloud took it back",
-            GiveUpReason::CancelledTaskNotStopped => "it keeps a cancelled task",
+            ReleaseReason::NeverBooted => "it never booted",
+            ReleaseReason::WorkFitsElsewhere => "its zone is cut off, and its work fits elsewhere",
+            ReleaseReason::ServicesFitElsewhere => "it is silent, and its services fit elsewhere",
+            ReleaseReason::Silent => "it is silent",
+            ReleaseReason::Interrupted => "the cloud took it back",
+            ReleaseReason::CancelledTaskNotStopped => "it keeps a cancelled task",
         }
     }
 }
 
-impl fmt::Display for GiveUpReason {
+impl fmt::Display for ReleaseReason {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(self.as_str())
     }
@@ -84,13 +84,13 @@
     pub fn release_failed_machines(&mut self, cluster: &ClusterConfig, now: Micros) {
         self.provisioning.boot_times.update(cluster, &self.machines, now);
         let check = FailureCheck::new(self, cluster, now);
-        let given_up: Vec<(MachineId, GiveUpReason)> = self
+        let to_release: Vec<(MachineId, ReleaseReason)> = self
             .machines
             .values()
             .filter(|m| m.state != MachineState::Releasing)
-            .filter_map(|m| Some((m.name.clone(), check.give_up_reason(m)?)))
+            .filter_map(|m| Some((m.name.clone(), check.release_reason(m)?)))
             .collect();
-        for (name, reason) in given_up {
+        for (name, reason) in to_release {
             let Some(machine) = self.machines.get_mut(&name) else {
                 continue;
             };
@@ -110,12 +110,12 @@
 
     /// Machines on which tasks of cancelled jobs have not stopped though they should have.
     fn machines_with_unstopped_tasks(&self, cluster: &ClusterConfig, now: Micros) -> BTreeSet<MachineId> {
-        let patience = Micros::from_secs(cluster.settings.params.workers.cancel_s * 0.5);
+        let stop_timeout = Micros::from_secs(cluster.settings.params.workers.cancel_s * 0.5);
         self.jobs
             .values()
             .filter(|j| j.cancelled_at.is_some())
             .flat_map(|j| j.placements.values())
-            .filter(|p| now.since(p.stop_requested_at) > patience)
+            .filter(|p| now.since(p.stop_requested_at) > stop_timeout)
             .map(|p| p.machine.clone())
             .collect()
     }
@@ -124,24 +124,24 @@
     /// the controller than about the machines. `None` in the set is this controller.
     fn unreliable_controllers(&self, silent: Micros, now: Micros) -> BTreeSet<Option<Rc<str>>> {
         #[derive(Default)]
-        struct ControllerView {
+        struct MachineCounts {
             machines: usize,
             silent: usize,
         }
-        let mut by_controller: BTreeMap<Option<Rc<str>>, ControllerView> = BTreeMap::new();
+        let mut by_controller: BTreeMap<Option<Rc<str>>, MachineCounts> = BTreeMap::new();
         // A zone that is cut off says nothing about the controller that was in contact with it.
         let is_cut = |m: &Machine| self.failures.zones.is_cut(&m.zone);
         let up = self.machines.values().filter(|m| m.state == MachineState::Up);
         for machine in up.filter(|m| !is_cut(m)) {
             let counts_from = self.silence_counts_from(machine, now);
             let last_contact = machine.last_heartbeat.max(machine.last_proxied_at).max(counts_from);
-            let view = by_controller.entry(machine.heartbeat_proxy.clone()).or_default();
-            view.machines += 1;
-            view.silent += usize::from(now.since(last_contact) > silent);
+            let counts = by_controller.entry(machine.heartbeat_proxy.clone()).or_default();
+            counts.machines += 1;
+            counts.silent += usize::from(now.since(last_contact) > silent);
         }
         by_controller
             .into_iter()
-            .filter(|(_, view)| view.silent >= MIN_SILENT && view.silent * 2 > view.machines)
+            .filter(|(_, counts)| counts.silent >= MIN_SILENT && counts.silent * 2 > counts.machines)
             .map(|(controller, _)| controller)
             .collect()
     }
@@ -194,9 +194,10 @@
 
     /// How long a machine has been silent, if its silence says something about it alone.
     fn silence_by_itself(&self, machine: &Machine) -> Option<Micros> {
-        let is_alone = !self.is_cut(machine) && !self.has_unreliable_controller(machine) && !self.is_proxied(machine);
+        let is_independent =
+            !self.is_cut(machine) && !self.has_unreliable_controller(machine) && !self.is_proxied(machine);
         let counts_from = self.leader.silence_counts_from(machine, self.now);
-        is_alone.then(|| self.now.since(machine.last_heartbeat.max(counts_from)))
+        is_independent.then(|| self.now.since(machine.last_heartbeat.max(counts_from)))
     }
 
     /// How long a machine has been silent for this decision.
@@ -204,16 +205,16 @@
         let counts_from = self.leader.silence_counts_from(machine, self.now);
         // What another controller has contact with runs on, but nothing that ends there can be
         // recorded: a short cut is sat out, a long one is not.
-        let max_cut = timing::proxied_machine(&self.cluster.settings.params.workers);
-        let is_sat_out = self.now.since(machine.last_heartbeat.max(counts_from)) < max_cut;
-        let proxied_at = if is_sat_out {
+        let max_proxied = timing::proxied_machine(&self.cluster.settings.params.workers);
+        let is_tolerated = self.now.since(machine.last_heartbeat.max(counts_from)) < max_proxied;
+        let proxied_at = if is_tolerated {
             machine.last_proxied_at
         } else {
             Micros::ZERO
         };
         // In a zone that is cut off, leases run from the last heartbeat.
-        let lease_runs = self.is_cut(machine) && machine.last_heartbeat > Micros::ZERO;
-        let counts_from = if lease_runs { Micros::ZERO } else { counts_from };
+        let is_lease_running = self.is_cut(machine) && machine.last_heartbeat > Micros::ZERO;
+        let counts_from = if is_lease_running { Micros::ZERO } else { counts_from };
         self.now.since(machine.last_heartbeat.max(proxied_at).max(counts_from))
     }
 
@@ -240,17 +241,17 @@
         machine.service_tasks > 0 && self.is_cut(machine) && peers.any(|p| p.zone == machine.zone)
     }
 
-    fn give_up_reason(&self, machine: &Machine) -> Option<GiveUpReason> {
+    fn release_reason(&self, machine: &Machine) -> Option<ReleaseReason> {
         let reason = match machine.state {
             MachineState::Booting if machine.tasks.is_empty() => {
-                self.has_never_booted(machine).then_some(GiveUpReason::NeverBooted)
+                self.has_never_booted(machine).then_some(ReleaseReason::NeverBooted)
             }
-            _ => self.failure_of_booted(machine),
+            _ => self.failure_after_boot(machine),
         };
         // A controller that has contact with a machine stops cancelled tasks there itself.
         let is_proxied_now = self.now.since(machine.last_proxied_at) < timing::PROXY_ANNOUNCEMENT;
         let has_unstopped_task = !is_proxied_now && self.with_unstopped_tasks.contains(&machine.name);
-        reason.or(has_unstopped_task.then_some(GiveUpReason::CancelledTaskNotStopped))
+        reason.or(has_unstopped_task.then_some(ReleaseReason::CancelledTaskNotStopped))
     }
 
     fn has_never_booted(&self, machine: &Machine) -> bool {
@@ -259,25 +260,25 @@
         let profile = self.leader.provisioning.boot_times.profile(machine);
         // To a new leader all machines are booting until their first heartbeat.
         let had_agent_contact = self.now.since(self.leader.listening_since) > self.silent;
-        profile.is_dead(self.now.since(machine.known_since), boot_s) && had_agent_contact
+        profile.has_likely_failed(self.now.since(machine.known_since), boot_s) && had_agent_contact
     }
 
-    fn failure_of_booted(&self, machine: &Machine) -> Option<GiveUpReason> {
+    fn failure_after_boot(&self, machine: &Machine) -> Option<ReleaseReason> {
         let workers = &self.cluster.settings.params.workers;
         let silence = self.silence(machine);
         let max_silence = self.max_silence(machine);
-        let is_believed = self.is_cut(machine)
+        let is_conclusive = self.is_cut(machine)
             || !self.has_unreliable_controller(machine)
             || silence > max_silence + Micros::from_secs(workers.lease_s);
         let is_interrupted = machine.interruption_at.is_some_and(|at| self.now > at);
         if self.leaving_cut_zones.contains(&machine.name) {
-            Some(GiveUpReason::WorkFitsElsewhere)
+            Some(ReleaseReason::WorkFitsElsewhere)
         } else if self.early_failures.contains(&machine.name) {
-            Some(GiveUpReason::ServicesFitElsewhere)
-        } else if silence > max_silence && is_believed {
-            Some(GiveUpReason::Silent)
+            Some(ReleaseReason::ServicesFitElsewhere)
+        } else if silence > max_silence && is_conclusive {
+            Some(ReleaseReason::Silent)
         } else if is_interrupted && silence > Micros::from_secs(workers.report_s * 1.5 + 1.0) {
-            Some(GiveUpReason::Interrupted)
+            Some(ReleaseReason::Interrupted)
         } else {
             None
         }
--- a/src/coordination/provisioning/scale_in.rs
+++ b/src/coordination/provisioning/scale_in.rs
@@ -6,17 +6,17 @@
 
 use super::super::state::{LeaderState, Machine, MachineState};
 use super::super::{timing, ClusterConfig};
-use super::demand::CoresByRental;
+use super::demand::CoresByCapacityType;
 use crate::time::Micros;
 
 impl LeaderState {
     /// Returns idle machines, as long as the others supply what is wanted.
-    pub(super) fn return_idle(
+    pub(super) fn release_idle(
         &mut self,
         cluster: &ClusterConfig,
         now: Micros,
-        wanted: CoresByRental,
-        mut supply: CoresByRental,
+        target: CoresByCapacityType,
+        mut supply: CoresByCapacityType,
     ) {
         let min_idle = Micros::from_secs(cluster.settings.operator.idle_s);
         for machine in self.machines.values_mut() {
@@ -41,7 +41,7 @@
             }
             let of_rental = *supply.of_mut(machine.spot) - machine_type.cpus;
             let total = supply.total() - machine_type.cpus;
-            let is_spare = total >= wanted.total() && (machine.spot || of_rental >= wanted.on_demand);
+            let is_spare = total >= target.total() && (machine.spot || of_rental >= target.on_demand);
             if is_spare {
                 tracing::debug!(machine = %machine.name, "idle machine returned");
                 *supply.of_mut(machine.spot) = of_rental;
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -20,9 +20,9 @@
 /// Claims that are not answered yet at a time.
 const MAX_OPEN_CLAIMS: usize = 16;
 /// An offer that costs less than this part of another is cheaper.
-const CHEAPER: f64 = 0.97;
+const CHEAPER_RATIO: f64 = 0.97;
 /// An offer that costs less than this many times another is taken to cost no more.
-const SIMILAR: f64 = 1.03;
+const SIMILAR_RATIO: f64 = 1.03;
 
 /// Cores to be rented.
 pub(super) struct Rental<'a> {
@@ -40,7 +40,7 @@
     }
 
     /// How many machines of a type the cores take, at least one.
-    fn machines(&self, machine_type: &MachineType) -> f64 {
+    fn machine_count(&self, machine_type: &MachineType) -> f64 {
         (self.cores / machine_type.cpus.max(1.0)).ceil().max(1.0)
     }
 
@@ -51,7 +51,7 @@
         } else {
             machine_type.price
         };
-        price * self.machines(machine_type) / self.cores.max(1.0)
+        price * self.machine_count(machine_type) / self.cores.max(1.0)
     }
 }
 
@@ -68,8 +68,8 @@
     /// Cheaper; or similar, and smaller or in a zone with fewer machines.
     fn is_better_than(&self, other: &ZoneOffer) -> bool {
         let (cost, cpus) = (self.cost_per_core, self.machine_type.cpus);
-        let is_similar = cost < other.cost_per_core * SIMILAR;
-        cost < other.cost_per_core * CHEAPER
+        let is_similar = cost < other.cost_per_core * SIMILAR_RATIO;
+        cost < other.cost_per_core * CHEAPER_RATIO
             || (is_similar && cpus < other.machine_type.cpus)
             || (is_similar && cpus <= other.machine_type.cpus && self.machines_in_zone < other.machines_in_zone)
     }
@@ -90,7 +90,7 @@
     /// Claims machines for a rental; false if there is no offer for it now. With too many claims
     /// open it waits for them, and counts as claimed.
     pub(super) fn rent_where(&mut self, cluster: &ClusterConfig, now: Micros, rental: &Rental) -> bool {
-        if self.provisioning.coming().count() >= MAX_OPEN_CLAIMS {
+        if self.provisioning.unanswered_claims().count() >= MAX_OPEN_CLAIMS {
             return true;
         }
         let Some(offer) = self.best_offer(cluster, now, rental) else {
@@ -171,7 +171,7 @@
             id,
             value,
             state: ClaimState::Unrecorded,
-            page: None,
+            segment: None,
             retry_at: now,
         });
     }
--- a/src/coordination/provisioning/scaling.rs
+++ b/src/coordination/provisioning/scaling.rs
@@ -3,19 +3,19 @@
 
 use super::super::state::LeaderState;
 use super::super::ClusterConfig;
-use super::demand::CoresByRental;
+use super::demand::CoresByCapacityType;
 use super::Provisioning;
 use crate::time::Micros;
 
 /// Half life of the average demand of work that may use spot machines, in seconds.
 const AVERAGE_HALF_LIFE_S: f64 = 20.0;
 /// Missing cores from which on spot machines are rented.
-const MIN_MISSING_SPOT: f64 = 1.0;
+const MIN_MISSING_SPOT_CORES: f64 = 1.0;
 /// Cores from which on a rental of on-demand machines is worth its request.
-const MIN_ON_DEMAND: f64 = 0.5;
+const MIN_ON_DEMAND_CORES: f64 = 0.5;
 /// The pause before cost and benefit are considered again, after a rental and otherwise.
-const PAUSE_AFTER_RENTAL: Micros = Micros::from_millis(250);
-const PAUSE: Micros = Micros::from_millis(1000);
+const COST_BENEFIT_INTERVAL_AFTER_RENTAL: Micros = Micros::from_millis(250);
+const COST_BENEFIT_INTERVAL: Micros = Micros::from_millis(1000);
 
 impl Provisioning {
     /// Lets the average demand of work that may use spot machines follow the present one.
@@ -34,22 +34,22 @@
         self.provisioning.update_average(demand.spot, now);
         // A new leader knows from the log only the names of machines with tasks. Before the list
         // or heartbeats describe the machines, it would rent all that is there a second time.
-        let patience = Micros::from_secs(cluster.settings.params.workers.report_s * 1.5 + 2.0);
-        let had_agent_contact = now.since(self.started_at) > patience;
+        let contact_timeout = Micros::from_secs(cluster.settings.params.workers.report_s * 1.5 + 2.0);
+        let had_agent_contact = now.since(self.started_at) > contact_timeout;
         if !self.provisioning.has_listed && !had_agent_contact {
             return;
         }
-        let wanted = self.wanted_cores(cluster, demand, now);
+        let target = self.target_cores(cluster, demand, now);
         let supply = self.supplied_cores(cluster, had_agent_contact, now);
-        self.scale_out(cluster, now, wanted, supply);
-        let is_enough_in_all = supply.total() >= demand.total();
-        self.rent_for_stuck_jobs(cluster, now, is_enough_in_all);
-        self.return_idle(cluster, now, wanted, supply);
+        self.scale_out(cluster, now, target, supply);
+        let is_total_sufficient = supply.total() >= demand.total();
+        self.rent_for_stuck_jobs(cluster, now, is_total_sufficient);
+        self.release_idle(cluster, now, target, supply);
     }
 
     /// Cores that there should be: the demand with its reserve and headroom, less what runs on in
     /// zones that are cut off, which is not replaced yet.
-    fn wanted_cores(&self, cluster: &ClusterConfig, demand: CoresByRental, now: Micros) -> CoresByRental {
+    fn target_cores(&self, cluster: &ClusterConfig, demand: CoresByCapacityType, now: Micros) -> CoresByCapacityType {
         let headroom = 1.0 + cluster.settings.operator.headroom;
         let on_demand = if demand.on_demand > 0.0 {
             demand.on_demand + self.service_reserve()
@@ -58,7 +58,7 @@
         };
         let staying = self.cores_staying_in_cut_zones(cluster, now);
         let spot = demand.spot.max(self.provisioning.average_spot_demand * headroom);
-        CoresByRental {
+        CoresByCapacityType {
             on_demand: (on_demand - staying.on_demand).max(0.0),
             spot: (spot - staying.spot).max(0.0),
         }
@@ -66,14 +66,20 @@
 
     /// Rents what is missing: spot machines for work that may use them or, if there are none, as
     /// many on-demand machines as are worth it.
-    fn scale_out(&mut self, cluster: &ClusterConfig, now: Micros, wanted: CoresByRental, supply: CoresByRental) {
-        let missing_on_demand = wanted.on_demand - supply.on_demand;
+    fn scale_out(
+        &mut self,
+        cluster: &ClusterConfig,
+        now: Micros,
+        target: CoresByCapacityType,
+        supply: CoresByCapacityType,
+    ) {
+        let missing_on_demand = target.on_demand - supply.on_demand;
         if missing_on_demand > 0.0 {
             self.rent(cluster, now, false, missing_on_demand);
         }
-        let spare_on_demand = (supply.on_demand - wanted.on_demand).max(0.0);
-        let missing_spot = wanted.spot - spare_on_demand - supply.spot;
-        if missing_spot <= MIN_MISSING_SPOT {
+        let spare_on_demand = (supply.on_demand - target.on_demand).max(0.0);
+        let missing_spot = target.spot - spare_on_demand - supply.spot;
+        if missing_spot <= MIN_MISSING_SPOT_CORES {
             return;
         }
         let is_waiting = self
@@ -98,11 +104,15 @@
         let advice = self.on_demand_cost_benefit(cluster, reserved_cores, now);
         let shortfall = self.backlog_shortfall(cluster, available_cores, now);
         let cores = advice.cores.max(shortfall);
-        let has_rented = cores > MIN_ON_DEMAND && self.rent(cluster, now, false, cores);
+        let has_rented = cores > MIN_ON_DEMAND_CORES && self.rent(cluster, now, false, cores);
         if has_rented {
             self.record_commitments(advice.commitments);
         }
-        let pause = if has_rented { PAUSE_AFTER_RENTAL } else { PAUSE };
+        let pause = if has_rented {
+            COST_BENEFIT_INTERVAL_AFTER_RENTAL
+        } else {
+            COST_BENEFIT_INTERVAL
+        };
         self.provisioning.next_cost_benefit_at = now + pause;
     }
 }
--- a/src/coordination/provisioning/stuck.rs
+++ b/src/coordination/provisioning/stuck.rs
@@ -11,15 +11,15 @@
 use std::collections::BTreeMap;
 
 /// How long a job with a rule about zones or machine types is stuck before machines are rented.
-const PATIENCE_IF_BOUND_S: f64 = 2.0;
+const STUCK_AFTER_IF_CONSTRAINED_S: f64 = 2.0;
 /// The same for other jobs.
-const PATIENCE_S: f64 = 6.0;
+const STUCK_AFTER_S: f64 = 6.0;
 /// Missing cores from which on a machine is rented.
-const MIN_MISSING: f64 = 0.5;
+const MIN_MISSING_CORES: f64 = 0.5;
 
 /// A job that fits on no machine.
 struct StuckJob {
-    version: u64,
+    acceptance_revision: u64,
     spec: JobSpec,
     /// Zones where its next task may start; `None`: any.
     open_zones: Option<Vec<String>>,
@@ -44,22 +44,22 @@
 }
 
 /// Machines of one sort that are booting or claimed.
-struct ComingCores {
+struct PendingCores {
     machine_type: String,
     zone: String,
     spot: bool,
     /// Cores that no stuck job has been given yet.
-    left: f64,
+    unassigned: f64,
 }
 
 impl LeaderState {
     /// Rents one machine for a stuck job for which nothing is on its way. One at a time: what waits
-    /// moves on as others exit. `is_enough_in_all`: whether there are cores enough in all; if not,
+    /// moves on as others exit. `is_total_sufficient`: whether there are cores enough in all; if not,
     /// the regular decision rents, except for jobs with a rule about zones or machine types.
-    pub(super) fn rent_for_stuck_jobs(&mut self, cluster: &ClusterConfig, now: Micros, is_enough_in_all: bool) {
-        let mut coming = self.coming_cores(cluster, now);
-        for stuck in self.stuck_jobs(cluster, now, is_enough_in_all) {
-            if take_coming(&mut coming, &stuck) < MIN_MISSING {
+    pub(super) fn rent_for_stuck_jobs(&mut self, cluster: &ClusterConfig, now: Micros, is_total_sufficient: bool) {
+        let mut pending = self.pending_cores(cluster, now);
+        for stuck in self.stuck_jobs(cluster, now, is_total_sufficient) {
+            if assign_pending(&mut pending, &stuck) < MIN_MISSING_CORES {
                 continue;
             }
             for spot in stuck.rentals() {
@@ -77,37 +77,37 @@
     }
 
     /// What is on its way, to be shared among those who wait.
-    fn coming_cores(&self, cluster: &ClusterConfig, now: Micros) -> Vec<ComingCores> {
-        let mut coming = vec![];
+    fn pending_cores(&self, cluster: &ClusterConfig, now: Micros) -> Vec<PendingCores> {
+        let mut pending = vec![];
         let booting = self.machines.values().filter(|m| m.state == MachineState::Booting);
         for machine in booting {
             if let Some(machine_type) = cluster.catalogue.get(&machine.machine_type) {
                 let profile = self.provisioning.boot_times.profile(machine);
                 if profile.counted_share(now.since(machine.known_since), machine_type.boot_s) > 0.0 {
-                    coming.push(ComingCores {
+                    pending.push(PendingCores {
                         machine_type: machine.machine_type.clone(),
                         zone: machine.zone.clone(),
                         spot: machine.spot,
-                        left: machine_type.cpus,
+                        unassigned: machine_type.cpus,
                     });
                 }
             }
         }
-        for claim in self.provisioning.coming() {
+        for claim in self.provisioning.unanswered_claims() {
             if let Some(machine_type) = cluster.catalogue.get(&claim.machine_type) {
-                coming.push(ComingCores {
+                pending.push(PendingCores {
                     machine_type: claim.machine_type.clone(),
                     zone: claim.zone.clone(),
                     spot: claim.spot,
-                    left: machine_type.cpus * f64::from(claim.count),
+                    unassigned: machine_type.cpus * f64::from(claim.count),
                 });
             }
         }
-        coming
+        pending
     }
 
     /// The jobs that are stuck, the oldest first.
-    fn stuck_jobs(&self, cluster: &ClusterConfig, now: Micros, is_enough_in_all: bool) -> Vec<StuckJob> {
+    fn stuck_jobs(&self, cluster: &ClusterConfig, now: Micros, is_total_sufficient: bool) -> Vec<StuckJob> {
         let mut zones: Vec<String> = cluster.catalogue.values().flat_map(|t| t.zones.clone()).collect();
         zones.sort();
         zones.dedup();
@@ -115,10 +115,10 @@
         let mut stuck: Vec<StuckJob> = self
             .jobs
             .values()
-            .filter(|job| is_stuck(job, now, is_enough_in_all))
+            .filter(|job| is_stuck(job, now, is_total_sufficient))
             .filter_map(|job| self.stuck_job(cluster, job, &usage, &zones, now))
             .collect();
-        stuck.sort_by_key(|s| s.version);
+        stuck.sort_by_key(|s| s.acceptance_revision);
         stuck
     }
 
@@ -138,7 +138,7 @@
         }
         let waiting = job.waiting.len() as f64;
         Some(StuckJob {
-            version: job.acceptance_revision,
+            acceptance_revision: job.acceptance_revision,
             spec: job.spec.clone(),
             open_zones: open_zones(job, &self.machines, zones),
             cores: (waiting * effective_cores(&job.spec, cluster)).min(left_of_limit),
@@ -148,25 +148,29 @@
 }
 
 /// Whether a job has fit on no machine for so long that machines are rented for it.
-fn is_stuck(job: &Job, now: Micros, is_enough_in_all: bool) -> bool {
+fn is_stuck(job: &Job, now: Micros, is_total_sufficient: bool) -> bool {
     let spec = &job.spec;
-    let is_bound = spec.one_zone || spec.spread || spec.zone.is_some() || spec.types.is_some();
-    let patience = Micros::from_secs(if is_bound { PATIENCE_IF_BOUND_S } else { PATIENCE_S });
-    job.unplaceable_since.is_some_and(|at| now.since(at) > patience)
-        && (is_bound || is_enough_in_all)
+    let is_constrained = spec.one_zone || spec.spread || spec.zone.is_some() || spec.types.is_some();
+    let stuck_after = Micros::from_secs(if is_constrained {
+        STUCK_AFTER_IF_CONSTRAINED_S
+    } else {
+        STUCK_AFTER_S
+    });
+    job.unplaceable_since.is_some_and(|at| now.since(at) > stuck_after)
+        && (is_constrained || is_total_sufficient)
         && job.may_run()
         && !job.waiting.is_empty()
         && !job.is_suspect(now)
 }
 
 /// Gives a job what is on its way and suits it, and returns the cores that it still misses.
-fn take_coming(coming: &mut [ComingCores], stuck: &StuckJob) -> f64 {
+fn assign_pending(pending: &mut [PendingCores], stuck: &StuckJob) -> f64 {
     let mut missing = stuck.cores;
-    for cores in coming {
+    for cores in pending {
         let is_allowed = allowed(&stuck.spec, &cores.machine_type, &cores.zone, cores.spot);
-        if is_allowed && stuck.allows_zone(&cores.zone) && cores.left >= stuck.spec.cpus {
-            let taken = missing.min(cores.left);
-            cores.left -= taken;
+        if is_allowed && stuck.allows_zone(&cores.zone) && cores.unassigned >= stuck.spec.cpus {
+            let taken = missing.min(cores.unassigned);
+            cores.unassigned -= taken;
             missing -= taken;
         }
     }
