--- a/src/coordination/provisioning/boot_times.rs
+++ b/src/coordination/provisioning/boot_times.rs
@@ -1,43 +1,44 @@
-//! How long machines take to boot, learnt for each kind of rental from those that came up lately
-//! and from those that have yet to.
+//! Boot time profiles of each pool of machines, estimated from recent boots and from machines that
+//! are still booting.
 //!
-//! The leader records each boot and updates the profiles regularly; scale-out asks what part of
-//! booting machines it can count on, and failure handling asks which boots to give up. Gives no
-//! machine up itself.
+//! The leader records each boot and updates the profiles regularly. Scale-out reads from them which
+//! share of a booting machine to count as supply, and failure handling reads which boots have
+//! probably failed. This module releases no machines itself.
 
 use crate::coordination::state::{Machine, MachineId, MachineState};
 use crate::coordination::ClusterConfig;
 use crate::time::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A machine type, a zone, and whether it is spot.
+/// Machine type, zone, and whether the machines are spot machines.
 pub type MachinePool = (String, String, bool);
 
-/// Boots of a kind that are remembered.
+/// The most boots that are kept for a pool.
 const MAX_RECENT_BOOTS: usize = 24;
-/// How long a boot is remembered.
+/// How long a boot is kept.
 const RECENT_WINDOW: Micros = Micros::from_millis(150_000);
-/// A boot is late after this many times its nominal time.
+/// A boot is late after its nominal time multiplied by this factor.
 const LATE_FACTOR: f64 = 1.6;
-/// A boot is given up after this many times its nominal time.
+/// A boot has probably failed after its nominal time multiplied by this factor.
 const FAILED_FACTOR: f64 = 2.2;
-/// Where most boots are late, they are waited for this many times their nominal time: giving them
-/// up and renting again would only begin anew, and costs as much.
+/// Replaces [`FAILED_FACTOR`] in a pool where most boots are late: a replacement would boot just as
+/// slowly and cost as much.
 const FAILED_FACTOR_IF_STALLED: f64 = 6.0;
-/// Part of stalled boots that is counted on; the rest is rented anew, and its boots show when
-/// they are no longer stalled.
+/// Share of a late machine that counts as supply in a stalled pool. The rest is rented again, and
+/// the boots of these machines show when the pool is no longer stalled.
 const COUNTED_SHARE_IF_STALLED: f64 = 0.8;
-/// Boots from which on a profile is learnt.
+/// The fewest recent boots from which a profile is estimated, and the fewest late machines that
+/// make a pool stalled.
 const MIN_BOOTS: usize = 3;
-/// Nine of ten boots usually take less than this many times the nominal time.
+/// The usual 90th percentile of boot times, in multiples of the nominal time.
 const USUAL_P90_FACTOR: f64 = 1.4;
 
-/// How machines of one kind boot at present.
+/// Boot behaviour of the machines of one pool at present.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BootProfile {
-    /// How many times as long as usual boots take.
+    /// Boot time in relation to the usual boot time; 1 or more.
     pub factor: f64,
-    /// Whether most boots of late are late.
+    /// Whether most machines of the pool are late.
     pub is_stalled: bool,
 }
 
@@ -47,12 +48,14 @@
         is_stalled: false,
     };
 
-    /// Whether a machine that has booted for this long is late. `boot_s`: its nominal time.
+    /// Returns whether a machine that has been booting for `age` is late. `boot_s` is its nominal
+    /// boot time in seconds.
     pub fn is_late(&self, age: Micros, boot_s: f64) -> bool {
         age > Micros::from_secs(boot_s * LATE_FACTOR * self.factor + 2.0)
     }
 
-    /// Whether it will most likely never come up. `boot_s`: its nominal time.
+    /// Returns whether a machine that has been booting for `age` will probably never be up.
+    /// `boot_s` is its nominal boot time in seconds.
     pub fn has_likely_failed(&self, age: Micros, boot_s: f64) -> bool {
         let times = if self.is_stalled {
             FAILED_FACTOR_IF_STALLED
@@ -62,7 +65,8 @@
         age > Micros::from_secs(boot_s * times + 5.0)
     }
 
-    /// What part of a booting machine is counted on. `boot_s`: its nominal time.
+    /// Returns the share of a booting machine, 0 to 1, that counts as supply. `boot_s` is its
+    /// nominal boot time in seconds.
     pub fn counted_share(&self, age: Micros, boot_s: f64) -> f64 {
         match (self.is_late(age, boot_s), self.is_stalled) {
             (false, _) => 1.0,
@@ -72,21 +76,22 @@
     }
 }
 
-/// A boot that has ended.
+/// A completed boot.
 struct Boot {
     ended_at: Micros,
-    /// How many times its nominal time it took.
+    /// Boot time in multiples of the nominal boot time.
     times_nominal: f64,
 }
 
-/// Boots of a kind that are late, against those that were not.
+/// Number of late machines of a pool that are still booting, and of its recent boots that were on
+/// time.
 #[derive(Default)]
 struct Lateness {
     late: usize,
     on_time: usize,
 }
 
-/// The recent boots, and the profiles learnt from them.
+/// Recent boots, and the profiles estimated from them.
 #[derive(Default)]
 pub struct BootTimes {
     recent: BTreeMap<MachinePool, VecDeque<Boot>>,
@@ -94,7 +99,7 @@
 }
 
 impl BootTimes {
-    /// Records that a machine came up after `took`. `boot_s`: its nominal time.
+    /// Records that a machine was up after `took`. `boot_s` is its nominal boot time in seconds.
     pub fn record_boot(&mut self, pool: MachinePool, took: Micros, boot_s: f64, now: Micros) {
         let recent = self.recent.entry(pool).or_default();
         recent.push_back(Boot {
@@ -106,13 +111,13 @@
         }
     }
 
-    /// How machines of this machine's kind boot at present.
+    /// Returns the present profile of the machine's pool.
     pub fn profile(&self, machine: &Machine) -> BootProfile {
         let pool = pool_of(machine);
         self.profiles.get(&pool).copied().unwrap_or(BootProfile::USUAL)
     }
 
-    /// Learns the profiles anew from recent boots and from the machines that are booting.
+    /// Estimates all profiles again from recent boots and from the machines that are booting.
     pub fn update(&mut self, cluster: &ClusterConfig, machines: &BTreeMap<MachineId, Machine>, now: Micros) {
         let mut lateness = overdue_by_pool(cluster, machines, now);
         self.profiles.clear();
@@ -133,7 +138,7 @@
     }
 }
 
-/// Machines that are still booting though they should be up, by kind.
+/// Counts the machines that are still booting although they are late, by pool.
 fn overdue_by_pool(
     cluster: &ClusterConfig,
     machines: &BTreeMap<MachineId, Machine>,
@@ -153,7 +158,11 @@
     lateness
 }
 
-/// The profile of a kind by its recent boots, of which there are some.
+/// Estimates the profile of a pool from its recent boots.
+///
+/// # Panics
+///
+/// Panics if there are no boots.
 fn estimate_profile(recent: &VecDeque<Boot>) -> BootProfile {
     let mut times: Vec<f64> = recent.iter().map(|boot| boot.times_nominal).collect();
     times.sort_by(f64::total_cmp);
--- a/src/coordination/provisioning/calls.rs
+++ b/src/coordination/provisioning/calls.rs
@@ -1,9 +1,11 @@
-//! Calls to the cloud, their rate limit, and what their answers mean.
+//! Calls to the cloud's API: their rate limit, and the handling of their responses.
 //!
-//! Every controller reads the catalogue, which decides what can be accepted; only the leader rents,
-//! releases and lists. Calls are effects: this module sends nothing itself.
+//! Every controller reads the catalogue, because the machine types in it decide which jobs can be
+//! accepted; only the leader rents, releases and lists machines. Calls are emitted as effects: this
+//! module sends nothing itself.
 //!
-//! Invariant: a call is made only if the rate limit admits it, and it is answered at most once.
+//! Invariant: a call is made only if the rate limit admits it, and at most one response to it is
+//! handled.
 
 use super::super::{CloudRequest, CloudResponse, ClusterConfig, Context, Controller, Effect};
 use super::MachineId;
@@ -11,33 +13,34 @@
 use crate::transport::rate_limit::Bucket;
 use std::collections::BTreeMap;
 
-/// How long an answer is waited for.
+/// Timeout of a call.
 const TIMEOUT: Micros = Micros::from_millis(3000);
-/// Share of the cloud's rate limit that is used.
+/// Share of the cloud's rate limit that this controller uses.
 const RATE_SHARE: f64 = 0.85;
 const CATALOGUE_INTERVAL: Micros = Micros::from_millis(30_000);
-/// The pause before the catalogue is read again after a failure, on average, if there is none yet.
+/// Mean delay before the catalogue is read again after a failure, if none has been read yet.
 const FIRST_CATALOGUE_RETRY: Micros = Micros::from_millis(400);
-/// The same if an older catalogue is there.
+/// Mean delay before the catalogue is read again after a failure, if an older one is in use.
 const CATALOGUE_RETRY: Micros = Micros::from_millis(3000);
-/// The pause before a rental is requested again, on average.
+/// Mean delay before a rental is requested again.
 const RENTAL_RETRY: Micros = Micros::from_millis(1000);
-/// The pause before the list is read again after a failure, on average.
+/// Mean delay before the list of machines is read again after a failure.
 const LIST_RETRY: Micros = Micros::from_millis(2000);
-/// The least time between two readings of the list.
+/// The shortest time between two readings of the list of machines.
 const MIN_LIST_INTERVAL_S: f64 = 2.0;
 
-/// What an answer belongs to. The leader's calls carry the leadership's incarnation.
+/// What a call was made for, which decides how its response is handled. The leader's calls carry
+/// the incarnation of its leadership.
 pub(super) enum CloudContinuation {
     Catalogue,
-    /// The incarnation, and the claim's name.
+    /// The incarnation, and the name of the claim.
     ProvisionRequest(u64, String),
-    /// The incarnation, and the machines that are released.
+    /// The incarnation, and the machines to be released.
     Release(u64, Vec<MachineId>),
     List(u64),
 }
 
-/// Calls to the cloud that are in flight, and their rate limit.
+/// Calls to the cloud that are in flight, and the rate limit for new ones.
 pub struct CloudCallTracker {
     bucket: Option<Bucket>,
     pending: BTreeMap<u64, CloudContinuation>,
@@ -46,7 +49,7 @@
 }
 
 impl CloudCallTracker {
-    /// No calls in flight; the catalogue is due at once.
+    /// Creates a tracker with no calls in flight; the catalogue is due at once.
     pub fn new(now: Micros) -> CloudCallTracker {
         CloudCallTracker {
             bucket: None,
@@ -56,8 +59,8 @@
         }
     }
 
-    /// Makes a call if the rate limit admits it, and returns whether it does. `reserve`: share of
-    /// the limit that is left to more urgent calls.
+    /// Makes a call if the rate limit admits it, and returns whether the call was made. `reserve`
+    /// is the share of the limit that is left for more urgent calls.
     pub(super) fn call(
         &mut self,
         context: &mut Context,
@@ -84,7 +87,7 @@
 }
 
 impl Controller {
-    /// Reads the catalogue when it is due.
+    /// Requests the catalogue when it is due.
     pub(in crate::coordination) fn run_cloud_calls(&mut self) {
         let now = self.context.now;
         if now >= self.cloud_calls.next_catalogue_at && !self.cloud_calls.catalogue_in_flight {
@@ -98,8 +101,8 @@
         }
     }
 
-    /// Handles the answer to a call. Answers to calls of an earlier leadership of this controller
-    /// are dropped.
+    /// Handles the response to a call. Responses to calls that an earlier leadership of this
+    /// controller made are dropped.
     pub(in crate::coordination) fn on_cloud(&mut self, id: u64, answer: CloudResponse) {
         let Some(continuation) = self.cloud_calls.pending.remove(&id) else {
             return;
--- a/src/coordination/provisioning/claims.rs
+++ b/src/coordination/provisioning/claims.rs
@@ -1,47 +1,52 @@
-//! Claims: rental requests and their records.
+//! Claims: rental requests and their records in the leader's log.
 //!
-//! A claim is recorded in the leader's log before it is requested from the cloud, and requested
-//! again under the same name by the next leader. The log reads from here what is to be recorded and
-//! reports what has been.
+//! A claim is recorded in the log before it is requested from the cloud, and the next leader
+//! requests it again under the same name. The log reads from this module which claims are to be
+//! recorded and which records can be dropped, and reports back what has been committed.
 //!
-//! Invariant: a claim is requested only when its record is committed, and its record is dropped only
-//! when it is settled.
+//! Invariant: a claim is requested only after its record is committed, and its record is dropped
+//! only after the claim is settled.
 
 use super::{MachineId, Provisioning};
 use crate::storage::records::ClaimValue;
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far a claim has come.
+/// The progress of a claim.
 pub(super) enum ClaimState {
-    /// To be recorded first.
+    /// Not yet recorded in the log.
     Unrecorded,
-    /// Recorded; to be requested.
+    /// Recorded in the log, to be requested from the cloud.
     Recorded,
-    /// Requested; the answer is awaited.
+    /// Requested; there is no response yet.
     Requested,
-    /// Answered; kept until every machine of it has been seen.
+    /// Answered with these machines. The claim is kept until each of them has sent a heartbeat or
+    /// appeared in the cloud's list.
     Answered(Vec<MachineId>),
-    /// Its record may be dropped.
+    /// Done; the record may be dropped.
     Settled,
 }
 
 /// A rental request.
 pub(super) struct Claim {
-    /// The name under which it is requested: the cloud rents no machine twice under one name.
+    /// The name of the request, which makes it idempotent: the cloud executes a rental only once
+    /// for each name.
     pub(super) id: String,
     pub(super) value: ClaimValue,
     pub(super) state: ClaimState,
-    /// The page of the log that records it, if one does.
+    /// The log segment that holds the claim's record, if there is one.
     pub(super) segment: Option<u64>,
-    /// When it may be requested, again after an answer that did not decide it.
+    /// The earliest time for the request, or for its retry after a response that did not settle the
+    /// claim.
     pub(super) retry_at: Micros,
 }
 
 impl Provisioning {
-    /// Adopts the claims of an earlier leader. They are requested again under the same names: that
-    /// gives the names of their machines or, if they were never requested, rents them now.
-    /// `claims`: by name, the page that records each and its value.
+    /// Adopts the claims of an earlier leader, given by name with the log segment and the value of
+    /// each.
+    ///
+    /// The claims are requested again under the same names. The cloud's response names their
+    /// machines; if a claim was never requested before, its machines are rented now.
     pub fn adopt_claims(&mut self, claims: BTreeMap<String, (u64, ClaimValue)>, now: Micros) {
         for (id, (segment, value)) in claims {
             self.claims.push(Claim {
@@ -54,7 +59,7 @@
         }
     }
 
-    /// Up to `max` claims that are to be recorded.
+    /// Returns up to `max` claims that are to be recorded.
     pub fn claims_to_record(&self, max: usize) -> Vec<(String, ClaimValue)> {
         self.claims
             .iter()
@@ -64,7 +69,7 @@
             .collect()
     }
 
-    /// The record of a claim is committed in this page of the log.
+    /// Handles the commit of a claim's record in this log segment.
     pub fn claim_recorded(&mut self, id: &str, segment: u64) {
         if let Some(claim) = self.claims.iter_mut().find(|c| c.id == id) {
             claim.segment = (segment > 0).then_some(segment);
@@ -74,7 +79,7 @@
         }
     }
 
-    /// Unsettled claims that are recorded in pages before this one.
+    /// Returns the unsettled claims whose records are in log segments before this one.
     pub fn claims_before(&self, segment: u64) -> Vec<(String, ClaimValue)> {
         self.claims
             .iter()
@@ -83,7 +88,7 @@
             .collect()
     }
 
-    /// The first page that records a claim other than these.
+    /// Returns the oldest log segment that holds the record of a claim not in `except`.
     pub fn oldest_claim(&self, except: &BTreeSet<&str>) -> Option<u64> {
         self.claims
             .iter()
@@ -92,7 +97,7 @@
             .min()
     }
 
-    /// Up to `max` claims that are settled and whose records are to be dropped.
+    /// Returns up to `max` settled claims, whose records are to be dropped.
     pub fn claims_to_drop(&self, max: usize) -> Vec<String> {
         self.claims
             .iter()
@@ -102,12 +107,13 @@
             .collect()
     }
 
-    /// The log has dropped the records of these claims.
+    /// Removes claims whose records the log has dropped.
     pub fn claims_dropped(&mut self, ids: &[String]) {
         self.claims.retain(|c| !ids.contains(&c.id));
     }
 
-    /// Claims whose machines are on their way, and not named yet.
+    /// Returns the claims that the cloud has not answered yet, so that their machines are expected
+    /// but have no names.
     pub fn unanswered_claims(&self) -> impl Iterator<Item = &ClaimValue> {
         let is_unanswered = |state: &ClaimState| {
             matches!(
--- a/src/coordination/provisioning/demand.rs
+++ b/src/coordination/provisioning/demand.rs
@@ -1,7 +1,8 @@
-//! How many cores the jobs of the cluster ask for, and how many the machines supply.
+//! Demand of the cluster's jobs and supply of its machines, in cores.
 //!
-//! Read by the decisions about scale-out and scale-in; changes nothing. All amounts are effective
-//! cores: a task that takes more memory than its share of a machine counts for more cores.
+//! The decisions about scale-out and scale-in read these amounts; this module changes no state.
+//! All amounts are effective cores: a task that takes more memory than its share of a machine counts
+//! for more cores.
 
 use super::super::objectives::NO_HURRY_S;
 use super::super::scheduling::{is_best_effort, latest_start};
@@ -12,21 +13,22 @@
 use glenhaven_zone_health::Evacuation;
 use std::collections::BTreeMap;
 
-/// A backlog that may use spot machines gets on-demand ones in any case for this part of it:
-/// a backlog that is smaller in relation to the capacity is served as tasks end.
+/// A backlog that may use spot machines needs at least its cores, without those of low-priority
+/// work, divided by this factor: a backlog that is smaller in relation to the capacity is served as
+/// tasks end.
 const BACKLOG_FACTOR: f64 = 2.5;
-/// Share of the capacity that tasks give back during a boot which what waits now gets; what comes
-/// meanwhile takes the rest.
+/// Share of the capacity freed during a boot that goes to tasks waiting now; tasks that arrive in
+/// the meantime take the rest.
 const FREED_SHARE: f64 = 0.7;
-/// Boots are expected to take this many times their nominal time.
+/// Expected boot time in multiples of the nominal boot time.
 const BOOT_FACTOR: f64 = 1.1;
-/// The longest that an image is expected to be fetched, in seconds.
+/// Upper limit of the expected time to fetch an image, in seconds.
 const MAX_FETCH_S: f64 = 60.0;
-/// How wrong run time estimates often are.
+/// Factor by which tasks often run longer than estimated.
 const ESTIMATE_MARGIN: f64 = 1.5;
 
-/// Cores by sort of rental: of work that needs on-demand machines and of work that may use spot
-/// machines, or of on-demand machines and of spot machines.
+/// Cores by capacity type. As demand: of work that needs on-demand machines, and of work that may
+/// use spot machines. As supply: of on-demand machines, and of spot machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct CoresByCapacityType {
     pub(super) on_demand: f64,
@@ -34,7 +36,7 @@
 }
 
 impl CoresByCapacityType {
-    /// Cores of both sorts.
+    /// Returns the cores of both capacity types.
     pub(super) fn total(&self) -> f64 {
         self.on_demand + self.spot
     }
@@ -48,32 +50,33 @@
     }
 }
 
-/// What one team holds and waits for.
+/// Cores that one team's tasks hold, and cores that they wait for.
 #[derive(Default)]
 struct TeamDemand {
     held: CoresByCapacityType,
     waiting: CoresByCapacityType,
 }
 
-/// What the backlog of work that may use spot machines and has time adds up to, in cores.
+/// Totals, in cores, of the backlog of work that may use spot machines and whose class is not
+/// latency-sensitive.
 #[derive(Default)]
 struct Backlog {
     /// Held by the backlog's jobs.
     held: f64,
-    /// Waiting, and still in time if it starts on a machine that has yet to boot.
+    /// Waiting, and still in time when started on a machine that is rented now.
     in_time: f64,
-    /// Freed while a machine boots.
+    /// Expected to be freed while a machine boots.
     freed: f64,
     /// Held and waiting with low priority.
     low_priority: f64,
     /// Held and waiting in all.
     total: f64,
-    /// Held and waiting of other work, which must not wait.
+    /// Held and waiting of latency-sensitive work, which is not part of the backlog.
     latency_sensitive: f64,
 }
 
 impl Backlog {
-    /// Cores that the backlog needs.
+    /// Returns the cores that the backlog needs.
     fn needed_cores(&self) -> f64 {
         let minimum = (self.total - self.low_priority).max(0.0) / BACKLOG_FACTOR;
         if self.in_time > self.freed {
@@ -85,7 +88,7 @@
 }
 
 impl LeaderState {
-    /// Cores that work holds and waits for, as far as the teams' limits let it run.
+    /// Returns the cores that tasks hold and wait for, within the limits of their teams.
     pub(super) fn demand(&self, cluster: &ClusterConfig, now: Micros) -> CoresByCapacityType {
         let mut by_team: BTreeMap<&str, TeamDemand> = BTreeMap::new();
         for job in self.jobs.values() {
@@ -105,9 +108,9 @@
         demand
     }
 
-    /// Cores that machines give new work, with those that are booting or asked for.
-    /// `had_agent_contact`: whether agents have had time to send this leader a heartbeat; before, all
-    /// machines look as if they were booting.
+    /// Returns the cores of machines that can take new work, including machines that are booting
+    /// or claimed. `had_agent_contact` is whether agents have had time to send this leader a
+    /// heartbeat; until then, all machines appear to be booting.
     pub(super) fn supplied_cores(
         &self,
         cluster: &ClusterConfig,
@@ -139,9 +142,10 @@
         supply
     }
 
-    /// Whether a machine is, or will be, of use to new work.
+    /// Returns whether a machine can take new work now or when it has booted.
     fn is_usable(&self, cluster: &ClusterConfig, machine: &Machine, now: Micros) -> bool {
-        // Only another controller still has contact with it: it runs on, but takes no new work.
+        // Only another controller still has contact with the machine: its tasks continue, but it
+        // takes no new work.
         let is_proxied_only = machine.last_proxied_at > machine.last_heartbeat
             && now.since(machine.last_heartbeat) > Self::work_silence(cluster);
         machine.state != MachineState::Releasing
@@ -153,10 +157,12 @@
             && !self.failures.zones.is_cut(&machine.zone)
     }
 
-    /// Cores missing for work that has time and may use spot machines, when none of those is to be
-    /// had: for what waits and can still be done in time on a machine that has yet to boot, and for
-    /// a part of all else, so that a backlog does not grow without end. Negative if there are more
-    /// than enough. `available_cores`: cores that there are for all work that may use spot machines.
+    /// Returns the cores missing for work that may use spot machines and is not
+    /// latency-sensitive, when no spot machines are available; negative if there is a surplus.
+    ///
+    /// Cores are needed for waiting tasks that are still in time on a machine rented now, and for a
+    /// fixed share of the rest, so that a backlog does not grow without bound. `available_cores` are
+    /// the cores available to all work that may use spot machines.
     pub(super) fn backlog_shortfall(&self, cluster: &ClusterConfig, available_cores: f64, now: Micros) -> f64 {
         let boot_times_s: Vec<f64> = cluster.catalogue.values().map(|t| t.boot_s).collect();
         let mean_boot_s = boot_times_s.iter().sum::<f64>() / boot_times_s.len().max(1) as f64;
@@ -178,7 +184,7 @@
         backlog.needed_cores() - (available_cores - backlog.latency_sensitive).max(0.0)
     }
 
-    /// Cores held in zones that are cut off by work that is not to be moved yet.
+    /// Returns the cores that are held in cut-off zones by work that is not to be moved yet.
     pub(super) fn cores_staying_in_cut_zones(&self, cluster: &ClusterConfig, now: Micros) -> CoresByCapacityType {
         let evacuations: BTreeMap<&str, Evacuation> = self
             .machines
@@ -211,7 +217,7 @@
     }
 }
 
-/// Adds a job that has time to the backlog.
+/// Adds a job of a class that is not latency-sensitive to the backlog.
 fn add_to_backlog(backlog: &mut Backlog, cluster: &ClusterConfig, job: &Job, mean_boot_s: f64, now: Micros) {
     let cores = effective_cores(&job.spec, cluster);
     let held = f64::from(job.held_tasks) * cores;
@@ -234,7 +240,7 @@
     }
 }
 
-/// For how many of a job's waiting tasks machines are worth renting; none if it may not run.
+/// Returns the number of a job's waiting tasks that count as demand; 0 if the job may not run.
 fn waiting_demand(cluster: &ClusterConfig, job: &Job, now: Micros) -> f64 {
     if job.may_run() {
         task_demand(cluster, job, now)
@@ -243,9 +249,11 @@
     }
 }
 
-/// For how many of a job's waiting tasks machines would be worth renting if it may run. A job that
-/// fails everywhere gets none. Low-priority work runs when others leave capacity: tasks that can
-/// follow each other on the same cores in time need no cores of their own.
+/// Returns the number of a job's waiting tasks that would count as demand if the job may run.
+///
+/// A suspect job, whose tasks fail on every machine, gets no machines. Low-priority work runs on
+/// capacity that other work leaves: of its tasks, those that can run one after another on the same
+/// cores and still be in time count as one.
 fn task_demand(cluster: &ClusterConfig, job: &Job, now: Micros) -> f64 {
     if job.is_suspect(now) {
         return 0.0;
@@ -264,7 +272,8 @@
     (waiting / rounds).ceil()
 }
 
-/// Cores that one task takes off a machine, memory beyond its share of the cores counted as cores.
+/// Returns the cores that one task of the job takes from a machine; memory in excess of the task's
+/// share of the machine counts as cores.
 pub fn effective_cores(spec: &JobSpec, cluster: &ClusterConfig) -> f64 {
     cluster
         .catalogue
--- a/src/coordination/provisioning/failed_machines.rs
+++ b/src/coordination/provisioning/failed_machines.rs
@@ -1,9 +1,8 @@
-//! The cloud's list of machines, and which machines are given up: boots that never end, machines
-//! that are silent, interrupted or failed, and those that keep a cancelled task for too long.
+//! The cloud's list of machines, and the release of machines that failed: those that never boot, are
+//! silent, interrupted or listed as failed, or keep a cancelled task for too long.
 //!
-//! The leader calls this with every page of the list and at intervals. A machine that is given up is
-//! only marked for release; what ran there counts as running until the cloud confirms that it is
-//! gone.
+//! The leader runs these checks for every page of the list and at intervals. A failed machine is only
+//! marked for release; its tasks count as running until the cloud confirms the release.
 
 use super::super::state::{LeaderState, Machine, MachineId, MachineState};
 use super::super::{timing, ClusterConfig};
@@ -13,12 +12,12 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// Nominal boot time of a machine whose type is not known, in seconds.
+/// Nominal boot time assumed for a machine of an unknown type, in seconds.
 const UNKNOWN_BOOT_S: f64 = 60.0;
-/// Silent machines from which on a controller with mostly silent machines is taken to be unreliable.
+/// The fewest silent machines that make a controller unreliable, if most of its machines are silent.
 const MIN_SILENT: usize = 3;
 
-/// Why a machine is given up.
+/// The reason for which a machine is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReleaseReason {
     NeverBooted,
@@ -49,7 +48,8 @@
 }
 
 impl LeaderState {
-    /// A machine in the list: unknown ones are adopted, failed ones returned.
+    /// Handles a machine in the cloud's list: adopts an unknown machine, and marks a failed machine for
+    /// release.
     pub(super) fn on_listed_machine(&mut self, listed: ListedMachine, now: Micros) {
         let name: MachineId = listed.name.as_str().into();
         if self.released_machines.contains(&name) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Gives up machines that failed, and marks them for release.
+    /// Marks failed machines for release.
     pub fn release_failed_machines(&mut self, cluster: &ClusterConfig, now: Micros) {
         self.provisioning.boot_times.update(cluster, &self.machines, now);
         let check = FailureCheck::new(self, cluster, now);
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Machines on which tasks of cancelled jobs have not stopped though they should have.
+    /// Returns the machines on which tasks of cancelled jobs have not stopped within half of the time
+    /// allowed for a cancellation.
     fn machines_with_unstopped_tasks(&self, cluster: &ClusterConfig, now: Micros) -> BTreeSet<MachineId> {
         let stop_timeout = Micros::from_secs(cluster.settings.params.workers.cancel_s * 0.5);
         self.jobs
@@ -120,8 +121,9 @@
             .collect()
     }
 
-    /// Controllers for which more than half of their machines are silent at once: that says more about
-    /// the controller than about the machines. `None` in the set is this controller.
+    /// Returns the controllers for which more than half of their machines are silent at once: the
+    /// likely cause is then the controller rather than the machines. `None` in the set is this
+    /// controller.
     fn unreliable_controllers(&self, silent: Micros, now: Micros) -> BTreeSet<Option<Rc<str>>> {
         #[derive(Default)]
         struct MachineCounts {
@@ -129,7 +131,8 @@
             silent: usize,
         }
         let mut by_controller: BTreeMap<Option<Rc<str>>, MachineCounts> = BTreeMap::new();
-        // A zone that is cut off says nothing about the controller that was in contact with it.
+        // Silent machines in a cut-off zone are no evidence against the controller that was in
+        // contact with them.
         let is_cut = |m: &Machine| self.failures.zones.is_cut(&m.zone);
         let up = self.machines.values().filter(|m| m.state == MachineState::Up);
         for machine in up.filter(|m| !is_cut(m)) {
@@ -147,12 +150,12 @@
     }
 }
 
-/// What decides which machines are given up, looked up once for all of them.
+/// The facts by which failed machines are found, computed once for all machines.
 struct FailureCheck<'a> {
     leader: &'a LeaderState,
     cluster: &'a ClusterConfig,
     now: Micros,
-    /// How long without a heartbeat a machine counts as silent.
+    /// Time without a heartbeat after which a machine counts as silent.
     silent: Micros,
     unreliable_controllers: BTreeSet<Option<Rc<str>>>,
     with_unstopped_tasks: BTreeSet<MachineId>,
@@ -187,12 +190,13 @@
         self.unreliable_controllers.contains(&machine.heartbeat_proxy)
     }
 
-    /// Whether another controller has said lately that it has contact with the machine.
+    /// Returns whether another controller has reported recently that it has contact with the machine.
     fn is_proxied(&self, machine: &Machine) -> bool {
         self.now.since(machine.last_proxied_at) <= timing::PROXY_ANNOUNCEMENT
     }
 
-    /// How long a machine has been silent, if its silence says something about it alone.
+    /// Returns how long a machine has been silent, or `None` if its silence may have another cause: a
+    /// cut-off zone, an unreliable controller, or contact through another controller.
     fn silence_by_itself(&self, machine: &Machine) -> Option<Micros> {
         let is_independent =
             !self.is_cut(machine) && !self.has_unreliable_controller(machine) && !self.is_proxied(machine);
@@ -200,11 +204,11 @@
         is_independent.then(|| self.now.since(machine.last_heartbeat.max(counts_from)))
     }
 
-    /// How long a machine has been silent for this decision.
+    /// Returns how long a machine has been silent for the decision whether it failed.
     fn silence(&self, machine: &Machine) -> Micros {
         let counts_from = self.leader.silence_counts_from(machine, self.now);
-        // What another controller has contact with runs on, but nothing that ends there can be
-        // recorded: a short cut is sat out, a long one is not.
+        // Tasks on a machine that only another controller has contact with continue, but their
+        // ends cannot be recorded: a short partition is tolerated, a long one is not.
         let max_proxied = timing::proxied_machine(&self.cluster.settings.params.workers);
         let is_tolerated = self.now.since(machine.last_heartbeat.max(counts_from)) < max_proxied;
         let proxied_at = if is_tolerated {
@@ -212,16 +216,18 @@
         } else {
             Micros::ZERO
         };
-        // In a zone that is cut off, leases run from the last heartbeat.
+        // In a cut-off zone, the machine's lease runs from its last heartbeat.
         let is_lease_running = self.is_cut(machine) && machine.last_heartbeat > Micros::ZERO;
         let counts_from = if is_lease_running { Micros::ZERO } else { counts_from };
         self.now.since(machine.last_heartbeat.max(proxied_at).max(counts_from))
     }
 
-    /// How long a machine may be silent. A silent spot machine was most likely taken back. An
-    /// on-demand one is more likely cut off with its tasks running; they run on until its lease
-    /// ends, and releasing it earlier would only stop them. A machine that a new leader knows from
-    /// the log only, without a heartbeat and not listed, is most likely gone as well.
+    /// Returns how long a machine may be silent before it counts as failed.
+    ///
+    /// A silent spot machine has most likely been reclaimed by the cloud. A silent on-demand machine
+    /// is more likely partitioned with its tasks running until its lease ends, and an earlier release
+    /// would only stop them. A machine of unknown type, which a new leader has only from the log,
+    /// without a heartbeat or a place in the cloud's list, is most likely gone too.
     fn max_silence(&self, machine: &Machine) -> Micros {
         let workers = &self.cluster.settings.params.workers;
         if self.may_have_contact_in_cut_zone(machine) {
@@ -233,9 +239,11 @@
         }
     }
 
-    /// Inside a zone that is cut off, its controllers go on answering for as long as their knowledge
-    /// is fresh enough, and services run on until the leases renewed by them end. If they were dead
-    /// instead, the cloud's list would show it.
+    /// Returns whether controllers inside the machine's cut-off zone may still renew its lease.
+    ///
+    /// These controllers answer heartbeats until [`ClusterConfig::knowledge_limit`] is reached, and
+    /// services continue until the leases that they renewed end. If they were dead instead, the
+    /// cloud's list would show it.
     fn may_have_contact_in_cut_zone(&self, machine: &Machine) -> bool {
         let mut peers = self.cluster.settings.peers.iter();
         machine.service_tasks > 0 && self.is_cut(machine) && peers.any(|p| p.zone == machine.zone)
@@ -248,7 +256,7 @@
             }
             _ => self.failure_after_boot(machine),
         };
-        // A controller that has contact with a machine stops cancelled tasks there itself.
+        // A controller that has contact with the machine stops cancelled tasks there itself.
         let is_proxied_now = self.now.since(machine.last_proxied_at) < timing::PROXY_ANNOUNCEMENT;
         let has_unstopped_task = !is_proxied_now && self.with_unstopped_tasks.contains(&machine.name);
         reason.or(has_unstopped_task.then_some(ReleaseReason::CancelledTaskNotStopped))
@@ -258,7 +266,7 @@
         let machine_type = self.cluster.catalogue.get(&machine.machine_type);
         let boot_s = machine_type.map_or(UNKNOWN_BOOT_S, |t| t.boot_s);
         let profile = self.leader.provisioning.boot_times.profile(machine);
-        // To a new leader all machines are booting until their first heartbeat.
+        // For a new leader, all machines are in state `Booting` until their first heartbeat.
         let had_agent_contact = self.now.since(self.leader.listening_since) > self.silent;
         profile.has_likely_failed(self.now.since(machine.known_since), boot_s) && had_agent_contact
     }
--- a/src/coordination/provisioning/mod.rs
+++ b/src/coordination/provisioning/mod.rs
@@ -1,12 +1,12 @@
-//! Provisioning: which machines are rented, kept and returned.
+//! Provisioning: decides which machines are rented, kept and released.
 //!
-//! Owned by the leader and run on every tick. Scale-out and scale-in compare what work asks for with
-//! what machines supply; machines that never boot, fall silent or fail are given up and released;
-//! machines that the cloud lists and nobody knows are adopted.
+//! The leader owns this state and runs provisioning on every tick. Scale-out and scale-in compare the
+//! demand of jobs with the supply of machines. Machines that never boot, stop sending heartbeats or
+//! fail are released. Machines in the cloud's list that the leader has no record of are adopted.
 //!
-//! A rental is recorded in the leader's log before it is requested, under a name that makes the
-//! request idempotent. Provisioning must not free the placements on a machine: they are void only
-//! when the cloud has confirmed its release.
+//! Invariants: a rental is recorded in the leader's log before it is requested, under a name that
+//! makes the request idempotent. Provisioning never frees the placements on a machine: they become
+//! void only when the cloud has confirmed the machine's release.
 
 pub mod boot_times;
 mod calls;
@@ -31,47 +31,48 @@
 pub use demand::effective_cores;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines in one release request: the most that the cloud takes.
+/// The most machines that the cloud accepts in one release request.
 const MAX_RELEASED_AT_ONCE: usize = 100;
-/// Release requests in flight at a time.
+/// The most release requests in flight.
 const MAX_RELEASES_IN_FLIGHT: usize = 2;
-/// The time between two decisions about scale-out and scale-in.
+/// Time between two decisions about scale-out and scale-in.
 const DECISION_INTERVAL: Micros = Micros::from_millis(250);
-/// Share of the call rate that rental requests leave to releases.
+/// Share of the call rate that rental requests leave for releases.
 const RENTAL_RATE_RESERVE: f64 = 0.1;
-/// Share of the call rate that listing leaves to releases and rental requests.
+/// Share of the call rate that listing leaves for releases and rental requests.
 const LIST_RATE_RESERVE: f64 = 0.3;
 
-/// The machines that the leader requests, lists and releases.
+/// The leader's state of rental, list and release requests.
 pub struct Provisioning {
-    /// How long machines of each kind took to boot of late.
+    /// Recent boot times of each pool of machines.
     pub(super) boot_times: BootTimes,
     claims: Vec<Claim>,
     next_claim: u64,
-    /// When the list of machines is read again.
+    /// When the list of machines is due to be read again.
     next_list_at: Micros,
-    /// The last machine read of a list that is being read.
+    /// The last machine on the page read before, while a list is being read.
     list_cursor: Option<String>,
     list_in_flight: bool,
-    /// Whether this leader has read the whole list of machines once.
+    /// Whether this leader has read the whole list of machines at least once.
     has_listed: bool,
-    /// Machine type, zone and sort of rental of which there is no capacity, and until when it is
-    /// not asked for.
+    /// Machine type, zone and whether spot of the pools without capacity, and until when no machines
+    /// of them are requested.
     no_capacity_until: BTreeMap<(String, String, bool), Micros>,
     releases_in_flight: usize,
-    /// Machines given up whose release has yet to be requested; kept apart so that not all machines
-    /// are examined for every batch.
+    /// Machines marked for release whose release has not been requested yet; kept separately so that
+    /// not all machines are examined for every batch.
     to_release: BTreeSet<MachineId>,
     next_decision_at: Micros,
-    /// When cost and benefit of on-demand machines are considered again.
+    /// When the cost and benefit of on-demand machines are due to be compared again.
     next_cost_benefit_at: Micros,
-    /// Decayed demand of work that may use spot machines, in cores.
+    /// Exponentially decaying average of the demand of work that may use spot machines, in cores.
     average_spot_demand: f64,
     averaged_at: Option<Micros>,
 }
 
 impl Provisioning {
-    /// Nothing rented, nothing listed; the first list and the first decision are due at once.
+    /// Creates the state of a new leader, without claims; the first list and the first decision are
+    /// due at once.
     pub fn new(now: Micros) -> Provisioning {
         Provisioning {
             boot_times: BootTimes::default(),
@@ -93,13 +94,13 @@
 }
 
 impl LeaderState {
-    /// Releases and rents machines, reads the cloud's list of them, and decides anew when it is
-    /// time.
+    /// Requests releases, rentals and the cloud's list of machines, and decides about scale-out and
+    /// scale-in when the decision is due. Does nothing before the catalogue has been read.
     pub fn run_provisioning(&mut self, context: &mut Context, cluster: &ClusterConfig, cloud: &mut CloudCallTracker) {
         if cluster.catalogue.is_empty() {
             return;
         }
-        // Lost machines first: their tasks are freed only when they are released.
+        // Releases first: the tasks of lost machines are freed only when these are released.
         self.request_releases(context, cluster, cloud);
         self.request_rentals(context, cluster, cloud);
         self.settle_seen_claims();
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Requests the release of machines that are given up.
+    /// Requests the release of machines that are marked for release.
     fn request_releases(&mut self, context: &mut Context, cluster: &ClusterConfig, cloud: &mut CloudCallTracker) {
         let machines = &self.machines;
         let is_unreleased = |m: &Machine| m.state == MachineState::Releasing && m.release_requested_at.is_none();
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Sends the rental requests that are recorded.
+    /// Sends the rental requests of recorded claims.
     fn request_rentals(&mut self, context: &mut Context, cluster: &ClusterConfig, cloud: &mut CloudCallTracker) {
         let now = context.now;
         for claim in &mut self.provisioning.claims {
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Settles the claims whose machines have all been seen, by a heartbeat or in the list.
+    /// Settles claims whose machines have all sent a heartbeat, been listed or been released.
     fn settle_seen_claims(&mut self) {
         let (machines, released) = (&self.machines, &self.released_machines);
         for claim in &mut self.provisioning.claims {
@@ -195,7 +196,8 @@
         }
     }
 
-    /// Handles the answer to a rental request, which is sent again after `pause` if need be.
+    /// Handles the response to a rental request. The request is sent again after `pause` if the
+    /// response does not settle it.
     fn on_rental_answer(&mut self, id: &str, answer: CloudResponse, now: Micros, pause: Micros) {
         let Some(index) = self.provisioning.claims.iter().position(|c| c.id == id) else {
             return;
@@ -220,8 +222,9 @@
                 self.provisioning.claims[index].state = ClaimState::Answered(names);
             }
             CloudResponse::NoCapacity | CloudResponse::Malformed => {
-                // Nothing was rented under this name, and it is not requested again. An earlier try
-                // without an answer may still be executed; its machines are adopted when they show.
+                // Nothing was rented under this name, and it is not requested again. An earlier
+                // attempt without a response may still be executed; its machines are adopted when
+                // the cloud lists them or they send a heartbeat.
                 let value = self.provisioning.claims[index].value.clone();
                 self.provisioning.note_no_capacity(&value, now);
                 self.provisioning.claims[index].state = ClaimState::Settled;
@@ -252,7 +255,8 @@
 }
 
 impl Provisioning {
-    /// There is not enough capacity for a claim: the same is not requested for a while.
+    /// Records that the cloud lacks capacity for a claim: its machine type is not requested in the
+    /// zone for [`timing::CAPACITY_RETRY`].
     fn note_no_capacity(&mut self, value: &ClaimValue, now: Micros) {
         let key = (value.machine_type.clone(), value.zone.clone(), value.spot);
         self.no_capacity_until.insert(key, now + timing::CAPACITY_RETRY);
--- a/src/coordination/provisioning/scale_in.rs
+++ b/src/coordination/provisioning/scale_in.rs
@@ -1,8 +1,7 @@
-//! Scale-in: returns machines that have been idle for a while and are not wanted, and idle ones
-//! that are faulty.
+//! Scale-in: releases idle machines that are not needed or are faulty.
 //!
-//! Marks machines for release only. A machine with a task, or with an attempt that no record
-//! explains, is never returned.
+//! Machines are only marked for release here. Invariant: a machine with a task, or with an orphaned
+//! attempt, is never released by scale-in.
 
 use super::super::state::{LeaderState, Machine, MachineState};
 use super::super::{timing, ClusterConfig};
@@ -10,7 +9,8 @@
 use crate::time::Micros;
 
 impl LeaderState {
-    /// Returns idle machines, as long as the others supply what is wanted.
+    /// Marks idle machines for release while the others supply the target, and faulty idle machines in
+    /// any case.
     pub(super) fn release_idle(
         &mut self,
         cluster: &ClusterConfig,
@@ -52,8 +52,8 @@
     }
 }
 
-/// Whether an idle machine is better replaced. A machine where tasks failed gets time first: it may
-/// turn out that their job is the cause.
+/// Returns whether an idle machine is to be released as faulty. A quarantined machine is kept for
+/// [`timing::QUARANTINE_RELEASE`] first, because the job of the failed tasks may be the cause.
 fn is_faulty(machine: &Machine, idle: Micros, now: Micros) -> bool {
     let quarantined = machine
         .quarantined_since
