--- a/crates/provisioning/src/lib.rs
+++ b/crates/provisioning/src/lib.rs
@@ -1,18 +1,18 @@
-//! Cost-benefit of machines rented now: what they are expected to let jobs meet, and what they cost.
+//! Cost-benefit analysis of renting machines now for queued work.
 //!
-//! Work waits in an order, each entry with times by which it has to have started for its objectives
-//! to be met, and with the value of meeting each of them. Capacity becomes free as tasks end and
-//! machines boot. The queue is projected as a fluid, with and without more capacity; of several
-//! amounts of capacity, the one is advised whose benefit exceeds its rent the most.
+//! The input is an ordered queue. Each entry has deadlines by which its last task must start for
+//! its objectives to be met, and the value of meeting each deadline. Capacity becomes free as tasks
+//! end and machines boot. A fluid model projects the queue with and without more capacity. Of
+//! several amounts of capacity, [`advise`] returns the one whose benefit exceeds its cost the most.
 //!
-//! The crate is pure: it does no I/O and reads no clock. Amounts are cores, times are seconds from
-//! now, and values and prices are money.
+//! The crate does no I/O and reads no clock. Capacity is in cores, times are in seconds from now,
+//! and values and prices are in units of money.
 //!
 //! ```
-//! use glenhaven_provisioning::{advise, FutureCapacity, Deadline, Offer, Supply, QueueEntry};
+//! use glenhaven_provisioning::{advise, Deadline, FutureCapacity, Offer, QueueEntry, Supply};
 //!
-//! // Two hundred cores wait, a hundred become free in a minute; half a minute from now is early
-//! // enough.
+//! // Tasks of 200 cores wait and must start within 45 s. Only 100 cores become free, in 60 s, but
+//! // rented machines are ready in 30 s.
 //! let waiting = QueueEntry {
 //!     cores: 200.0,
 //!     run_s: 40.0,
@@ -29,129 +29,132 @@
 
 /// Length of a step of the projection.
 const STEP_S: f64 = 2.0;
-/// Less than this of a core is nothing: sums of parts are not exact.
+/// Fraction of a core that counts as zero, because sums of shares are not exact.
 const EPSILON: f64 = 1e-6;
-/// Equal parts of what is rented are ready after these multiples of the usual time.
+/// Equal shares of the rented cores are ready after these multiples of the usual time.
 const BOOT_FACTORS: [f64; 3] = [0.75, 1.0, 1.3];
-/// How far ahead the queue is projected. What is decided beyond it can be decided later: a boot is
-/// much shorter.
+/// How far ahead the queue is projected. Needs beyond this time can be decided later, because a
+/// boot takes much less time.
 const HORIZON_S: f64 = 180.0;
 const STEPS: usize = (HORIZON_S / STEP_S) as usize;
-/// A machine is held until the last of its tasks ends: for so many mean run times.
+/// Time for which a machine is held after the queue is empty, until the last of its tasks ends, in
+/// mean run times.
 const HELD_RUN_TIMES: f64 = 2.0;
-/// Amounts of capacity that are compared, as parts of all that could be of use.
+/// Amounts of capacity that are compared, as shares of the useful amount.
 const CANDIDATE_SHARES: [f64; 8] = [0.06, 0.12, 0.2, 0.3, 0.45, 0.6, 0.8, 1.0];
 
-/// A time by which the last task of some work has to have started.
+/// A time by which the last task of a queue entry must start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Deadline {
-    /// Seconds from now; negative if it is missed already.
+    /// Seconds from now; negative if the deadline is already missed.
     pub start_by_s: f64,
-    /// Value of meeting it.
+    /// Value of meeting the deadline.
     pub value: f64,
 }
 
-/// An entry of the queue: work that waits, or is expected.
+/// An entry of the queue: work that is waiting or is expected to arrive.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QueueEntry {
-    /// Cores that its tasks take in all.
+    /// Total cores of its tasks.
     pub cores: f64,
-    /// How long a task holds its cores, the fetch of its image included.
+    /// Seconds for which a task holds its cores, including the fetch of its image.
     pub run_s: f64,
-    /// When it arrives; zero or less if it waits already.
+    /// When the work arrives, in seconds from now; 0 or less if it is already waiting.
     pub arrival_s: f64,
-    /// By when it has to have started.
+    /// Deadlines for the start of its last task.
     pub deadlines: Vec<Deadline>,
 }
 
 impl QueueEntry {
-    /// How many of the times are missed by a start then.
+    /// Returns the number of deadlines that a start at `start_s` misses.
     fn missed_deadlines(&self, start_s: f64) -> usize {
         self.deadlines.iter().filter(|d| d.start_by_s < start_s).count()
     }
 
-    /// Value of the times that are missed if the last task starts then.
+    /// Returns the value of the deadlines that are missed if the last task starts at `start_s`.
     fn missed_value(&self, start_s: f64) -> f64 {
         let missed = self.deadlines.iter().filter(|d| d.start_by_s < start_s);
         missed.map(|d| d.value).sum()
     }
 }
 
-/// Cores that become free or have booted.
+/// Cores that become free or finish booting at a later time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FutureCapacity {
     /// Seconds from now.
     pub at_s: f64,
-    /// How many cores.
+    /// Number of cores.
     pub cores: f64,
 }
 
-/// The capacity that there is, and that comes without a rental.
+/// Capacity that is free or becomes free without a rental.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Supply {
-    /// Free now; negative if other work takes more.
+    /// Cores free now; negative if other work needs more than is free.
     pub free_cores: f64,
-    /// What becomes free later, in any order.
+    /// Capacity that becomes free later, in any order.
     pub upcoming: Vec<FutureCapacity>,
 }
 
-/// What can be rented.
+/// Machines that can be rented.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Offer {
-    /// How long it takes until a task can start there.
+    /// Seconds until a task can start on a rented machine.
     pub ready_s: f64,
-    /// Price of a core for a second, from the rental on.
+    /// Price of a core per second, from the time of the rental.
     pub price: f64,
-    /// How long a machine stays idle before it is returned.
+    /// Seconds for which a machine is idle before it is released.
     pub idle_s: f64,
-    /// Cores that can be rented.
+    /// The most cores that can be rented.
     pub max_cores: f64,
 }
 
-/// One of the times of one entry of the queue.
+/// A deadline that is met, identified by its position in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MetDeadline {
-    /// Index of the entry.
+    /// Index of the entry in the queue.
     pub entry: usize,
-    /// Index of the time in [`QueueEntry::deadlines`].
+    /// Index of the deadline in [`QueueEntry::deadlines`].
     pub deadline: usize,
 }
 
-/// What to rent.
+/// The recommended rental.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Advice {
-    /// Cores to rent; 0 if no rental pays.
+    /// Cores to rent; 0 if the benefit of no rental exceeds its cost.
     pub cores: f64,
-    /// Value of the times that are met with the rental and would be missed without.
+    /// Value of the deadlines that are met with the rental and would be missed without it.
     pub benefit: f64,
-    /// What it is expected to cost beyond what the same work costs anyhow.
+    /// Expected cost of the rental, in excess of what the same work costs without it.
     pub cost: f64,
-    /// The times that are expected to be met with the rental only.
+    /// Deadlines that are expected to be met only with the rental.
     pub met: Vec<MetDeadline>,
 }
 
-/// The outcome of a projection.
+/// The result of a projection.
 struct Outcome {
-    /// Value of the missed times.
+    /// Value of the missed deadlines.
     missed_value: f64,
-    /// When nothing waits any more, once rented capacity would be ready.
+    /// When the queue is empty, not before rented capacity is ready, in seconds from now; the
+    /// horizon if it is not empty by then.
     clear_s: f64,
-    /// Cores that still wait when rented capacity would be ready.
+    /// Cores of tasks that are still waiting when rented capacity is ready.
     waiting_when_ready: f64,
-    /// When the last task of each entry starts.
+    /// When the last task of each entry starts, in seconds from now; the horizon if it does not
+    /// start.
     last_start_s: Vec<f64>,
 }
 
-/// The step in which a time lies.
+/// Returns the first step that is not before a time, limited to the last step.
 fn step_at(time_s: f64) -> usize {
     ((time_s.max(0.0) / STEP_S).ceil() as usize).min(STEPS)
 }
 
-/// A projection of the queue as a fluid.
+/// A projection of the queue by a fluid model, in which cores are divisible.
 struct Projection<'a> {
     queue: &'a [QueueEntry],
     ready_s: f64,
-    /// Cores that are free.
+    /// Cores that are free in the present step.
     free: f64,
     /// Cores that become free in each step.
     arriving: [f64; STEPS + 1],
@@ -162,8 +165,8 @@
 }
 
 impl<'a> Projection<'a> {
-    /// With so many cores rented that are ready at about `ready_s`. Boots differ: some are ready
-    /// sooner than most, and some later.
+    /// Creates a projection with `rented_cores` that are ready at about `ready_s`. Boot times vary,
+    /// so the rented cores become ready at different times, see [`BOOT_FACTORS`].
     fn new(queue: &'a [QueueEntry], supply: &Supply, rented_cores: f64, ready_s: f64) -> Projection<'a> {
         let mut arriving = [0.0; STEPS + 1];
         for capacity in &supply.upcoming {
@@ -188,8 +191,8 @@
         }
     }
 
-    /// Projects the queue, the first entry first, except that work which has missed more of its
-    /// times lets the others go first.
+    /// Projects the queue up to the horizon. Entries that have missed fewer of their deadlines
+    /// start first; among these, the order is that of the queue.
     fn run(mut self) -> Outcome {
         let max_missed = self.queue.iter().map(|entry| entry.deadlines.len()).max().unwrap_or(0);
         for step in 0..=STEPS {
@@ -205,7 +208,7 @@
                 self.record_waiting(now_s);
             }
         }
-        // What still waits misses what is due by then.
+        // Entries that are still waiting miss the deadlines before the horizon.
         for (entry, unstarted) in self.queue.iter().zip(&self.unstarted) {
             if *unstarted > 0.0 {
                 self.outcome.missed_value += entry.missed_value(HORIZON_S);
@@ -214,7 +217,7 @@
         self.outcome
     }
 
-    /// Starts what has missed so many of its times, as far as cores are free.
+    /// Starts entries that have missed `missed` of their deadlines, as far as cores are free.
     fn start_tasks(&mut self, step: usize, now_s: f64, missed: usize) {
         for (index, entry) in self.queue.iter().enumerate() {
             let unstarted = &mut self.unstarted[index];
@@ -239,7 +242,7 @@
         }
     }
 
-    /// Notes what still waits, once rented capacity would be ready.
+    /// Records the cores of tasks that are still waiting in a step after rented capacity is ready.
     fn record_waiting(&mut self, now_s: f64) {
         let entries = self.unstarted.iter().zip(self.queue);
         let waiting: f64 = entries
@@ -259,7 +262,7 @@
     }
 }
 
-/// The times that are met with more capacity and missed without.
+/// Returns the deadlines that are met with more capacity and missed without it.
 fn met_deadlines(queue: &[QueueEntry], without: &Outcome, with: &Outcome) -> Vec<MetDeadline> {
     let mut met = vec![];
     for (index, entry) in queue.iter().enumerate() {
@@ -276,13 +279,14 @@
     met
 }
 
-/// How much to rent now for work in the order of its queue.
+/// Returns the number of cores to rent now for an ordered queue, with the expected benefit and
+/// cost.
 pub fn advise(queue: &[QueueEntry], supply: &Supply, offer: &Offer) -> Advice {
     if queue.is_empty() || offer.max_cores <= 0.0 || offer.ready_s >= HORIZON_S {
         return Advice::default();
     }
     let without = Projection::new(queue, supply, 0.0, offer.ready_s).run();
-    // More than what waits when it would be ready is of no use.
+    // Rented cores in excess of those still waited for when the machines are ready are of no use.
     let useful_cores = without.waiting_when_ready.min(offer.max_cores);
     if useful_cores <= 0.0 || without.missed_value <= 0.0 {
         return Advice::default();
--- a/crates/provisioning/tests/provisioning.rs
+++ b/crates/provisioning/tests/provisioning.rs
@@ -1,4 +1,4 @@
-//! What is rented serves something in time and is worth its price.
+//! Tests that rentals let queued work meet deadlines and are worth their cost.
 
 use glenhaven_provisioning::{advise, Deadline, FutureCapacity, Offer, QueueEntry, Supply};
 use proptest::prelude::*;
@@ -55,7 +55,8 @@
     assert!(worthwhile.cores > 400.0, "{worthwhile:?}");
 }
 
-/// The first half of a queue fits into what ends in time; only the rest needs machines of its own.
+/// Guards against renting for the whole queue: the first half fits on free cores, so only the
+/// second half needs rented machines.
 #[test]
 fn rents_only_the_missing_cores() {
     let queue = [
@@ -70,8 +71,8 @@
     assert!(advice.cores > 200.0 && advice.cores <= 300.0, "{advice:?}");
 }
 
-/// Old work that has missed its time lets what is in time go first, so that
-/// little capacity is enough for what comes in time.
+/// Guards against renting for work that is already late: late work starts after work that is in
+/// time, so a small capacity is enough for the latter.
 #[test]
 fn late_backlog_causes_no_rental() {
     let mut queue = vec![queue_entry(5000.0, 40.0, -10.0, 50.0)];
@@ -95,8 +96,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(128) })]
 
-    /// Whatever waits: no more than may be rented or could be of use, never at a
-    /// loss, and never a number that is none.
+    /// For any queue, the advice stays within the cores that can be rented and those that the queue
+    /// needs, its benefit covers its cost, and its numbers are finite.
     #[test]
     fn advice_is_sound(
         jobs in proptest::collection::vec((0.0f64..400.0, 0.0f64..200.0, -50.0f64..150.0, 0.0f64..9.0), 0..30),
--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -1,10 +1,11 @@
-//! Cost and benefit of on-demand machines for work that may use spot machines, when no spot machine
-//! is to be had.
+//! Cost and benefit of on-demand machines for work that may use spot machines, when no spot
+//! machines are available.
 //!
-//! Called when machines are to be rented and the cloud has no spot capacity. Builds a model of the
-//! queue, of the capacity that is free or becomes so, and of prices; `glenhaven-provisioning`
-//! projects it and advises. Nothing is rented here, and nothing changes except that
-//! [`LeaderState::record_commitments`] marks what a rental is expected to achieve.
+//! Scale-out calls this module when machines are to be rented and the cloud has no spot capacity.
+//! It builds a model of the queue, of the capacity that is or becomes free, and of prices, which
+//! `glenhaven-provisioning` projects into the future. This module rents nothing, and changes no
+//! state except that [`LeaderState::record_commitments`] marks the objectives that a rental is
+//! expected to let jobs meet.
 
 use super::effective_cores;
 use crate::coordination::objectives::JobObjective;
@@ -18,43 +19,44 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Entries of the queue that are projected one by one; what comes after them is merged into the
-/// last.
+/// The most queue entries for waiting jobs; jobs after these are merged into the last entry.
 const MAX_ENTRIES: usize = 250;
-/// Jobs of up to so many cores that came within [`MERGE_STEP_S`] of each other are merged into
-/// one entry: there may be thousands.
+/// Jobs with at most this number of waiting cores are merged into one entry if they arrived within
+/// the same step of [`MERGE_STEP_S`]: there may be thousands of such jobs.
 const MAX_MERGED_CORES: f64 = 8.0;
-/// See [`MAX_MERGED_CORES`].
+/// Length of the steps of arrival time within which small jobs are merged.
 const MERGE_STEP_S: f64 = 4.0;
-/// A job that has missed all of its objectives is to start within this: it must not wait for ever.
+/// Deadline for the start of a job that has missed all of its objectives, so that it does not wait
+/// indefinitely.
 const ALL_MISSED_START_S: f64 = 60.0;
-/// The value of that in relation to an objective that can still be met.
+/// Value of that deadline in relation to the job's most valuable objective.
 const ALL_MISSED_VALUE_FACTOR: f64 = 0.25;
-/// Arrivals that are expected are merged into entries of so many seconds.
+/// Length of the time steps into which expected arrivals are merged.
 const EXPECTED_STEP_S: f64 = 10.0;
-/// How far ahead arrivals are expected.
+/// How far ahead arrivals of jobs are projected.
 const EXPECTED_HORIZON_S: f64 = 120.0;
-/// Boots under way are counted on after so many times their nominal time.
+/// Expected boot time in multiples of the nominal boot time.
 const BOOT_FACTOR: f64 = 1.1;
-/// The longest that an image is expected to be fetched.
+/// Upper limit of the expected time to fetch an image.
 const MAX_FETCH_S: f64 = 60.0;
-/// The least time that a running task is expected to go on.
+/// Lower limit of the expected remaining run time of a task.
 const MIN_REMAINING_S: f64 = 2.0;
-/// Tasks of a job that must have completed before their run times are expected of the others.
+/// Number of tasks of a job that must have completed before their mean run time replaces the
+/// estimate.
 const MIN_RUNS: u32 = 3;
-/// Projections are trusted while this share of what rentals committed to came true.
+/// Projections for a class are used while at least this share of the recent commitments was met.
 const MIN_TRUST: f64 = 0.5;
-/// A class counts as if a job of it came at least this often.
+/// Upper limit of the mean time between arrivals of a class, for the value of one job.
 const MAX_ARRIVAL_INTERVAL_S: f64 = 20.0;
-/// Seconds in the hour that prices are for.
+/// Seconds in an hour; prices in the catalogue are per hour.
 const HOUR_S: f64 = 3600.0;
 
-/// How many cores of on-demand machines to rent, and what for.
+/// Number of on-demand cores to rent, and the objectives that they are rented for.
 #[derive(Clone, Debug, Default)]
 pub struct OnDemandAdvice {
     /// Cores to rent; 0 if no rental pays.
     pub cores: f64,
-    /// What the rental is expected to achieve.
+    /// Objectives that the rental is expected to let jobs meet.
     pub commitments: Vec<Commitment>,
 }
 
@@ -68,8 +70,8 @@
 }
 
 impl LeaderState {
-    /// How long a task of the job is expected to run: as long as those that completed, or as its
-    /// owner estimates, corrected by the bias of the class's estimates of late.
+    /// Returns the expected run time of a task in seconds: the mean of the job's completed tasks,
+    /// or the user's estimate, corrected by the bias of the class's recent estimates.
     fn expected_run_s(&self, job: &Job) -> f64 {
         if job.completed_runs.count >= MIN_RUNS {
             job.completed_runs.mean_s()
@@ -78,25 +80,27 @@
         }
     }
 
-    /// Whether machines are rented for a class by what they would let it meet: that is so where
-    /// an objective says how long its tasks may wait, as long as most of what such rentals committed
-    /// to came true. Other work has time: it gets machines for its backlog, which costs far less
-    /// for each job that is in time.
+    /// Returns whether on-demand machines are rented for a class by the objectives that they would
+    /// let it meet.
+    ///
+    /// This is the case if an objective limits the waiting time of the class, while rentals meet at
+    /// least [`MIN_TRUST`] of their commitments. Other work gets on-demand machines for its
+    /// backlog, which costs far less for each job that is in time.
     pub fn is_latency_sensitive(&self, cluster: &ClusterConfig, class: &str, now: Micros) -> bool {
         let mut objectives = cluster.settings.params.objectives.iter();
         let has_wait_objective = objectives.any(|o| o.class == class && o.kind == "wait");
         has_wait_objective && self.slo.trust(class, now) >= MIN_TRUST
     }
 
-    /// How many cores of on-demand machines to rent now for work that may use spot machines, when
-    /// none of those is to be had. `reserved_cores` of the capacity that is free or on its way are
-    /// for other work.
+    /// Returns the number of on-demand cores to rent now for work that may use spot machines, when
+    /// no spot machines are available. `reserved_cores` of the free and expected capacity are for
+    /// other work.
     pub fn on_demand_cost_benefit(&self, cluster: &ClusterConfig, reserved_cores: f64, now: Micros) -> OnDemandAdvice {
         CostBenefitModel::new(self, cluster, now).map_or_else(OnDemandAdvice::default, |p| p.advise(reserved_cores))
     }
 
-    /// Marks the objectives that a rental is expected to let jobs meet: whether they are met shows
-    /// how far such projections can be trusted.
+    /// Marks the objectives that a rental is expected to let jobs meet. The share of these that is
+    /// met decides whether later projections are trusted.
     pub fn record_commitments(&mut self, commitments: Vec<Commitment>) {
         for Commitment { job, objective } in commitments {
             let objectives = self.jobs.get_mut(&job).and_then(|j| j.objectives.as_mut());
@@ -107,20 +111,20 @@
     }
 }
 
-/// What machines of the zones that are not cut off cost and need.
+/// Prices, boot time and fetch rate of the machine types available outside cut-off zones.
 struct Market {
-    /// Lowest price of an on-demand core for a second.
+    /// Lowest price of an on-demand core per second.
     on_demand_price: f64,
-    /// Lowest price of a spot core for a second.
+    /// Lowest price of a spot core per second.
     spot_price: f64,
-    /// Longest nominal boot.
+    /// Longest nominal boot time.
     boot_s: f64,
     /// Fastest rate at which a machine fetches images.
     fetch_gb_per_s: f64,
 }
 
 impl Market {
-    /// `None` if there is no machine to be rented at all.
+    /// Returns `None` if no machine type can be rented.
     fn of(leader: &LeaderState, cluster: &ClusterConfig) -> Option<Market> {
         let usable: Vec<&MachineType> = cluster
             .catalogue
@@ -139,20 +143,20 @@
     }
 }
 
-/// What the advice is computed from.
+/// Builds the input for the cost-benefit projection from the leader's state.
 struct CostBenefitModel<'a> {
     leader: &'a LeaderState,
     cluster: &'a ClusterConfig,
     now: Micros,
     market: Market,
-    /// Classes that have work waiting which may use spot machines, and whether they must not wait.
+    /// Whether each class with waiting work that may use spot machines is latency-sensitive.
     latency_sensitive: BTreeMap<&'a str, bool>,
-    /// Value of meeting objectives in all, for a second.
+    /// Value per second of all jobs of a class meeting one objective.
     value_per_s: f64,
 }
 
 impl<'a> CostBenefitModel<'a> {
-    /// `None` if nothing that waits is worth a projection.
+    /// Returns `None` if no machine type can be rented or no waiting work is latency-sensitive.
     fn new(leader: &'a LeaderState, cluster: &'a ClusterConfig, now: Micros) -> Option<CostBenefitModel<'a>> {
         let market = Market::of(leader, cluster)?;
         let mut latency_sensitive: BTreeMap<&str, bool> = BTreeMap::new();
@@ -176,7 +180,7 @@
         })
     }
 
-    /// Projects the queue with and without more machines.
+    /// Projects the queue with and without more machines, and returns the most profitable rental.
     fn advise(&self, reserved_cores: f64) -> OnDemandAdvice {
         let waiting = self.waiting_jobs();
         let mut queue = self.merged_queue(&waiting);
@@ -209,18 +213,20 @@
         (job.spec.image_gb / self.market.fetch_gb_per_s).min(MAX_FETCH_S)
     }
 
-    /// How long a task of the job is expected to hold its cores, the fetch of its image included.
+    /// Returns the expected time for which a task of the job holds its cores, including the fetch
+    /// of its image, in seconds.
     fn hold_s(&self, job: &Job) -> f64 {
         self.leader.expected_run_s(job) + self.fetch_s(job)
     }
 
-    /// Value of one job of the class meeting the objective.
+    /// Returns the value of one job of the class meeting the objective; 0 if the class is not
+    /// latency-sensitive.
     fn value(&self, class: &str, objective: &JobObjective) -> f64 {
         if !self.latency_sensitive.get(class).copied().unwrap_or(false) {
             return 0.0;
         }
         let jobs_per_s = self.leader.slo.inflow(class, self.now).jobs_per_s;
-        // One job of a class that comes every few minutes does not have the value of the whole class.
+        // The limit keeps one job of a class with rare arrivals from having the value of the class.
         let per_job = self.value_per_s / jobs_per_s.max(1.0 / MAX_ARRIVAL_INTERVAL_S);
         let urgency = self
             .leader
@@ -229,7 +235,8 @@
         per_job * urgency
     }
 
-    /// Jobs that wait and may use spot machines, in the order of the queue.
+    /// Returns the waiting jobs that may use spot machines, in queue order; best-effort jobs wait
+    /// for spot machines and are left out.
     fn waiting_jobs(&self) -> Vec<WaitingJob<'a>> {
         let guaranteed = self.leader.within_guarantee(self.cluster);
         let jobs = self.leader.jobs.values();
@@ -245,7 +252,7 @@
         waiting
     }
 
-    /// Entries for what waits, as far as the limits of the teams let it run.
+    /// Returns the queue entries for waiting jobs, within the limits of their teams.
     fn merged_queue(&self, waiting: &[WaitingJob<'a>]) -> Queue<'a> {
         let usage = team_use(&self.leader.jobs);
         let mut left_of_limits: BTreeMap<&str, f64> = BTreeMap::new();
@@ -271,13 +278,13 @@
         queue
     }
 
-    /// Cores that a team's limit still admits.
+    /// Returns the cores that a team's limit still admits.
     fn left_of_limit(&self, usage: &BTreeMap<String, TeamUsage>, team: &str) -> f64 {
         let used = usage.get(team).map_or(0.0, |usage| usage.cpus);
         (self.cluster.limits(team).0 - used).max(0.0)
     }
 
-    /// Adds what waits of one job, merged with what is alike.
+    /// Adds the waiting tasks of one job, merged with those of similar small jobs.
     fn add_waiting(&self, queue: &mut Queue<'a>, waiting_job: &WaitingJob<'a>, mut work: QueueEntry) {
         let job = waiting_job.job;
         let age_s = self.now.since(job.arrived_at).secs();
@@ -297,8 +304,9 @@
         queue.add(merge_key, work, member);
     }
 
-    /// By when the job's last task has to start for each objective that it can still meet, and the
-    /// numbers of these objectives. If it can meet none, one time in place of all.
+    /// Returns the deadline for the start of the job's last task for each objective that the job
+    /// can still meet, and the numbers of these objectives. If it can meet none, returns the one
+    /// deadline of [`ALL_MISSED_START_S`] and no numbers.
     fn start_times(&self, job: &Job, hold_s: f64, age_s: f64) -> (Vec<Deadline>, Vec<usize>) {
         let mut deadlines: Vec<Deadline> = vec![];
         let mut numbers = vec![];
@@ -322,8 +330,8 @@
         (deadlines, numbers)
     }
 
-    /// Adds the arrivals that are expected meanwhile, which take their part of the capacity; the
-    /// youngest waiting job of a class is the model of those to come.
+    /// Adds the expected arrivals, which take their share of the capacity. They have the objectives
+    /// and the image size of the latest waiting job of their class.
     fn add_expected_arrivals(&self, queue: &mut Queue, waiting: &[WaitingJob<'a>]) {
         let mut youngest: BTreeMap<&str, &Job> = BTreeMap::new();
         for WaitingJob { job, .. } in waiting {
@@ -358,7 +366,7 @@
         }
     }
 
-    /// Cores that are free or become so, less `reserved_cores`.
+    /// Returns the cores that are or become free, less `reserved_cores`.
     fn supply(&self, reserved_cores: f64) -> Supply {
         let mut supply = Supply {
             free_cores: -reserved_cores,
@@ -388,7 +396,7 @@
         supply
     }
 
-    /// When a booting machine is ready, and with how many cores it is counted.
+    /// Returns when a booting machine is expected to be ready, and how many of its cores count.
     fn booting_cores(&self, machine: &Machine, machine_type: &MachineType) -> FutureCapacity {
         let age = self.now.since(machine.known_since);
         let profile = self.leader.provisioning.boot_times.profile(machine);
@@ -399,7 +407,7 @@
         }
     }
 
-    /// Adds the cores that the tasks of arrays on a machine give back when they end.
+    /// Adds the cores that array tasks on a machine are expected to free when they end.
     fn add_cores_of_running_tasks(&self, supply: &mut Supply, machine: &Machine) {
         for (id, task) in &machine.tasks {
             let Some(job) = self.leader.jobs.get(id).filter(|j| !j.is_service()) else {
@@ -418,8 +426,9 @@
     }
 }
 
-/// Value of meeting objectives in all, for a second: a part of what everything costs. Each
-/// objective of a class is taken to have the same value, and each job its share of that.
+/// Returns the value per second of all jobs of a class meeting one objective: the total cost per
+/// second, multiplied by the operators' `in_time_worth`. Every objective of a class is assumed to
+/// have the same value, and each job of the class has its share of it.
 fn value_per_s(leader: &LeaderState, cluster: &ClusterConfig, market: &Market) -> f64 {
     let (mut rent, mut demanded_cores) = (0.0, 0.0);
     let rented = leader.machines.values();
@@ -446,7 +455,7 @@
     is_guaranteed: bool,
 }
 
-/// Small jobs that have the same key are merged into one entry.
+/// Key by which small jobs are merged into one entry.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct MergeKey<'a> {
     priority: Priority,
@@ -454,14 +463,14 @@
     class: &'a str,
     /// Age of the jobs in steps of [`MERGE_STEP_S`].
     arrival_step: u64,
-    /// How many times by which to start they have.
+    /// Number of deadlines of each job.
     deadlines: usize,
 }
 
 /// A job that is part of an entry.
 struct Member {
     job: JobId,
-    /// Numbers of its objectives, in the order of the entry's times.
+    /// Numbers of its objectives, in the order of the entry's deadlines.
     objectives: Vec<usize>,
 }
 
@@ -469,14 +478,14 @@
 #[derive(Default)]
 struct Queue<'a> {
     entries: Vec<QueueEntry>,
-    /// The jobs of each entry; expected arrivals, at the end of the entries, have none.
+    /// The jobs of each entry. Entries of expected arrivals, which come last, have none.
     members: Vec<Vec<Member>>,
     mergeable: BTreeMap<MergeKey<'a>, usize>,
 }
 
 impl<'a> Queue<'a> {
-    /// Merges work into the entry with its key, or into the last one if there are enough entries;
-    /// else makes a new entry.
+    /// Merges work into the entry with the same key, or into the last entry if there are
+    /// [`MAX_ENTRIES`]; otherwise adds an entry.
     fn add(&mut self, merge_key: Option<MergeKey<'a>>, work: QueueEntry, member: Member) {
         let matching = merge_key.as_ref().and_then(|key| self.mergeable.get(key).copied());
         let is_full = self.entries.len() >= MAX_ENTRIES;
@@ -496,7 +505,7 @@
         self.entries.push(work);
     }
 
-    /// The objectives behind these times.
+    /// Returns the objectives that belong to these deadlines.
     fn commitments(&self, met: &[MetDeadline]) -> Vec<Commitment> {
         let mut commitments = vec![];
         for MetDeadline { entry, deadline } in met {
--- a/src/coordination/provisioning/demand.rs
+++ b/src/coordination/provisioning/demand.rs
@@ -1,7 +1,7 @@
 //! Demand of the cluster's jobs and supply of its machines, in cores.
 //!
-//! The decisions about scale-out and scale-in read these amounts; this module changes no state.
-//! All amounts are effective cores: a task that takes more memory than its share of a machine counts
+//! The decisions about scale-out and scale-in read these amounts; this module changes no state. All
+//! amounts are effective cores: a task that takes more memory than its share of a machine counts
 //! for more cores.
 
 use super::super::objectives::NO_HURRY_S;
@@ -161,8 +161,8 @@
     /// latency-sensitive, when no spot machines are available; negative if there is a surplus.
     ///
     /// Cores are needed for waiting tasks that are still in time on a machine rented now, and for a
-    /// fixed share of the rest, so that a backlog does not grow without bound. `available_cores` are
-    /// the cores available to all work that may use spot machines.
+    /// fixed share of the rest, so that a backlog does not grow without bound. `available_cores`
+    /// are the cores available to all work that may use spot machines.
     pub(super) fn backlog_shortfall(&self, cluster: &ClusterConfig, available_cores: f64, now: Micros) -> f64 {
         let boot_times_s: Vec<f64> = cluster.catalogue.values().map(|t| t.boot_s).collect();
         let mean_boot_s = boot_times_s.iter().sum::<f64>() / boot_times_s.len().max(1) as f64;
--- a/src/coordination/provisioning/failed_machines.rs
+++ b/src/coordination/provisioning/failed_machines.rs
@@ -1,8 +1,8 @@
-//! The cloud's list of machines, and the release of machines that failed: those that never boot, are
-//! silent, interrupted or listed as failed, or keep a cancelled task for too long.
+//! The cloud's list of machines, and the release of machines that failed: those that never boot,
+//! are silent, interrupted or listed as failed, or keep a cancelled task for too long.
 //!
-//! The leader runs these checks for every page of the list and at intervals. A failed machine is only
-//! marked for release; its tasks count as running until the cloud confirms the release.
+//! The leader runs these checks for every page of the list and at intervals. A failed machine is
+//! only marked for release; its tasks count as running until the cloud confirms the release.
 
 use super::super::state::{LeaderState, Machine, MachineId, MachineState};
 use super::super::{timing, ClusterConfig};
@@ -14,7 +14,8 @@
 
 /// Nominal boot time assumed for a machine of an unknown type, in seconds.
 const UNKNOWN_BOOT_S: f64 = 60.0;
-/// The fewest silent machines that make a controller unreliable, if most of its machines are silent.
+/// The fewest silent machines that make a controller unreliable, if most of its machines are
+/// silent.
 const MIN_SILENT: usize = 3;
 
 /// The reason for which a machine is released.
@@ -48,8 +49,8 @@
 }
 
 impl LeaderState {
-    /// Handles a machine in the cloud's list: adopts an unknown machine, and marks a failed machine for
-    /// release.
+    /// Handles a machine in the cloud's list: adopts an unknown machine, and marks a failed machine
+    /// for release.
     pub(super) fn on_listed_machine(&mut self, listed: ListedMachine, now: Micros) {
         let name: MachineId = listed.name.as_str().into();
         if self.released_machines.contains(&name) {
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Returns the machines on which tasks of cancelled jobs have not stopped within half of the time
-    /// allowed for a cancellation.
+    /// Returns the machines on which tasks of cancelled jobs have not stopped within half of the
+    /// time allowed for a cancellation.
     fn machines_with_unstopped_tasks(&self, cluster: &ClusterConfig, now: Micros) -> BTreeSet<MachineId> {
         let stop_timeout = Micros::from_secs(cluster.settings.params.workers.cancel_s * 0.5);
         self.jobs
@@ -190,13 +191,14 @@
         self.unreliable_controllers.contains(&machine.heartbeat_proxy)
     }
 
-    /// Returns whether another controller has reported recently that it has contact with the machine.
+    /// Returns whether another controller has reported recently that it has contact with the
+    /// machine.
     fn is_proxied(&self, machine: &Machine) -> bool {
         self.now.since(machine.last_proxied_at) <= timing::PROXY_ANNOUNCEMENT
     }
 
-    /// Returns how long a machine has been silent, or `None` if its silence may have another cause: a
-    /// cut-off zone, an unreliable controller, or contact through another controller.
+    /// Returns how long a machine has been silent, or `None` if its silence may have another cause:
+    /// a cut-off zone, an unreliable controller, or contact through another controller.
     fn silence_by_itself(&self, machine: &Machine) -> Option<Micros> {
         let is_independent =
             !self.is_cut(machine) && !self.has_unreliable_controller(machine) && !self.is_proxied(machine);
@@ -224,10 +226,10 @@
 
     /// Returns how long a machine may be silent before it counts as failed.
     ///
-    /// A silent spot machine has most likely been reclaimed by the cloud. A silent on-demand machine
-    /// is more likely partitioned with its tasks running until its lease ends, and an earlier release
-    /// would only stop them. A machine of unknown type, which a new leader has only from the log,
-    /// without a heartbeat or a place in the cloud's list, is most likely gone too.
+    /// A silent spot machine has most likely been reclaimed by the cloud. A silent on-demand
+    /// machine is more likely partitioned with its tasks running until its lease ends, and an
+    /// earlier release would only stop them. A machine of unknown type, which a new leader has only
+    /// from the log, without a heartbeat or a place in the cloud's list, is most likely gone too.
     fn max_silence(&self, machine: &Machine) -> Micros {
         let workers = &self.cluster.settings.params.workers;
         if self.may_have_contact_in_cut_zone(machine) {
--- a/src/coordination/provisioning/mod.rs
+++ b/src/coordination/provisioning/mod.rs
@@ -1,8 +1,9 @@
 //! Provisioning: decides which machines are rented, kept and released.
 //!
-//! The leader owns this state and runs provisioning on every tick. Scale-out and scale-in compare the
-//! demand of jobs with the supply of machines. Machines that never boot, stop sending heartbeats or
-//! fail are released. Machines in the cloud's list that the leader has no record of are adopted.
+//! The leader owns this state and runs provisioning on every tick. Scale-out and scale-in compare
+//! the demand of jobs with the supply of machines. Machines that never boot, stop sending
+//! heartbeats or fail are released. Machines in the cloud's list that the leader has no record of
+//! are adopted.
 //!
 //! Invariants: a rental is recorded in the leader's log before it is requested, under a name that
 //! makes the request idempotent. Provisioning never frees the placements on a machine: they become
@@ -55,12 +56,12 @@
     list_in_flight: bool,
     /// Whether this leader has read the whole list of machines at least once.
     has_listed: bool,
-    /// Machine type, zone and whether spot of the pools without capacity, and until when no machines
-    /// of them are requested.
+    /// Machine type, zone and whether spot of the pools without capacity, and until when no
+    /// machines of them are requested.
     no_capacity_until: BTreeMap<(String, String, bool), Micros>,
     releases_in_flight: usize,
-    /// Machines marked for release whose release has not been requested yet; kept separately so that
-    /// not all machines are examined for every batch.
+    /// Machines marked for release whose release has not been requested yet; kept separately so
+    /// that not all machines are examined for every batch.
     to_release: BTreeSet<MachineId>,
     next_decision_at: Micros,
     /// When the cost and benefit of on-demand machines are due to be compared again.
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -1,7 +1,7 @@
-//! Scale-out: of which type and in which zone machines are rented for so many cores.
+//! Scale-out: chooses the machine type and zone in which a number of cores is rented.
 //!
-//! Decides on one claim at a time and adds it to the list; the log records it, and
-//! [`LeaderState::run_provisioning`] requests it.
+//! Each decision adds one claim to the list of claims. The log records the claim, and
+//! [`LeaderState::run_provisioning`] then requests it from the cloud.
 
 use super::super::scheduling::allowed;
 use super::super::state::{LeaderState, MachineState};
@@ -12,23 +12,23 @@
 use crate::storage::records::ClaimValue;
 use crate::time::Micros;
 
-/// Machines in one claim at the least, if so many are needed: below it, a need is not spread over
-/// zones.
+/// The fewest machines per claim when a rental is spread over zones.
 const MIN_BATCH: f64 = 6.0;
-/// The most machines that the cloud takes in one request.
+/// The most machines that the cloud accepts in one request.
 const MAX_BATCH: f64 = 50.0;
-/// Claims that are not answered yet at a time.
+/// The most claims that the cloud has not answered yet.
 const MAX_OPEN_CLAIMS: usize = 16;
-/// An offer that costs less than this part of another is cheaper.
+/// An offer is cheaper if its cost is below that of the other offer multiplied by this ratio.
 const CHEAPER_RATIO: f64 = 0.97;
-/// An offer that costs less than this many times another is taken to cost no more.
+/// An offer has a similar cost if its cost is below that of the other offer multiplied by this
+/// ratio.
 const SIMILAR_RATIO: f64 = 1.03;
 
 /// Cores to be rented.
 pub(super) struct Rental<'a> {
     pub(super) spot: bool,
     pub(super) cores: f64,
-    /// The job that the machines have to suit; `None`: any that needs machines.
+    /// The job that must fit on the machines; `None`: at least one of the jobs.
     pub(super) job: Option<&'a JobSpec>,
     /// The zones that may be used; `None`: any.
     pub(super) zones: Option<&'a [String]>,
@@ -39,12 +39,12 @@
         self.zones.is_none_or(|zones| zones.contains(zone))
     }
 
-    /// How many machines of a type the cores take, at least one.
+    /// Returns the number of machines of a type that have the cores, at least 1.
     fn machine_count(&self, machine_type: &MachineType) -> f64 {
         (self.cores / machine_type.cpus.max(1.0)).ceil().max(1.0)
     }
 
-    /// What the rental costs with this type, for each core that is used.
+    /// Returns the price per hour of the rental with this type, for each core that is needed.
     fn cost_per_core(&self, machine_type: &MachineType) -> f64 {
         let price = if self.spot {
             machine_type.spot_price
@@ -58,14 +58,15 @@
 /// A machine type in a zone.
 struct ZoneOffer<'a> {
     cost_per_core: f64,
-    /// Machines of this sort of rental that are in the zone already.
+    /// Machines of the same capacity type that are already in the zone.
     machines_in_zone: usize,
     zone: &'a String,
     machine_type: &'a MachineType,
 }
 
 impl ZoneOffer<'_> {
-    /// Cheaper; or similar, and smaller or in a zone with fewer machines.
+    /// Returns whether this offer is cheaper than the other, or has a similar cost and is for
+    /// smaller machines, or for machines no larger in a zone with fewer machines.
     fn is_better_than(&self, other: &ZoneOffer) -> bool {
         let (cost, cpus) = (self.cost_per_core, self.machine_type.cpus);
         let is_similar = cost < other.cost_per_core * SIMILAR_RATIO;
@@ -76,7 +77,8 @@
 }
 
 impl LeaderState {
-    /// Claims machines for so many cores; false if there is no offer for them now.
+    /// Claims machines for a number of cores of one capacity type. Returns whether there is an
+    /// offer now.
     pub(super) fn rent(&mut self, cluster: &ClusterConfig, now: Micros, spot: bool, cores: f64) -> bool {
         let rental = Rental {
             spot,
@@ -87,8 +89,10 @@
         self.rent_where(cluster, now, &rental)
     }
 
-    /// Claims machines for a rental; false if there is no offer for it now. With too many claims
-    /// open it waits for them, and counts as claimed.
+    /// Claims machines for a rental. Returns whether there is an offer now.
+    ///
+    /// While [`MAX_OPEN_CLAIMS`] claims are unanswered, nothing is claimed and the result is
+    /// `true`.
     pub(super) fn rent_where(&mut self, cluster: &ClusterConfig, now: Micros, rental: &Rental) -> bool {
         if self.provisioning.unanswered_claims().count() >= MAX_OPEN_CLAIMS {
             return true;
@@ -127,7 +131,7 @@
         best
     }
 
-    /// The jobs of which a machine has to suit one.
+    /// Returns the jobs of which at least one must fit on the machines.
     fn specs_to_suit<'a>(&'a self, rental: &Rental<'a>) -> Vec<&'a JobSpec> {
         if let Some(spec) = rental.job {
             return vec![spec];
@@ -141,7 +145,7 @@
             .collect()
     }
 
-    /// Whether machines of this type can be asked for in a zone now.
+    /// Returns whether machines of this type can be requested in a zone now.
     fn is_available(&self, machine_type: &MachineType, zone: &str, spot: bool, now: Micros) -> bool {
         let key = (machine_type.name.clone(), zone.to_string(), spot);
         let no_capacity_until = self.provisioning.no_capacity_until.get(&key);
@@ -177,7 +181,7 @@
     }
 }
 
-/// Whether a task of the job may run and fits on a machine of this type.
+/// Returns whether a task of the job may run on a machine of this type and zone, and fits on it.
 fn suits(spec: &JobSpec, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
     allowed(spec, &machine_type.name, zone, spot)
         && spec.cpus <= machine_type.cpus
@@ -185,7 +189,7 @@
         && spec.gpus <= machine_type.gpus
 }
 
-/// The claim for an offer. A large need is spread over the zones, one claim after the other.
+/// Returns the claim for an offer. A large rental is spread over the zones by successive claims.
 fn claim_value(rental: &Rental, offer: &ZoneOffer) -> ClaimValue {
     let machine_type = offer.machine_type;
     let all = (rental.cores / machine_type.cpus.max(1.0)).ceil();
--- a/src/coordination/provisioning/scaling.rs
+++ b/src/coordination/provisioning/scaling.rs
@@ -1,5 +1,5 @@
-//! The regular decision about scale-out and scale-in: what work asks for against what machines
-//! supply.
+//! The periodic decision about scale-out and scale-in, which compares the demand of jobs with the
+//! supply of machines.
 
 use super::super::state::LeaderState;
 use super::super::ClusterConfig;
@@ -7,18 +7,19 @@
 use super::Provisioning;
 use crate::time::Micros;
 
-/// Half life of the average demand of work that may use spot machines, in seconds.
+/// Half-life of the average demand of work that may use spot machines, in seconds.
 const AVERAGE_HALF_LIFE_S: f64 = 20.0;
-/// Missing cores from which on spot machines are rented.
+/// Spot machines are rented only if more cores than this are missing.
 const MIN_MISSING_SPOT_CORES: f64 = 1.0;
-/// Cores from which on a rental of on-demand machines is worth its request.
+/// On-demand machines are rented for spot work only if they are for more cores than this.
 const MIN_ON_DEMAND_CORES: f64 = 0.5;
-/// The pause before cost and benefit are considered again, after a rental and otherwise.
+/// Time until cost and benefit are compared again after a rental.
 const COST_BENEFIT_INTERVAL_AFTER_RENTAL: Micros = Micros::from_millis(250);
+/// Time until cost and benefit are compared again if nothing was rented.
 const COST_BENEFIT_INTERVAL: Micros = Micros::from_millis(1000);
 
 impl Provisioning {
-    /// Lets the average demand of work that may use spot machines follow the present one.
+    /// Updates the decaying average of the demand of work that may use spot machines.
     fn update_average(&mut self, spot_demand: f64, now: Micros) {
         let span_s = self.averaged_at.map_or(0.0, |at| now.since(at).secs());
         self.averaged_at = Some(now);
@@ -28,12 +29,12 @@
 }
 
 impl LeaderState {
-    /// Decides what to rent and what to return.
+    /// Decides which machines to rent and which idle machines to release.
     pub(super) fn decide_scaling(&mut self, cluster: &ClusterConfig, now: Micros) {
         let demand = self.demand(cluster, now);
         self.provisioning.update_average(demand.spot, now);
-        // A new leader knows from the log only the names of machines with tasks. Before the list
-        // or heartbeats describe the machines, it would rent all that is there a second time.
+        // A new leader has from the log only the names of machines with tasks. Before the cloud's
+        // list or heartbeats describe the machines, it would rent all of them a second time.
         let contact_timeout = Micros::from_secs(cluster.settings.params.workers.report_s * 1.5 + 2.0);
         let had_agent_contact = now.since(self.started_at) > contact_timeout;
         if !self.provisioning.has_listed && !had_agent_contact {
@@ -47,8 +48,8 @@
         self.release_idle(cluster, now, target, supply);
     }
 
-    /// Cores that there should be: the demand with its reserve and headroom, less what runs on in
-    /// zones that are cut off, which is not replaced yet.
+    /// Returns the cores that the cluster should have: the demand with its reserve and headroom,
+    /// less the cores of work in cut-off zones that continues there and is not replaced yet.
     fn target_cores(&self, cluster: &ClusterConfig, demand: CoresByCapacityType, now: Micros) -> CoresByCapacityType {
         let headroom = 1.0 + cluster.settings.operator.headroom;
         let on_demand = if demand.on_demand > 0.0 {
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Rents what is missing: spot machines for work that may use them or, if there are none, as
-    /// many on-demand machines as are worth it.
+    /// Rents the missing cores. Work that may use spot machines gets these or, if none are
+    /// available, as many on-demand machines as are worth their cost.
     fn scale_out(
         &mut self,
         cluster: &ClusterConfig,
@@ -92,8 +93,9 @@
         }
     }
 
-    /// Rents on-demand machines for work that may use spot machines. `reserved_cores` of those free
-    /// or on their way are for other work, `available_cores` are there for this work.
+    /// Rents on-demand machines for work that may use spot machines, if their benefit exceeds their
+    /// cost or the backlog needs them. `reserved_cores` of the free and expected cores are for
+    /// other work; `available_cores` are available to this work.
     fn rent_on_demand_if_beneficial(
         &mut self,
         cluster: &ClusterConfig,
--- a/src/coordination/provisioning/stuck.rs
+++ b/src/coordination/provisioning/stuck.rs
@@ -1,5 +1,7 @@
-//! Jobs that fit on no machine although there are cores enough in all: zones, machine types or
-//! scattered free capacity keep them waiting, and the regular decision does not see it.
+//! Rentals for jobs that fit on no machine although the total number of cores is sufficient.
+//!
+//! Rules about zones or machine types, or fragmented free capacity, keep these jobs waiting; the
+//! periodic decision compares only totals and rents nothing for them.
 
 use super::super::scheduling::{allowed, is_best_effort, open_zones, team_use, TeamUsage};
 use super::super::state::{Job, LeaderState, MachineState};
@@ -10,11 +12,13 @@
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
-/// How long a job with a rule about zones or machine types is stuck before machines are rented.
+/// Time for which a job with a rule about zones or machine types must have fit on no machine before
+/// a machine is rented for it, in seconds.
 const STUCK_AFTER_IF_CONSTRAINED_S: f64 = 2.0;
-/// The same for other jobs.
+/// Time for which any other job must have fit on no machine before a machine is rented for it, in
+/// seconds.
 const STUCK_AFTER_S: f64 = 6.0;
-/// Missing cores from which on a machine is rented.
+/// A machine is rented only if at least this number of cores is missing.
 const MIN_MISSING_CORES: f64 = 0.5;
 
 /// A job that fits on no machine.
@@ -23,7 +27,7 @@
     spec: JobSpec,
     /// Zones where its next task may start; `None`: any.
     open_zones: Option<Vec<String>>,
-    /// Cores that its waiting tasks need, as far as its team's limit admits them.
+    /// Cores that its waiting tasks need, within its team's limit.
     cores: f64,
     spot_only: bool,
 }
@@ -33,7 +37,7 @@
         self.open_zones.as_ref().is_none_or(|zones| zones.contains(zone))
     }
 
-    /// The sorts of rental to try, the preferred one first.
+    /// Returns the values of [`Rental::spot`] to try, the preferred one first.
     fn rentals(&self) -> &'static [bool] {
         match (self.spec.spot, self.spot_only) {
             (true, true) => &[true],
@@ -43,19 +47,22 @@
     }
 }
 
-/// Machines of one sort that are booting or claimed.
+/// A booting machine, or the machines of one unanswered claim.
 struct PendingCores {
     machine_type: String,
     zone: String,
     spot: bool,
-    /// Cores that no stuck job has been given yet.
+    /// Cores that are not assigned to a stuck job yet.
     unassigned: f64,
 }
 
 impl LeaderState {
-    /// Rents one machine for a stuck job for which nothing is on its way. One at a time: what waits
-    /// moves on as others exit. `is_total_sufficient`: whether there are cores enough in all; if not,
-    /// the regular decision rents, except for jobs with a rule about zones or machine types.
+    /// Rents one machine for the oldest stuck job that pending machines do not cover.
+    ///
+    /// Only one machine is rented per decision, because waiting tasks also start as others exit.
+    /// `is_total_sufficient` is whether the total number of cores is sufficient. If it is not, the
+    /// periodic decision rents, and only jobs with a rule about zones or machine types are
+    /// considered here.
     pub(super) fn rent_for_stuck_jobs(&mut self, cluster: &ClusterConfig, now: Micros, is_total_sufficient: bool) {
         let mut pending = self.pending_cores(cluster, now);
         for stuck in self.stuck_jobs(cluster, now, is_total_sufficient) {
@@ -76,7 +83,7 @@
         }
     }
 
-    /// What is on its way, to be shared among those who wait.
+    /// Returns the machines that are booting or claimed, to be assigned to stuck jobs.
     fn pending_cores(&self, cluster: &ClusterConfig, now: Micros) -> Vec<PendingCores> {
         let mut pending = vec![];
         let booting = self.machines.values().filter(|m| m.state == MachineState::Booting);
@@ -106,7 +113,7 @@
         pending
     }
 
-    /// The jobs that are stuck, the oldest first.
+    /// Returns the stuck jobs, the oldest first.
     fn stuck_jobs(&self, cluster: &ClusterConfig, now: Micros, is_total_sufficient: bool) -> Vec<StuckJob> {
         let mut zones: Vec<String> = cluster.catalogue.values().flat_map(|t| t.zones.clone()).collect();
         zones.sort();
@@ -122,7 +129,8 @@
         stuck
     }
 
-    /// What a stuck job needs; `None` if its team's limit stops it: no machine helps then.
+    /// Returns what a stuck job needs, or `None` if its team's limit admits no further task, so
+    /// that another machine would not help.
     fn stuck_job(
         &self,
         cluster: &ClusterConfig,
@@ -147,7 +155,7 @@
     }
 }
 
-/// Whether a job has fit on no machine for so long that machines are rented for it.
+/// Returns whether a job has fit on no machine for long enough that a machine is rented for it.
 fn is_stuck(job: &Job, now: Micros, is_total_sufficient: bool) -> bool {
     let spec = &job.spec;
     let is_constrained = spec.one_zone || spec.spread || spec.zone.is_some() || spec.types.is_some();
@@ -163,7 +171,7 @@
         && !job.is_suspect(now)
 }
 
-/// Gives a job what is on its way and suits it, and returns the cores that it still misses.
+/// Assigns suitable pending cores to a job, and returns the cores that are still missing.
 fn assign_pending(pending: &mut [PendingCores], stuck: &StuckJob) -> f64 {
     let mut missing = stuck.cores;
     for cores in pending {
