--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -200,7 +200,7 @@
                 cores = advice.cores,
                 benefit = advice.benefit,
                 cost = advice.cost,
-                "on-demand machines are worth their cost"
+                "on-demand rental advised: its expected benefit exceeds its cost"
             );
         }
         OnDemandAdvice {
--- a/src/coordination/provisioning/failed_machines.rs
+++ b/src/coordination/provisioning/failed_machines.rs
@@ -61,7 +61,7 @@
             tracing::debug!(
                 machine = listed.name,
                 phase = listed.phase,
-                "machine adopted from the list"
+                "unknown machine adopted from the cloud's list"
             );
             let mut machine = Machine::unknown(name, now);
             machine.known_since = rented_at;
@@ -75,7 +75,10 @@
             machine.address = listed.addr;
         }
         if listed.phase == "failed" && machine.state != MachineState::Releasing {
-            tracing::info!(machine = listed.name, "machine failed");
+            tracing::info!(
+                machine = listed.name,
+                "the cloud lists the machine as failed; marked for release"
+            );
             machine.state = MachineState::Releasing;
             self.provisioning.to_release.insert(machine.name.clone());
         }
@@ -101,7 +104,7 @@
                 reason = reason.as_str(),
                 tasks = machine.tasks.len(),
                 services = machine.service_tasks,
-                "machine given up"
+                "machine marked for release"
             );
             machine.state = MachineState::Releasing;
             self.provisioning.to_release.insert(name);
--- a/src/coordination/provisioning/scale_in.rs
+++ b/src/coordination/provisioning/scale_in.rs
@@ -43,7 +43,7 @@
             let total = supply.total() - machine_type.cpus;
             let is_spare = total >= target.total() && (machine.spot || of_rental >= target.on_demand);
             if is_spare {
-                tracing::debug!(machine = %machine.name, "idle machine returned");
+                tracing::debug!(machine = %machine.name, "idle machine marked for release");
                 *supply.of_mut(machine.spot) = of_rental;
                 machine.state = MachineState::Releasing;
                 self.provisioning.to_release.insert(machine.name.clone());
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -169,7 +169,7 @@
             spot = value.spot,
             count = value.count,
             cores,
-            "machines claimed"
+            "rental claim added"
         );
         self.provisioning.claims.push(Claim {
             id,
