--- a/crates/provisioning/src/lib.rs
+++ b/crates/provisioning/src/lib.rs
@@ -19,7 +19,10 @@
 //!     deadlines: vec![Deadline { start_by_s: 45.0, value: 5.0 }],
 //!     ..QueueEntry::default()
 //! };
-//! let supply = Supply { free_cores: 0.0, upcoming: vec![FutureCapacity { at_s: 60.0, cores: 100.0 }] };
+//! let supply = Supply {
+//!     free_cores: 0.0,
+//!     upcoming: vec![FutureCapacity { at_s: 60.0, cores: 100.0 }],
+//! };
 //! let offer = Offer { ready_s: 30.0, price: 0.07 / 3600.0, idle_s: 10.0, max_cores: 1000.0 };
 //! let advice = advise(&[waiting], &supply, &offer);
 //! assert!(advice.cores >= 190.0 && advice.cores <= 200.0);
--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -84,7 +84,7 @@
     /// let it meet.
     ///
     /// This is the case if an objective limits the waiting time of the class, while rentals meet at
-    /// least [`MIN_TRUST`] of their commitments. Other work gets on-demand machines for its
+    /// least `MIN_TRUST` of their commitments. Other work gets on-demand machines for its
     /// backlog, which costs far less for each job that is in time.
     pub fn is_latency_sensitive(&self, cluster: &ClusterConfig, class: &str, now: Micros) -> bool {
         let mut objectives = cluster.settings.params.objectives.iter();
--- a/src/coordination/provisioning/stuck.rs
+++ b/src/coordination/provisioning/stuck.rs
@@ -57,7 +57,8 @@
 }
 
 impl LeaderState {
-    /// Rents one machine for the oldest stuck job that pending machines do not cover.
+    /// Rents one machine for the oldest stuck job that pending machines do not cover and for which
+    /// there is an offer.
     ///
     /// Only one machine is rented per decision, because waiting tasks also start as others exit.
     /// `is_total_sufficient` is whether the total number of cores is sufficient. If it is not, the
