--- a/crates/provisioning/src/lib.rs
+++ b/crates/provisioning/src/lib.rs
@@ -1,25 +1,28 @@
-//! Cost-benefit of machines rented now: what they are expected to let jobs meet, and what they cost.
+//! Cost-benefit analysis of renting machines now for queued work.
 //!
-//! Work waits in an order, each entry with times by which it has to have started for its objectives
-//! to be met, and with the value of meeting each of them. Capacity becomes free as tasks end and
-//! machines boot. The queue is projected as a fluid, with and without more capacity; of several
-//! amounts of capacity, the one is advised whose benefit exceeds its rent the most.
+//! The input is an ordered queue. Each entry has deadlines by which its last task must start for
+//! its objectives to be met, and the value of meeting each deadline. Capacity becomes free as tasks
+//! end and machines boot. A fluid model projects the queue with and without more capacity. Of
+//! several amounts of capacity, [`advise`] returns the one whose benefit exceeds its cost the most.
 //!
-//! The crate is pure: it does no I/O and reads no clock. Amounts are cores, times are seconds from
-//! now, and values and prices are money.
+//! The crate does no I/O and reads no clock. Capacity is in cores, times are in seconds from now,
+//! and values and prices are in units of money.
 //!
 //! ```
-//! use glenhaven_provisioning::{advise, Arrival, Due, Offer, Supply, Work};
+//! use glenhaven_provisioning::{advise, Deadline, FutureCapacity, Offer, QueueEntry, Supply};
 //!
-//! // Two hundred cores wait, a hundred become free in a minute; half a minute from now is early
-//! // enough.
-//! let waiting = Work {
+//! // Tasks of 200 cores wait and must start within 45 s. Only 100 cores become free, in 60 s, but
+//! // rented machines are ready in 30 s.
+//! let waiting = QueueEntry {
 //!     cores: 200.0,
 //!     run_s: 40.0,
-//!     dues: vec![Due { start_by_s: 45.0, value: 5.0 }],
-//!     ..Work::default()
+//!     deadlines: vec![Deadline { start_by_s: 45.0, value: 5.0 }],
+//!     ..QueueEntry::default()
+//! };
+//! let supply = Supply {
+//!     free_cores: 0.0,
+//!     upcoming: vec![FutureCapacity { at_s: 60.0, cores: 100.0 }],
 //! };
-//! let supply = Supply { free_cores: 0.0, arrivals: vec![Arrival { at_s: 60.0, cores: 100.0 }] };
 //! let offer = Offer { ready_s: 30.0, price: 0.07 / 3600.0, idle_s: 10.0, max_cores: 1000.0 };
 //! let advice = advise(&[waiting], &supply, &offer);
 //! assert!(advice.cores >= 190.0 && advice.cores <= 200.0);
@@ -29,169 +32,172 @@
 
 /// Length of a step of the projection.
 const STEP_S: f64 = 2.0;
-/// Less than this of a core is nothing: sums of parts are not exact.
+/// Fraction of a core that counts as zero, because sums of shares are not exact.
 const EPSILON: f64 = 1e-6;
-/// Equal parts of what is rented are ready after these multiples of the usual time.
+/// Equal shares of the rented cores are ready after these multiples of the usual time.
 const BOOT_FACTORS: [f64; 3] = [0.75, 1.0, 1.3];
-/// How far ahead the queue is projected. What is decided beyond it can be decided later: a boot is
-/// much shorter.
+/// How far ahead the queue is projected. Needs beyond this time can be decided later, because a
+/// boot takes much less time.
 const HORIZON_S: f64 = 180.0;
 const STEPS: usize = (HORIZON_S / STEP_S) as usize;
-/// A machine is held until the last of its tasks ends: for so many mean run times.
-const HELD_RUNS: f64 = 2.0;
-/// Amounts of capacity that are compared, as parts of all that could be of use.
-const PARTS: [f64; 8] = [0.06, 0.12, 0.2, 0.3, 0.45, 0.6, 0.8, 1.0];
+/// Time for which a machine is held after the queue is empty, until the last of its tasks ends, in
+/// mean run times.
+const HELD_RUN_TIMES: f64 = 2.0;
+/// Amounts of capacity that are compared, as shares of the useful amount.
+const CANDIDATE_SHARES: [f64; 8] = [0.06, 0.12, 0.2, 0.3, 0.45, 0.6, 0.8, 1.0];
 
-/// A time by which the last task of some work has to have started.
+/// A time by which the last task of a queue entry must start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Due {
-    /// Seconds from now; negative if it is missed already.
+pub struct Deadline {
+    /// Seconds from now; negative if the deadline is already missed.
     pub start_by_s: f64,
-    /// Value of meeting it.
+    /// Value of meeting the deadline.
     pub value: f64,
 }
 
-/// An entry of the queue: work that waits, or is expected.
+/// An entry of the queue: work that is waiting or is expected to arrive.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Work {
-    /// Cores that its tasks take in all.
+pub struct QueueEntry {
+    /// Total cores of its tasks.
     pub cores: f64,
-    /// How long a task holds its cores, the fetch of its image included.
+    /// Seconds for which a task holds its cores, including the fetch of its image.
     pub run_s: f64,
-    /// When it arrives; zero or less if it waits already.
-    pub from_s: f64,
-    /// By when it has to have started.
-    pub dues: Vec<Due>,
+    /// When the work arrives, in seconds from now; 0 or less if it is already waiting.
+    pub arrival_s: f64,
+    /// Deadlines for the start of its last task.
+    pub deadlines: Vec<Deadline>,
 }
 
-impl Work {
-    /// How many of the times are missed by a start then.
-    fn missed_dues(&self, start_s: f64) -> usize {
-        self.dues.iter().filter(|d| d.start_by_s < start_s).count()
+impl QueueEntry {
+    /// Returns the number of deadlines that a start at `start_s` misses.
+    fn missed_deadlines(&self, start_s: f64) -> usize {
+        self.deadlines.iter().filter(|d| d.start_by_s < start_s).count()
     }
 
-    /// Value of the times that are missed if the last task starts then.
+    /// Returns the value of the deadlines that are missed if the last task starts at `start_s`.
     fn missed_value(&self, start_s: f64) -> f64 {
-        let missed = self.dues.iter().filter(|d| d.start_by_s < start_s);
+        let missed = self.deadlines.iter().filter(|d| d.start_by_s < start_s);
         missed.map(|d| d.value).sum()
     }
 }
 
-/// Cores that become free or have booted.
+/// Cores that become free or finish booting at a later time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Arrival {
+pub struct FutureCapacity {
     /// Seconds from now.
     pub at_s: f64,
-    /// How many cores.
+    /// Number of cores.
     pub cores: f64,
 }
 
-/// The capacity that there is, and that comes without a rental.
+/// Capacity that is free or becomes free without a rental.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Supply {
-    /// Free now; negative if other work takes more.
+    /// Cores free now; negative if other work needs more than is free.
     pub free_cores: f64,
-    /// What becomes free later, in any order.
-    pub arrivals: Vec<Arrival>,
+    /// Capacity that becomes free later, in any order.
+    pub upcoming: Vec<FutureCapacity>,
 }
 
-/// What can be rented.
+/// Machines that can be rented.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Offer {
-    /// How long it takes until a task can start there.
+    /// Seconds until a task can start on a rented machine.
     pub ready_s: f64,
-    /// Price of a core for a second, from the rental on.
+    /// Price of a core per second, from the time of the rental.
     pub price: f64,
-    /// How long a machine stays idle before it is returned.
+    /// Seconds for which a machine is idle before it is released.
     pub idle_s: f64,
-    /// Cores that can be rented.
+    /// The most cores that can be rented.
     pub max_cores: f64,
 }
 
-/// One of the times of one entry of the queue.
+/// A deadline that is met, identified by its position in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MetDue {
-    /// Index of the entry.
-    pub work: usize,
-    /// Index of the time in [`Work::dues`].
-    pub due: usize,
+pub struct MetDeadline {
+    /// Index of the entry in the queue.
+    pub entry: usize,
+    /// Index of the deadline in [`QueueEntry::deadlines`].
+    pub deadline: usize,
 }
 
-/// What to rent.
+/// The recommended rental.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Advice {
-    /// Cores to rent; 0 if no rental pays.
+    /// Cores to rent; 0 if the benefit of no rental exceeds its cost.
     pub cores: f64,
-    /// Value of the times that are met with the rental and would be missed without.
+    /// Value of the deadlines that are met with the rental and would be missed without it.
     pub benefit: f64,
-    /// What it is expected to cost beyond what the same work costs anyhow.
+    /// Expected cost of the rental, in excess of what the same work costs without it.
     pub cost: f64,
-    /// The times that are expected to be met with the rental only.
-    pub met: Vec<MetDue>,
+    /// Deadlines that are expected to be met only with the rental.
+    pub met: Vec<MetDeadline>,
 }
 
-/// The outcome of a projection.
+/// The result of a projection.
 struct Outcome {
-    /// Value of the missed times.
+    /// Value of the missed deadlines.
     missed_value: f64,
-    /// When nothing waits any more, once rented capacity would be ready.
+    /// When the queue is empty, not before rented capacity is ready, in seconds from now; the
+    /// horizon if it is not empty by then.
     clear_s: f64,
-    /// Cores that still wait when rented capacity would be ready.
+    /// Cores of tasks that are still waiting when rented capacity is ready.
     waiting_when_ready: f64,
-    /// When the last task of each entry starts.
+    /// When the last task of each entry starts, in seconds from now; the horizon if it does not
+    /// start.
     last_start_s: Vec<f64>,
 }
 
-/// The step in which a time lies.
-fn step_of(time_s: f64) -> usize {
+/// Returns the first step that is not before a time, limited to the last step.
+fn step_at(time_s: f64) -> usize {
     ((time_s.max(0.0) / STEP_S).ceil() as usize).min(STEPS)
 }
 
-/// A projection of the queue as a fluid.
+/// A projection of the queue by a fluid model, in which cores are divisible.
 struct Projection<'a> {
-    work: &'a [Work],
+    queue: &'a [QueueEntry],
     ready_s: f64,
-    /// Cores that are free.
+    /// Cores that are free in the present step.
     free: f64,
     /// Cores that become free in each step.
     arriving: [f64; STEPS + 1],
     /// Cores of each entry that have not started.
-    left: Vec<f64>,
+    unstarted: Vec<f64>,
     is_clear: bool,
     outcome: Outcome,
 }
 
 impl<'a> Projection<'a> {
-    /// With so many cores rented that are ready at about `ready_s`. Boots differ: some are ready
-    /// sooner than most, and some later.
-    fn new(work: &'a [Work], supply: &Supply, rented_cores: f64, ready_s: f64) -> Projection<'a> {
+    /// Creates a projection with `rented_cores` that are ready at about `ready_s`. Boot times vary,
+    /// so the rented cores become ready at different times, see [`BOOT_FACTORS`].
+    fn new(queue: &'a [QueueEntry], supply: &Supply, rented_cores: f64, ready_s: f64) -> Projection<'a> {
         let mut arriving = [0.0; STEPS + 1];
-        for arrival in &supply.arrivals {
-            arriving[step_of(arrival.at_s)] += arrival.cores;
+        for capacity in &supply.upcoming {
+            arriving[step_at(capacity.at_s)] += capacity.cores;
         }
         for factor in BOOT_FACTORS {
-            arriving[step_of(ready_s * factor)] += rented_cores / BOOT_FACTORS.len() as f64;
+            arriving[step_at(ready_s * factor)] += rented_cores / BOOT_FACTORS.len() as f64;
         }
         Projection {
-            work,
+            queue,
             ready_s,
             free: supply.free_cores.max(0.0),
             arriving,
-            left: work.iter().map(|w| w.cores.max(0.0)).collect(),
+            unstarted: queue.iter().map(|entry| entry.cores.max(0.0)).collect(),
             is_clear: false,
             outcome: Outcome {
                 missed_value: 0.0,
                 clear_s: HORIZON_S,
                 waiting_when_ready: 0.0,
-                last_start_s: vec![HORIZON_S; work.len()],
+                last_start_s: vec![HORIZON_S; queue.len()],
             },
         }
     }
 
-    /// Projects the queue, the first entry first, except that work which has missed more of its
-    /// times lets the others go first.
+    /// Projects the queue up to the horizon. Entries that have missed fewer of their deadlines
+    /// start first; among these, the order is that of the queue.
     fn run(mut self) -> Outcome {
-        let max_missed = self.work.iter().map(|w| w.dues.len()).max().unwrap_or(0);
+        let max_missed = self.queue.iter().map(|entry| entry.deadlines.len()).max().unwrap_or(0);
         for step in 0..=STEPS {
             let now_s = step as f64 * STEP_S;
             self.free += self.arriving[step];
@@ -199,39 +205,39 @@
                 if self.free <= EPSILON {
                     break;
                 }
-                self.start_entries(step, now_s, missed);
+                self.start_tasks(step, now_s, missed);
             }
             if now_s >= self.ready_s {
-                self.note_waiting(now_s);
+                self.record_waiting(now_s);
             }
         }
-        // What still waits misses what is due by then.
-        for (work, left) in self.work.iter().zip(&self.left) {
-            if *left > 0.0 {
-                self.outcome.missed_value += work.missed_value(HORIZON_S);
+        // Entries that are still waiting miss the deadlines before the horizon.
+        for (entry, unstarted) in self.queue.iter().zip(&self.unstarted) {
+            if *unstarted > 0.0 {
+                self.outcome.missed_value += entry.missed_value(HORIZON_S);
             }
         }
         self.outcome
     }
 
-    /// Starts what has missed so many of its times, as far as cores are free.
-    fn start_entries(&mut self, step: usize, now_s: f64, missed: usize) {
-        for (index, work) in self.work.iter().enumerate() {
-            let left = &mut self.left[index];
-            if *left <= 0.0 || work.from_s > now_s || work.missed_dues(now_s) != missed {
+    /// Starts entries that have missed `missed` of their deadlines, as far as cores are free.
+    fn start_tasks(&mut self, step: usize, now_s: f64, missed: usize) {
+        for (index, entry) in self.queue.iter().enumerate() {
+            let unstarted = &mut self.unstarted[index];
+            if *unstarted <= 0.0 || entry.arrival_s > now_s || entry.missed_deadlines(now_s) != missed {
                 continue;
             }
-            let starting = left.min(self.free);
-            *left -= starting;
+            let starting = unstarted.min(self.free);
+            *unstarted -= starting;
             self.free -= starting;
-            let end = step_of(now_s + work.run_s);
+            let end = step_at(now_s + entry.run_s);
             if end > step && end < STEPS {
                 self.arriving[end] += starting;
             }
-            if *left <= EPSILON {
-                *left = 0.0;
+            if *unstarted <= EPSILON {
+                *unstarted = 0.0;
                 self.outcome.last_start_s[index] = now_s;
-                self.outcome.missed_value += work.missed_value(now_s);
+                self.outcome.missed_value += entry.missed_value(now_s);
             }
             if self.free <= EPSILON {
                 break;
@@ -239,12 +245,12 @@
         }
     }
 
-    /// Notes what still waits, once rented capacity would be ready.
-    fn note_waiting(&mut self, now_s: f64) {
-        let entries = self.left.iter().zip(self.work);
+    /// Records the cores of tasks that are still waiting in a step after rented capacity is ready.
+    fn record_waiting(&mut self, now_s: f64) {
+        let entries = self.unstarted.iter().zip(self.queue);
         let waiting: f64 = entries
-            .filter(|(_, work)| work.from_s <= now_s)
-            .map(|(left, _)| left)
+            .filter(|(_, entry)| entry.arrival_s <= now_s)
+            .map(|(unstarted, _)| unstarted)
             .sum();
         if now_s < self.ready_s + STEP_S {
             self.outcome.waiting_when_ready = waiting;
@@ -259,16 +265,16 @@
     }
 }
 
-/// The times that are met with more capacity and missed without.
-fn met_dues(work: &[Work], without: &Outcome, with: &Outcome) -> Vec<MetDue> {
+/// Returns the deadlines that are met with more capacity and missed without it.
+fn met_deadlines(queue: &[QueueEntry], without: &Outcome, with: &Outcome) -> Vec<MetDeadline> {
     let mut met = vec![];
-    for (index, entry) in work.iter().enumerate() {
+    for (index, entry) in queue.iter().enumerate() {
         let (late_s, early_s) = (without.last_start_s[index], with.last_start_s[index]);
-        for (due_index, due) in entry.dues.iter().enumerate() {
-            if due.start_by_s < late_s && due.start_by_s >= early_s {
-                met.push(MetDue {
-                    work: index,
-                    due: due_index,
+        for (deadline_index, deadline) in entry.deadlines.iter().enumerate() {
+            if deadline.start_by_s < late_s && deadline.start_by_s >= early_s {
+                met.push(MetDeadline {
+                    entry: index,
+                    deadline: deadline_index,
                 });
             }
         }
@@ -276,24 +282,25 @@
     met
 }
 
-/// How much to rent now for work in the order of its queue.
-pub fn advise(work: &[Work], supply: &Supply, offer: &Offer) -> Advice {
-    if work.is_empty() || offer.max_cores <= 0.0 || offer.ready_s >= HORIZON_S {
+/// Returns the number of cores to rent now for an ordered queue, with the expected benefit and
+/// cost.
+pub fn advise(queue: &[QueueEntry], supply: &Supply, offer: &Offer) -> Advice {
+    if queue.is_empty() || offer.max_cores <= 0.0 || offer.ready_s >= HORIZON_S {
         return Advice::default();
     }
-    let without = Projection::new(work, supply, 0.0, offer.ready_s).run();
-    // More than what waits when it would be ready is of no use.
+    let without = Projection::new(queue, supply, 0.0, offer.ready_s).run();
+    // Rented cores in excess of those still waited for when the machines are ready are of no use.
     let useful_cores = without.waiting_when_ready.min(offer.max_cores);
     if useful_cores <= 0.0 || without.missed_value <= 0.0 {
         return Advice::default();
     }
-    let total_cores: f64 = work.iter().map(|w| w.cores).sum();
-    let mean_run_s = work.iter().map(|w| w.cores * w.run_s).sum::<f64>() / total_cores.max(1e-9);
+    let total_cores: f64 = queue.iter().map(|entry| entry.cores).sum();
+    let mean_run_s = queue.iter().map(|entry| entry.cores * entry.run_s).sum::<f64>() / total_cores.max(1e-9);
     let mut best = Advice::default();
-    for part in PARTS {
-        let cores = useful_cores * part;
-        let with = Projection::new(work, supply, cores, offer.ready_s).run();
-        let held_s = with.clear_s.max(offer.ready_s) + mean_run_s * HELD_RUNS + offer.idle_s;
+    for share in CANDIDATE_SHARES {
+        let cores = useful_cores * share;
+        let with = Projection::new(queue, supply, cores, offer.ready_s).run();
+        let held_s = with.clear_s.max(offer.ready_s) + mean_run_s * HELD_RUN_TIMES + offer.idle_s;
         let cost = cores * offer.price * held_s;
         let benefit = without.missed_value - with.missed_value;
         if benefit - cost > best.benefit - best.cost {
@@ -301,7 +308,7 @@
                 cores,
                 benefit,
                 cost,
-                met: met_dues(work, &without, &with),
+                met: met_deadlines(queue, &without, &with),
             };
         }
     }
--- a/src/coordination/provisioning/failed_machines.rs
+++ b/src/coordination/provisioning/failed_machines.rs
@@ -1,9 +1,8 @@
-//! The cloud's list of machines, and which machines are given up: boots that never end, machines
-//! that are silent, interrupted or failed, and those that keep a cancelled task for too long.
+//! The cloud's list of machines, and the release of machines that failed: those that never boot,
+//! are silent, interrupted or listed as failed, or keep a cancelled task for too long.
 //!
-//! The leader calls this with every page of the list and at intervals. A machine that is given up is
-//! only marked for release; what ran there counts as running until the cloud confirms that it is
-//! gone.
+//! The leader runs these checks for every page of the list and at intervals. A failed machine is
+//! only marked for release; its tasks count as running until the cloud confirms the release.
 
 use super::super::state::{LeaderState, Machine, MachineId, MachineState};
 use super::super::{timing, ClusterConfig};
@@ -13,14 +12,15 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// Nominal boot time of a machine whose type is not known, in seconds.
+/// Nominal boot time assumed for a machine of an unknown type, in seconds.
 const UNKNOWN_BOOT_S: f64 = 60.0;
-/// Silent machines from which on a controller with mostly silent machines is taken to be unreliable.
+/// The fewest silent machines that make a controller unreliable, if most of its machines are
+/// silent.
 const MIN_SILENT: usize = 3;
 
-/// Why a machine is given up.
+/// The reason for which a machine is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum GiveUpReason {
+enum ReleaseReason {
     NeverBooted,
     WorkFitsElsewhere,
     ServicesFitElsewhere,
@@ -29,27 +29,28 @@
     CancelledTaskNotStopped,
 }
 
-impl GiveUpReason {
+impl ReleaseReason {
     fn as_str(self) -> &'static str {
         match self {
-            GiveUpReason::NeverBooted => "it never booted",
-            GiveUpReason::WorkFitsElsewhere => "its zone is cut off, and its work fits elsewhere",
-            GiveUpReason::ServicesFitElsewhere => "it is silent, and its services fit elsewhere",
-            GiveUpReason::Silent => "it is silent",
-            GiveUpReason::Interrupted => "the cloud took it back",
-            GiveUpReason::CancelledTaskNotStopped => "it keeps a cancelled task",
+            ReleaseReason::NeverBooted => "it never booted",
+            ReleaseReason::WorkFitsElsewhere => "its zone is cut off, and its work fits elsewhere",
+            ReleaseReason::ServicesFitElsewhere => "it is silent, and its services fit elsewhere",
+            ReleaseReason::Silent => "it is silent",
+            ReleaseReason::Interrupted => "the cloud took it back",
+            ReleaseReason::CancelledTaskNotStopped => "it keeps a cancelled task",
         }
     }
 }
 
-impl fmt::Display for GiveUpReason {
+impl fmt::Display for ReleaseReason {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(self.as_str())
     }
 }
 
 impl LeaderState {
-    /// A machine in the list: unknown ones are adopted, failed ones returned.
+    /// Handles a machine in the cloud's list: adopts an unknown machine, and marks a failed machine
+    /// for release.
     pub(super) fn on_listed_machine(&mut self, listed: ListedMachine, now: Micros) {
         let name: MachineId = listed.name.as_str().into();
         if self.released_machines.contains(&name) {
@@ -60,7 +61,7 @@
             tracing::debug!(
                 machine = listed.name,
                 phase = listed.phase,
-                "machine adopted from the list"
+                "unknown machine adopted from the cloud's list"
             );
             let mut machine = Machine::unknown(name, now);
             machine.known_since = rented_at;
@@ -74,23 +75,26 @@
             machine.address = listed.addr;
         }
         if listed.phase == "failed" && machine.state != MachineState::Releasing {
-            tracing::info!(machine = listed.name, "machine failed");
+            tracing::info!(
+                machine = listed.name,
+                "the cloud lists the machine as failed; marked for release"
+            );
             machine.state = MachineState::Releasing;
             self.provisioning.to_release.insert(machine.name.clone());
         }
     }
 
-    /// Gives up machines that failed, and marks them for release.
+    /// Marks failed machines for release.
     pub fn release_failed_machines(&mut self, cluster: &ClusterConfig, now: Micros) {
         self.provisioning.boot_times.update(cluster, &self.machines, now);
         let check = FailureCheck::new(self, cluster, now);
-        let given_up: Vec<(MachineId, GiveUpReason)> = self
+        let to_release: Vec<(MachineId, ReleaseReason)> = self
             .machines
             .values()
             .filter(|m| m.state != MachineState::Releasing)
-            .filter_map(|m| Some((m.name.clone(), check.give_up_reason(m)?)))
+            .filter_map(|m| Some((m.name.clone(), check.release_reason(m)?)))
             .collect();
-        for (name, reason) in given_up {
+        for (name, reason) in to_release {
             let Some(machine) = self.machines.get_mut(&name) else {
                 continue;
             };
@@ -100,7 +104,7 @@
                 reason = reason.as_str(),
                 tasks = machine.tasks.len(),
                 services = machine.service_tasks,
-                "machine given up"
+                "machine marked for release"
             );
             machine.state = MachineState::Releasing;
             self.provisioning.to_release.insert(name);
@@ -108,51 +112,54 @@
         }
     }
 
-    /// Machines on which tasks of cancelled jobs have not stopped though they should have.
+    /// Returns the machines on which tasks of cancelled jobs have not stopped within half of the
+    /// time allowed for a cancellation.
     fn machines_with_unstopped_tasks(&self, cluster: &ClusterConfig, now: Micros) -> BTreeSet<MachineId> {
-        let patience = Micros::from_secs(cluster.settings.params.workers.cancel_s * 0.5);
+        let stop_timeout = Micros::from_secs(cluster.settings.params.workers.cancel_s * 0.5);
         self.jobs
             .values()
             .filter(|j| j.cancelled_at.is_some())
             .flat_map(|j| j.placements.values())
-            .filter(|p| now.since(p.stop_requested_at) > patience)
+            .filter(|p| now.since(p.stop_requested_at) > stop_timeout)
             .map(|p| p.machine.clone())
             .collect()
     }
 
-    /// Controllers for which more than half of their machines are silent at once: that says more about
-    /// the controller than about the machines. `None` in the set is this controller.
+    /// Returns the controllers for which more than half of their machines are silent at once: the
+    /// likely cause is then the controller rather than the machines. `None` in the set is this
+    /// controller.
     fn unreliable_controllers(&self, silent: Micros, now: Micros) -> BTreeSet<Option<Rc<str>>> {
         #[derive(Default)]
-        struct ControllerView {
+        struct MachineCounts {
             machines: usize,
             silent: usize,
         }
-        let mut by_controller: BTreeMap<Option<Rc<str>>, ControllerView> = BTreeMap::new();
-        // A zone that is cut off says nothing about the controller that was in contact with it.
+        let mut by_controller: BTreeMap<Option<Rc<str>>, MachineCounts> = BTreeMap::new();
+        // Silent machines in a cut-off zone are no evidence against the controller that was in
+        // contact with them.
         let is_cut = |m: &Machine| self.failures.zones.is_cut(&m.zone);
         let up = self.machines.values().filter(|m| m.state == MachineState::Up);
         for machine in up.filter(|m| !is_cut(m)) {
             let counts_from = self.silence_counts_from(machine, now);
             let last_contact = machine.last_heartbeat.max(machine.last_proxied_at).max(counts_from);
-            let view = by_controller.entry(machine.heartbeat_proxy.clone()).or_default();
-            view.machines += 1;
-            view.silent += usize::from(now.since(last_contact) > silent);
+            let counts = by_controller.entry(machine.heartbeat_proxy.clone()).or_default();
+            counts.machines += 1;
+            counts.silent += usize::from(now.since(last_contact) > silent);
         }
         by_controller
             .into_iter()
-            .filter(|(_, view)| view.silent >= MIN_SILENT && view.silent * 2 > view.machines)
+            .filter(|(_, counts)| counts.silent >= MIN_SILENT && counts.silent * 2 > counts.machines)
             .map(|(controller, _)| controller)
             .collect()
     }
 }
 
-/// What decides which machines are given up, looked up once for all of them.
+/// The facts by which failed machines are found, computed once for all machines.
 struct FailureCheck<'a> {
     leader: &'a LeaderState,
     cluster: &'a ClusterConfig,
     now: Micros,
-    /// How long without a heartbeat a machine counts as silent.
+    /// Time without a heartbeat after which a machine counts as silent.
     silent: Micros,
     unreliable_controllers: BTreeSet<Option<Rc<str>>>,
     with_unstopped_tasks: BTreeSet<MachineId>,
@@ -187,40 +194,45 @@
         self.unreliable_controllers.contains(&machine.heartbeat_proxy)
     }
 
-    /// Whether another controller has said lately that it has contact with the machine.
+    /// Returns whether another controller has reported recently that it has contact with the
+    /// machine.
     fn is_proxied(&self, machine: &Machine) -> bool {
         self.now.since(machine.last_proxied_at) <= timing::PROXY_ANNOUNCEMENT
     }
 
-    /// How long a machine has been silent, if its silence says something about it alone.
+    /// Returns how long a machine has been silent, or `None` if its silence may have another cause:
+    /// a cut-off zone, an unreliable controller, or contact through another controller.
     fn silence_by_itself(&self, machine: &Machine) -> Option<Micros> {
-        let is_alone = !self.is_cut(machine) && !self.has_unreliable_controller(machine) && !self.is_proxied(machine);
+        let is_independent =
+            !self.is_cut(machine) && !self.has_unreliable_controller(machine) && !self.is_proxied(machine);
         let counts_from = self.leader.silence_counts_from(machine, self.now);
-        is_alone.then(|| self.now.since(machine.last_heartbeat.max(counts_from)))
+        is_independent.then(|| self.now.since(machine.last_heartbeat.max(counts_from)))
     }
 
-    /// How long a machine has been silent for this decision.
+    /// Returns how long a machine has been silent for the decision whether it failed.
     fn silence(&self, machine: &Machine) -> Micros {
         let counts_from = self.leader.silence_counts_from(machine, self.now);
-        // What another controller has contact with runs on, but nothing that ends there can be
-        // recorded: a short cut is sat out, a long one is not.
-        let max_cut = timing::proxied_machine(&self.cluster.settings.params.workers);
-        let is_sat_out = self.now.since(machine.last_heartbeat.max(counts_from)) < max_cut;
-        let proxied_at = if is_sat_out {
+        // Tasks on a machine that only another controller has contact with continue, but their
+        // ends cannot be recorded: a short partition is tolerated, a long one is not.
+        let max_proxied = timing::proxied_machine(&self.cluster.settings.params.workers);
+        let is_tolerated = self.now.since(machine.last_heartbeat.max(counts_from)) < max_proxied;
+        let proxied_at = if is_tolerated {
             machine.last_proxied_at
         } else {
             Micros::ZERO
         };
-        // In a zone that is cut off, leases run from the last heartbeat.
-        let lease_runs = self.is_cut(machine) && machine.last_heartbeat > Micros::ZERO;
-        let counts_from = if lease_runs { Micros::ZERO } else { counts_from };
+        // In a cut-off zone, the machine's lease runs from its last heartbeat.
+        let is_lease_running = self.is_cut(machine) && machine.last_heartbeat > Micros::ZERO;
+        let counts_from = if is_lease_running { Micros::ZERO } else { counts_from };
         self.now.since(machine.last_heartbeat.max(proxied_at).max(counts_from))
     }
 
-    /// How long a machine may be silent. A silent spot machine was most likely taken back. An
-    /// on-demand one is more likely cut off with its tasks running; they run on until its lease
-    /// ends, and releasing it earlier would only stop them. A machine that a new leader knows from
-    /// the log only, without a heartbeat and not listed, is most likely gone as well.
+    /// Returns how long a machine may be silent before it counts as failed.
+    ///
+    /// A silent spot machine has most likely been reclaimed by the cloud. A silent on-demand
+    /// machine is more likely partitioned with its tasks running until its lease ends, and an
+    /// earlier release would only stop them. A machine of unknown type, which a new leader has only
+    /// from the log, without a heartbeat or a place in the cloud's list, is most likely gone too.
     fn max_silence(&self, machine: &Machine) -> Micros {
         let workers = &self.cluster.settings.params.workers;
         if self.may_have_contact_in_cut_zone(machine) {
@@ -232,52 +244,54 @@
         }
     }
 
-    /// Inside a zone that is cut off, its controllers go on answering for as long as their knowledge
-    /// is fresh enough, and services run on until the leases renewed by them end. If they were dead
-    /// instead, the cloud's list would show it.
+    /// Returns whether controllers inside the machine's cut-off zone may still renew its lease.
+    ///
+    /// These controllers answer heartbeats until [`ClusterConfig::knowledge_limit`] is reached, and
+    /// services continue until the leases that they renewed end. If they were dead instead, the
+    /// cloud's list would show it.
     fn may_have_contact_in_cut_zone(&self, machine: &Machine) -> bool {
         let mut peers = self.cluster.settings.peers.iter();
         machine.service_tasks > 0 && self.is_cut(machine) && peers.any(|p| p.zone == machine.zone)
     }
 
-    fn give_up_reason(&self, machine: &Machine) -> Option<GiveUpReason> {
+    fn release_reason(&self, machine: &Machine) -> Option<ReleaseReason> {
         let reason = match machine.state {
             MachineState::Booting if machine.tasks.is_empty() => {
-                self.has_never_booted(machine).then_some(GiveUpReason::NeverBooted)
+                self.has_never_booted(machine).then_some(ReleaseReason::NeverBooted)
             }
-            _ => self.failure_of_booted(machine),
+            _ => self.failure_after_boot(machine),
         };
-        // A controller that has contact with a machine stops cancelled tasks there itself.
+        // A controller that has contact with the machine stops cancelled tasks there itself.
         let is_proxied_now = self.now.since(machine.last_proxied_at) < timing::PROXY_ANNOUNCEMENT;
         let has_unstopped_task = !is_proxied_now && self.with_unstopped_tasks.contains(&machine.name);
-        reason.or(has_unstopped_task.then_some(GiveUpReason::CancelledTaskNotStopped))
+        reason.or(has_unstopped_task.then_some(ReleaseReason::CancelledTaskNotStopped))
     }
 
     fn has_never_booted(&self, machine: &Machine) -> bool {
         let machine_type = self.cluster.catalogue.get(&machine.machine_type);
         let boot_s = machine_type.map_or(UNKNOWN_BOOT_S, |t| t.boot_s);
         let profile = self.leader.provisioning.boot_times.profile(machine);
-        // To a new leader all machines are booting until their first heartbeat.
+        // For a new leader, all machines are in state `Booting` until their first heartbeat.
         let had_agent_contact = self.now.since(self.leader.listening_since) > self.silent;
-        profile.is_dead(self.now.since(machine.known_since), boot_s) && had_agent_contact
+        profile.has_likely_failed(self.now.since(machine.known_since), boot_s) && had_agent_contact
     }
 
-    fn failure_of_booted(&self, machine: &Machine) -> Option<GiveUpReason> {
+    fn failure_after_boot(&self, machine: &Machine) -> Option<ReleaseReason> {
         let workers = &self.cluster.settings.params.workers;
         let silence = self.silence(machine);
         let max_silence = self.max_silence(machine);
-        let is_believed = self.is_cut(machine)
+        let is_conclusive = self.is_cut(machine)
             || !self.has_unreliable_controller(machine)
             || silence > max_silence + Micros::from_secs(workers.lease_s);
         let is_interrupted = machine.interruption_at.is_some_and(|at| self.now > at);
         if self.leaving_cut_zones.contains(&machine.name) {
-            Some(GiveUpReason::WorkFitsElsewhere)
+            Some(ReleaseReason::WorkFitsElsewhere)
         } else if self.early_failures.contains(&machine.name) {
-            Some(GiveUpReason::ServicesFitElsewhere)
-        } else if silence > max_silence && is_believed {
-            Some(GiveUpReason::Silent)
+            Some(ReleaseReason::ServicesFitElsewhere)
+        } else if silence > max_silence && is_conclusive {
+            Some(ReleaseReason::Silent)
         } else if is_interrupted && silence > Micros::from_secs(workers.report_s * 1.5 + 1.0) {
-            Some(GiveUpReason::Interrupted)
+            Some(ReleaseReason::Interrupted)
         } else {
             None
         }
--- a/src/coordination/provisioning/scale_in.rs
+++ b/src/coordination/provisioning/scale_in.rs
@@ -1,22 +1,22 @@
-//! Scale-in: returns machines that have been idle for a while and are not wanted, and idle ones
-//! that are faulty.
+//! Scale-in: releases idle machines that are not needed or are faulty.
 //!
-//! Marks machines for release only. A machine with a task, or with an attempt that no record
-//! explains, is never returned.
+//! Machines are only marked for release here. Invariant: a machine with a task, or with an orphaned
+//! attempt, is never released by scale-in.
 
 use super::super::state::{LeaderState, Machine, MachineState};
 use super::super::{timing, ClusterConfig};
-use super::demand::CoresByRental;
+use super::demand::CoresByCapacityType;
 use crate::time::Micros;
 
 impl LeaderState {
-    /// Returns idle machines, as long as the others supply what is wanted.
-    pub(super) fn return_idle(
+    /// Marks idle machines for release while the others supply the target, and faulty idle machines
+    /// in any case.
+    pub(super) fn release_idle(
         &mut self,
         cluster: &ClusterConfig,
         now: Micros,
-        wanted: CoresByRental,
-        mut supply: CoresByRental,
+        target: CoresByCapacityType,
+        mut supply: CoresByCapacityType,
     ) {
         let min_idle = Micros::from_secs(cluster.settings.operator.idle_s);
         for machine in self.machines.values_mut() {
@@ -41,9 +41,9 @@
             }
             let of_rental = *supply.of_mut(machine.spot) - machine_type.cpus;
             let total = supply.total() - machine_type.cpus;
-            let is_spare = total >= wanted.total() && (machine.spot || of_rental >= wanted.on_demand);
+            let is_spare = total >= target.total() && (machine.spot || of_rental >= target.on_demand);
             if is_spare {
-                tracing::debug!(machine = %machine.name, "idle machine returned");
+                tracing::debug!(machine = %machine.name, "idle machine marked for release");
                 *supply.of_mut(machine.spot) = of_rental;
                 machine.state = MachineState::Releasing;
                 self.provisioning.to_release.insert(machine.name.clone());
@@ -52,8 +52,8 @@
     }
 }
 
-/// Whether an idle machine is better replaced. A machine where tasks failed gets time first: it may
-/// turn out that their job is the cause.
+/// Returns whether an idle machine is to be released as faulty. A quarantined machine is kept for
+/// [`timing::QUARANTINE_RELEASE`] first, because the job of the failed tasks may be the cause.
 fn is_faulty(machine: &Machine, idle: Micros, now: Micros) -> bool {
     let quarantined = machine
         .quarantined_since
