--- a/crates/connectivity/src/handover.rs
+++ b/crates/connectivity/src/handover.rs
@@ -6,14 +6,14 @@
 use std::collections::VecDeque;
 
 /// The reason for a handover has to hold for this long.
-const HOLD: Micros = Micros::from_millis(3000);
+const MIN_REASON_DURATION: Micros = Micros::from_millis(3000);
 /// A new leader first reads the write-ahead log and receives its agents' heartbeats.
-const SETTLE: Micros = Micros::from_millis(6000);
+const SETTLING_TIME: Micros = Micros::from_millis(6000);
 /// Handovers in a minute by one controller, at most.
-const MAX_HANDOVERS: usize = 2;
+const MAX_HANDOVERS_PER_MINUTE: usize = 2;
 const MINUTE: Micros = Micros::from_millis(60_000);
 /// The pause after handing over to nobody in particular doubles this often, at most.
-const MAX_DOUBLINGS: u32 = 4;
+const MAX_PAUSE_DOUBLINGS: u32 = 4;
 
 /// What a controller reaches, directly and through others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -29,19 +29,19 @@
 impl Reach {
     /// Whether this is far more than the other; a smaller difference is no reason to change
     /// anything. Agents count first, then controllers.
-    pub fn is_far_more(&self, than: &Reach) -> bool {
-        if self.state != than.state {
-            let half_the_agents = than.agents / 2;
-            let half_the_controllers = than.controllers.div_ceil(2);
+    pub fn far_exceeds(&self, other: &Reach) -> bool {
+        if self.state != other.state {
+            let half_the_agents = other.agents / 2;
+            let half_the_controllers = other.controllers.div_ceil(2);
             return self.state && self.agents >= half_the_agents && self.controllers >= half_the_controllers;
         }
         let more_than_twice = |a: u32, b: u32| a > b.saturating_mul(2);
-        if more_than_twice(self.agents, than.agents) {
+        if more_than_twice(self.agents, other.agents) {
             true
-        } else if more_than_twice(than.agents, self.agents) {
+        } else if more_than_twice(other.agents, self.agents) {
             false
         } else {
-            self.controllers >= than.controllers.saturating_mul(2)
+            self.controllers >= other.controllers.saturating_mul(2)
         }
     }
 }
@@ -49,15 +49,15 @@
 impl LinkTable {
     /// Agents that send their heartbeats to a controller, by its report.
     fn agents_of(&self, node: &str, now: Micros) -> u32 {
-        let is_agents = |host: &Host| matches!(host, Host::Agents(_));
+        let is_agent_group = |host: &Host| matches!(host, Host::Agents(_));
         if node == self.node {
-            let own = self.own.iter().filter(|(host, _)| is_agents(host));
+            let own = self.own_links.iter().filter(|(host, _)| is_agent_group(host));
             return own.map(|(_, link)| link.agent_count).sum();
         }
         let Some(report) = self.current_report(node, now) else {
             return 0;
         };
-        let reported = report.links.iter().filter(|(host, _)| is_agents(host));
+        let reported = report.links.iter().filter(|(host, _)| is_agent_group(host));
         reported.map(|(_, link)| link.agent_count).sum()
     }
 
@@ -83,9 +83,9 @@
     fn silent_nodes(&self, now: Micros) -> u32 {
         let is_silent = |host: &Host| {
             let is_down = matches!(host, Host::Node(_)) && self.own_link(host, now) == LinkState::Down;
-            is_down && !self.own[host].refuses_connections
+            is_down && !self.own_links[host].refuses_connections
         };
-        self.own.keys().filter(|host| is_silent(host)).count() as u32
+        self.own_links.keys().filter(|host| is_silent(host)).count() as u32
     }
 
     /// How many controllers with current reports would make a better leader than this one.
@@ -94,7 +94,7 @@
         let own = self.reach(&self.node, now);
         let is_better = |name: &&String| {
             let reach = self.reach(name, now);
-            reach.is_far_more(&own) || (!own.is_far_more(&reach) && **name < self.node)
+            reach.far_exceeds(&own) || (!own.far_exceeds(&reach) && **name < self.node)
         };
         self.reporting_nodes(now).filter(is_better).count() as u32
     }
@@ -103,7 +103,7 @@
     fn better_leader(&self, own: &Reach, now: Micros) -> Option<&String> {
         self.reporting_nodes(now)
             .map(|name| (self.reach(name, now), name))
-            .filter(|(reach, _)| reach.state && reach.is_far_more(own))
+            .filter(|(reach, _)| reach.state && reach.far_exceeds(own))
             .max_by_key(|(reach, name)| (reach.agents, reach.controllers, Reverse(*name)))
             .map(|(_, name)| name)
     }
@@ -176,20 +176,20 @@
         while self.handovers.front().is_some_and(|at| now.since(*at) > MINUTE) {
             self.handovers.pop_front();
         }
-        let Some(handover) = self.wanted_handover(links, others, machines, now) else {
+        let Some(handover) = self.justified_handover(links, others, machines, now) else {
             self.candidate = None;
             return None;
         };
-        let since = self.held_since(&handover, now);
-        let has_held = now.since(since) >= HOLD && now.since(began) >= SETTLE;
-        if !has_held || self.handovers.len() >= MAX_HANDOVERS {
+        let since = self.justified_since(&handover, now);
+        let has_held = now.since(since) >= MIN_REASON_DURATION && now.since(began) >= SETTLING_TIME;
+        if !has_held || self.handovers.len() >= MAX_HANDOVERS_PER_MINUTE {
             return None;
         }
         self.handovers.push_back(now);
         self.candidate = None;
         if handover.reason == HandoverReason::Isolated {
             // Where no controller reaches another one, the leadership would go round for ever.
-            let pause = Micros(MINUTE.0 << self.isolated_handovers.min(MAX_DOUBLINGS));
+            let pause = Micros(MINUTE.0 << self.isolated_handovers.min(MAX_PAUSE_DOUBLINGS));
             self.isolated_not_before = now + pause;
             self.isolated_handovers += 1;
         }
@@ -197,7 +197,7 @@
     }
 
     /// The handover that there is a reason for now.
-    fn wanted_handover(
+    fn justified_handover(
         &mut self,
         links: &LinkTable,
         others: u32,
@@ -232,7 +232,7 @@
     }
 
     /// Since when the same handover has been wanted.
-    fn held_since(&mut self, handover: &Handover, now: Micros) -> Micros {
+    fn justified_since(&mut self, handover: &Handover, now: Micros) -> Micros {
         match &self.candidate {
             Some(candidate) if candidate.to == handover.to => candidate.since,
             _ => {
@@ -246,6 +246,8 @@
     /// Whether this controller gave up the leadership a moment ago: it lets the others go first in
     /// the election.
     pub fn gave_up_recently(&self, now: Micros) -> bool {
-        self.handovers.back().is_some_and(|at| now.since(*at) < HOLD + HOLD)
+        self.handovers
+            .back()
+            .is_some_and(|at| now.since(*at) < MIN_REASON_DURATION + MIN_REASON_DURATION)
     }
 }
--- a/crates/connectivity/src/link_table.rs
+++ b/crates/connectivity/src/link_table.rs
@@ -16,9 +16,9 @@
 /// Fewer failures than this don't make a link that is down.
 const MIN_FAILURES: u32 = 3;
 /// Consecutive answers after which a link that was down is used again.
-const RECOVERED: u32 = 3;
+const MIN_RECOVERY_ANSWERS: u32 = 3;
 /// Answers that take this long on average make a slow link.
-const SLOW: Micros = Micros::from_millis(250);
+const SLOW_ROUND_TRIP: Micros = Micros::from_millis(250);
 /// The oldest age that is reported; what is older says nothing more.
 const MAX_AGE: Micros = Micros::from_millis(60_000);
 /// Links that one message reports, at most.
@@ -66,7 +66,7 @@
 pub struct LinkTable {
     /// The name of this controller.
     pub(super) node: String,
-    pub(super) own: BTreeMap<Host, LinkHistory>,
+    pub(super) own_links: BTreeMap<Host, LinkHistory>,
     /// The last report of each other controller, by its name.
     pub(super) reports: BTreeMap<String, Report>,
 }
@@ -76,7 +76,7 @@
     pub fn new(node: &str) -> LinkTable {
         LinkTable {
             node: node.to_string(),
-            own: BTreeMap::new(),
+            own_links: BTreeMap::new(),
             reports: BTreeMap::new(),
         }
     }
@@ -88,12 +88,16 @@
     /// not rely on one that flaps.
     pub fn record_answer(&mut self, host: Host, round_trip: Option<Micros>, now: Micros) {
         let was_down = self.own_link(&host, now) == LinkState::Down;
-        let link = self.own.entry(host).or_default();
+        let link = self.own_links.entry(host).or_default();
         if let Some(round_trip) = round_trip {
             link.round_trip = Micros((link.round_trip.0 * 3 + round_trip.0) / 4);
         }
-        link.answers = if was_down { link.answers + 1 } else { RECOVERED };
-        if link.answers >= RECOVERED {
+        link.answers = if was_down {
+            link.answers + 1
+        } else {
+            MIN_RECOVERY_ANSWERS
+        };
+        if link.answers >= MIN_RECOVERY_ANSWERS {
             link.last_contact = Some(now);
             link.failures = 0;
             link.failing_since = None;
@@ -102,7 +106,7 @@
 
     /// Records that nothing came back from a host, or nothing but a refusal.
     pub fn record_failure(&mut self, host: Host, now: Micros) {
-        let link = self.own.entry(host).or_default();
+        let link = self.own_links.entry(host).or_default();
         link.failures = link.failures.saturating_add(1);
         link.failing_since.get_or_insert(now);
         link.answers = 0;
@@ -110,40 +114,42 @@
 
     /// Records a message of another controller.
     pub fn record_contact(&mut self, node: &str, now: Micros) {
-        let link = self.own.entry(Host::Node(node.to_string())).or_default();
+        let link = self.own_links.entry(Host::Node(node.to_string())).or_default();
         link.last_contact = Some(now);
     }
 
     /// Records whether another controller acknowledges messages, and if not, whether it refuses
     /// connections.
     pub fn record_delivery(&mut self, node: &str, acknowledges: bool, refuses_connections: bool) {
-        let link = self.own.entry(Host::Node(node.to_string())).or_default();
+        let link = self.own_links.entry(Host::Node(node.to_string())).or_default();
         link.acknowledges = Some(acknowledges);
         link.refuses_connections = refuses_connections && !acknowledges;
     }
 
     /// Records how many agents of a zone send their heartbeats here, and when the last one came.
     pub fn record_agents(&mut self, zone: &str, count: u32, last_heartbeat: Micros) {
-        let link = self.own.entry(Host::Agents(zone.to_string())).or_default();
+        let link = self.own_links.entry(Host::Agents(zone.to_string())).or_default();
         link.agent_count = count;
         link.last_contact = link.last_contact.max(Some(last_heartbeat));
     }
 
     /// Whether this controller's own link to a service has failed since it last worked.
     pub fn is_failing(&self, host: &Host) -> bool {
-        self.own.get(host).is_some_and(|link| link.failing_since.is_some())
+        self.own_links
+            .get(host)
+            .is_some_and(|link| link.failing_since.is_some())
     }
 
     /// Whether a link that was down has answered again, though not yet often enough to be relied
     /// on.
     pub fn is_recovering(&self, host: &Host) -> bool {
         let is_service = matches!(host, Host::State | Host::Cloud);
-        is_service && self.own.get(host).is_some_and(|link| link.answers > 0)
+        is_service && self.own_links.get(host).is_some_and(|link| link.answers > 0)
     }
 
     /// The state of this controller's own link to a host.
     pub fn own_link(&self, host: &Host, now: Micros) -> LinkState {
-        let Some(link) = self.own.get(host) else {
+        let Some(link) = self.own_links.get(host) else {
             return LinkState::Unknown;
         };
         match host {
@@ -165,7 +171,7 @@
                 agent_count: link.agent_count,
             }
         };
-        self.own.iter().take(MAX_OBSERVATIONS).map(observation).collect()
+        self.own_links.iter().take(MAX_OBSERVATIONS).map(observation).collect()
     }
 
     /// Records what another controller reports.
@@ -249,7 +255,7 @@
             .filter(|name| !matches!(to, Host::Node(node) if node == *name))
             .filter(|name| self.own_link(&Host::Node((*name).clone()), now) == LinkState::Up)
             .filter_map(|name| {
-                let is_worse = self.forwards(name, to, now)? != LinkState::Up;
+                let is_worse = self.forwarding_state(name, to, now)? != LinkState::Up;
                 Some((is_worse, self.preference(name, to), name))
             })
             .min();
@@ -257,8 +263,8 @@
     }
 
     /// The state of another controller's link to a host, if it can forward requests there.
-    fn forwards(&self, node: &str, to: &Host, now: Micros) -> Option<LinkState> {
-        let failing_since = self.own.get(to).and_then(|link| link.failing_since);
+    fn forwarding_state(&self, node: &str, to: &Host, now: Micros) -> Option<LinkState> {
+        let failing_since = self.own_links.get(to).and_then(|link| link.failing_since);
         let link = self.reported_link(node, to, now)?;
         // Hardly anybody but the leader calls the cloud, so its last answer may be old.
         let is_recent = !matches!(to, Host::State) || link.last_contact > failing_since.unwrap_or(Micros::ZERO);
@@ -297,7 +303,7 @@
             LinkState::Down
         } else if self.last_contact.is_none() {
             LinkState::Unknown
-        } else if self.round_trip >= SLOW {
+        } else if self.round_trip >= SLOW_ROUND_TRIP {
             LinkState::Slow
         } else {
             LinkState::Up
--- a/crates/connectivity/tests/connectivity.rs
+++ b/crates/connectivity/tests/connectivity.rs
@@ -13,15 +13,15 @@
 /// Which controller receives messages of which, which have the state service, and how many agents
 /// send their heartbeats to each.
 #[derive(Clone, Debug)]
-struct World {
+struct Topology {
     receives: Vec<Vec<bool>>,
     state: Vec<bool>,
     agents: Vec<u32>,
 }
 
-impl World {
-    fn all(agents: u32) -> World {
-        World {
+impl Topology {
+    fn all(agents: u32) -> Topology {
+        Topology {
             receives: vec![vec![true; 5]; 5],
             state: vec![true; 5],
             agents: vec![agents; 5],
@@ -59,12 +59,12 @@
     }
 }
 
-fn worlds() -> impl Strategy<Value = World> {
+fn topologies() -> impl Strategy<Value = Topology> {
     let row = prop::collection::vec(prop::bool::weighted(0.7), 5);
     let receives = prop::collection::vec(row, 5);
     let state = prop::collection::vec(prop::bool::weighted(0.7), 5);
     let agents = prop::collection::vec(0u32..300, 5);
-    (receives, state, agents).prop_map(|(receives, state, agents)| World {
+    (receives, state, agents).prop_map(|(receives, state, agents)| Topology {
         receives,
         state,
         agents,
@@ -77,17 +77,17 @@
     /// No request goes through a controller that is not reached in both directions or that has not
     /// the service itself, and one is found where there is one.
     #[test]
-    fn routes_are_one_hop_and_work(world in worlds()) {
+    fn routes_are_one_hop_and_work(topology in topologies()) {
         let now = at(6.0);
-        for (i, table) in world.tables(6.0).iter().enumerate() {
-            let good = |j: usize| j != i && world.receives[i][j] && world.receives[j][i] && world.state[j];
+        for (i, table) in topology.tables(6.0).iter().enumerate() {
+            let good = |j: usize| j != i && topology.receives[i][j] && topology.receives[j][i] && topology.state[j];
             match table.route(&Host::State, now) {
-                Route::Direct => prop_assert!(world.state[i]),
+                Route::Direct => prop_assert!(topology.state[i]),
                 Route::Via(name) => {
                     let j = NAMES.iter().position(|n| *n == name).unwrap();
-                    prop_assert!(!world.state[i] && good(j));
+                    prop_assert!(!topology.state[i] && good(j));
                 }
-                Route::Nowhere => prop_assert!(!world.state[i] && !(0..5).any(good)),
+                Route::Nowhere => prop_assert!(!topology.state[i] && !(0..5).any(good)),
             }
         }
     }
@@ -95,31 +95,31 @@
     /// Controllers that see the same links agree: where all receive messages of all, exactly one ranks
     /// first, and it has the state service if any has.
     #[test]
-    fn exactly_one_controller_ranks_first(mut world in worlds()) {
-        world.receives = vec![vec![true; 5]; 5];
+    fn exactly_one_controller_ranks_first(mut topology in topologies()) {
+        topology.receives = vec![vec![true; 5]; 5];
         let now = at(6.0);
-        let tables = world.tables(6.0);
+        let tables = topology.tables(6.0);
         let first: Vec<usize> = (0..5).filter(|i| tables[*i].rank(now) == 0).collect();
         prop_assert_eq!(first.len(), 1);
-        prop_assert!(world.state[first[0]] || world.state.iter().all(|s| !s));
+        prop_assert!(topology.state[first[0]] || topology.state.iter().all(|s| !s));
     }
 
     /// However links change, one controller gives up the leadership at most twice a minute.
     #[test]
-    fn handovers_are_few(worlds in prop::collection::vec(worlds(), 1..12)) {
+    fn handovers_are_few(topologies in prop::collection::vec(topologies(), 1..12)) {
         let mut policy = HandoverPolicy::default();
         let mut handovers = vec![];
         for second in 0..240u64 {
-            let world = &worlds[(second / 8) as usize % worlds.len()];
+            let topology = &topologies[(second / 8) as usize % topologies.len()];
             let now = at(second as f64 + 20.0);
             let mut table = LinkTable::new("a");
-            for host in NAMES.iter().skip(1).filter(|_| world.receives[0][1]) {
+            for host in NAMES.iter().skip(1).filter(|_| topology.receives[0][1]) {
                 table.record_contact(host, now);
             }
             table.record_answer(Host::State, None, now);
             for (j, name) in NAMES.iter().enumerate().skip(1) {
-                table.record_delivery(name, world.receives[j][0], false);
-                if world.receives[0][j] {
+                table.record_delivery(name, topology.receives[j][0], false);
+                if topology.receives[0][j] {
                     table.record_contact(name, now);
                 }
             }
@@ -151,25 +151,25 @@
     }
 
     #[test]
-    fn pauses_stay_between_their_bounds(first in 1u64..2000, most in 1u64..60_000, tries in 1usize..80, luck in 0.0f64..1.0) {
-        let mut backoff = Backoff::new(Micros::from_millis(first), Micros::from_millis(most));
+    fn pauses_stay_between_their_bounds(first in 1u64..2000, longest in 1u64..60_000, tries in 1usize..80, random in 0.0f64..1.0) {
+        let mut backoff = Backoff::new(Micros::from_millis(first), Micros::from_millis(longest));
         for _ in 0..tries {
-            let pause = backoff.next_pause(luck);
-            prop_assert!(pause <= Micros::from_millis(most));
-            prop_assert!(pause >= Micros::from_millis(first.min(most) / 2));
+            let pause = backoff.next_pause(random);
+            prop_assert!(pause <= Micros::from_millis(longest));
+            prop_assert!(pause >= Micros::from_millis(first.min(longest) / 2));
         }
     }
 }
 
 #[test]
-fn a_leader_that_nobody_receives_hands_over() {
-    let mut world = World::all(40);
+fn a_leader_whose_messages_are_lost_hands_over() {
+    let mut topology = Topology::all(40);
     for j in 1..5 {
         // What a sends does not arrive; it receives what all others send.
-        world.receives[j][0] = false;
+        topology.receives[j][0] = false;
     }
     let now = at(10.0);
-    let table = &world.tables(10.0)[0];
+    let table = &topology.tables(10.0)[0];
     assert_eq!(
         table.link_state("a", &Host::Node("b".into()), now),
         LinkState::Unidirectional
@@ -182,7 +182,7 @@
         "not before it has held"
     );
     let found = policy
-        .decide(&world.tables(14.0)[0], 4, || 200, began, at(14.0))
+        .decide(&topology.tables(14.0)[0], 4, || 200, began, at(14.0))
         .unwrap();
     assert_eq!(
         (found.to.as_deref(), found.reason),
@@ -192,13 +192,13 @@
 
 #[test]
 fn an_isolated_leader_hands_over_unless_agents_connect() {
-    let mut world = World::all(0);
-    world.agents[0] = 30;
-    world.receives[0] = vec![false; 5];
-    for row in &mut world.receives {
+    let mut topology = Topology::all(0);
+    topology.agents[0] = 30;
+    topology.receives[0] = vec![false; 5];
+    for row in &mut topology.receives {
         row[0] = false;
     }
-    let table = world.tables(10.0)[0].clone();
+    let table = topology.tables(10.0)[0].clone();
     let mut policy = HandoverPolicy::default();
     assert_eq!(policy.decide(&table, 4, || 40, Micros::ZERO, at(10.0)), None);
     assert_eq!(
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_link_that_flaps_is_not_relied_on() {
+fn a_flapping_link_is_not_used() {
     let mut table = LinkTable::new("a");
     table.record_answer(Host::State, None, at(1.0));
     for ms in [1200, 1400, 1700] {
--- a/crates/zone-health/src/lib.rs
+++ b/crates/zone-health/src/lib.rs
@@ -34,18 +34,18 @@
 use std::collections::BTreeMap;
 
 /// How long a heartbeat that is due may be held up by the network when all is well.
-const MAX_DELAY: Micros = Micros::from_millis(1500);
+const MAX_HEARTBEAT_DELAY: Micros = Micros::from_millis(1500);
 /// Agents vary the interval of their heartbeats by a quarter.
 const MAX_INTERVAL_FACTOR: f64 = 1.25;
 /// So many heartbeats that should have come and did not make a silence that is no accident: their
 /// times are independent of each other.
-const MISSED_HEARTBEATS: f64 = 8.0;
+const MIN_MISSED_HEARTBEATS: f64 = 8.0;
 /// A zone with fewer machines is not taken to be cut off by their silence.
 const MIN_MACHINES: usize = 3;
 /// A controller sends several signs of life in this span.
-const CONTROLLER_SILENCE: Micros = Micros::from_millis(1600);
+const MAX_CONTROLLER_SILENCE: Micros = Micros::from_millis(1600);
 /// A controller says every two seconds which machines it has contact with.
-const PROXIED_FOR: Micros = Micros::from_millis(5000);
+const PROXY_ANNOUNCEMENT_VALIDITY: Micros = Micros::from_millis(5000);
 
 /// The times that decide, all of them from the platform's settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -78,8 +78,8 @@
 
     /// How long a zone of so many machines may be silent by accident.
     fn max_silence(&self, machines: usize) -> Micros {
-        let intervals = (MISSED_HEARTBEATS / machines.max(1) as f64).min(1.0);
-        MAX_DELAY + Micros::from_secs(self.heartbeat_interval.secs() * MAX_INTERVAL_FACTOR * intervals)
+        let intervals = (MIN_MISSED_HEARTBEATS / machines.max(1) as f64).min(1.0);
+        MAX_HEARTBEAT_DELAY + Micros::from_secs(self.heartbeat_interval.secs() * MAX_INTERVAL_FACTOR * intervals)
     }
 }
 
@@ -111,7 +111,7 @@
     /// Whether nothing came from there for longer than by accident.
     fn is_silent(&self, times: &ZoneTimes, listening_since: Micros, now: Micros) -> bool {
         let controller_contact_at = self.controller_contact_at.max(listening_since);
-        let has_controller_contact = self.controllers > 0 && now.since(controller_contact_at) <= CONTROLLER_SILENCE;
+        let has_controller_contact = self.controllers > 0 && now.since(controller_contact_at) <= MAX_CONTROLLER_SILENCE;
         let last_contact_at = self.last_contact_at().max(listening_since);
         !has_controller_contact && now.since(last_contact_at) > times.max_silence(self.machines)
     }
@@ -248,7 +248,7 @@
         let Some(cut) = self.cuts.get(zone) else {
             return Evacuation::Nothing;
         };
-        if cut.proxied_at > Micros::ZERO && now.since(cut.proxied_at) < PROXIED_FOR {
+        if cut.proxied_at > Micros::ZERO && now.since(cut.proxied_at) < PROXY_ANNOUNCEMENT_VALIDITY {
             return Evacuation::Nothing;
         }
         let age = now.since(cut.since);
--- a/crates/zone-health/tests/zone_health.rs
+++ b/crates/zone-health/tests/zone_health.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_leader_that_hears_nobody_is_cut_off_itself() {
+fn a_leader_without_contact_is_cut_off_itself() {
     let times = ZoneTimes::new(8.0, 36.0);
     let mut zones = ZoneMonitor::default();
     let observations = [zone("north", 200, 100.0), zone("south", 200, 100.0)];
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_controller_there_that_is_heard_says_that_the_zone_is_not_cut() {
+fn contact_with_a_controller_shows_that_its_zone_is_not_cut_off() {
     let times = ZoneTimes::new(1.5, 10.0);
     let mut zones = ZoneMonitor::default();
     let mut south = zone("south", 50, 100.0);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_new_leader_gives_a_zone_time_to_be_heard() {
+fn a_new_leader_gives_a_zone_time_for_contact() {
     let times = ZoneTimes::new(1.5, 10.0);
     let mut zones = ZoneMonitor::default();
     let observations = [zone("north", 50, 200.5), zone("south", 50, 0.0)];
@@ -126,7 +126,7 @@
     /// Heartbeats that come at their interval, give or take a quarter, are never
     /// taken for a cut, however many machines there are and whenever they began.
     #[test]
-    fn a_zone_that_reports_is_not_cut(
+    fn a_zone_that_sends_heartbeats_is_not_cut_off(
         phases in proptest::collection::vec(0.0f64..1.0, 3..60),
         report_s in 1.0f64..10.0,
     ) {
--- a/src/coordination/failure_detection/asymmetric_partition.rs
+++ b/src/coordination/failure_detection/asymmetric_partition.rs
@@ -17,9 +17,9 @@
 
 /// Changes of controller in a row after which the machine is probed. One controller that ends or is
 /// cut off makes each of its agents change once.
-const MOVES_UNTIL_PROBED: u32 = 2;
+const CHANGES_UNTIL_PROBED: u32 = 2;
 /// Changes of controller in a row after which the machine is taken to be partitioned.
-const MOVES_UNTIL_PARTITIONED: u32 = 3;
+const CHANGES_UNTIL_PARTITIONED: u32 = 3;
 /// A machine is probed again after this long.
 const PROBE_INTERVAL: Micros = Micros::from_millis(5000);
 /// Probes sent at a time, so that many partitioned machines take few connections of this node.
@@ -30,14 +30,14 @@
 impl Machine {
     /// Whether its heartbeats arrive while it most likely gets no answers.
     pub fn is_asymmetrically_partitioned(&self) -> bool {
-        self.controller_changes >= MOVES_UNTIL_PARTITIONED
+        self.controller_changes >= CHANGES_UNTIL_PARTITIONED
     }
 
     /// Notes the controller through which a heartbeat came; `None`: this one.
     pub fn note_heartbeat_route(&mut self, via: Option<&str>, now: Micros) {
         if self.incarnation > 0 && self.heartbeat_proxy.as_deref() != via {
             self.controller_changes += 1;
-            if self.controller_changes == MOVES_UNTIL_PARTITIONED {
+            if self.controller_changes == CHANGES_UNTIL_PARTITIONED {
                 tracing::info!(
                     machine = %self.name,
                     tasks = self.tasks.len(),
@@ -63,7 +63,7 @@
     pub fn probe_asymmetric_partitions(&mut self, context: &mut Context, now: Micros) {
         let fencing_token = self.term;
         let due = |m: &&mut Machine| {
-            m.controller_changes >= MOVES_UNTIL_PROBED
+            m.controller_changes >= CHANGES_UNTIL_PROBED
                 && m.state == MachineState::Up
                 && m.outbox.in_flight.is_none()
                 && now.since(m.probed_at) > PROBE_INTERVAL
--- a/src/coordination/failure_detection/stragglers.rs
+++ b/src/coordination/failure_detection/stragglers.rs
@@ -11,14 +11,14 @@
 use std::collections::BTreeSet;
 
 /// A task that runs for this many times the mean of its job's completed ones is a straggler.
-const OVERDUE: f64 = 1.9;
+const OVERDUE_FACTOR: f64 = 1.9;
 /// Run times are known to heartbeats only: a straggler is late by at least this many seconds.
 const MIN_OVERDUE_S: f64 = 2.0;
 /// Tasks that must have completed for a mean. It counts only when half of those that were started
 /// have completed: the short ones complete first.
-const MIN_RUNS: u32 = 6;
+const MIN_COMPLETED_RUNS: u32 = 6;
 /// How much slower a slow machine is taken to be.
-const SLOWNESS: f64 = 3.0;
+const SLOWDOWN_FACTOR: f64 = 3.0;
 /// Share of the machines that can be slow: beyond it, it is rather the comparison that is wrong.
 const MAX_SLOW_SHARE: f64 = 0.25;
 /// Share of a task's work that is lost when it is moved, with checkpoints.
@@ -31,7 +31,7 @@
 /// The mean run time of a job's tasks in seconds, if enough of them have completed.
 fn mean_run_s(job: &Job) -> Option<f64> {
     let runs = job.completed_runs;
-    (runs.count >= MIN_RUNS && runs.count >= job.held_tasks).then(|| runs.mean_s())
+    (runs.count >= MIN_COMPLETED_RUNS && runs.count >= job.held_tasks).then(|| runs.mean_s())
 }
 
 /// For how many seconds a task has been running; `None` if it does not run, or is to stop.
@@ -51,7 +51,7 @@
     } else {
         1.0
     };
-    usual_s * SLOWNESS - ran_s > usual_s * (lost + MOVE_COST) + 1.0
+    usual_s * SLOWDOWN_FACTOR - ran_s > usual_s * (lost + MOVE_COST) + 1.0
 }
 
 impl LeaderState {
@@ -71,7 +71,7 @@
         let mut machines = BTreeSet::new();
         for job in self.jobs.values().filter(|j| j.is_live() && !j.is_service()) {
             let Some(mean_s) = mean_run_s(job) else { continue };
-            let max_s = (mean_s * OVERDUE).max(mean_s + MIN_OVERDUE_S);
+            let max_s = (mean_s * OVERDUE_FACTOR).max(mean_s + MIN_OVERDUE_S);
             for placement in job.placements.values() {
                 if running_s(placement, now).is_some_and(|ran_s| ran_s > max_s) {
                     machines.insert(placement.machine.clone());
