--- a/src/coordination/failure_detection/asymmetric_partition.rs
+++ b/src/coordination/failure_detection/asymmetric_partition.rs
@@ -1,13 +1,14 @@
 //! Asymmetric partitions: machines whose heartbeats arrive, while answers and commands do not reach
 //! them.
 //!
-//! From one heartbeat alone such a machine cannot be told from a healthy one. But an agent that gets
-//! no answer tries the next controller, every time: its heartbeats wander, while those of an agent
-//! that is answered stay with the controller that answers.
+//! A single heartbeat of such a machine looks like that of a healthy one. But an agent that
+//! receives no answer tries the next controller each time, so its heartbeats keep changing
+//! controllers, while those of an agent that receives answers stay with the controller that sends
+//! them.
 //!
-//! A machine whose heartbeats wander gets nothing new and is probed with a command that does
-//! nothing. What runs there is left alone: its lease ends by itself, and the heartbeat of its next
-//! session proves that everything on it is gone.
+//! A machine whose heartbeats keep changing controllers gets no new work and is probed with an
+//! empty list of commands. Its running tasks are left alone: its lease expires, and the heartbeat
+//! of the agent's next incarnation proves that all of them are gone.
 
 use crate::coordination::agents::SentPush;
 use crate::coordination::state::{LeaderState, Machine, MachineState};
@@ -15,25 +16,26 @@
 use crate::protocol::agents::PushedCommands;
 use crate::time::Micros;
 
-/// Changes of controller in a row after which the machine is probed. One controller that ends or is
-/// cut off makes each of its agents change once.
+/// Consecutive changes of controller after which a machine is probed. A single controller that ends
+/// or is cut off makes each of its agents change once.
 const CHANGES_UNTIL_PROBED: u32 = 2;
-/// Changes of controller in a row after which the machine is taken to be partitioned.
+/// Consecutive changes of controller after which a machine is treated as partitioned.
 const CHANGES_UNTIL_PARTITIONED: u32 = 3;
-/// A machine is probed again after this long.
+/// Minimum time between two probes of the same machine.
 const PROBE_INTERVAL: Micros = Micros::from_millis(5000);
-/// Probes sent at a time, so that many partitioned machines take few connections of this node.
+/// Maximum number of probes sent at a time, so that many partitioned machines use few connections
+/// of this node.
 const MAX_PROBES: usize = 12;
-/// How long the answer to a probe is waited for: commands arrive in milliseconds or not at all.
+/// Timeout for the answer to a probe: commands arrive within milliseconds or not at all.
 const PROBE_TIMEOUT: Micros = Micros::from_millis(1500);
 
 impl Machine {
-    /// Whether its heartbeats arrive while it most likely gets no answers.
+    /// Whether the machine's heartbeats arrive while it most likely receives no answers.
     pub fn is_asymmetrically_partitioned(&self) -> bool {
         self.controller_changes >= CHANGES_UNTIL_PARTITIONED
     }
 
-    /// Notes the controller through which a heartbeat came; `None`: this one.
+    /// Records the controller through which a heartbeat came; `None` stands for this one.
     pub fn note_heartbeat_route(&mut self, via: Option<&str>, now: Micros) {
         if self.incarnation > 0 && self.heartbeat_proxy.as_deref() != via {
             self.controller_changes += 1;
@@ -41,7 +43,7 @@
                 tracing::info!(
                     machine = %self.name,
                     tasks = self.tasks.len(),
-                    "machine suspected: it seems to get no answers"
+                    "machine suspected of an asymmetric partition: its agent seems to receive no answers"
                 );
             }
         } else {
@@ -49,17 +51,20 @@
         }
     }
 
-    /// Notes that it got what was sent to it at this time; zero if that is not known.
+    /// Records that the machine received what was sent to it at `sent`, which is zero if unknown.
     pub fn note_delivery(&mut self, sent: Micros) {
         if self.is_asymmetrically_partitioned() && sent > Micros::ZERO {
-            tracing::info!(machine = %self.name, "machine no longer suspected: it gets answers again");
+            tracing::info!(
+                machine = %self.name,
+                "machine no longer suspected of an asymmetric partition: its agent receives answers again"
+            );
         }
         self.controller_changes = 0;
     }
 }
 
 impl LeaderState {
-    /// Probes machines whose heartbeats wander.
+    /// Probes machines whose heartbeats keep changing controllers.
     pub fn probe_asymmetric_partitions(&mut self, context: &mut Context, now: Micros) {
         let fencing_token = self.term;
         let due = |m: &&mut Machine| {
--- a/src/coordination/failure_detection/mod.rs
+++ b/src/coordination/failure_detection/mod.rs
@@ -1,7 +1,7 @@
 //! Failure detection: which machines, controllers and zones are suspected to have failed, and how.
 //!
-//! Owned by the leader and run on its ticks. It reads heartbeats and run times, and says what is
-//! suspected. It must not free placements: that is done elsewhere, and only by proof.
+//! Owned by the leader and run on its ticks. This module derives suspicions from heartbeats and run
+//! times. It must not free placements: other modules do that, and only on proof.
 
 pub mod asymmetric_partition;
 pub mod silent_services;
@@ -13,22 +13,22 @@
 use std::collections::BTreeMap;
 use zone_partition::ControllerLiveness;
 
-/// What the leader knows of other controllers and of zones.
+/// The leader's view of other controllers and of zones.
 pub struct FailureDetector {
-    /// When each other controller was heard, and whether it is lost.
+    /// When each other controller was last in contact, and whether it is lost.
     controllers: BTreeMap<String, ControllerLiveness>,
     /// Which zones are cut off.
     pub(super) zones: ZoneMonitor,
-    /// When zones that were cut off recovered.
+    /// When each zone that was cut off last recovered.
     zones_recovered_at: BTreeMap<String, Micros>,
-    /// When stragglers are looked for again.
+    /// When the next check for stragglers is due.
     pub(super) next_straggler_check: Micros,
-    /// When the state of the replicas is logged again.
+    /// When the state of the replicas is logged next.
     pub(super) next_replica_log: Micros,
 }
 
 impl FailureDetector {
-    /// A detector that has heard from nobody yet.
+    /// Creates a detector without any recorded contact.
     pub fn new(now: Micros) -> FailureDetector {
         FailureDetector {
             controllers: BTreeMap::new(),
--- a/src/coordination/failure_detection/silent_services.rs
+++ b/src/coordination/failure_detection/silent_services.rs
@@ -1,12 +1,13 @@
-//! Machines with services that fall silent one by one.
+//! Machines with services that fall silent one by one, and which of them are given up early.
 //!
-//! Most of them hang or are dead, and their services are down; some are only cut off, and run on.
-//! All look alike until their leases end. Giving one up early costs a restart where it ran on, and
-//! saves most of a lease where it did not; so that is done as far as its services fit on machines
-//! that are heard. That a machine is gone is still proven by the cloud's confirmation of its
-//! release, which then comes sooner than the end of the lease.
+//! Most such machines hang or are dead, and their services are down; some are only cut off, and
+//! their services keep running. Both cases look alike until the leases end. Giving a machine up
+//! early costs a restart if its services still run, and saves most of a lease of downtime if they
+//! do not. So machines are given up as far as their services fit on machines whose heartbeats
+//! arrive. The proof that a machine is gone is still the cloud's confirmation of its release, which
+//! then comes sooner than the end of the lease.
 //!
-//! Called by the check for failed machines; decides, and changes nothing.
+//! Called by the check for failed machines; decides only and changes no state.
 
 use crate::coordination::state::{LeaderState, Machine, MachineId, MachineState};
 use crate::coordination::{timing, ClusterConfig};
@@ -15,13 +16,14 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// If a larger share of the machines falls silent, it is rather their heartbeats that do not arrive.
+/// If a larger share of the machines is silent, their heartbeats are more likely lost on the way,
+/// and none of them is given up early.
 const MAX_SILENT_SHARE: f64 = 0.45;
 
 impl LeaderState {
-    /// Machines to be given up before their leases end, the one silent for longest first, as far as
-    /// their services fit elsewhere. `silence` says how long a machine has been silent; `None` if
-    /// its silence says nothing about it alone.
+    /// Selects the machines to give up before their leases end, in the order of their silence,
+    /// longest first, as far as their services fit elsewhere. `silence` returns how long a machine
+    /// has been silent, or `None` if the cause may lie outside the machine.
     pub fn early_failures(
         &self,
         cluster: &ClusterConfig,
@@ -63,8 +65,8 @@
         services.filter(|j| j.is_service()).map(|j| j.spec.cpus).sum()
     }
 
-    /// Cores that services can get on a machine: those that are free, and those of work that would
-    /// be preempted for them.
+    /// Cores that services can get on a machine: free ones, and those of work that would be
+    /// preempted for services.
     fn service_capacity(&self, cluster: &ClusterConfig, machine: &Machine) -> f64 {
         let Some(machine_type) = cluster.catalogue.get(&machine.machine_type) else {
             return 0.0;
--- a/src/coordination/failure_detection/stragglers.rs
+++ b/src/coordination/failure_detection/stragglers.rs
@@ -1,8 +1,8 @@
 //! Stragglers: tasks that take far longer than others of their job, and the slow machines that they
 //! reveal.
 //!
-//! Called by the leader every second. A slow machine gets nothing new for a while, and what would
-//! still be done sooner elsewhere is stopped and starts again there.
+//! Called by the leader every second. A slow machine gets no new work for a while, and those of its
+//! tasks that would complete sooner elsewhere are stopped and restarted there.
 
 use crate::coordination::state::{Job, LeaderState, MachineId, MachineState, Placement, PlacementPhase};
 use crate::coordination::{timing, ClusterConfig, JobId};
@@ -10,31 +10,35 @@
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
-/// A task that runs for this many times the mean of its job's completed ones is a straggler.
+/// A task is a straggler when it runs for more than this many times the mean run time of its job's
+/// completed tasks.
 const OVERDUE_FACTOR: f64 = 1.9;
-/// Run times are known to heartbeats only: a straggler is late by at least this many seconds.
+/// Minimum excess of a straggler's run time over the mean, in seconds: run times are only as
+/// precise as the heartbeats that report them.
 const MIN_OVERDUE_S: f64 = 2.0;
-/// Tasks that must have completed for a mean. It counts only when half of those that were started
-/// have completed: the short ones complete first.
+/// Minimum number of completed tasks for a mean. In addition, at least half of the started tasks
+/// must have completed, because short tasks complete first.
 const MIN_COMPLETED_RUNS: u32 = 6;
-/// How much slower a slow machine is taken to be.
+/// Assumed ratio of run times on a slow machine to the usual ones.
 const SLOWDOWN_FACTOR: f64 = 3.0;
-/// Share of the machines that can be slow: beyond it, it is rather the comparison that is wrong.
+/// Maximum share of the machines that are marked as slow: if more seem slow, the comparison is more
+/// likely wrong.
 const MAX_SLOW_SHARE: f64 = 0.25;
-/// Share of a task's work that is lost when it is moved, with checkpoints.
+/// Share of a task's work that is lost in a move if its job writes checkpoints.
 const LOST_WITH_CHECKPOINTS: f64 = 0.5;
-/// What a move costs besides, as a share of the usual run time.
+/// Additional cost of a move, as a share of the usual run time.
 const MOVE_COST: f64 = 0.3;
-/// Grace that a task gets to save its work, in multiples of what its job says it needs.
+/// Grace period in which a task can save its work, as a multiple of the job's `save_s`.
 const GRACE_FACTOR: f64 = 1.2;
 
-/// The mean run time of a job's tasks in seconds, if enough of them have completed.
+/// Mean run time of a job's completed tasks in seconds, if enough of them have completed.
 fn mean_run_s(job: &Job) -> Option<f64> {
     let runs = job.completed_runs;
     (runs.count >= MIN_COMPLETED_RUNS && runs.count >= job.held_tasks).then(|| runs.mean_s())
 }
 
-/// For how many seconds a task has been running; `None` if it does not run, or is to stop.
+/// Time for which a task has been running, in seconds; `None` if it is not running or is being
+/// stopped.
 fn running_s(placement: &Placement, now: Micros) -> Option<f64> {
     let is_running = placement.phase == PlacementPhase::Seen(TaskPhase::Running) && placement.stop_grace_s.is_none();
     placement
@@ -43,7 +47,8 @@
         .map(|since| now.since(since).secs())
 }
 
-/// Whether a task that has run for so long on a slow machine would be done sooner elsewhere.
+/// Whether a task that has run for `ran_s` seconds on a slow machine would complete sooner if it
+/// were restarted elsewhere.
 fn is_sooner_elsewhere(job: &Job, ran_s: f64) -> bool {
     let usual_s = mean_run_s(job).unwrap_or(job.spec.estimate_s);
     let lost = if job.spec.checkpoint_s > 0.0 {
@@ -55,13 +60,13 @@
 }
 
 impl LeaderState {
-    /// Looks for stragglers, and moves work off their machines.
+    /// Detects stragglers, marks their machines as slow and stops tasks that are moved elsewhere.
     pub fn detect_stragglers(&mut self, cluster: &ClusterConfig, now: Micros) {
         let silence = Self::work_silence(cluster);
         let suspects = self.machines_with_stragglers(now);
         self.mark_slow(&suspects, silence, now);
         for (id, task) in self.tasks_to_move(silence, now) {
-            tracing::debug!(job = %id, task, "task moved off a slow machine");
+            tracing::debug!(job = %id, task, "task stopped on a slow machine, to be restarted elsewhere");
             let grace_s = self.jobs.get(&id).map_or(0.0, |j| j.spec.save_s * GRACE_FACTOR);
             self.stop(&id, task, grace_s, now);
         }
@@ -81,8 +86,8 @@
         machines
     }
 
-    /// Marks machines as slow for a while, as long as not too many are. Silent ones are left out:
-    /// what runs there may long be done.
+    /// Marks machines as slow for a while, up to the maximum share. Silent machines are skipped,
+    /// since their tasks may have completed long ago.
     fn mark_slow(&mut self, suspects: &BTreeSet<MachineId>, silence: Micros, now: Micros) {
         let up = self.machines.values().filter(|m| m.state == MachineState::Up).count();
         let mut slow = self.machines.values().filter(|m| now < m.slow_until).count();
@@ -98,13 +103,16 @@
                     continue;
                 }
                 slow += 1;
-                tracing::info!(machine = %name, "machine suspected: tasks take long on it");
+                tracing::info!(
+                    machine = %name,
+                    "machine suspected to be slow: a task runs far longer there than others of its job"
+                );
             }
             machine.slow_until = now + timing::SLOW_MACHINE;
         }
     }
 
-    /// Tasks on slow machines that would be done sooner elsewhere.
+    /// Tasks on slow machines that would complete sooner elsewhere.
     fn tasks_to_move(&self, silence: Micros, now: Micros) -> Vec<(JobId, u32)> {
         let mut tasks = vec![];
         for machine in self.machines.values().filter(|m| now < m.slow_until) {
--- a/src/coordination/failure_detection/zone_partition.rs
+++ b/src/coordination/failure_detection/zone_partition.rs
@@ -1,8 +1,8 @@
-//! Zones that are cut off from the leader by a network partition: what is heard of each, and what is
-//! to be moved out of them.
+//! Zones that are cut off from the leader by a network partition: the contacts with each zone, and
+//! what is moved out of zones that are cut off.
 //!
-//! Called on the leader's ticks and by provisioning. The decisions are those of
-//! `glenhaven-zone-health`; this module collects what they are made from and keeps their results.
+//! Called on the leader's ticks and by provisioning. `glenhaven-zone-health` makes the decisions;
+//! this module collects the observations for it and keeps the results.
 
 use crate::coordination::state::{Job, LeaderState, Machine, MachineId, MachineState};
 use crate::coordination::timing::AGENT_FAILOVER;
@@ -13,18 +13,18 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the leader knows of another controller.
+/// The leader's record of contact with another controller.
 #[derive(Clone, Copy, Debug)]
 pub struct ControllerLiveness {
     last_contact_at: Micros,
-    /// When it was lost for the last time; stays set when it is heard again.
+    /// When the controller was last found to be lost; stays set after it is in contact again.
     lost_at: Option<Micros>,
     is_lost: bool,
 }
 
 impl LeaderState {
-    /// Notes when another controller was last heard; it is lost if that is longer ago than
-    /// `max_silence`.
+    /// Records when another controller was last in contact; the controller is lost if that is
+    /// longer ago than `max_silence`.
     pub fn record_controller_contact(&mut self, name: &str, last_contact_at: Micros, max_silence: Micros, now: Micros) {
         if !self.failures.controllers.contains_key(name) {
             let liveness = ControllerLiveness {
@@ -45,8 +45,8 @@
         controller.is_lost = is_lost;
     }
 
-    /// From when on the silence of a machine counts: the leader hears it from then on, and its
-    /// agent has found another controller if it lost its own.
+    /// Time from which the silence of a machine counts: from then on the leader could receive its
+    /// heartbeats, and its agent has had time to find another controller if its own was lost.
     pub fn silence_counts_from(&self, machine: &Machine, now: Micros) -> Micros {
         let controller = machine
             .heartbeat_proxy
@@ -55,14 +55,15 @@
         let rehomed_at = controller
             .and_then(|c| c.lost_at)
             .map_or(Micros::ZERO, |at| now.min(at + AGENT_FAILOVER));
-        // A zone that recovers has been heard by its controllers first, as a rule.
+        // The first contact with a recovering zone usually comes from its controllers, before the
+        // heartbeats of its machines.
         let recovered_at = self.failures.zones_recovered_at.get(&machine.zone);
         self.listening_since
             .max(rehomed_at)
             .max(recovered_at.copied().unwrap_or(Micros::ZERO))
     }
 
-    /// Decides anew which zones are cut off, and logs what changed.
+    /// Updates which zones are cut off, and logs the changes.
     pub fn check_zones(&mut self, cluster: &ClusterConfig, now: Micros) {
         let zones = self.zone_observations(cluster);
         let changes = self
@@ -74,17 +75,18 @@
             match change {
                 ZoneChange::CutOff { zone, since } => {
                     let silent_s = now.since(since).secs();
-                    tracing::info!(zone, silent_s, "zone cut off: nothing new starts there");
+                    tracing::info!(zone, silent_s, "zone cut off from the leader: no new work starts there");
                 }
                 ZoneChange::Recovered { zone, after } => {
-                    tracing::info!(zone, after_s = after.secs(), "zone heard again");
+                    tracing::info!(zone, after_s = after.secs(), "zone no longer treated as cut off");
                     self.failures.zones_recovered_at.insert(zone, now);
                 }
             }
         }
     }
 
-    /// What is heard of every zone that has a machine or a controller, in the order of their names.
+    /// Latest contacts with every zone that has a machine or a controller, in the order of zone
+    /// names.
     fn zone_observations(&self, cluster: &ClusterConfig) -> Vec<ZoneObservation> {
         let mut zones: BTreeMap<&str, ZoneObservation> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| !m.zone.is_empty()) {
@@ -109,12 +111,13 @@
         zones.into_iter().map(with_name).collect()
     }
 
-    /// What is to be moved out of a zone now.
+    /// Returns what is moved out of a zone now.
     pub fn evacuation(&self, cluster: &ClusterConfig, zone: &str, now: Micros) -> Evacuation {
         self.failures.zones.evacuation(zone, &zone_times(cluster), now)
     }
 
-    /// Machines of cut-off zones that are released because their arrays fit elsewhere by now.
+    /// Selects the machines of cut-off zones that are released because their arrays now fit
+    /// elsewhere.
     pub fn machines_leaving_cut_zones(&self, cluster: &ClusterConfig, now: Micros) -> BTreeSet<MachineId> {
         let mut candidates = vec![];
         let mut free_cores = 0.0;
@@ -161,7 +164,7 @@
     }
 }
 
-/// The times that decide about zones.
+/// Times for the decisions about zones, derived from the workers' settings.
 fn zone_times(cluster: &ClusterConfig) -> ZoneTimes {
     let workers = &cluster.settings.params.workers;
     ZoneTimes::new(workers.report_s, workers.lease_s)
