--- a/crates/connectivity/src/backoff.rs
+++ b/crates/connectivity/src/backoff.rs
@@ -1,9 +1,11 @@
-//! Pauses between retries that don't overload what recovers.
+//! Exponential backoff with jitter, so that retries don't overload a recovering service.
 
 use glenhaven_time::Micros;
 
-/// Pauses between retries of something that fails: each up to twice as long as the one before, with
-/// jitter over half of its length, so that those who lost a link together don't retry together.
+/// Pauses between retries of a failing operation.
+///
+/// The maximum pause doubles with each failure. Jitter over half of its length keeps controllers
+/// that lost a link together from retrying together.
 ///
 /// ```
 /// use glenhaven_connectivity::Backoff;
@@ -23,7 +25,7 @@
 }
 
 impl Backoff {
-    /// Pauses from about `first` up to `longest`.
+    /// Creates a backoff whose maximum pause starts at `first` and grows up to `longest`.
     pub fn new(first: Micros, longest: Micros) -> Backoff {
         Backoff {
             first,
@@ -32,15 +34,15 @@
         }
     }
 
-    /// The pause before the next retry; `random` is drawn evenly from 0 to 1. No pause is shorter
-    /// than half of its longest.
+    /// Returns the pause before the next retry, for a `random` number drawn uniformly from 0 to 1.
+    /// The pause is at least half of its current maximum.
     pub fn next_pause(&mut self, random: f64) -> Micros {
         let longest = Micros(self.first.0.saturating_mul(1 << self.failures.min(16))).min(self.longest);
         self.failures = self.failures.saturating_add(1);
         Micros(longest.0 / 2 + (longest.0 as f64 / 2.0 * random.clamp(0.0, 1.0)) as u64)
     }
 
-    /// A try worked: the next failure starts with the first pause again.
+    /// Records a success: the next failure starts with the first pause again.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/connectivity/src/handover.rs
+++ b/crates/connectivity/src/handover.rs
@@ -1,34 +1,35 @@
-//! Which of the controllers should lead, by what each of them reaches.
+//! Decides which controller should lead, by which hosts each of them reaches.
 
 use super::{Host, LinkState, LinkTable};
 use glenhaven_time::Micros;
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 
-/// The reason for a handover has to hold for this long.
+/// Minimum time for which the reason for a handover must hold.
 const MIN_REASON_DURATION: Micros = Micros::from_millis(3000);
-/// A new leader first reads the write-ahead log and receives its agents' heartbeats.
+/// Minimum time that a controller leads before a handover: a new leader first reads the write-ahead
+/// log and receives its agents' heartbeats.
 const SETTLING_TIME: Micros = Micros::from_millis(6000);
-/// Handovers in a minute by one controller, at most.
+/// Maximum number of handovers in a minute by one controller.
 const MAX_HANDOVERS_PER_MINUTE: usize = 2;
 const MINUTE: Micros = Micros::from_millis(60_000);
-/// The pause after handing over to nobody in particular doubles this often, at most.
+/// Maximum number of times that the pause after a handover without a target doubles.
 const MAX_PAUSE_DOUBLINGS: u32 = 4;
 
-/// What a controller reaches, directly and through others.
+/// The hosts that a controller reaches, directly and through others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reach {
-    /// Whether its own link to the state service may work.
+    /// Whether the controller's own link to the state service may work.
     pub state: bool,
-    /// Controllers that it reaches in both directions, itself among them.
+    /// Number of controllers that it reaches in both directions, including itself.
     pub controllers: u32,
-    /// Agents that send their heartbeats to one of these.
+    /// Number of agents that send their heartbeats to one of these controllers.
     pub agents: u32,
 }
 
 impl Reach {
-    /// Whether this is far more than the other; a smaller difference is no reason to change
-    /// anything. Agents count first, then controllers.
+    /// Whether this reach is far greater than `other`; a smaller difference is no reason to change
+    /// the leader. Agents count first, then controllers.
     pub fn far_exceeds(&self, other: &Reach) -> bool {
         if self.state != other.state {
             let half_the_agents = other.agents / 2;
@@ -47,7 +48,7 @@
 }
 
 impl LinkTable {
-    /// Agents that send their heartbeats to a controller, by its report.
+    /// Number of agents that send their heartbeats to a controller, according to its report.
     fn agents_of(&self, node: &str, now: Micros) -> u32 {
         let is_agent_group = |host: &Host| matches!(host, Host::Agents(_));
         if node == self.node {
@@ -61,7 +62,7 @@
         reported.map(|(_, link)| link.agent_count).sum()
     }
 
-    /// What a controller reaches, as far as this one knows.
+    /// Returns the reach of a controller, according to this controller's links and current reports.
     pub fn reach(&self, node: &str, now: Micros) -> Reach {
         let mut reach = Reach {
             state: self.link_state(node, &Host::State, now) > LinkState::Down,
@@ -79,7 +80,7 @@
         reach
     }
 
-    /// How many controllers are neither heard from nor known to refuse connections.
+    /// Number of controllers that are neither in contact nor known to refuse connections.
     fn silent_nodes(&self, now: Micros) -> u32 {
         let is_silent = |host: &Host| {
             let is_down = matches!(host, Host::Node(_)) && self.own_link(host, now) == LinkState::Down;
@@ -88,8 +89,8 @@
         self.own_links.keys().filter(|host| is_silent(host)).count() as u32
     }
 
-    /// How many controllers with current reports would make a better leader than this one.
-    /// Controllers that see the same links agree on it.
+    /// Returns how many controllers with current reports would make a better leader than this one.
+    /// Controllers that see the same links agree on the ranks.
     pub fn rank(&self, now: Micros) -> u32 {
         let own = self.reach(&self.node, now);
         let is_better = |name: &&String| {
@@ -99,7 +100,7 @@
         self.reporting_nodes(now).filter(is_better).count() as u32
     }
 
-    /// The controller that reaches the most of those that reach far more than `own`.
+    /// The controller with the greatest reach among those whose reach is far greater than `own`.
     fn better_leader(&self, own: &Reach, now: Micros) -> Option<&String> {
         self.reporting_nodes(now)
             .map(|name| (self.reach(name, now), name))
@@ -112,14 +113,14 @@
 /// Why a leader gives up the leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandoverReason {
-    /// A controller that it reaches reaches far more.
+    /// Another controller with a current report has a far greater reach.
     ReachesLess,
-    /// It reaches the state service, but no controller and hardly any agent.
+    /// The leader reaches the state service, but no controller and fewer than half of the agents.
     Isolated,
 }
 
 impl HandoverReason {
-    /// The reason as it is logged.
+    /// Returns the reason as it is logged.
     pub fn as_str(self) -> &'static str {
         match self {
             HandoverReason::ReachesLess => "another controller reaches far more",
@@ -131,40 +132,41 @@
 /// A leader's decision to give up the leadership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Handover {
-    /// The controller that should lead; `None`: any but this one.
+    /// The controller that should lead; `None` stands for any but this one.
     pub to: Option<String>,
-    /// The reason.
+    /// Why the leadership is given up.
     pub reason: HandoverReason,
 }
 
-/// A handover that is considered.
+/// A handover that there is a reason for, not yet decided.
 #[derive(Clone, Debug)]
 struct Candidate {
     to: Option<String>,
     since: Micros,
 }
 
-/// Decides when a leader gives up the leadership: after its reason has held for a while, and not
-/// often.
+/// Decides when a leader gives up the leadership: only after the reason has held for a while, and
+/// only a limited number of times per minute.
 #[derive(Clone, Debug, Default)]
 pub struct HandoverPolicy {
     candidate: Option<Candidate>,
-    /// When the leadership was given up, in the last minute.
+    /// Times of the handovers within the last minute.
     handovers: VecDeque<Micros>,
-    /// Before this, the leadership is not given up to nobody in particular.
+    /// Time before which there is no further handover without a target.
     isolated_not_before: Micros,
-    /// How often it was since this controller last reached another.
+    /// Number of handovers without a target since this controller last reached another one.
     isolated_handovers: u32,
 }
 
 impl HandoverPolicy {
-    /// This controller has begun to lead.
+    /// Resets the considered handover when this controller begins to lead.
     pub fn on_lead_began(&mut self) {
         self.candidate = None;
     }
 
-    /// Decides whether the leadership that began at `began` is to be given up now. `others`: the
-    /// number of other controllers; `machines`: that of machines that work, asked only if needed.
+    /// Decides whether the leadership that began at `began` is given up now. `others` is the number
+    /// of other controllers; `machines` returns the number of working machines and is called only
+    /// if needed.
     pub fn decide(
         &mut self,
         links: &LinkTable,
@@ -188,7 +190,8 @@
         self.handovers.push_back(now);
         self.candidate = None;
         if handover.reason == HandoverReason::Isolated {
-            // Where no controller reaches another one, the leadership would go round for ever.
+            // Without a pause, the leadership would move on endlessly where no controller reaches
+            // another one.
             let pause = Micros(MINUTE.0 << self.isolated_handovers.min(MAX_PAUSE_DOUBLINGS));
             self.isolated_not_before = now + pause;
             self.isolated_handovers += 1;
@@ -196,7 +199,7 @@
         Some(handover)
     }
 
-    /// The handover that there is a reason for now.
+    /// The handover that there is currently a reason for.
     fn justified_handover(
         &mut self,
         links: &LinkTable,
@@ -209,8 +212,8 @@
             self.isolated_not_before = Micros::ZERO;
             self.isolated_handovers = 0;
         }
-        // One other controller may have crashed; several are more likely well and not reached. Where
-        // their hosts refuse connections, their agents are redirected here instead.
+        // A single other controller may have crashed; several are more likely healthy and merely
+        // unreachable. If their hosts refuse connections, their agents are redirected here instead.
         let is_isolated = now >= self.isolated_not_before
             && others > 1
             && own.state
@@ -218,7 +221,8 @@
             && links.silent_nodes(now) == others
             && own.agents * 2 < machines();
         match links.better_leader(&own, now) {
-            // What can be forwarded by others works here as well as there.
+            // A leader without a link of its own to the state service does not hand over: requests
+            // that other controllers can forward work from here as well as from there.
             Some(name) if own.state => Some(Handover {
                 to: Some(name.clone()),
                 reason: HandoverReason::ReachesLess,
@@ -231,7 +235,7 @@
         }
     }
 
-    /// Since when the same handover has been wanted.
+    /// Returns the time since which there has been a reason for the same handover.
     fn justified_since(&mut self, handover: &Handover, now: Micros) -> Micros {
         match &self.candidate {
             Some(candidate) if candidate.to == handover.to => candidate.since,
@@ -243,8 +247,8 @@
         }
     }
 
-    /// Whether this controller gave up the leadership a moment ago: it lets the others go first in
-    /// the election.
+    /// Whether this controller gave up the leadership a moment ago; it then lets the others go
+    /// first in the election.
     pub fn gave_up_recently(&self, now: Micros) -> bool {
         self.handovers
             .back()
--- a/crates/connectivity/src/lib.rs
+++ b/crates/connectivity/src/lib.rs
@@ -1,20 +1,20 @@
-//! Which links between hosts work, as one controller knows them.
+//! The states of the links between hosts, from the view of one controller.
 //!
-//! Most failures are those of links, not of hosts: a controller reaches the agents but not the state
-//! service, or two controllers reach each other only through a third. So nothing is said of hosts
-//! here. Each controller records what it sees of its own links ([`LinkTable::record_answer`],
-//! [`LinkTable::record_failure`], [`LinkTable::record_contact`]), reports that to the others in the
-//! messages that they exchange anyway ([`LinkTable::observations`]), and combines what all of them
-//! report ([`LinkTable::link_state`]).
+//! Most failures are failures of links, not of hosts: a controller reaches the agents but not the
+//! state service, or two controllers reach each other only through a third. So this crate keeps
+//! states of links and none of hosts. Each controller records observations of its own links
+//! ([`LinkTable::record_answer`], [`LinkTable::record_failure`], [`LinkTable::record_contact`]),
+//! includes them in the messages that controllers exchange anyway ([`LinkTable::observations`]),
+//! and combines the reports of all controllers ([`LinkTable::link_state`]).
 //!
-//! Two decisions follow: through whom a request is sent that can't be sent directly
+//! Two decisions follow from the links: how to route a request that can't be sent directly
 //! ([`LinkTable::route`]), and which controller should lead ([`LinkTable::reach`],
-//! [`HandoverPolicy`]). They improve service only. Nothing here is a proof: no host is taken for
-//! dead, and no condition or fencing token is left out, because of it.
+//! [`HandoverPolicy`]). Both only improve service. No link state is a proof: it must not lead to a
+//! host being taken for dead, or to a condition or fencing token being left out.
 //!
-//! The crate is pure: observations and the time go in, decisions come out. Times that others report
-//! are ages by their own steady clocks; a clock that runs wild can make its observations look old,
-//! never newer than the message that brought them.
+//! The crate is pure: observations and the time go in, decisions come out. Reported times are ages
+//! by the reporter's steady clock; a faulty clock can make observations look old, but never newer
+//! than the message that carried them.
 //!
 //! ```
 //! use glenhaven_connectivity::{Host, LinkTable, LinkState, Route};
@@ -60,18 +60,18 @@
     Agents(String),
 }
 
-/// The state of a link; a later one is better.
+/// The state of a link, ordered from worst to best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub enum LinkState {
     /// Nothing is known, or nothing recent.
     Unknown,
-    /// Nothing comes back.
+    /// No answers arrive.
     Down,
-    /// It works in one direction only.
+    /// The link works in one direction only.
     Unidirectional,
-    /// Answers come, and take long.
+    /// Answers arrive, but slowly.
     Slow,
-    /// Answers come.
+    /// Answers arrive.
     Up,
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// What one controller reports of one of its links.
+/// A controller's report on one of its links.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct LinkObservation {
     /// The other end.
@@ -92,11 +92,11 @@
     /// How long ago the host last answered or was last heard from, by the reporter's clock, in
     /// milliseconds.
     pub age_ms: u32,
-    /// Of agents: how many send their heartbeats to the reporter.
+    /// For a link to agents: how many of them send their heartbeats to the reporter.
     pub agent_count: u32,
 }
 
-/// How a request is to be sent.
+/// How a request is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
     /// Directly.
--- a/crates/connectivity/src/link_table.rs
+++ b/crates/connectivity/src/link_table.rs
@@ -1,4 +1,5 @@
-//! The table of links: what this controller saw of its own, and what the others report of theirs.
+//! The table of links: this controller's observations of its own links, and the other controllers'
+//! reports on theirs.
 
 use super::{Host, LinkObservation, LinkState, Route};
 use glenhaven_time::Micros;
@@ -6,25 +7,25 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-/// A controller says that it is alive several times in this span. Without a message for longer, it
-/// counts as unreachable, and what it reported as out of date.
+/// A controller without a message for this long counts as unreachable, and its report as out of
+/// date; a controller sends several messages within this time.
 const CONTACT_TIMEOUT: Micros = Micros::from_millis(1600);
-/// A link is down after failures without an answer for this long. A service that answers slowly now
-/// and then answers something in between; one that is taken for down by mistake is reached through
-/// another controller, which does no harm.
+/// A link is down after failures without an answer for this long. A service that is only slow now
+/// and then answers some requests in this time. If its link is taken for down by mistake, the
+/// service is reached through another controller, which does no harm.
 const DOWN_AFTER: Micros = Micros::from_millis(350);
-/// Fewer failures than this don't make a link that is down.
+/// Minimum number of failures after which a link is down.
 const MIN_FAILURES: u32 = 3;
-/// Consecutive answers after which a link that was down is used again.
+/// Consecutive answers after which a link that was down is up again.
 const MIN_RECOVERY_ANSWERS: u32 = 3;
-/// Answers that take this long on average make a slow link.
+/// Average round trip at or above which a link is slow.
 const SLOW_ROUND_TRIP: Micros = Micros::from_millis(250);
-/// The oldest age that is reported; what is older says nothing more.
+/// Maximum age that is reported; greater ages carry no further information.
 const MAX_AGE: Micros = Micros::from_millis(60_000);
-/// Links that one message reports, at most.
+/// Maximum number of links that one message reports.
 const MAX_OBSERVATIONS: usize = 64;
 
-/// What this controller saw of one of its own links.
+/// This controller's observations of one of its own links.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LinkHistory {
     /// When the host last answered, or was last heard from.
@@ -35,17 +36,17 @@
     failing_since: Option<Micros>,
     /// Consecutive answers since the last failure.
     answers: u32,
-    /// How long answers take, decayed.
+    /// Exponentially weighted average of round trips.
     round_trip: Micros,
-    /// Of a controller: whether it acknowledges messages, if known.
+    /// For a link to a controller: whether that controller acknowledges messages, if known.
     acknowledges: Option<bool>,
-    /// It refuses connections: its host is there.
+    /// Whether the host refuses connections, which shows that the host itself is reachable.
     pub refuses_connections: bool,
-    /// Of agents: how many send their heartbeats here.
+    /// For a link to agents: how many of them send their heartbeats here.
     pub agent_count: u32,
 }
 
-/// What another controller reported of one of its links.
+/// Another controller's report on one of its links.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReportedLink {
     state: LinkState,
@@ -54,14 +55,14 @@
     pub agent_count: u32,
 }
 
-/// What another controller reported of its links.
+/// Another controller's report on all its links.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Report {
     received_at: Micros,
     pub links: BTreeMap<Host, ReportedLink>,
 }
 
-/// The links as one controller knows them.
+/// The states of all links, from the view of one controller.
 #[derive(Clone, Debug)]
 pub struct LinkTable {
     /// The name of this controller.
@@ -72,7 +73,7 @@
 }
 
 impl LinkTable {
-    /// The table of the controller with this name, with nothing in it.
+    /// Creates an empty table for the controller with this name.
     pub fn new(node: &str) -> LinkTable {
         LinkTable {
             node: node.to_string(),
@@ -81,11 +82,11 @@
         }
     }
 
-    /// Records that a host answered what it was asked `round_trip` ago; `None` if that says nothing
-    /// about the link, as with a watch, which waits by itself.
+    /// Records that a host answered a request that was sent `round_trip` ago; `None` if that time
+    /// says nothing about the link, as for a watch, which the service holds open.
     ///
-    /// A link that was down is up again only after several consecutive answers, so that others do
-    /// not rely on one that flaps.
+    /// A link that was down is up again only after several consecutive answers, so that other
+    /// controllers do not rely on a flapping link.
     pub fn record_answer(&mut self, host: Host, round_trip: Option<Micros>, now: Micros) {
         let was_down = self.own_link(&host, now) == LinkState::Down;
         let link = self.own_links.entry(host).or_default();
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Records that nothing came back from a host, or nothing but a refusal.
+    /// Records that a request to a host got no answer, or only a refusal.
     pub fn record_failure(&mut self, host: Host, now: Micros) {
         let link = self.own_links.entry(host).or_default();
         link.failures = link.failures.saturating_add(1);
@@ -112,7 +113,7 @@
         link.answers = 0;
     }
 
-    /// Records a message of another controller.
+    /// Records a message from another controller.
     pub fn record_contact(&mut self, node: &str, now: Micros) {
         let link = self.own_links.entry(Host::Node(node.to_string())).or_default();
         link.last_contact = Some(now);
@@ -140,8 +141,8 @@
             .is_some_and(|link| link.failing_since.is_some())
     }
 
-    /// Whether a link that was down has answered again, though not yet often enough to be relied
-    /// on.
+    /// Whether a link to a service has answered since its last failure, possibly not yet often
+    /// enough to be up.
     pub fn is_recovering(&self, host: &Host) -> bool {
         let is_service = matches!(host, Host::State | Host::Cloud);
         is_service && self.own_links.get(host).is_some_and(|link| link.answers > 0)
@@ -160,7 +161,7 @@
         }
     }
 
-    /// What this controller reports to the others.
+    /// Returns the observations that this controller reports to the others.
     pub fn observations(&self, now: Micros) -> Vec<LinkObservation> {
         let observation = |(host, link): (&Host, &LinkHistory)| {
             let age = link.last_contact.map_or(MAX_AGE, |at| now.since(at)).min(MAX_AGE);
@@ -174,7 +175,7 @@
         self.own_links.iter().take(MAX_OBSERVATIONS).map(observation).collect()
     }
 
-    /// Records what another controller reports.
+    /// Records the observations that another controller reports.
     pub fn record_observations(&mut self, node: &str, observations: &[LinkObservation], now: Micros) {
         let reported = |observation: &LinkObservation| {
             let age = Micros::from_millis(u64::from(observation.age_ms)).min(MAX_AGE);
@@ -215,11 +216,11 @@
             .map_or(LinkState::Unknown, |link| link.state)
     }
 
-    /// The state of the link from a controller to a host, by what that controller reports or this
-    /// one sees.
+    /// The state of the link from a controller to a host, from that controller's report or, for
+    /// this controller, from its own observations.
     ///
-    /// Between controllers both ends count: a link over which one sends and the other receives
-    /// nothing works in one direction only.
+    /// For a link between controllers both ends count, and the worse state is taken: a link over
+    /// which one controller sends and the other receives nothing does not work in both directions.
     pub fn link_state(&self, from: &str, to: &Host, now: Micros) -> LinkState {
         if from == self.node {
             return self.own_link(to, now);
@@ -239,13 +240,13 @@
         }
     }
 
-    /// How a request to a host is to be sent: directly unless that fails; then through a controller
-    /// that this one reaches in both directions, and that has heard from the host since this one's
-    /// own failures began. Controllers choose different ones, and each the same one as long as
-    /// nothing changes.
+    /// Returns how to send a request to a host: directly unless that fails, else through a
+    /// controller that this one reaches in both directions and that has heard from the host since
+    /// this one's own failures began. Different controllers choose different routes, and each
+    /// controller keeps its choice while the links stay the same.
     pub fn route(&self, to: &Host, now: Micros) -> Route {
-        // A link that answers again is used again: after an outage all of them recover at once, and
-        // nobody should forward what the others can send themselves.
+        // A link that answers again is used at once: after an outage all links recover together,
+        // and no controller should forward requests that the others can send themselves.
         if self.is_recovering(to) || !matches!(self.own_link(to, now), LinkState::Down | LinkState::Unidirectional) {
             return Route::Direct;
         }
@@ -266,7 +267,7 @@
     fn forwarding_state(&self, node: &str, to: &Host, now: Micros) -> Option<LinkState> {
         let failing_since = self.own_links.get(to).and_then(|link| link.failing_since);
         let link = self.reported_link(node, to, now)?;
-        // Hardly anybody but the leader calls the cloud, so its last answer may be old.
+        // Controllers other than the leader rarely call the cloud, so its last answer may be old.
         let is_recent = !matches!(to, Host::State) || link.last_contact > failing_since.unwrap_or(Micros::ZERO);
         let is_mutual = match to {
             Host::Node(_) => self.link_state(node, to, now) == LinkState::Up,
@@ -275,15 +276,15 @@
         (link.state.serves() && is_recent && is_mutual).then_some(link.state)
     }
 
-    /// Spreads the controllers that need forwarding over those that can forward. It is the same in
-    /// every release.
+    /// Hash that spreads the controllers that need forwarding over those that can forward. The hash
+    /// is the same in every release.
     fn preference(&self, via: &str, to: &Host) -> u64 {
         let mut hasher = SipHasher13::new();
         (self.node.as_str(), via, to).hash(&mut hasher);
         hasher.finish()
     }
 
-    /// The state of a link that another controller last reported, however long ago.
+    /// The state of a link that another controller last reported, regardless of the report's age.
     pub fn last_reported_state(&self, node: &str, host: &Host) -> LinkState {
         let link = self.reports.get(node).and_then(|report| report.links.get(host));
         link.map_or(LinkState::Unknown, |link| link.state)
--- a/crates/connectivity/tests/connectivity.rs
+++ b/crates/connectivity/tests/connectivity.rs
@@ -10,8 +10,8 @@
     Micros::from_secs(seconds)
 }
 
-/// Which controller receives messages of which, which have the state service, and how many agents
-/// send their heartbeats to each.
+/// Which controllers receive each other's messages, which of them reach the state service, and how
+/// many agents send their heartbeats to each.
 #[derive(Clone, Debug)]
 struct Topology {
     receives: Vec<Vec<bool>>,
@@ -74,8 +74,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(128) })]
 
-    /// No request goes through a controller that is not reached in both directions or that has not
-    /// the service itself, and one is found where there is one.
+    /// Requests are only routed through controllers that are reached in both directions and reach
+    /// the service themselves, and such a controller is found if there is one.
     #[test]
     fn routes_are_one_hop_and_work(topology in topologies()) {
         let now = at(6.0);
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Controllers that see the same links agree: where all receive messages of all, exactly one ranks
-    /// first, and it has the state service if any has.
+    /// Controllers that see the same links agree: if all controllers receive each other's messages,
+    /// exactly one ranks first, and it reaches the state service if any does.
     #[test]
     fn exactly_one_controller_ranks_first(mut topology in topologies()) {
         topology.receives = vec![vec![true; 5]; 5];
@@ -132,7 +132,7 @@
         }
     }
 
-    /// A clock that runs wild makes observations look old at most.
+    /// A faulty clock can only make observations look old.
     #[test]
     fn ages_are_never_negative(age in 0u32..u32::MAX, now in 1.0f64..100.0) {
         let mut table = LinkTable::new("a");
@@ -144,7 +144,7 @@
         table.record_failure(Host::State, at(now - 1.0));
         table.record_failure(Host::State, at(now - 0.5));
         table.record_failure(Host::State, at(now - 0.2));
-        // Whatever it reports, it counts for no longer than the controller is heard from.
+        // Whatever age is reported, the report is out of date once messages stop arriving.
         let later = at(now + 1.7);
         prop_assert_eq!(table.route(&Host::State, later), Route::Nowhere);
         prop_assert_eq!(table.link_state("b", &Host::State, later), LinkState::Unknown);
--- a/crates/connectivity/tests/exhaustive.rs
+++ b/crates/connectivity/tests/exhaustive.rs
@@ -1,5 +1,6 @@
-//! Every set of directed links between four controllers, with every set of them that has the state
-//! service: 65,536 combinations, each unchanging. Whoever policies, the leadership settles.
+//! Every set of directed links between four controllers, combined with every set of controllers
+//! that reach the state service: 65,536 combinations, each constant over time. The leadership
+//! settles in all of them, whichever controller leads first.
 
 use glenhaven_connectivity::{HandoverPolicy, Host, LinkTable};
 use glenhaven_time::Micros;
@@ -41,9 +42,10 @@
     tables
 }
 
-/// The controller that this leader hands over to if nothing changes; `None` if it goes on leading.
+/// The controller that this leader hands over to if the links stay the same; `None` if it keeps the
+/// leadership, `Some(None)` if it hands over without a target.
 fn handover_target(policy: &mut HandoverPolicy, table: &LinkTable, now: Micros) -> Option<Option<usize>> {
-    // The table is of now; the reason has held since three seconds ago.
+    // The table shows the links at `now`; the reason has held for the three seconds before.
     let earlier = Micros(now.0 - 3_000_000);
     assert!(
         policy.decide(table, 3, || 42, Micros::ZERO, earlier).is_none(),
@@ -73,8 +75,8 @@
                         NAMES[leader]
                     );
                     let Some(to) = to else {
-                        // To nobody in particular: whoever has the state service and the lowest rank
-                        // takes it; the one that handed over comes last.
+                        // Without a target, the controller with the lowest rank among those that
+                        // reach the state service leads next; the previous leader comes last.
                         let able = |n: &usize| *n != leader && state >> n & 1 == 1;
                         let next = (0..4).filter(able).min_by_key(|n| (tables[*n].rank(now), *n));
                         match next {
--- a/crates/zone-health/src/evacuate.rs
+++ b/crates/zone-health/src/evacuate.rs
@@ -2,8 +2,10 @@
 
 use glenhaven_time::Micros;
 
-/// A machine in a cut-off zone that runs arrays only. Machines with services stay until their lease
-/// is about to end: the services are of use until then, and a short cut leaves them as they are.
+/// A machine in a cut-off zone that runs arrays only.
+///
+/// Machines with services are kept until their lease is about to end: the services are useful until
+/// then, and a short cut leaves them unaffected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EvacuationCandidate<K> {
     /// The machine.
@@ -14,8 +16,8 @@
     pub last_heartbeat_at: Micros,
 }
 
-/// The machines to release now, for `free_cores` cores that are free elsewhere: those without
-/// tasks in any case, then the ones that have been silent for longest, whose leases end first.
+/// Selects the machines to release now, given `free_cores` free cores elsewhere: all machines
+/// without tasks, then those that have been silent longest, whose leases end first.
 pub fn machines_to_release<K: Ord>(mut candidates: Vec<EvacuationCandidate<K>>, mut free_cores: f64) -> Vec<K> {
     candidates.sort_by(|a, b| {
         let has_tasks = |c: &EvacuationCandidate<K>| c.cores > 0.0;
--- a/crates/zone-health/src/lib.rs
+++ b/crates/zone-health/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which zones are cut off by a network partition, and what is to be moved out of them.
+//! Detection of zones that are cut off by a network partition, and of what to move out of them.
 //!
-//! A scheduler's leader hears a zone by the heartbeats of its machines and by the controllers in it.
-//! When all of them fall silent at once while other zones are heard, the zone is cut off: its tasks
-//! most likely run on until their leases end. A machine that dies or hangs alone looks the same for
-//! itself, but not for its zone.
+//! A scheduler's leader is in contact with a zone through the heartbeats of the zone's machines and
+//! the messages of its controllers. When all of these stop at once while messages from other zones
+//! arrive, the zone is cut off: its tasks most likely keep running until their leases end. A single
+//! machine that dies or hangs falls silent in the same way, but the rest of its zone does not.
 //!
 //! The crate is pure: observations and the time go in, decisions come out.
 //!
@@ -33,39 +33,43 @@
 use glenhaven_time::Micros;
 use std::collections::BTreeMap;
 
-/// How long a heartbeat that is due may be held up by the network when all is well.
+/// Maximum delay of a heartbeat in a healthy network.
 const MAX_HEARTBEAT_DELAY: Micros = Micros::from_millis(1500);
-/// Agents vary the interval of their heartbeats by a quarter.
+/// Longest heartbeat interval as a multiple of the set one: agents vary the interval by a quarter.
 const MAX_INTERVAL_FACTOR: f64 = 1.25;
-/// So many heartbeats that should have come and did not make a silence that is no accident: their
-/// times are independent of each other.
+/// Number of missed heartbeats from which the silence of a zone is not taken for chance: the times
+/// of the heartbeats of different machines are independent of each other.
 const MIN_MISSED_HEARTBEATS: f64 = 8.0;
-/// A zone with fewer machines is not taken to be cut off by their silence.
+/// Minimum number of machines whose silence shows that their zone is cut off.
 const MIN_MACHINES: usize = 3;
-/// A controller sends several signs of life in this span.
+/// Maximum silence of a controller that is in contact; a controller sends several messages within
+/// this time.
 const MAX_CONTROLLER_SILENCE: Micros = Micros::from_millis(1600);
-/// A controller says every two seconds which machines it has contact with.
+/// How long a controller's announcement of the machines it has contact with counts; controllers
+/// repeat it every two seconds.
 const PROXY_ANNOUNCEMENT_VALIDITY: Micros = Micros::from_millis(5000);
 
-/// The times that decide, all of them from the platform's settings.
+/// Times for the decisions about zones, all derived from the platform's settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneTimes {
     /// The agents' heartbeat interval.
     pub heartbeat_interval: Micros,
     /// The agents' lease.
     pub lease: Micros,
-    /// How long after a cut capacity for services is looked for elsewhere; a shorter cut changes
-    /// nothing but where new work starts.
+    /// How long after a cut capacity for services is sought elsewhere; a shorter cut affects only
+    /// where new work starts.
     pub services_after: Micros,
     /// How long after a cut arrays are moved as well.
     pub arrays_after: Micros,
 }
 
 impl ZoneTimes {
-    /// From the heartbeat interval and the lease in seconds. A machine that boots takes longer than
-    /// most leases, so capacity for services is looked for as soon as a cut is no accident: half an
-    /// interval, 3 s at least. Renting it costs a minute of a few machines. Arrays are most of a
-    /// fleet; giving them up loses what they have done, so they get a third of the lease.
+    /// Derives the times from the heartbeat interval and the lease, both in seconds.
+    ///
+    /// Booting a machine takes longer than most leases, so capacity for services is sought as soon
+    /// as a cut is unlikely to be chance: after half a heartbeat interval, but at least 3 s. An
+    /// unnecessary rental costs a minute of a few machines. Arrays are most of a fleet, and giving
+    /// them up loses their progress, so they are moved only after a third of the lease.
     pub fn new(report_s: f64, lease_s: f64) -> ZoneTimes {
         let services_s = (report_s / 2.0).max(3.0);
         ZoneTimes {
@@ -76,30 +80,30 @@
         }
     }
 
-    /// How long a zone of so many machines may be silent by accident.
+    /// Longest silence of a zone with this many machines that can still be chance.
     fn max_silence(&self, machines: usize) -> Micros {
         let intervals = (MIN_MISSED_HEARTBEATS / machines.max(1) as f64).min(1.0);
         MAX_HEARTBEAT_DELAY + Micros::from_secs(self.heartbeat_interval.secs() * MAX_INTERVAL_FACTOR * intervals)
     }
 }
 
-/// What the leader has heard of a zone.
+/// The leader's latest contacts with a zone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneObservation {
     /// Name of the zone.
     pub zone: String,
-    /// Machines there that send heartbeats when all is well.
+    /// Number of machines in the zone that should send heartbeats.
     pub machines: usize,
     /// When the latest of their heartbeats was sent; zero if none is known.
     pub last_heartbeat_at: Micros,
-    /// When a controller on their side last said that it has contact with some of them; zero if
+    /// When a controller on the machines' side last announced contact with some of them; zero if
     /// none did.
     pub proxied_at: Micros,
-    /// Controllers there, the leader aside.
+    /// Number of controllers in the zone, without the leader.
     pub controllers: usize,
-    /// When one of them was last heard; zero if none was.
+    /// When one of these controllers was last in contact; zero if none was.
     pub controller_contact_at: Micros,
-    /// Whether the leader is there itself.
+    /// Whether the zone is the leader's own.
     pub is_own: bool,
 }
 
@@ -108,7 +112,7 @@
         self.last_heartbeat_at.max(self.controller_contact_at)
     }
 
-    /// Whether nothing came from there for longer than by accident.
+    /// Whether nothing has arrived from the zone for longer than chance explains.
     fn is_silent(&self, times: &ZoneTimes, listening_since: Micros, now: Micros) -> bool {
         let controller_contact_at = self.controller_contact_at.max(listening_since);
         let has_controller_contact = self.controllers > 0 && now.since(controller_contact_at) <= MAX_CONTROLLER_SILENCE;
@@ -117,32 +121,33 @@
     }
 }
 
-/// What is to be moved out of a zone.
+/// What is moved out of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Evacuation {
-    /// Nothing: the zone can be reached, or may be in a moment.
+    /// Nothing: the zone is reachable or may soon be again, or another controller has contact with
+    /// it.
     Nothing,
-    /// Capacity is looked for elsewhere for its services.
+    /// Capacity is sought elsewhere for the zone's services.
     Services,
-    /// Capacity is looked for elsewhere for all its work.
+    /// Capacity is sought elsewhere for all work of the zone.
     All,
 }
 
-/// A change in what is known of a zone, for the log.
+/// A change of the status of a zone, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ZoneChange {
     /// The zone is cut off.
     CutOff {
         /// Name of the zone.
         zone: String,
-        /// When it was last heard.
+        /// When the zone was last in contact.
         since: Micros,
     },
-    /// The zone is heard again, or is tried again.
+    /// The zone is in contact again, is the leader's own now, or is empty and tried again.
     Recovered {
         /// Name of the zone.
         zone: String,
-        /// How long it was cut off.
+        /// How long the zone was cut off.
         after: Micros,
     },
 }
@@ -153,15 +158,16 @@
     proxied_at: Micros,
 }
 
-/// Which zones are cut off.
+/// Tracks which zones are cut off.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneMonitor {
     cuts: BTreeMap<String, Cut>,
 }
 
 impl ZoneMonitor {
-    /// Decides anew which zones are cut off, given what was heard of every zone. Silence before
-    /// `listening_since`, since when the leader has heard others without a break, says nothing.
+    /// Updates which zones are cut off from the latest contacts with every zone, and returns the
+    /// changes. The leader has received messages without a break since `listening_since`; silence
+    /// before that time is ignored.
     pub fn update(
         &mut self,
         zones: &[ZoneObservation],
@@ -175,8 +181,8 @@
             let change = if self.is_cut(&zone.zone) {
                 self.recovery(zone, is_silent, times, now)
             } else {
-                // Where nobody else is heard either, it is the leader that is cut off. Its own zone
-                // it hears, or it would not be the leader.
+                // If no other zone is in contact either, the leader itself is cut off. A leader is
+                // always in contact with its own zone, or it would not be the leader.
                 let has_other_contact = zones.iter().any(|other| {
                     other.zone != zone.zone
                         && other.last_contact_at() >= listening_since
@@ -190,7 +196,7 @@
         changes
     }
 
-    /// Notes that a zone is cut off.
+    /// Marks a zone as cut off.
     fn cut(&mut self, zone: &ZoneObservation, listening_since: Micros) -> ZoneChange {
         let since = zone.last_contact_at().max(listening_since);
         let proxied_at = zone.proxied_at;
@@ -201,7 +207,7 @@
         }
     }
 
-    /// Notes what was heard of a zone that is cut off, and whether it is so no longer.
+    /// Updates the record of a cut-off zone; returns the change if the zone is no longer cut off.
     fn recovery(
         &mut self,
         zone: &ZoneObservation,
@@ -212,8 +218,8 @@
         let cut = self.cuts.get_mut(&zone.zone)?;
         cut.proxied_at = cut.proxied_at.max(zone.proxied_at);
         let has_contact = zone.last_contact_at() > cut.since && !is_silent;
-        // Without a controller and a machine there, nothing can be heard: the zone is tried again
-        // when every lease is over.
+        // A zone without controllers and machines sends no messages; it is tried again when every
+        // lease has ended.
         let is_empty = zone.machines == 0 && zone.controllers == 0;
         let is_tried_again = is_empty && now.since(cut.since) > times.lease + times.lease;
         if !(has_contact || is_tried_again || zone.is_own) {
@@ -237,13 +243,13 @@
         !self.cuts.is_empty()
     }
 
-    /// Since when a zone is cut off; `None` if it is not.
+    /// Time since which a zone has been cut off; `None` if it is not.
     pub fn cut_since(&self, zone: &str) -> Option<Micros> {
         self.cuts.get(zone).map(|c| c.since)
     }
 
-    /// What is to be moved out of a zone now. A zone that a controller on its side has contact with
-    /// runs on and is left alone.
+    /// Returns what is moved out of a zone now. A zone that a controller on its side of the
+    /// partition has contact with keeps running and is left alone.
     pub fn evacuation(&self, zone: &str, times: &ZoneTimes, now: Micros) -> Evacuation {
         let Some(cut) = self.cuts.get(zone) else {
             return Evacuation::Nothing;
--- a/crates/zone-health/tests/zone_health.rs
+++ b/crates/zone-health/tests/zone_health.rs
@@ -1,4 +1,5 @@
-//! A cut is told apart from lost machines, from lost controllers and from the leader's own isolation.
+//! Tests that a cut-off zone is distinguished from lost machines, lost controllers and an isolated
+//! leader.
 
 use glenhaven_time::Micros;
 use glenhaven_zone_health::{
@@ -47,7 +48,7 @@
     let mut zones = ZoneMonitor::default();
     let observations = [zone("north", 200, 111.0), zone("south", 4, 100.0)];
     zones.update(&observations, &times, Micros::ZERO, at(111.0));
-    assert!(!zones.is_cut("south"), "its next heartbeat may be on its way");
+    assert!(!zones.is_cut("south"), "the next heartbeat may be on its way");
     zones.update(&observations, &times, Micros::ZERO, at(111.6));
     assert!(zones.is_cut("south"));
 }
@@ -87,7 +88,7 @@
     assert_eq!(
         zones.evacuation("south", &times, at(113.5)),
         Evacuation::All,
-        "nobody has contact with it now"
+        "no controller has contact with the zone now"
     );
 }
 
@@ -123,15 +124,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(256) })]
 
-    /// Heartbeats that come at their interval, give or take a quarter, are never
-    /// taken for a cut, however many machines there are and whenever they began.
+    /// A zone whose heartbeats arrive at their interval is never treated as cut off, for any number
+    /// of machines and any phases of their heartbeats that are spread over the interval.
     #[test]
     fn a_zone_that_sends_heartbeats_is_not_cut_off(
         phases in proptest::collection::vec(0.0f64..1.0, 3..60),
         report_s in 1.0f64..10.0,
     ) {
         let times = ZoneTimes::new(report_s, report_s * 5.0);
-        // Phases that all fall together are no independent times.
+        // Phases that lie close together are not independent times.
         let mut sorted = phases.clone();
         sorted.sort_by(f64::total_cmp);
         let gaps = sorted.windows(2).map(|w| w[1] - w[0]).fold(0.0, f64::max);
@@ -150,8 +151,8 @@
         }
     }
 
-    /// What is released fits into the free capacity, and no machine stays whose last heartbeat is
-    /// older than that of one released.
+    /// The work of released machines fits into the free capacity, and no machine is kept whose last
+    /// heartbeat is older than that of a released one.
     #[test]
     fn releases_fit_into_free_capacity(cores in proptest::collection::vec(0.0f64..64.0, 0..40), free_cores in 0.0f64..400.0) {
         let candidates: Vec<EvacuationCandidate<usize>> = cores
