--- a/src/coordination/api/acceptance.rs
+++ b/src/coordination/api/acceptance.rs
@@ -1,7 +1,11 @@
-//! The pages of acceptances: those that this node writes, and those of all nodes as they are read.
+//! The pages of acceptances: stored values that each list jobs accepted by one node.
 //!
+//! This module writes the pages of this node and applies the pages of all nodes as they are read.
 //! `glenhaven-group-commit` decides which jobs go into which page and when; this module sends the
-//! writes and tells it their outcomes.
+//! writes and reports their outcomes to it.
+//!
+//! Invariant: a page is written on condition of the slot's version and of the absence of each job's
+//! own key, so that a job that has ended is never accepted again.
 
 use super::super::store_queue::Urgency;
 use super::super::{ClusterConfig, Context, Continuation};
@@ -15,19 +19,19 @@
 use crate::time::Micros;
 use glenhaven_group_commit::{Batch, PageCapacity};
 
-/// The most bytes in a transaction, below the service's limit of 64 KiB.
+/// The maximum size of a transaction in bytes, below the state service's limit of 64 KiB.
 const TRANSACTION_BYTES: usize = 62 * 1024;
-/// The most jobs in a page.
+/// The maximum number of jobs in a page.
 const MAX_JOBS_IN_PAGE: usize = 256;
-/// The size of a condition on a job's key: ids have up to 64 bytes.
+/// The size of a condition on a job's key, in bytes; a job id has up to 64 bytes.
 const CONDITION_BYTES: usize = 100;
 
-/// How long the answer to the read of a page of this node is awaited.
+/// Timeout of the read of a page of this node.
 const PAGE_READ_TIMEOUT: Micros = Micros::from_millis(300);
 
 /// A write of a page of acceptances by this node.
 pub(super) struct PageWrite {
-    /// The last request that had come when it was sent.
+    /// The last user request that had arrived when the write was sent.
     pub covers: RequestSequence,
     /// The number of the batch.
     pub number: u64,
@@ -36,7 +40,7 @@
 }
 
 impl JobApi {
-    /// Takes changes of jobs' keys and of pages, in the order of their revisions.
+    /// Applies changes of jobs' keys and of pages, in the order of their revisions.
     fn learn_changes(&mut self, events: &[WatchEvent]) {
         for event in events {
             let WatchEvent::Put { key, value, version } = event else {
@@ -53,8 +57,8 @@
         }
     }
 
-    /// Takes a page of acceptances. `new` says that it was just written, so that none of its jobs
-    /// had ended at its version.
+    /// Applies a page of acceptances. `new` means that the page was just written, so that none of
+    /// its jobs had ended at its version.
     pub(super) fn learn_page(&mut self, key: &str, value: &ciborium::Value, version: u64, new: bool) {
         let Some((node, slot)) = keys::parse_accepted(key) else {
             return tracing::error!(key, "malformed key of a page of acceptances");
@@ -62,8 +66,8 @@
         let Some(page) = from_value::<Accepted>(value) else {
             tracing::error!(key, "malformed page of acceptances");
             if node == self.node {
-                // Its slot is never used again, because a write there would always fail on its
-                // version: the page counts as naming an open job that can't exist.
+                // The page is recorded with an open job that can't exist, so that its slot is never
+                // reused: a write there would always fail on its version.
                 self.group_commit
                     .page_seen(slot, version, &[key.to_string()], |_| false);
             }
@@ -80,8 +84,8 @@
         }
     }
 
-    /// Takes a job of a page that was written at this revision. `checked` says that the job had not
-    /// ended then, and that all changes since will be seen.
+    /// Applies a job of a page that was written at this revision. `checked` means that the job had
+    /// not ended at that revision and that this node will receive all later changes of its key.
     fn learn_accepted(&mut self, spec: JobSpec, version: u64, checked: bool) {
         let (job, service) = (spec.id.clone(), spec.shape == Shape::Service);
         self.learn_dependencies(spec, version);
@@ -100,7 +104,7 @@
         if checked {
             self.dependency_graph.open(&job);
         } else {
-            // The next compare finds out whether it has ended.
+            // The next compare shows whether the job has ended.
             self.awaiting_compare.entry(job.clone()).or_default();
         }
         self.remember(
@@ -116,14 +120,14 @@
         );
     }
 
-    /// Writes the pages that may be sent now. They are filled only at this point, so that no job is
-    /// written for users who have given up meanwhile.
+    /// Writes the pages that may be sent now. Pages are filled only at this point, so that no job
+    /// is written whose request has already timed out.
     pub(super) fn write_pages(&mut self, context: &mut Context, cluster: &ClusterConfig) {
         if !self.is_ready() {
             return;
         }
-        // The transaction contains the page and a condition for each job: with large values, its
-        // limit is lower than that of the value.
+        // The transaction contains the page and a condition for each job. Where the limit of a
+        // value is high, the limit of the transaction is the lower one.
         let jobs = cluster.limits.conditions().saturating_sub(1).clamp(1, MAX_JOBS_IN_PAGE);
         let bytes = cluster
             .limits
@@ -163,7 +167,7 @@
             slot,
             version,
             jobs = batch.jobs.len(),
-            "page of acceptances sent"
+            "sent the write of a page of acceptances"
         );
         let page = Accepted {
             jobs: batch.jobs.into_iter().map(|(_, spec)| *spec).collect(),
@@ -176,7 +180,7 @@
                 lease: None,
             }],
         };
-        // Requests that come after this may come after the commit.
+        // A request that arrives later may arrive after the commit, which then doesn't cover it.
         let covers = self.last_sequence;
         let continuation = Continuation::Api(ApiContinuation::WritePage { covers, number, slot });
         let request = StoreRequest::Transaction(txn);
@@ -185,8 +189,8 @@
             .push(Urgency::User, request, continuation, PAGE_WRITE_TIMEOUT);
     }
 
-    /// Answers the submissions of a page that was committed. Requests that came after it had been
-    /// sent continue with what is known now.
+    /// Answers the submissions of a page that was committed. Requests that arrived after the write
+    /// had been sent are not covered by the commit and take their next step.
     fn on_page_committed(&mut self, context: &mut Context, number: u64, proof: &ReadProof) {
         let known = &self.statuses;
         let is_over = |id: &str| known.get(id).is_some_and(|k| k.phase.is_final());
@@ -194,8 +198,8 @@
             self.learn_accepted(*spec, proof.revision, true);
             let phase = self.statuses.get(&job).map_or(Phase::Pending, |k| k.phase);
             let phase = self.final_phase(&job).unwrap_or(phase);
-            // Another node may have accepted it before, and answered a user since that it is
-            // cancelled with a dependency: a read of all changes shows that.
+            // Another node may have accepted the job earlier, and may have told a user since then
+            // that the job was cancelled with a dependency. A read of all changes shows this.
             let waits = !phase.is_final() && self.waits_for_dependencies(&job);
             for id in self.submissions.remove(&job).unwrap_or_default() {
                 if waits {
@@ -207,8 +211,8 @@
         }
     }
 
-    /// Queues the submission of a job with dependencies, which a page of this node accepts, for a
-    /// read of all changes, after which it is answered.
+    /// Queues a submission for a read of all changes, after which it is answered. Its job has
+    /// dependencies and was accepted by the given page of this node.
     fn await_job_changes(&mut self, id: u64, page: &ReadProof) {
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.accepted_by_own_page = page.covers(pending.sequence);
@@ -216,7 +220,7 @@
         }
     }
 
-    /// Advances submissions whose job was accepted by another page, or has ended.
+    /// Advances submissions whose job was accepted by another page or has ended.
     pub(super) fn resolve_submissions(&mut self, context: &mut Context, cluster: &ClusterConfig) {
         let resolved: Vec<String> = self
             .submissions
@@ -247,15 +251,16 @@
             }
             StoreResponse::Conflict { failed, .. } => self.on_page_conflict(context, &write, &failed),
             StoreResponse::Malformed => self.on_page_rejected(context, write.number),
-            // Not executed, or unknown: what is still wanted is written again, on condition of the
-            // same version, so that at most one of the two writes succeeds.
+            // Not executed, or unknown: the jobs that users still wait for are written again, on
+            // condition of the same version, so that at most one of the two writes succeeds.
             _ => self.group_commit.failed(write.number, &[]),
         }
         self.resolve_submissions(context, cluster);
     }
 
-    /// Handles that conditions on these keys failed: jobs of the page have ended, which are read,
-    /// or the page is not as expected.
+    /// Handles failed conditions of a page write. A failed condition on a job's key means that the
+    /// job has ended: its key is read. One on the page's key means that the page was written
+    /// meanwhile: the page is read.
     fn on_page_conflict(&mut self, context: &mut Context, write: &PageWrite, failed: &[String]) {
         let ended: Vec<String> = failed
             .iter()
@@ -270,8 +275,8 @@
         }
         let key = keys::accepted(&self.node, write.slot);
         if failed.contains(&key) {
-            // An earlier copy of the write, or an earlier incarnation of this process, has written
-            // the page.
+            // The page was written by an earlier attempt at this write, or by an earlier
+            // incarnation of this process.
             let continuation = Continuation::Api(ApiContinuation::ReadOwnPage(write.slot));
             let request = StoreRequest::Get { key };
             context
@@ -280,7 +285,7 @@
         }
     }
 
-    /// Refuses the submissions of a page that the state service rejects as malformed.
+    /// Refuses the submissions of a page that the state service rejected as malformed.
     fn on_page_rejected(&mut self, context: &mut Context, number: u64) {
         let jobs = self.group_commit.abandon(number);
         for id in jobs.iter().filter_map(|job| self.submissions.remove(job)).flatten() {
@@ -290,7 +295,7 @@
         }
     }
 
-    /// Takes changes of jobs that a watch or a read has brought.
+    /// Applies changes of jobs from a watch or a read.
     pub fn on_job_changes(&mut self, context: &mut Context, cluster: &ClusterConfig, events: &[WatchEvent]) {
         self.learn_changes(events);
         if !self.submissions.is_empty() {
--- a/src/coordination/api/answers.rs
+++ b/src/coordination/api/answers.rs
@@ -1,8 +1,8 @@
-//! Handles the answers of the state service to requests of the job API, and determines what each
-//! one means for the user requests that wait for it.
+//! Handles the answers of the state service to requests of the job API, and answers or advances the
+//! user requests that wait for them.
 //!
-//! Invariant: a user request is only answered through `answer_if_fresh` and `refuse_if_fresh`, which
-//! check the proof, or by a final phase.
+//! Invariant: a user request is answered only with a final phase, or through `answer_if_fresh` and
+//! `refuse_if_fresh`, which check that the proof is new enough for the request.
 
 use super::super::store_queue::Urgency;
 use super::super::{ClusterConfig, Context, Continuation};
@@ -18,7 +18,7 @@
 use crate::time::Micros;
 use glenhaven_dependencies::DependencyState;
 
-/// How long the answer to a read of a job's key is awaited before it is repeated.
+/// Timeout of a read of a job's key, after which the read is repeated.
 const READ_TIMEOUT: Micros = Micros::from_millis(300);
 
 impl JobApi {
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Queues the jobs of a compare that was not executed again, if they are still waited for.
+    /// Queues the jobs of a compare without a usable answer for another compare, if requests still
+    /// wait for them or their phase is still unchecked.
     fn repeat_compare(&mut self, jobs: Vec<ComparedJob>) {
         for ComparedJob { job, requests, .. } in jobs {
             let unchecked = self.statuses.get(&job).is_some_and(|k| !k.checked);
@@ -86,12 +87,14 @@
         }
     }
 
-    /// Handles that a job's own key is not as it is known here: it is read, if anybody waits for it.
+    /// Handles a compare that found another version of a job's own key than is known here. Reads
+    /// the key, unless the job is known only from the scan of pages and neither a request nor the
+    /// dependency graph needs its phase.
     fn on_key_differs(&mut self, context: &mut Context, job: &str, requests: Vec<u64>) {
         let unchecked = self.statuses.get(job).is_some_and(|k| !k.checked);
         let needed = self.dependency_graph.is_needed(job) || self.dependency_graph.job(job).is_some();
         if unchecked && requests.is_empty() && !needed {
-            // The job has ended; its final phase is read when it is asked for.
+            // The job has ended; its final phase is read when a user requests it.
             self.statuses.remove(job);
             self.group_commit.job_ended(job);
             return;
@@ -154,17 +157,18 @@
         }
     }
 
-    /// Handles the answer to a read of a page of this node, whose version was not as expected.
+    /// Handles the answer to a read of a page of this node whose version was not as expected.
     fn on_own_page(&mut self, context: &mut Context, cluster: &ClusterConfig, slot: u32, answer: StoreResponse) {
         // If the read fails, the next conflict on the page repeats it.
         if let StoreResponse::Row(row) = answer {
             self.learn_page(&row.key, &row.value, row.version, true);
             self.resolve_submissions(context, cluster);
         }
-        tracing::debug!(slot, "a page of this node was written without an answer");
+        tracing::debug!(slot, "a page of this node had another version than expected");
     }
 
-    /// Handles the answer to a part of the scan of all pages of acceptances.
+    /// Handles the answer to a part of the scan of all pages of acceptances. A part that failed is
+    /// read again after a pause.
     fn on_pages_scanned(&mut self, context: &mut Context, cluster: &ClusterConfig, answer: StoreResponse) {
         let PageScan::InFlight(after) = &self.page_scan else {
             return;
@@ -216,7 +220,7 @@
         let job = pending.job.clone();
         match answer {
             StoreResponse::Committed { revision } => {
-                tracing::debug!(job, revision, "cancelled by its user");
+                tracing::debug!(job, revision, "job cancelled by a user");
                 self.learn(&job, revision, Phase::Cancelled);
                 self.pending.remove(&id);
                 let proof = ReadProof::of_final_phase(revision);
@@ -227,8 +231,8 @@
         }
     }
 
-    /// Repeats a cancellation that was refused or not answered. It is conditional: a second
-    /// execution does no harm.
+    /// Repeats a cancellation that was refused or not answered. A cancellation is conditional on
+    /// the key's version, so that a second execution has no effect.
     fn retry_request(&mut self, context: &mut Context, cluster: &ClusterConfig, id: u64, answer: &StoreResponse) {
         if matches!(answer, StoreResponse::Unknown) {
             return self.advance(context, cluster, id);
@@ -236,14 +240,14 @@
         let Some(job) = self.pending.get(&id).map(|p| p.job.clone()) else {
             return;
         };
-        // A read in between costs a request, but shows whether the job is known by now. The
-        // pause keeps refused nodes from retrying in step.
+        // The read costs one more request, but shows whether the job is known by now. The random
+        // pause keeps nodes that were refused at the same time from retrying at the same time.
         let pause = context.jitter(Micros::from_millis(60));
         self.send_read(context, &job, vec![id], pause);
     }
 
-    /// Advances these requests with the version of a job's own key (0 if there is none), which a
-    /// compare or read has proven. The job is that of the request or one of its dependencies.
+    /// Advances these requests after a compare or read has shown the version of a job's own key (0
+    /// if there is none). The job is that of the request or one of its dependencies.
     fn on_key_known(
         &mut self,
         context: &mut Context,
@@ -254,11 +258,11 @@
         proof: &ReadProof,
     ) {
         if let Some(known) = self.statuses.get_mut(job) {
-            // A final phase that was learned meanwhile is newer than a read without it.
+            // A final phase that became known meanwhile is newer than a read that doesn't show it.
             known.checked |= version <= known.version;
         }
         if version == 0 && self.statuses.get(job).is_none_or(|k| !k.phase.is_final()) {
-            // Without a key of its own it has not ended, whoever accepted it.
+            // A job without its own key has not ended, whichever node accepted it.
             self.dependency_graph.open(job);
         }
         for id in ids {
@@ -274,7 +278,7 @@
             let phase = self.final_phase(job).or(self.statuses.get(job).map(|k| k.phase));
             match (&pending.kind, phase) {
                 (RequestKind::Submit(_), None) | (RequestKind::Cancel, Some(_)) => self.advance(context, cluster, id),
-                // It has not ended; whether another node has accepted it is read too.
+                // The job has not ended. Whether another node has accepted it is read next.
                 (_, None) => self.awaiting_job_changes.push(id),
                 (_, Some(phase)) if !phase.is_final() && self.waits_for_dependencies(job) => {
                     self.awaiting_job_changes.push(id)
@@ -284,8 +288,8 @@
         }
     }
 
-    /// Advances a request after all changes of jobs were read for it, and before that its job's own
-    /// key: a job that is still not known was never accepted.
+    /// Advances a request after its job's own key, and then all changes of jobs, were read for it.
+    /// A job that is still unknown was never accepted.
     fn on_changes_known(&mut self, context: &mut Context, cluster: &ClusterConfig, id: u64, proof: &ReadProof) {
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.changes_read = true;
@@ -295,12 +299,12 @@
         let phase = self.final_phase(&job).or(self.statuses.get(&job).map(|k| k.phase));
         let repeated = self.statuses.get(&job).is_none_or(|k| k.repeated);
         if let (true, false, Some(phase)) = (pending.accepted_by_own_page, repeated, phase) {
-            // No page had accepted it before this node's: no user was answered about it before the
-            // request came.
+            // No page accepted the job before this node's page did, so no user had an answer about
+            // it before this request arrived.
             return self.answer_if_fresh(context, id, phase, 201, proof);
         }
         match (&pending.kind, phase) {
-            // One of its dependencies has yet to be read.
+            // One of the job's dependencies has not been read yet.
             (_, Some(phase))
                 if !phase.is_final() && self.dependency_graph.state(&job) == Some(DependencyState::Undetermined) =>
             {
@@ -319,9 +323,9 @@
         }
     }
 
-    /// Answers a request by the phase of its job, if the proof is new enough. A proof from a read
-    /// that was sent before the request came may be older than what another node has answered
-    /// since: then the job's own key is compared again for this request.
+    /// Answers a request with the phase of its job, if the proof is new enough. A read that was
+    /// sent before the request arrived may be older than another node's answer to a user since
+    /// then; in that case the job's own key is compared again for this request.
     pub(super) fn answer_if_fresh(
         &mut self,
         context: &mut Context,
@@ -351,15 +355,18 @@
         }
         let ReadProof { source, revision, .. } = proof;
         let (status, why) = (refusal.status(), refusal.to_string());
-        tracing::debug!(job = pending.job, status, why, ?source, revision, "refused");
+        tracing::debug!(job = pending.job, status, why, ?source, revision, "refused a request");
         self.pending.remove(&id);
         refusal.send(context, id);
     }
 
-    /// Queues a compare of the job's own key, because the proof is older than the request.
+    /// Queues another compare of the job's own key, because the proof is older than the request.
     fn request_fresh_proof(&mut self, id: u64) {
         let Some(pending) = self.pending.get(&id) else { return };
-        tracing::debug!(job = pending.job, "the proof is older than the request: compared again");
+        tracing::debug!(
+            job = pending.job,
+            "the proof is older than the request; comparing the job's key again"
+        );
         self.stale_proofs += 1;
         self.awaiting_compare.entry(pending.job.clone()).or_default().push(id);
     }
@@ -375,7 +382,7 @@
         proof: &ReadProof,
     ) {
         let ReadProof { source, revision, .. } = proof;
-        tracing::debug!(job, status, ?phase, ?source, revision, "answered");
+        tracing::debug!(job, status, ?phase, ?source, revision, "answered a request");
         *self.answers_by_source.entry(*source).or_default() += 1;
         let (done, running) = self.counts.get(job).copied().unwrap_or((0, 0));
         let state = JobState {
--- a/src/coordination/api/cancellations.rs
+++ b/src/coordination/api/cancellations.rs
@@ -1,15 +1,17 @@
-//! The latest cancellations that this node knows, and so all that it may have confirmed to users.
+//! The latest cancellations known to this node, among them all that it may have confirmed to users.
 //!
-//! The leader asks for them by attestations while the state service does not answer it.
+//! The leader requests them as attestations while the state service does not answer it.
+//!
+//! Invariant: every known cancellation with a version above `cancelled_forgotten_up_to` is kept.
 
 use super::JobApi;
 
-/// The number of cancellations that are remembered.
+/// The maximum number of cancellations that are kept.
 const MAX_CANCELLATIONS: usize = 8000;
 
 impl JobApi {
-    /// Remembers a cancellation, which a job's own key has had since this version, and forgets the
-    /// oldest if there are too many.
+    /// Records the cancellation of a job, written to its own key with this version, and drops the
+    /// oldest cancellations if there are more than [`MAX_CANCELLATIONS`].
     pub(super) fn remember_cancelled(&mut self, job: &str, version: u64) {
         if version <= self.cancelled_forgotten_up_to || self.cancelled.contains(job) {
             return;
@@ -30,8 +32,8 @@
         }
     }
 
-    /// All cancellations after this revision that are known here, with their versions; `None` if
-    /// some of them may have been forgotten.
+    /// Returns all known cancellations after this revision, with the versions of the jobs' keys;
+    /// `None` if some of them may have been dropped.
     pub fn cancelled_after(&self, revision: u64) -> Option<Vec<(String, u64)>> {
         let later = self.cancelled_by_version.range(revision + 1..);
         let named = later.flat_map(|(version, jobs)| jobs.iter().map(|job| (job.clone(), *version)));
--- a/src/coordination/api/dependencies.rs
+++ b/src/coordination/api/dependencies.rs
@@ -1,8 +1,12 @@
 //! Jobs with dependencies in the job API: whether the jobs that a submission depends on were ever
-//! accepted, and what the phases of those mean for it.
+//! accepted, and whether a job is blocked or cancelled by its dependencies.
 //!
-//! `glenhaven-dependencies` keeps the graph and decides what follows; this module feeds it from what
-//! the state service says. The leader reads the graph (`coordination::dependencies`).
+//! `glenhaven-dependencies` maintains the graph and derives the states of the jobs; this module
+//! updates the graph with jobs and phases read from the state service. The leader reads the graph
+//! (`coordination::dependencies`).
+//!
+//! Invariant: a submission with dependencies is offered for acceptance only when each dependency is
+//! known to have been accepted.
 
 use super::super::Context;
 use super::request::RequestKind;
@@ -12,7 +16,7 @@
 use crate::time::Micros;
 use glenhaven_dependencies::{DependencyChange, DependencyGraph, DependencyState};
 
-/// An open job with dependencies, as a new leader needs to know it.
+/// An open job with dependencies, as a new leader needs it.
 #[derive(Debug)]
 pub struct DependentJob {
     /// Its description.
@@ -23,14 +27,14 @@
     pub submitted_ms: u64,
 }
 
-/// Pause between two reads of dependencies of which nothing is known.
+/// Pause between two rounds of reads of dependencies without a known phase.
 const READ_INTERVAL: Micros = Micros::from_millis(200);
-/// The most dependencies that are read at a time.
+/// The maximum number of dependencies read in one round.
 const MAX_READS: usize = 16;
 
 impl JobApi {
-    /// The final phase of a job, if it has one. A job is cancelled from the moment that one of its
-    /// dependencies is, whether or not its own key says so yet.
+    /// Returns the final phase of a job, if it has one. A job counts as cancelled as soon as one of
+    /// its dependencies is cancelled, even before its own key shows this.
     pub(super) fn final_phase(&self, job: &str) -> Option<Phase> {
         let known = self.statuses.get(job).map(|k| k.phase).filter(|p| p.is_final());
         known.or_else(|| {
@@ -38,7 +42,7 @@
         })
     }
 
-    /// Whether a job waits for its dependencies, so that it may be cancelled with one of them.
+    /// Returns whether a job waits for its dependencies, and so may be cancelled with one of them.
     pub(super) fn waits_for_dependencies(&self, job: &str) -> bool {
         matches!(
             self.dependency_graph.state(job),
@@ -46,7 +50,7 @@
         )
     }
 
-    /// Adds a job that a page of acceptances names to the graph, if it has dependencies.
+    /// Adds a job from a page of acceptances to the graph, if it has dependencies.
     pub(super) fn learn_dependencies(&mut self, spec: JobSpec, version: u64) {
         if spec.hidden_fields.is_none() || self.statuses.get(&spec.id).is_some_and(|k| k.phase.is_final()) {
             return;
@@ -73,9 +77,9 @@
         }
     }
 
-    /// Whether every dependency of a submission is known to have been accepted. If not, the next
-    /// step to find out is queued. A dependency that was never accepted, or that is a service, is a
-    /// reason to refuse the submission, unless its job was accepted before.
+    /// Returns whether every dependency of a submission is known to have been accepted. If not,
+    /// queues the next read that is needed to decide this. A dependency that was never accepted, or
+    /// that is a service, is a reason to refuse the submission, unless its job was accepted before.
     pub(super) fn are_dependencies_accepted(&mut self, id: u64) -> bool {
         let Some(pending) = self.pending.get_mut(&id) else {
             return false;
@@ -95,8 +99,9 @@
             .filter(is_unknown)
             .all(|n| pending.missing_dependencies.contains(n))
         {
-            // The own keys of all unknown dependencies were missing. If also no page names them
-            // after the request had come, they were never accepted.
+            // All unknown dependencies had no key of their own. If a read of all changes that was
+            // sent after the request had arrived shows no page with them either, they were never
+            // accepted.
             pending.changes_read.then_some(Refusal::NeedsUnknownJob)
         } else {
             for need in spec.needs.iter().filter(is_unknown) {
@@ -117,8 +122,8 @@
         false
     }
 
-    /// Reads dependencies of which nothing is known: those that had ended before this process
-    /// began.
+    /// Reads the keys of dependencies without a known phase: those that had ended before this
+    /// process started.
     pub(super) fn read_unknown_dependencies(&mut self, context: &mut Context) {
         if !self.is_ready() || context.now < self.next_dependency_read_at {
             return;
@@ -134,12 +139,12 @@
         }
     }
 
-    /// Open jobs with dependencies, and the jobs that they depend on.
+    /// Returns the graph of open jobs with dependencies and the jobs that they depend on.
     pub fn dependency_graph(&self) -> &DependencyGraph<DependentJob> {
         &self.dependency_graph
     }
 
-    /// What has changed for jobs with dependencies since the last call.
+    /// Returns the changes of jobs with dependencies since the last call.
     pub fn take_dependency_changes(&mut self) -> Vec<DependencyChange> {
         self.dependency_graph.take_changes()
     }
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -1,22 +1,24 @@
 //! The job API of every controller: submissions, polls and cancellations of users.
 //!
-//! It owns the requests that wait for the state service, and what this node knows of the phases of
-//! jobs. Jobs are accepted in pages of this node, and cancelled by a compare-and-set on the job's
-//! own key. An open job is known from a page of acceptances; its own key exists once it has a final
-//! phase, for ever. The controller hands in requests and the answers of the state service; the
-//! leader only reads phases here.
+//! The module owns the user requests that wait for the state service, and the phases of jobs as far
+//! as this node knows them. A node accepts jobs by writing them into its own pages, and cancels a
+//! job by a compare-and-set on the job's own key. An open job is listed in a page of acceptances;
+//! its own key is written when the job gets a final phase, and is never deleted. The controller
+//! passes in user requests and the answers of the state service; the leader only reads phases from
+//! here.
 //!
-//! Invariant: a user is answered only after the commit, or by a read that was sent after the
-//! request had come; `read_proof` checks this for every answer.
+//! Invariant: a user is answered only with a final phase, after the commit, or from a read that was
+//! sent after the request had arrived; `read_proof` checks this for every answer.
 //!
-//! - `request` and `refusal`: requests as they wait, and why one is refused;
+//! - `request` and `refusal`: waiting requests, and the reasons to refuse one;
 //! - `request_flow`: the steps of a request until its answer;
-//! - `status`: what is known of jobs;
+//! - `status`: the known phases of jobs;
 //! - `acceptance`: the pages of acceptances;
-//! - `answers`: the answers of the state service and what each means for the requests;
+//! - `answers`: the answers of the state service, and the user requests that they answer or
+//!   advance;
 //! - `dependencies`: jobs with dependencies;
 //! - `cancellations`: the latest cancellations, for attestations;
-//! - `read_proof`: whether an answer rests on a read that is new enough.
+//! - `read_proof`: whether an answer is based on a read that is new enough.
 
 mod acceptance;
 mod answers;
@@ -44,7 +46,8 @@
 use status::JobStatus;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A job whose own key is compared, and the requests that wait for the result.
+/// A job whose own key is compared with this version, and the user requests that wait for the
+/// result.
 #[derive(Clone, Debug)]
 pub struct ComparedJob {
     job: String,
@@ -52,8 +55,9 @@
     requests: Vec<u64>,
 }
 
-/// What a request to the state service was sent for. `covers` is the last user request that had
-/// come when it was sent, and so the last one that its answer may decide.
+/// The purpose of a request to the state service, by which its answer is handled. `covers` is the
+/// last user request that had arrived when the request was sent, and so the last one that its
+/// answer may decide.
 #[derive(Clone, Debug)]
 pub enum ApiContinuation {
     /// A compare of the keys of many jobs.
@@ -83,7 +87,7 @@
     },
     /// A read of the page in this slot of this node, whose version was not as expected.
     ReadOwnPage(u32),
-    /// A part of the scan of all pages of acceptances; the number is that of the scan.
+    /// A part of the scan of all pages of acceptances, with the number of the scan.
     ScanPages(u64),
     /// A read of all changes of jobs, for requests about jobs that are not known here.
     ReadJobChanges {
@@ -92,43 +96,45 @@
         /// The requests that wait for it.
         requests: Vec<u64>,
     },
-    /// The cancellation that this request asks for.
+    /// The cancellation for the user request with this id.
     Cancel(u64),
 }
 
-/// Users are told to retry a refused request after this many seconds.
+/// The time in seconds after which users should retry a request that was refused with 503.
 const RETRY_AFTER_S: u32 = 1;
-/// A submission or cancellation is refused when it is not decided by then. The user would wait
-/// longer, but a retry may reach a node with a better connection.
+/// Time after which an undecided submission or cancellation is refused. Users wait longer than
+/// this, but a retry may reach a node with a better connection.
 const SUBMIT_TIMEOUT: Micros = Micros::from_millis(2500);
-/// A poll is refused when it is not decided by then.
+/// Time after which an undecided poll is refused.
 const POLL_TIMEOUT: Micros = Micros::from_millis(1700);
-/// The state service is taken to be out when it has refused for this long.
+/// The state service counts as unavailable once all requests to it have failed for this long.
 const OUTAGE_AFTER: Micros = Micros::from_millis(600);
-/// Jobs whose status is remembered; older ones with a final phase are read again when asked about.
+/// The maximum number of jobs whose status is kept, as long as the oldest can be dropped: jobs with
+/// a final phase, whose keys are read again for the next request about them.
 const MAX_STATUSES: usize = 20_000;
-/// Requests to the state service that may wait before users are refused.
+/// The number of requests to the state service that may wait before user requests are refused.
 const MAX_BACKLOG: usize = 400;
-/// Pause between two compares, and between two reads of changes: requests of users are batched.
+/// Pause between two compares, and between two reads of changes, so that user requests are batched.
 const BATCH_DELAY: Micros = Micros::from_millis(100);
-/// The most compares in flight, so that a slow one doesn't hold up the next.
+/// The maximum number of compares in flight: more than one, so that a slow one doesn't delay the
+/// next.
 const MAX_COMPARES: usize = 2;
 
-/// Size of a page of acceptances without its jobs, in bytes.
+/// The size of a page of acceptances without its jobs, in bytes.
 const PAGE_FRAME_BYTES: usize = 60;
-/// How long the answer to the write of a page is awaited before it is written again.
+/// Timeout of the write of a page, after which the page is written again.
 const PAGE_WRITE_TIMEOUT: Micros = Micros::from_millis(150);
-/// How long the answer to a part of the scan of pages is awaited.
+/// Timeout of the read of a part of the scan of pages.
 const SCAN_TIMEOUT: Micros = Micros::from_millis(1000);
-/// How long the answer to a read of changes is awaited.
+/// Timeout of a read of all changes of jobs.
 const CHANGES_TIMEOUT: Micros = Micros::from_millis(400);
-/// How long the answer to a compare is awaited.
+/// Timeout of a compare.
 const COMPARE_TIMEOUT: Micros = Micros::from_millis(300);
 
-/// How far the scan of all pages of acceptances has come.
+/// The progress of the scan of all pages of acceptances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum PageScan {
-    /// The pages after this key are to be read.
+    /// The pages after this key are read next.
     From(String),
     /// The pages after this key are being read.
     InFlight(String),
@@ -140,57 +146,59 @@
 pub struct JobApi {
     node: String,
     page_scan: PageScan,
-    /// The number of the present scan: answers to an earlier one are ignored.
+    /// The number of the current scan; answers to an earlier scan are ignored.
     scan_generation: u64,
     next_scan_at: Micros,
     group_commit: GroupCommit<Box<JobSpec>>,
-    /// The requests that wait for a job's acceptance, by job.
+    /// The ids of user requests that wait for a job's acceptance, by job.
     submissions: BTreeMap<String, Vec<u64>>,
-    /// Requests that wait for a read of all changes of jobs: their jobs may have been accepted or
-    /// cancelled by another node a moment ago.
+    /// User requests that wait for a read of all changes of jobs, because another node may just
+    /// have accepted or cancelled their jobs.
     awaiting_job_changes: Vec<u64>,
-    /// Whether such a read is in flight.
+    /// Whether a read of all changes of jobs is in flight.
     reading_job_changes: bool,
     next_job_changes_at: Micros,
     statuses: BTreeMap<String, JobStatus>,
-    /// The jobs with a status, in the order in which they may be forgotten.
+    /// The jobs with a status, in the order in which their statuses may be dropped.
     status_order: VecDeque<String>,
     /// Open jobs with dependencies, and the jobs that they depend on.
     dependency_graph: DependencyGraph<DependentJob>,
     next_dependency_read_at: Micros,
     /// The latest cancelled jobs that are known here.
     cancelled: BTreeSet<String>,
-    /// The same, by the version of their key.
+    /// The jobs in `cancelled`, by the version of their keys.
     cancelled_by_version: BTreeMap<u64, Vec<String>>,
-    /// Cancellations up to this version may have been forgotten.
+    /// Cancellations up to this version may have been dropped.
     cancelled_forgotten_up_to: u64,
-    /// Requests without an answer, by their id.
+    /// User requests without an answer, by their id.
     pending: BTreeMap<u64, PendingRequest>,
-    /// The number of the last request that has come.
+    /// The number of the last user request that has arrived.
     last_sequence: RequestSequence,
-    /// Requests whose job's own key has to be compared or read, by job.
+    /// User requests that wait for a compare or read of a job's own key, by that job. The list of a
+    /// job is empty if only its status has to be checked.
     awaiting_compare: BTreeMap<String, Vec<u64>>,
     compares_in_flight: usize,
     next_compare_at: Micros,
-    /// Jobs whose key is being read because an agent reports a task of them.
+    /// Jobs whose key is being read because an agent reports one of their tasks, or another job
+    /// depends on them.
     reads_in_flight: BTreeSet<String>,
-    /// Progress of open jobs as the leader last told it: tasks done and running.
+    /// The numbers of completed and running tasks of open jobs, as the leader last reported them.
     counts: BTreeMap<String, (u32, u32)>,
-    /// Since when the state service has refused every request.
+    /// The time since which every request to the state service has failed, if the last one did.
     refused_since: Option<Micros>,
-    /// Requests refused with 503 since the last log, by reason.
+    /// The number of requests refused with 503 since the last summary in the log, by reason.
     refusals: BTreeMap<Refusal, u32>,
-    /// How long accepted submissions waited since the last log.
+    /// The waiting times of submissions accepted since the last summary in the log.
     waits: Waits,
-    /// Answers since the last log, by the source of their proof.
+    /// The number of answers since the last summary in the log, by the source of their proof.
     answers_by_source: BTreeMap<ProofSource, u32>,
-    /// Requests since the last log that came after the read had been sent that would have answered
-    /// them.
+    /// The number of user requests since the last summary in the log that had arrived after the
+    /// read that was to decide them had been sent.
     stale_proofs: u32,
 }
 
 impl JobApi {
-    /// The job API of this node, which knows of no job yet.
+    /// Creates the job API of this node, without any job.
     pub fn new(node: &str) -> JobApi {
         JobApi {
             node: node.to_string(),
@@ -224,19 +232,21 @@
         }
     }
 
-    /// Whether all pages of acceptances have been read, so that requests about any job can be
-    /// decided here.
+    /// Returns whether all pages of acceptances have been read, so that requests about any job can
+    /// be decided here.
     pub fn is_ready(&self) -> bool {
         self.page_scan == PageScan::Complete
     }
 
-    /// The number of pages, and of those that name open jobs, for the periodic log message.
+    /// Returns the number of this node's pages that name open jobs, and the number of all its
+    /// pages, for the periodic log message.
     pub fn pages(&self) -> (usize, usize) {
         self.group_commit.pages()
     }
 
-    /// Refuses requests that have waited too long, and sends the requests to the state service that
-    /// are due. `seen` is the revision up to which all changes of jobs are known here, if any is.
+    /// Refuses user requests that have waited too long, and sends the requests to the state service
+    /// that are due. `seen` is the revision up to which all changes of jobs are known here; with
+    /// `None` nothing is sent.
     pub fn tick(&mut self, context: &mut Context, cluster: &ClusterConfig, seen: Option<u64>) {
         self.refuse_late(context);
         let Some(seen) = seen else { return };
@@ -263,7 +273,8 @@
         context.store.push(Urgency::Lead, request, continuation, SCAN_TIMEOUT);
     }
 
-    /// Reads all changes of jobs after the revision `seen` for the requests that wait for it.
+    /// Reads all changes of jobs after the revision `seen` for the user requests that wait for
+    /// them.
     fn read_job_changes(&mut self, context: &mut Context, seen: u64) {
         let now = context.now;
         let due = !self.awaiting_job_changes.is_empty() && now >= self.next_job_changes_at;
@@ -287,8 +298,8 @@
     }
 
     /// Compares the keys of jobs that requests wait for, many in one transaction. The pause between
-    /// two of them bounds this node's load on the state service, however many users ask, and leaves
-    /// its requests to submissions and starts.
+    /// two transactions bounds this node's load on the state service independently of the number of
+    /// user requests, and leaves the rest of its request rate to submissions and starts.
     fn compare_keys(&mut self, context: &mut Context, cluster: &ClusterConfig) {
         let now = context.now;
         while self.compares_in_flight < MAX_COMPARES && !self.awaiting_compare.is_empty() && now >= self.next_compare_at
@@ -325,12 +336,12 @@
         jobs
     }
 
-    /// How many submissions were accepted since the last call, and how long they waited here.
+    /// Returns the number and waiting times of submissions accepted since the last call.
     pub fn take_waits(&mut self) -> Option<Waited> {
         self.waits.take()
     }
 
-    /// How many requests were refused with 503 since the last call, by reason.
+    /// Returns how many requests were refused with 503 since the last call, by reason.
     pub fn take_refusals(&mut self) -> BTreeMap<String, u32> {
         let refusals = std::mem::take(&mut self.refusals);
         refusals
@@ -339,8 +350,8 @@
             .collect()
     }
 
-    /// How many requests were answered since the last call, by the source of the proof, and how
-    /// many came after the read had been sent that would have answered them.
+    /// Returns how many requests were answered since the last call, by the source of the proof, and
+    /// how many had arrived after the read that was to decide them had been sent.
     pub fn take_answered(&mut self) -> (BTreeMap<ProofSource, u32>, u32) {
         (
             std::mem::take(&mut self.answers_by_source),
@@ -348,15 +359,15 @@
         )
     }
 
-    /// Forgets that the state service refused requests, because it is reached through another
+    /// Clears the record of failed requests to the state service, because they go through another
     /// controller from now on.
     pub fn reset_outage(&mut self) {
         self.refused_since = None;
     }
 
-    /// Notes from an answer to any request whether the state service is out. Watches and renewals
-    /// count too: while users are refused at once, none of their requests would show that it is
-    /// back.
+    /// Records from an answer to any request whether the state service is available. Watches and
+    /// lease renewals count too: during an outage user requests are refused at once, so that none
+    /// of them would show that the service is back.
     pub fn note_health(&mut self, now: Micros, answer: &StoreResponse) {
         match answer {
             StoreResponse::Refused | StoreResponse::Unknown => {
@@ -367,8 +378,8 @@
     }
 }
 
-/// The most bytes of a job's description, so that a page of acceptances and a segment of the
-/// write-ahead log can hold it with what they store beside it.
+/// Returns the maximum size of a job's description in bytes. The rest of a value is left for what a
+/// page of acceptances or a segment of the write-ahead log stores in addition.
 fn max_description_bytes(cluster: &ClusterConfig) -> usize {
     cluster.limits.value_bytes().saturating_sub(300)
 }
--- a/src/coordination/api/read_proof.rs
+++ b/src/coordination/api/read_proof.rs
@@ -1,12 +1,13 @@
 //! Proofs that an answer to a user is new enough.
 //!
-//! Invariant (safety core 2): an answer that calls a job open, or says that it was never accepted,
-//! rests on a read or write that the state service executed after the user's request had come. Only
-//! a final phase may be answered from memory, because it never changes.
+//! Invariant (safety core 2): an answer that reports a job as open, or as never accepted, is based
+//! on a read or write that the state service executed after the user's request had arrived. Only a
+//! final phase may be answered from memory, because it never changes.
 //!
-//! Requests are numbered as they come. A request to the state service notes the number of the last
-//! user request that had come when it was sent. It is executed later than that: its answer is a
-//! proof for every user request up to this number and for none after it, however late it comes.
+//! User requests are numbered in the order of their arrival. Each request to the state service
+//! records the number of the last user request that had arrived when it was sent. The state service
+//! executes it after that moment, so its answer is a proof for every user request up to the
+//! recorded number, and for no later one, no matter when the answer arrives.
 
 use super::JobApi;
 use crate::protocol::users::Phase;
@@ -16,7 +17,7 @@
 pub struct RequestSequence(u64);
 
 impl RequestSequence {
-    /// The number of the next request.
+    /// Returns the number of the next request.
     pub(super) fn next(self) -> RequestSequence {
         RequestSequence(self.0 + 1)
     }
@@ -41,15 +42,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ReadProof {
     pub(super) source: ProofSource,
-    /// The last user request that had come when the request to the state service was sent.
+    /// The last user request that had arrived when the request to the state service was sent.
     covers: RequestSequence,
-    /// The revision of the state service that it shows.
+    /// The revision of the state service that the proof shows.
     pub(super) revision: u64,
 }
 
 impl ReadProof {
-    /// The proof by an answer to a request that was sent when `covers` was the last user request
-    /// that had come.
+    /// Creates the proof from an answer of the state service whose request was sent when `covers`
+    /// was the last user request that had arrived.
     pub(super) fn new(source: ProofSource, covers: RequestSequence, revision: u64) -> ReadProof {
         ReadProof {
             source,
@@ -58,24 +59,25 @@
         }
     }
 
-    /// The proof by a final phase that is known here, which is valid for any request.
+    /// Creates the proof from a known final phase, which is valid for any request.
     pub(super) fn of_final_phase(revision: u64) -> ReadProof {
         ReadProof::new(ProofSource::FinalPhase, RequestSequence(u64::MAX), revision)
     }
 
-    /// Whether it is new enough for a request with this number.
+    /// Returns whether the proof is new enough for a request with this number.
     pub(super) fn covers(&self, request: RequestSequence) -> bool {
         request <= self.covers
     }
 
-    /// Whether it allows to answer a request with this number by this phase.
+    /// Returns whether a request with this number may be answered with this phase.
     pub(super) fn allows(&self, request: RequestSequence, phase: Phase) -> bool {
         phase.is_final() || self.covers(request)
     }
 }
 
 impl JobApi {
-    /// The proof by the final phase of a job that is known here.
+    /// Returns the proof from the known final phase of a job; its revision is 0 if the job has no
+    /// status here.
     pub(super) fn final_proof(&self, job: &str) -> ReadProof {
         ReadProof::of_final_phase(self.statuses.get(job).map_or(0, |status| status.version))
     }
--- a/src/coordination/api/refusal.rs
+++ b/src/coordination/api/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a user's request is refused: the status and the text of the answer.
+//! The reasons to refuse a user's request, with the HTTP status and the text of the answer.
 
 use crate::protocol::to_cbor;
 use crate::protocol::users::ErrorBody;
@@ -7,14 +7,14 @@
 use super::super::Context;
 use super::RETRY_AFTER_S;
 
-/// Why a request is refused. Its text is part of the users' interface.
+/// The reason why a request is refused. Its text is part of the API for users.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Refusal {
     /// The state service did not decide the request in time.
     NotDecidedInTime,
     /// The state service has refused every request for a while.
     StoreOutage,
-    /// Too many requests wait at this node.
+    /// Too many requests wait on this node.
     Overloaded,
     /// The body of a submission is malformed; the text says how.
     Malformed(String),
@@ -30,7 +30,7 @@
     NeedsUnknownJob,
     /// The catalogue of machine types has not been read yet.
     CatalogueUnknown,
-    /// This controller runs a release without job dependencies.
+    /// The named controller runs a release without job dependencies.
     LaggingController(String),
     /// The job can never run within its team's limit.
     OverTeamLimit,
@@ -43,7 +43,7 @@
 }
 
 impl Refusal {
-    /// The HTTP status of the answer.
+    /// Returns the HTTP status of the answer.
     pub fn status(&self) -> u16 {
         match self {
             Refusal::Malformed(_) => 400,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Answers the request with this refusal; with 503, also when to retry.
+    /// Answers the request with this refusal; status 503 comes with a time after which to retry.
     pub(super) fn send(&self, context: &mut Context, id: u64) {
         let body = to_cbor(&ErrorBody {
             error: self.to_string(),
--- a/src/coordination/api/request.rs
+++ b/src/coordination/api/request.rs
@@ -1,5 +1,5 @@
-//! Users' requests as they wait for the state service, and which submissions are refused whatever
-//! it answers.
+//! User requests that wait for the state service, and the checks that refuse a submission unless
+//! its job was accepted before.
 
 use super::read_proof::RequestSequence;
 use super::{max_description_bytes, Refusal};
@@ -9,24 +9,24 @@
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
-/// A limit that is exceeded by no more than this counts as kept, against rounding.
+/// The tolerance for rounding errors in comparisons with a team's limit.
 const ROUNDING: f64 = 1e-9;
 
-/// What a user asks for.
+/// The kind of a user's request.
 #[derive(Clone, Debug)]
 pub(super) enum RequestKind {
     /// A valid submission.
     Submit(Box<JobSpec>),
-    /// A submission that is refused unless its job was accepted before.
+    /// A submission that is refused for this reason unless its job was accepted before.
     Refusable(Refusal),
-    /// The state of a job.
+    /// A read of the state of a job.
     Poll,
     /// The cancellation of a job.
     Cancel,
 }
 
 impl RequestKind {
-    /// The submission of a job, or the reason to refuse it.
+    /// Returns the kind of a well-formed submission: valid, or to be refused.
     pub(super) fn submission(cluster: &ClusterConfig, spec: JobSpec) -> RequestKind {
         match refusal(cluster, &spec) {
             Some(refusal) => RequestKind::Refusable(refusal),
@@ -37,26 +37,27 @@
 
 /// A request that waits for the state service.
 pub(super) struct PendingRequest {
-    /// The number under which it is answered.
+    /// The id of the HTTP request, under which it is answered.
     pub id: u64,
-    /// The job that it is about.
+    /// The id of the job that the request is about.
     pub job: String,
     pub kind: RequestKind,
     pub received_at: Micros,
-    /// Its place among all requests: only a read that was sent later may answer it.
+    /// The number in the order of arrival: only a read that was sent after the request had arrived
+    /// may decide it.
     pub sequence: RequestSequence,
-    /// Of a submission with dependencies: those whose own keys were missing when they were read
-    /// for it.
+    /// For a submission with dependencies: the dependencies whose own keys were missing when they
+    /// were read for it.
     pub missing_dependencies: BTreeSet<String>,
-    /// Whether all changes of jobs were read for it.
+    /// Whether all changes of jobs were read for this request.
     pub changes_read: bool,
-    /// Whether a page of this node that was written after the request had come accepts its job.
-    /// Whether another page did before is being read.
+    /// Whether a page of this node that was written after the request had arrived accepts its job.
+    /// Whether an earlier page accepts the job is then still being read.
     pub accepted_by_own_page: bool,
 }
 
 impl PendingRequest {
-    /// A request that has just come.
+    /// Creates a request that has just arrived.
     pub(super) fn new(id: u64, job: String, kind: RequestKind, sequence: RequestSequence, now: Micros) -> Self {
         PendingRequest {
             id,
@@ -71,7 +72,8 @@
     }
 }
 
-/// Why a submission is refused unless its job was accepted before; `None` for a valid one.
+/// Returns the reason to refuse a submission unless its job was accepted before; `None` for a valid
+/// submission.
 fn refusal(cluster: &ClusterConfig, spec: &JobSpec) -> Option<Refusal> {
     if !cluster.settings.params.teams.iter().any(|t| t.name == spec.team) {
         return Some(Refusal::UnknownTeam);
@@ -89,14 +91,15 @@
     if is_over_limit(cluster, spec) {
         return Some(Refusal::OverTeamLimit);
     }
-    // The description has to fit into one value, compressed if need be.
+    // The description has to fit into one value, if necessary compressed.
     if to_record(spec, u64::MAX >> 16, max_description_bytes(cluster)).is_none() {
         return Some(Refusal::DescriptionTooLarge);
     }
     (!fits_some_machine(cluster, spec)).then_some(Refusal::NoFittingMachineType)
 }
 
-/// Whether the job can't run within its team's limit: an array with one task, a service with all.
+/// Returns whether the job can't run within its team's limit. An array needs room for one task at a
+/// time, a service for all its tasks.
 fn is_over_limit(cluster: &ClusterConfig, spec: &JobSpec) -> bool {
     let (cpus, gpus) = cluster.limits(&spec.team);
     let at_once = match spec.shape {
@@ -106,7 +109,7 @@
     spec.cpus * at_once > cpus + ROUNDING || spec.gpus * at_once > gpus + ROUNDING
 }
 
-/// Whether a task of the job fits a machine type that it allows.
+/// Returns whether a task of the job fits on a machine type that the job allows.
 fn fits_some_machine(cluster: &ClusterConfig, spec: &JobSpec) -> bool {
     cluster.catalogue.values().any(|t| {
         t.cpus >= spec.cpus
--- a/src/coordination/api/request_flow.rs
+++ b/src/coordination/api/request_flow.rs
@@ -1,6 +1,9 @@
 //! The steps of a user's request, from its arrival to the requests to the state service that decide
-//! it. `answers` and `acceptance` take the results and either answer the request or call `advance`
-//! for its next step.
+//! it.
+//!
+//! `answers` and `acceptance` handle the results and either answer the request or call `advance`
+//! for its next step. Invariant: a request in `pending` is answered or refused exactly once, and at
+//! the latest when it times out.
 
 use super::super::store_queue::Urgency;
 use super::super::{ClusterConfig, Context, Continuation, UserRequest};
@@ -15,12 +18,12 @@
 use crate::storage::records::{to_record, to_value, JobValue};
 use crate::time::Micros;
 
-/// How long the answer to a cancellation is awaited.
+/// Timeout of the write of a cancellation.
 const CANCEL_TIMEOUT: Micros = Micros::from_millis(400);
 
 impl JobApi {
-    /// Handles a request of a user. `counts` gives the progress of a job, tasks done and running,
-    /// if this node leads and has the job.
+    /// Handles a request of a user. `counts` returns the numbers of completed and running tasks of
+    /// a job if this node leads and has the job.
     pub fn on_user(
         &mut self,
         context: &mut Context,
@@ -39,7 +42,7 @@
             UserRequest::Ready => return,
         };
         if !is_job_id(&job) {
-            // Never accepted: a submission with such an id is malformed.
+            // A submission with such an id is malformed, so no such job was ever accepted.
             return Refusal::NoSuchJob.send(context, id);
         }
         if let Some(counts) = counts(&job) {
@@ -58,7 +61,7 @@
         self.advance(context, cluster, id);
     }
 
-    /// Why no request can be decided here at present, if that is so.
+    /// Returns the reason why this node can't decide any request at present, if there is one.
     fn overload(&self, context: &Context) -> Option<Refusal> {
         let is_out = |since: Micros| context.now.since(since) > OUTAGE_AFTER;
         if self.refused_since.is_some_and(is_out) {
@@ -68,7 +71,7 @@
         is_full.then_some(Refusal::Overloaded)
     }
 
-    /// Takes a request's next step: answers it, offers its job for acceptance, sends its
+    /// Performs the next step of a request: answers it, offers its job for acceptance, sends its
     /// cancellation, or queues it for the read that it needs.
     pub(super) fn advance(&mut self, context: &mut Context, cluster: &ClusterConfig, id: u64) {
         let Some(pending) = self.pending.get(&id) else { return };
@@ -106,13 +109,13 @@
     /// Offers a job for acceptance by one of the next pages.
     fn offer(&mut self, id: u64, job: String, record: JobSpec, now: Micros) {
         let record = Box::new(record);
-        // A comma or bracket is stored with each.
+        // Each description is stored with a comma or a bracket.
         let size = json_size(&record) + 1;
         self.group_commit.offer(&job, size, record, now);
         self.submissions.entry(job).or_default().push(id);
     }
 
-    /// Refuses requests that were not decided in time.
+    /// Refuses requests that were not decided within their timeout.
     pub(super) fn refuse_late(&mut self, context: &mut Context) {
         let is_late = |pending: &&PendingRequest| {
             let timeout = match pending.kind {
@@ -128,14 +131,14 @@
         }
     }
 
-    /// Refuses a request that could not be decided, and counts the reason.
+    /// Refuses a request that could not be decided, and counts the refusal by its reason.
     fn refuse_unavailable(&mut self, context: &mut Context, id: u64, refusal: Refusal) {
         refusal.send(context, id);
         *self.refusals.entry(refusal).or_default() += 1;
     }
 
-    /// Removes a request for which nobody waits any more. Its job is not written for it unless it
-    /// is in flight.
+    /// Removes a request that has timed out. If no other request submits its job, the job is
+    /// withdrawn from group commit; a page in flight may still accept it.
     fn drop_request(&mut self, id: u64) {
         let Some(pending) = self.pending.remove(&id) else {
             return;
@@ -150,8 +153,12 @@
     }
 }
 
-/// The job and the kind of a submission. A malformed one whose id can be read is refused only if
-/// its job was not accepted before.
+/// Parses a submission into its job and request kind. A malformed submission whose id can be read
+/// is refused only if its job was not accepted before.
+///
+/// # Errors
+///
+/// The refusal of a malformed submission whose id can't be read.
 fn parse_submission(cluster: &ClusterConfig, body: &[u8]) -> Result<(String, RequestKind), Refusal> {
     match JobSpec::parse(body) {
         Ok(spec) => Ok((spec.id.clone(), RequestKind::submission(cluster, spec))),
@@ -166,7 +173,7 @@
     }
 }
 
-/// Sends the compare-and-set that cancels a job whose own key has this version.
+/// Sends the compare-and-set that cancels a job whose own key has this version (0 if it has none).
 fn send_cancellation(context: &mut Context, id: u64, job: &str, version: u64) {
     let value = JobValue {
         phase: Phase::Cancelled,
--- a/src/coordination/api/status.rs
+++ b/src/coordination/api/status.rs
@@ -1,7 +1,7 @@
-//! What this node knows of the phases of jobs.
+//! The phases of jobs as far as this node knows them.
 //!
-//! A final phase is known for good; an open phase may be out of date until a read shows it. Newer
-//! versions of a job's key replace older ones, never the other way round.
+//! A final phase never changes; an open phase may be out of date until a new read confirms it.
+//! Invariant: a newer version of a job's key replaces an older one, never the other way round.
 
 use super::super::Context;
 use super::{JobApi, PageScan, MAX_STATUSES};
@@ -9,27 +9,28 @@
 use crate::protocol::users::{is_job_id, Phase};
 use crate::time::Micros;
 
-/// What is known of a job.
+/// The known status of a job.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct JobStatus {
-    /// The version of its own key; 0 if there is none as far as is known here.
+    /// The version of the job's own key; 0 if no such key is known.
     pub version: u64,
     pub phase: Phase,
-    /// Whether its own key was read, or was missing after its page had been seen. A page that is
-    /// found in the scan does not show whether the job has ended since.
+    /// Whether the job's own key was read, or was missing after its page had been read. A page that
+    /// was found in the scan does not show whether the job has ended since.
     pub checked: bool,
-    /// Whether it is a service, which runs until it is cancelled, as far as its description was
-    /// seen.
+    /// Whether the job is a service, which runs until it is cancelled; false if no description of
+    /// the job was read.
     pub service: bool,
-    /// The revision of the page that was seen to accept it; 0 if none was.
+    /// The revision of the first page read here that accepts the job; 0 if none was read.
     pub page: u64,
-    /// Whether another page accepts it as well: its user may have been told of it before.
+    /// Whether another page accepts the job as well, so that a user may have had an earlier answer
+    /// about it.
     pub repeated: bool,
 }
 
 impl JobApi {
-    /// Remembers the status of a job, and forgets that of the oldest job with a final phase if
-    /// there are too many.
+    /// Stores the status of a job. If there are more than [`MAX_STATUSES`], drops those of the
+    /// oldest jobs with a final phase.
     pub(super) fn remember(&mut self, job: String, status: JobStatus) {
         self.statuses.insert(job.clone(), status);
         self.status_order.push_back(job);
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Takes the version and phase of a job's own key, unless a newer version is known.
+    /// Records the version and phase of a job's own key, unless a newer version is known.
     pub fn learn(&mut self, job: &str, version: u64, phase: Phase) {
         let new = JobStatus {
             version,
@@ -74,12 +75,12 @@
         }
     }
 
-    /// The phase of a job as it was last seen; an open phase may be out of date.
+    /// Returns the phase of a job as it was last read; an open phase may be out of date.
     pub fn phase(&self, job: &str) -> Option<Phase> {
         self.statuses.get(job).filter(|s| s.checked).map(|s| s.phase)
     }
 
-    /// Jobs that are open as far as is known here.
+    /// Returns the jobs whose last read phase is open.
     pub fn open_jobs(&self) -> impl Iterator<Item = &str> {
         let is_open = |s: &JobStatus| s.checked && !s.phase.is_final();
         self.statuses
@@ -88,7 +89,8 @@
             .map(|(id, _)| id.as_str())
     }
 
-    /// Forgets everything that may have changed unseen. Final phases are kept.
+    /// Drops everything that may have changed without this node's notice and starts a new scan of
+    /// all pages. Final phases are kept.
     pub fn forget_open(&mut self) {
         self.statuses.retain(|_, s| s.phase.is_final());
         self.counts.clear();
@@ -98,7 +100,7 @@
         self.scan_generation += 1;
     }
 
-    /// Takes the progress of jobs as the leader tells it.
+    /// Stores the progress of jobs that the leader reports.
     pub fn on_progress(&mut self, list: Vec<Progress>) {
         for progress in list {
             if !self.phase(&progress.id).is_some_and(Phase::is_final) {
@@ -110,10 +112,10 @@
         }
     }
 
-    /// Reads the key of a job that an agent reports and that is not known here. During the scan of
-    /// pages nothing is read: it brings the open jobs, and compares find out many at a time which
-    /// of them have ended. To read each job that every agent reports would take the requests of
-    /// all nodes for half a minute.
+    /// Reads the key of an unknown job, which an agent reports or another job depends on. Nothing
+    /// is read during the scan of pages: the scan finds the open jobs, and each compare then checks
+    /// many of them at once. Reading each job that any agent reports would use up the request rate
+    /// of all nodes for half a minute.
     pub fn read_job(&mut self, context: &mut Context, job: &str) {
         let is_known = !self.is_ready() || self.statuses.contains_key(job);
         if !is_known && is_job_id(job) && self.reads_in_flight.insert(job.to_string()) {
