--- a/src/protocol/agents.rs
+++ b/src/protocol/agents.rs
@@ -1,6 +1,8 @@
 //! The protocol between controllers and agents: heartbeats, and the commands in their responses and
-//! in pushes. The serde names are those of the wire; some types also travel between controllers, by
-//! position of their fields.
+//! in pushes.
+//!
+//! Agents use CBOR with the serde names. Controllers exchange some of these types with bitcode,
+//! which encodes fields and variants by position: their order must not change.
 
 use super::maybe_amount;
 use bitcode::{Decode, Encode};
@@ -9,19 +11,19 @@
 /// The state of a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub enum TaskPhase {
-    /// Its image is being fetched.
+    /// The image of the task is being fetched.
     #[serde(rename = "pulling")]
     Fetching,
-    /// It runs.
+    /// The task runs.
     #[serde(rename = "running")]
     Running,
-    /// It saves a checkpoint before it stops.
+    /// The task saves a checkpoint before it stops.
     #[serde(rename = "flushing")]
     Saving,
-    /// It has exited.
+    /// The task has exited.
     #[serde(rename = "ended")]
     Exited,
-    /// A state of a later protocol: the task is on the machine.
+    /// A phase of a later protocol version: the task still occupies the machine.
     #[serde(other)]
     Other,
 }
@@ -29,25 +31,25 @@
 /// Why a task exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub enum Cause {
-    /// It has completed.
+    /// The task has completed.
     #[serde(rename = "done")]
     Done,
-    /// It was stopped.
+    /// The task was stopped.
     #[serde(rename = "halted")]
     Stopped,
-    /// It failed.
+    /// The task failed.
     #[serde(rename = "error")]
     Error,
-    /// Its start was refused: the machine has too few free resources.
+    /// The start was refused: the machine has too few free resources.
     #[serde(rename = "no_room")]
     NoRoom,
-    /// Its start was refused: the machine has another attempt at the task.
+    /// The start was refused: the machine has another attempt at the task.
     #[serde(rename = "busy")]
     Busy,
-    /// Its start was refused: the job or task is unknown, or has not been submitted yet.
+    /// The start was refused: the job or task is unknown, or has not been submitted yet.
     #[serde(rename = "unknown")]
     Unknown,
-    /// A cause of a later protocol: the task is no longer running.
+    /// A cause of a later protocol version: the task no longer runs.
     #[serde(other)]
     Other,
 }
@@ -61,20 +63,20 @@
     /// The number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Its phase.
+    /// The phase of the attempt.
     pub phase: TaskPhase,
-    /// Why it exited, if it has.
+    /// The reason why the attempt exited, if it has.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<Cause>,
 }
 
-/// A heartbeat: what an agent periodically reports of its machine.
+/// A heartbeat: the periodic report of an agent about its machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Encode, Decode)]
 pub struct Heartbeat {
     /// The name of the machine.
     #[serde(rename = "host")]
     pub machine: String,
-    /// The address at which the agent takes pushes.
+    /// The address at which the agent accepts pushed commands.
     pub addr: String,
     /// The machine type.
     #[serde(rename = "flavor")]
@@ -82,22 +84,24 @@
     /// The zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "reclaimable")]
     pub spot: bool,
-    /// The incarnation of the agent: it has no tasks of an earlier one.
+    /// The incarnation of the agent, which has no tasks of its earlier incarnations.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// The number of the heartbeat in this incarnation.
+    /// The sequence number of the heartbeat in this incarnation.
     #[serde(rename = "serial")]
     pub sequence: u64,
-    /// The highest fencing token that the agent has seen; it refuses commands with a lower one.
+    /// The highest fencing token that the agent has received; commands with a lower one are
+    /// refused.
     #[serde(rename = "fence")]
     pub fencing_token: u64,
-    /// In how many seconds the cloud takes the machine back, if it has given notice.
+    /// The time in seconds until the cloud reclaims the machine, if it has given notice.
     #[serde(rename = "warning_s", default, deserialize_with = "maybe_amount")]
     pub notice_s: Option<f64>,
-    /// The attempts that the agent has, also those that have exited and are not forgotten.
+    /// The attempts that the agent lists, including exited ones that it was not yet ordered to
+    /// forget.
     #[serde(rename = "pieces")]
     pub tasks: Vec<TaskStatus>,
 }
@@ -116,7 +120,7 @@
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// Stops an attempt, with a time in seconds to save a checkpoint.
+    /// Stops an attempt, after a limited time to save a checkpoint.
     #[serde(rename = "kill")]
     Stop {
         /// The name of the task.
@@ -125,11 +129,11 @@
         /// The number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// How long it may take to save, in seconds.
+        /// The time allowed for saving the checkpoint, in seconds.
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
-    /// Forgets an attempt that has exited.
+    /// Removes an exited attempt from the agent's list.
     #[serde(rename = "forget")]
     Forget {
         /// The name of the task.
@@ -169,7 +173,7 @@
 /// The body of a response with status 421, which redirects an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The controller to report to, if this one names one.
+    /// The controller to which the agent should send its heartbeats, if the response names one.
     #[serde(rename = "steward", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
@@ -177,12 +181,12 @@
 /// The result of a push.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum PushResult {
-    /// Executed; with the agent's state after it.
+    /// The commands were executed; with the agent's state afterwards.
     Done(Heartbeat),
-    /// Refused, nothing was executed; with the agent's state.
+    /// The agent refused the push and executed nothing; with the agent's state.
     Rejected(Heartbeat),
     /// The push was never sent.
     NotSent,
-    /// The outcome is unknown: it may have been executed, or may be later.
+    /// The outcome is unknown: the commands may have been executed, or may still be executed.
     Unknown,
 }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,6 +1,6 @@
 //! The protocol of the cloud: its catalogue, rental requests and the list of machines.
 //!
-//! The serde names are those of the wire.
+//! Field names on the wire are the serde names and must not change.
 
 use super::amount;
 use serde::{Deserialize, Serialize};
@@ -8,13 +8,13 @@
 /// A machine type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// The name of the machine type.
     #[serde(rename = "label")]
     pub name: String,
-    /// CPUs of a machine.
+    /// The number of CPUs of a machine.
     #[serde(rename = "cores", deserialize_with = "amount")]
     pub cpus: f64,
-    /// GPUs of a machine.
+    /// The number of GPUs of a machine.
     #[serde(rename = "cards", deserialize_with = "amount")]
     pub gpus: f64,
     /// Memory of a machine, in GB.
@@ -23,7 +23,7 @@
     /// Space for images on a machine, in GB.
     #[serde(deserialize_with = "amount")]
     pub cache_gb: f64,
-    /// How fast images are fetched, in GB per second.
+    /// The rate at which images are fetched, in GB per second.
     #[serde(deserialize_with = "amount")]
     pub fetch_gb_per_s: f64,
     /// The price of an on-demand machine per hour.
@@ -35,7 +35,7 @@
     /// How long a machine takes to boot, in seconds.
     #[serde(deserialize_with = "amount")]
     pub boot_s: f64,
-    /// The zones that offer it.
+    /// The zones that offer the machine type.
     #[serde(rename = "yards")]
     pub zones: Vec<String>,
 }
@@ -48,13 +48,12 @@
     pub types: Vec<MachineType>,
 }
 
-/// A rental request, which is executed once however often it is sent.
+/// A rental request. The cloud executes it at most once, even if it is sent repeatedly.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProvisionRequest {
-    /// Identifies the request for ever.
+    /// The permanent unique id of the request, by which repetitions are recognised.
     pub claim: String,
     /// The machine type.
-    /// The machine type.
     #[serde(rename = "flavor")]
     pub machine_type: String,
     /// The zone.
@@ -67,7 +66,7 @@
     pub count: u32,
 }
 
-/// Names of machines: those that were rented, or those to be released.
+/// Names of machines that were rented or that should be released.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
     /// The names.
@@ -81,7 +80,7 @@
     /// The name of the machine.
     #[serde(rename = "ref")]
     pub name: String,
-    /// The address at which its agent takes pushes.
+    /// The address at which the machine's agent accepts pushed commands.
     pub addr: String,
     /// The machine type.
     #[serde(rename = "flavor")]
@@ -94,7 +93,7 @@
     pub spot: bool,
     /// The phase of the machine.
     pub phase: String,
-    /// How long ago it was rented, in seconds.
+    /// The time since the machine was rented, in seconds.
     #[serde(rename = "held_s", deserialize_with = "amount")]
     pub age_s: f64,
 }
@@ -105,7 +104,7 @@
     /// The machines.
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
-    /// Whether there are more.
+    /// Whether there are more machines after these.
     #[serde(rename = "truncated")]
     pub more: bool,
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,7 +1,8 @@
-//! Typed messages of every interface, and their encoding.
+//! The typed messages of all interfaces, and their encoding.
 //!
-//! The names on the wire are given by the platform and stay in this module's files, as serde names;
-//! the rest of the program uses the field's standard terms. Nothing here decides anything.
+//! The platform defines the names on the wire. They appear only in this module's files, as serde
+//! names; the identifiers in the rest of the program are the usual terms of cluster scheduling.
+//! This module validates messages but contains no scheduling decisions.
 
 pub mod agents;
 pub mod cloud;
@@ -11,30 +12,30 @@
 
 use serde::{de::DeserializeOwned, Deserialize, Deserializer, Serialize};
 
-/// The limit for request bodies, and for responses to agents and users.
+/// The maximum size of request bodies, and of responses to agents and users, in bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
 
-/// Bytes from outside could not be read as the expected message, for this reason.
+/// The error for received bytes that are not the expected message, with the reason.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct Malformed(pub String);
 
-/// Encodes a message for the outside.
+/// Encodes a message for another service, an agent or a user as CBOR.
 pub fn to_cbor<T: Serialize>(message: &T) -> Vec<u8> {
     let mut bytes = Vec::new();
-    // Writing to a vector fails only for types that refuse to serialise. Ours never do; if one
-    // did, the receiver would read the empty body as malformed.
+    // Writing to a vector fails only if a type's `Serialize` returns an error, which no message
+    // does. If one did, the receiver would reject the empty body as malformed.
     if ciborium::into_writer(message, &mut bytes).is_err() {
         bytes.clear();
     }
     bytes
 }
 
-/// Decodes a message from the outside.
+/// Decodes a CBOR message from another service, an agent or a user.
 ///
 /// # Errors
 ///
-/// If the bytes are not exactly one message of this type.
+/// Returns [`Malformed`] if the bytes are not exactly one message of this type.
 pub fn from_cbor<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Malformed> {
     let mut rest = bytes;
     let message = ciborium::from_reader(&mut rest).map_err(|e| Malformed(e.to_string()))?;
@@ -45,8 +46,8 @@
     }
 }
 
-/// The size of a value in bytes as the platform counts it: written as JSON. The largest number if it
-/// can't be written.
+/// Returns the size of a value in bytes as the platform counts it, which is that of its JSON form;
+/// `usize::MAX` if the value can't be written as JSON.
 pub fn json_size<T: Serialize>(value: &T) -> usize {
     struct ByteCounter(usize);
     impl std::io::Write for ByteCounter {
@@ -65,8 +66,12 @@
     }
 }
 
-/// Reads an amount: a decimal number, or an integer, which some encoders write
-/// for amounts without a fraction.
+/// Deserializes an amount: a floating-point number, or an integer, which some encoders write for
+/// amounts without a fraction.
+///
+/// # Errors
+///
+/// Fails for any value that is not a number.
 pub fn amount<'de, D: Deserializer<'de>>(input: D) -> Result<f64, D::Error> {
     struct AmountVisitor;
     impl serde::de::Visitor<'_> for AmountVisitor {
@@ -90,7 +95,12 @@
 #[derive(Deserialize)]
 struct Amount(#[serde(deserialize_with = "amount")] f64);
 
-/// Reads an amount that may be null or absent.
+/// Deserializes an amount that may be null. A field that may also be absent needs serde's
+/// `default`.
+///
+/// # Errors
+///
+/// Fails for any value that is neither a number nor null.
 pub fn maybe_amount<'de, D: Deserializer<'de>>(input: D) -> Result<Option<f64>, D::Error> {
     Ok(Option::<Amount>::deserialize(input)?.map(|Amount(value)| value))
 }
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -1,65 +1,66 @@
 //! Messages between controllers, encoded with bitcode and sent as length-prefixed frames.
 //!
-//! bitcode encodes by position: variants and fields must not be moved, added or removed, because two
-//! releases talk to each other during an upgrade.
+//! bitcode encodes by position: variants and fields must not be moved, added or removed, because
+//! controllers of two releases exchange messages during an upgrade.
 
 use super::agents::{Heartbeat, HeartbeatResponse, PushResult, PushedCommands};
 use bitcode::{Decode, Encode};
 use glenhaven_connectivity::LinkObservation;
 
-/// The counts of one job that are shown to users.
+/// The progress of one job as it is shown to users.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Progress {
     /// The job's id.
     pub id: String,
-    /// Tasks that have completed.
+    /// The number of completed tasks.
     pub done: u32,
-    /// Tasks that run.
+    /// The number of running tasks.
     pub running: u32,
 }
 
 /// A message between controllers.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum PeerMessage {
-    /// The sender is alive; sent about every half second.
+    /// A periodic sign of life of the sender, sent about every half second.
     Alive {
         /// The sender's name.
         node: String,
         /// The term that the sender knows.
         term: u64,
-        /// Whether the sender's knowledge of the state service is current.
+        /// Whether the sender has recently verified its copy of the state service's data.
         fresh: bool,
         /// Whether the sender leads this term.
         leads: bool,
-        /// Changes to the state service that the sender wants to make in a thousand seconds.
+        /// The rate at which the sender wants to change the state service, in changes per 1000
+        /// seconds.
         wants: u32,
-        /// Agents that send their heartbeats to the sender.
+        /// The number of agents that send their heartbeats to the sender.
         serves: u32,
-        /// The sender's steady clock, in microseconds. It is never compared with another clock; the
-        /// differences between messages tell how late a later message is.
+        /// The sender's monotonic clock, in microseconds. It is never compared with another clock;
+        /// the differences between messages show how much later messages were delayed.
         at: u64,
         /// The state of the sender's links.
         links: Vec<LinkObservation>,
     },
-    /// Counts of jobs that changed, from the leader.
+    /// The progress of jobs for which it has changed, from the leader.
     Progress(Vec<Progress>),
     /// An agent's heartbeat, forwarded to the leader.
     Heartbeat {
         /// The sender's name.
         node: String,
-        /// The sender's number for it.
+        /// The sender's number for the heartbeat.
         id: u64,
-        /// What the agent reported.
+        /// The heartbeat of the agent.
         heartbeat: Heartbeat,
     },
     /// The leader's answer to a forwarded heartbeat.
     HeartbeatResponse {
         /// The receiver's number for the heartbeat.
         id: u64,
-        /// What the agent is to be told.
+        /// The response for the agent.
         commands: HeartbeatResponse,
     },
-    /// A new leader asks for the last heartbeats of agents.
+    /// The request of a new leader for the last heartbeats of agents.
     LastHeartbeatsRequest {
         /// The sender's name.
         node: String,
@@ -75,7 +76,7 @@
     RelayPush {
         /// The sender's name.
         node: String,
-        /// The sender's number for them.
+        /// The sender's number for the commands.
         id: u64,
         /// The agent's address.
         addr: String,
@@ -86,23 +87,24 @@
     RelayedPushResult {
         /// The receiver's number for the commands.
         id: u64,
-        /// The result.
+        /// The result of the push.
         answer: PushResult,
     },
-    /// A request to the state service or the cloud that the sender can't make itself. The receiver
-    /// makes it itself or not at all.
+    /// A request to the state service or the cloud from a sender without a working link to it. The
+    /// receiver sends the request directly to the service, or drops it.
     ForwardRequest {
         /// The sender's name.
         node: String,
-        /// A number of the sender's process incarnation: its earlier ones made other requests.
+        /// The number of the sender's process incarnation, which distinguishes the request from
+        /// those of earlier incarnations with the same `id`.
         life: u64,
         /// The sender's number for the request.
         id: u64,
-        /// The sender's steady clock, as in `Alive`.
+        /// The sender's monotonic clock, as in `Alive`.
         at: u64,
         /// The term that the sender knows.
         term: u64,
-        /// How long the answer is waited for, in milliseconds.
+        /// The time for which the sender waits for the answer, in milliseconds.
         timeout_ms: u32,
         /// The request.
         what: ForwardedBody,
@@ -126,26 +128,26 @@
     },
     /// An encoded message that the sender relays.
     RelayedMessage(Vec<u8>),
-    /// The sender gives up the leadership by its own decision.
+    /// The sender gives up its leadership voluntarily.
     TransferLeadership {
         /// The sender's name.
         node: String,
-        /// The term that it led.
+        /// The term that the sender led.
         term: u64,
-        /// The controller that the others let go first in the election, if any.
+        /// The controller that may stand for election before the others, if any.
         to: Option<String>,
     },
-    /// The state service answers nobody: which cancellations does the receiver know beyond those up
-    /// to a revision? Sent only to controllers that said that they run this release.
+    /// A request for the cancellations after a revision that the receiver knows, sent while the
+    /// state service doesn't answer. Sent only to controllers that have announced this release.
     AttestationRequest {
         /// The sender's name.
         node: String,
-        /// The sender's number for this round of questions.
+        /// The sender's number for this round of requests.
         round: u64,
-        /// The revision up to which the sender has seen all cancellations.
+        /// The revision up to which the sender has read all cancellations.
         seen: u64,
     },
-    /// All cancellations that were asked for, as the sender knows them now.
+    /// All requested cancellations that the sender knows at present.
     Attestation {
         /// The sender's name.
         node: String,
@@ -158,23 +160,23 @@
     },
 }
 
-/// A request or answer that is forwarded for another controller, encoded as the state service or the
-/// cloud has it.
+/// The encoded request to a service, or the encoded answer, that is forwarded for another
+/// controller.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ForwardedBody {
-    /// To or from the state service.
+    /// A request to or an answer of the state service.
     State(Vec<u8>),
-    /// To or from the cloud.
+    /// A request to or an answer of the cloud.
     Cloud(Vec<u8>),
 }
 
-/// The state of the link to another controller, as its sending side sees it.
+/// The state of the link to another controller, as observed by its sending side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
     /// The other side acknowledges messages.
     Up,
-    /// Connections are refused: the host is there, the controller is not.
+    /// Connections are refused: the host is reachable, but no controller listens on it.
     Refused,
-    /// Nothing comes back.
+    /// Neither acknowledgements nor refusals arrive.
     Silent,
 }
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -1,6 +1,6 @@
-//! The protocol of the state service: requests, and what their answers mean.
+//! The protocol of the state service: requests and their outcomes.
 //!
-//! The serde names are those of the wire.
+//! Field names on the wire are the serde names and must not change.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 pub struct Condition {
     /// The key.
     pub key: String,
-    /// The version that it must have; 0 if it must not exist.
+    /// The version that the key must have; 0 if the key must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
-    /// Writes a value, which is deleted with the lease if it has one.
+    /// Writes a value. If it is bound to a lease, it is deleted when the lease ends.
     Put {
         /// The key that is written.
         #[serde(rename = "put")]
@@ -113,7 +113,7 @@
 /// The answer to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvents {
-    /// The revision up to which it reports all changes.
+    /// The revision up to which all changes are reported.
     #[serde(rename = "epoch")]
     pub revision: u64,
     /// The changes, in the order of their revisions.
@@ -132,10 +132,10 @@
     pub failed: Vec<String>,
 }
 
-/// The request of a lease.
+/// A request for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NewLease {
-    /// How long it lasts without a renewal, in milliseconds.
+    /// The duration of the lease without a renewal, in milliseconds.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
@@ -143,12 +143,13 @@
 /// A granted lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Its number.
+    /// The number of the lease.
     #[serde(rename = "grant")]
     pub lease: u64,
 }
 
-/// A request to the state service. Controllers also forward it to each other in this form.
+/// A request to the state service. Controllers also forward requests to each other in this form, so
+/// that its serde names must not change either.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StoreRequest {
     /// Reads a key.
@@ -168,7 +169,7 @@
     Transaction(Transaction),
     /// Requests a lease that lasts `ttl_ms` milliseconds without a renewal.
     Grant {
-        /// How long it lasts without a renewal, in milliseconds.
+        /// The duration of the lease without a renewal, in milliseconds.
         ttl_ms: u64,
     },
     /// Renews a lease.
@@ -181,13 +182,14 @@
         /// The number of the lease.
         lease: u64,
     },
-    /// Waits up to `wait_ms` milliseconds for changes of keys with a prefix after the revision `after`.
+    /// Waits up to `wait_ms` milliseconds for changes of keys with a prefix after the revision
+    /// `after`.
     Watch {
         /// The prefix.
         prefix: String,
         /// The revision after which changes are reported.
         after: u64,
-        /// How long to wait for a change, in milliseconds.
+        /// The maximum time to wait for a change, in milliseconds.
         wait_ms: u64,
     },
 }
@@ -224,12 +226,12 @@
     Compacted,
     /// The lease has ended.
     NoLease,
-    /// Not executed: refused with 429 because of too many changes. Used only within a process.
+    /// Not executed: refused with 429 because of too many changes. Never sent to another process.
     Limited,
     /// Not executed: refused with 429 or 503, or the connection failed.
     Refused,
     /// Not executed: rejected as malformed.
     Malformed,
-    /// The outcome is unknown: the request may have been executed, or may be later.
+    /// The outcome is unknown: the request may have been executed, or may still be executed.
     Unknown,
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,6 +1,7 @@
 //! The protocol between users and controllers: submissions, states of jobs and refusals.
 //!
-//! The serde names are those of the wire; `JobSpec` is also part of stored records.
+//! Field names on the wire are the serde names and must not change. `JobSpec` is also part of
+//! stored records, with the same names.
 
 use super::{amount, from_cbor, maybe_amount, Malformed};
 use serde::{Deserialize, Deserializer, Serialize};
@@ -8,10 +9,10 @@
 /// The largest number of tasks in a job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// Whether a job's tasks run to completion or until the job is cancelled.
+/// The shape of a job: whether its tasks run to completion or until the job is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
-    /// Independent tasks, each runs to completion.
+    /// Independent tasks, each of which runs to completion.
     #[serde(rename = "array")]
     Array,
     /// Replicas that run until the job is cancelled.
@@ -19,19 +20,19 @@
     Service,
 }
 
-/// Priority, lowest first, so that comparison follows it.
+/// The priority of a job. Variants are ordered from lowest to highest for the derived `Ord`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// Below all others.
+    /// The lowest priority.
     #[serde(rename = "low")]
     Low,
-    /// The usual one.
+    /// The usual priority.
     #[serde(rename = "standard")]
     Normal,
-    /// Above the usual one.
+    /// A priority above the usual one.
     #[serde(rename = "urgent")]
     High,
-    /// Above all others.
+    /// The highest priority.
     #[serde(rename = "production")]
     Production,
 }
@@ -42,33 +43,33 @@
     /// The id of the job, `run-` and digits.
     #[serde(rename = "ref")]
     pub id: String,
-    /// The class of the job, by which run times are estimated and objectives set.
+    /// The class of the job, for which run times are estimated and objectives are set.
     #[serde(rename = "jobclass")]
     pub class: String,
     /// The team that the job is charged to.
     #[serde(rename = "owner")]
     pub team: String,
-    /// Whether it is an array or a service.
+    /// The shape of the job.
     pub shape: Shape,
-    /// Its priority.
+    /// The priority of the job.
     #[serde(rename = "rank")]
     pub priority: Priority,
     /// The number of tasks.
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// CPUs of each task.
+    /// The number of CPUs of each task.
     #[serde(rename = "cores", deserialize_with = "amount")]
     pub cpus: f64,
-    /// GPUs of each task.
+    /// The number of GPUs of each task.
     #[serde(rename = "cards", deserialize_with = "amount")]
     pub gpus: f64,
     /// Memory of each task, in GB.
     #[serde(rename = "mem_gb", deserialize_with = "amount")]
     pub memory: f64,
-    /// The machine types that it may run on; `None` for all.
+    /// The machine types on which the job may run; `None` for all.
     #[serde(rename = "flavors", default)]
     pub types: Option<Vec<String>>,
-    /// The only zone that it may run in, if it names one.
+    /// The only zone in which the job may run; `None` for all.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
     /// Whether all tasks run in one zone.
@@ -77,25 +78,25 @@
     /// Whether at most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "apart")]
     pub spread: bool,
-    /// Whether it may run on spot machines.
+    /// Whether the job may run on spot machines.
     #[serde(rename = "reclaimable")]
     pub spot: bool,
-    /// The image of its tasks.
+    /// The image of the tasks.
     #[serde(rename = "bundle")]
     pub image: String,
     /// The size of the image, in GB.
     #[serde(rename = "size_gb", deserialize_with = "amount")]
     pub image_gb: f64,
-    /// How long a task is expected to run, in seconds.
+    /// The expected run time of a task, in seconds.
     #[serde(rename = "expected_s", deserialize_with = "amount")]
     pub estimate_s: f64,
     /// The interval of checkpoints, in seconds; 0 without checkpoints.
     #[serde(rename = "snapshot_every_s", deserialize_with = "amount")]
     pub checkpoint_s: f64,
-    /// How long saving a checkpoint takes, in seconds.
+    /// The time that saving a checkpoint takes, in seconds.
     #[serde(rename = "snapshot_cost_s", deserialize_with = "amount")]
     pub save_s: f64,
-    /// How long after its submission it should be done, in seconds.
+    /// The time after submission within which the job should be done, in seconds.
     #[serde(rename = "due_s", default, deserialize_with = "maybe_amount")]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts.
@@ -106,33 +107,35 @@
         skip_serializing_if = "Vec::is_empty"
     )]
     pub needs: Vec<String>,
-    /// In stored records only: the fields that an earlier release must not see. Users can't set it.
+    /// Fields that earlier releases must not read. Set only in stored records; ignored in
+    /// submissions.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub hidden_fields: Option<Box<HiddenFields>>,
 }
 
-/// What the stored record of a job with dependencies, or of one with a large description, has
-/// beside the fields of the description. A release without job dependencies ignores it: the fields
-/// that it reads allow no machine type, so that it starts nothing of the job.
+/// Additional fields in the stored record of a job with dependencies or with a large description.
+///
+/// A release without job dependencies ignores them. The fields that such a release reads allow no
+/// machine type, so that it starts no task of the job.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HiddenFields {
     /// The machine types of the description.
     #[serde(rename = "flavors", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// When the job was submitted, in milliseconds since 1970; 0 if it is not known.
+    /// The time of submission, in milliseconds since 1970; 0 if unknown.
     #[serde(rename = "at", default)]
     pub submitted_ms: u64,
-    /// The whole description, packed, if it is too large to be stored unpacked.
+    /// The whole description in compressed form, if it is too large to be stored uncompressed.
     #[serde(rename = "all", default, skip_serializing_if = "Option::is_none")]
     pub packed: Option<String>,
 }
 
-/// Reads a list that may be null.
+/// Deserializes a list that may be null, which is read as empty.
 fn maybe_list<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<String>, D::Error> {
     Ok(Option::<Vec<String>>::deserialize(input)?.unwrap_or_default())
 }
 
-/// Whether a text has the form of a job id: `run-` and then digits.
+/// Returns whether a text has the form of a job id: `run-` and then digits, at most 64 bytes.
 pub fn is_job_id(id: &str) -> bool {
     id.len() <= 64
         && id
@@ -145,8 +148,8 @@
     ///
     /// # Errors
     ///
-    /// [`Malformed`] if the body does not have the form of a submission, or names the first field
-    /// whose value is not valid.
+    /// Returns [`Malformed`] if the body does not have the form of a submission or a field's value
+    /// is not valid; the text then names the first such field.
     pub fn parse(body: &[u8]) -> Result<JobSpec, Malformed> {
         let mut spec: JobSpec = from_cbor(body)?;
         spec.hidden_fields = None;
@@ -172,7 +175,7 @@
             }
         }
         if spec.cpus == 0.0 && spec.gpus == 0.0 {
-            // Any number of tasks without CPUs and GPUs would fit on a machine.
+            // An unlimited number of tasks without CPUs and GPUs would fit on a machine.
             return bad("cores");
         }
         for (name, text) in [
@@ -197,15 +200,18 @@
         if !spec.needs.iter().all(|id| is_job_id(id)) {
             return bad("waits_on");
         }
-        // The same name twice counts once.
+        // A dependency that is listed twice counts once.
         spec.needs.sort();
         spec.needs.dedup();
         Ok(spec)
     }
 }
 
-/// The job's id in a submission that may be malformed otherwise, so that a job that was accepted
-/// before is never refused as malformed.
+/// Returns the job's id from a submission whose other fields may be malformed; `None` if it has no
+/// valid id.
+///
+/// With the id, a job that was accepted before can be found, so that a malformed repetition of its
+/// submission is not refused.
 pub fn id_in(body: &[u8]) -> Option<String> {
     #[derive(Deserialize)]
     struct Only {
@@ -214,25 +220,25 @@
     from_cbor::<Only>(body).ok().map(|o| o.r#ref).filter(|id| is_job_id(id))
 }
 
-/// A job's phase as users see it.
+/// The phase of a job as it is reported to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// No task runs.
+    /// The job is open and no task runs.
     #[serde(rename = "pending")]
     Pending,
-    /// Some task runs.
+    /// At least one task runs.
     #[serde(rename = "running")]
     Running,
     /// All tasks have completed.
     #[serde(rename = "done")]
     Done,
-    /// The job was cancelled, by its user or with a dependency.
+    /// The job was cancelled, by its user or because a dependency was cancelled.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
 
 impl Phase {
-    /// A final phase never changes again, so it may be cached.
+    /// Returns whether the phase is final. A final phase never changes, so it may be cached.
     pub fn is_final(self) -> bool {
         matches!(self, Phase::Done | Phase::Cancelled)
     }
@@ -244,19 +250,19 @@
     /// The id of the job.
     #[serde(rename = "ref")]
     pub id: String,
-    /// Its phase.
+    /// The phase of the job.
     pub phase: Phase,
-    /// The number of completed tasks, of an open job.
+    /// The number of completed tasks, if the job is open.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// The number of running tasks, of an open job.
+    /// The number of running tasks, if the job is open.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
 
-/// The body of a refusal.
+/// The body of the answer that refuses a request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// Why the request is refused.
+    /// The reason of the refusal.
     pub error: String,
 }
