--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -21,7 +21,7 @@
 /// A message between controllers.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum PeerMessage {
-    /// A periodic sign of life of the sender, sent about every half second.
+    /// The periodic liveness message of the sender, sent about every half second.
     Alive {
         /// The sender's name.
         node: String,
