--- a/src/coordination/api/acceptance.rs
+++ b/src/coordination/api/acceptance.rs
@@ -41,13 +41,13 @@
 
 impl JobApi {
     /// Applies changes of jobs' keys and of pages, in the order of their revisions.
-    fn learn_changes(&mut self, events: &[WatchEvent]) {
+    fn apply_changes(&mut self, events: &[WatchEvent]) {
         for event in events {
             let WatchEvent::Put { key, value, version } = event else {
                 continue;
             };
             if keys::parse_accepted(key).is_some() {
-                self.learn_page(key, value, *version, true);
+                self.apply_page(key, value, *version, true);
             } else if let Some(id) = key.strip_prefix(keys::JOBS) {
                 match from_value::<JobValue>(value) {
                     Some(job) => self.learn(id, *version, job.phase),
@@ -59,7 +59,7 @@
 
     /// Applies a page of acceptances. `new` means that the page was just written, so that none of
     /// its jobs had ended at its version.
-    pub(super) fn learn_page(&mut self, key: &str, value: &ciborium::Value, version: u64, new: bool) {
+    pub(super) fn apply_page(&mut self, key: &str, value: &ciborium::Value, version: u64, new: bool) {
         let Some((node, slot)) = keys::parse_accepted(key) else {
             return tracing::error!(key, "malformed key of a page of acceptances");
         };
@@ -76,19 +76,19 @@
         let jobs: Vec<String> = page.jobs.iter().map(|spec| spec.id.clone()).collect();
         if node == self.node {
             let known = &self.statuses;
-            let is_over = |id: &str| known.get(id).is_some_and(|k| k.phase.is_final());
-            self.group_commit.page_seen(slot, version, &jobs, is_over);
+            let has_ended = |id: &str| known.get(id).is_some_and(|k| k.phase.is_final());
+            self.group_commit.page_seen(slot, version, &jobs, has_ended);
         }
         for spec in page.jobs {
-            self.learn_accepted(spec, version, new);
+            self.apply_accepted_job(spec, version, new);
         }
     }
 
     /// Applies a job of a page that was written at this revision. `checked` means that the job had
     /// not ended at that revision and that this node will receive all later changes of its key.
-    fn learn_accepted(&mut self, spec: JobSpec, version: u64, checked: bool) {
+    fn apply_accepted_job(&mut self, spec: JobSpec, version: u64, checked: bool) {
         let (job, service) = (spec.id.clone(), spec.shape == Shape::Service);
-        self.learn_dependencies(spec, version);
+        self.add_to_dependency_graph(spec, version);
         if let Some(status) = self.statuses.get_mut(&job) {
             status.checked |= checked;
             status.service |= service;
@@ -107,7 +107,7 @@
             // The next compare shows whether the job has ended.
             self.awaiting_compare.entry(job.clone()).or_default();
         }
-        self.remember(
+        self.insert_status(
             job,
             JobStatus {
                 version: 0,
@@ -193,9 +193,9 @@
     /// had been sent are not covered by the commit and take their next step.
     fn on_page_committed(&mut self, context: &mut Context, number: u64, proof: &ReadProof) {
         let known = &self.statuses;
-        let is_over = |id: &str| known.get(id).is_some_and(|k| k.phase.is_final());
-        for (job, spec) in self.group_commit.committed(number, proof.revision, is_over) {
-            self.learn_accepted(*spec, proof.revision, true);
+        let has_ended = |id: &str| known.get(id).is_some_and(|k| k.phase.is_final());
+        for (job, spec) in self.group_commit.committed(number, proof.revision, has_ended) {
+            self.apply_accepted_job(*spec, proof.revision, true);
             let phase = self.statuses.get(&job).map_or(Phase::Pending, |k| k.phase);
             let phase = self.final_phase(&job).unwrap_or(phase);
             // Another node may have accepted the job earlier, and may have told a user since then
@@ -297,7 +297,7 @@
 
     /// Applies changes of jobs from a watch or a read.
     pub fn on_job_changes(&mut self, context: &mut Context, cluster: &ClusterConfig, events: &[WatchEvent]) {
-        self.learn_changes(events);
+        self.apply_changes(events);
         if !self.submissions.is_empty() {
             self.resolve_submissions(context, cluster);
         }
--- a/src/coordination/api/answers.rs
+++ b/src/coordination/api/answers.rs
@@ -71,7 +71,7 @@
             if failed.contains(&keys::job(&job)) {
                 self.on_key_differs(context, &job, requests);
             } else {
-                self.on_key_known(context, cluster, &job, version, requests, &proof);
+                self.on_key_checked(context, cluster, &job, version, requests, &proof);
             }
         }
     }
@@ -138,13 +138,13 @@
                     None => tracing::error!(job, "malformed job value"),
                 }
                 if let Some(known) = self.statuses.get(&job).copied() {
-                    self.on_key_known(context, cluster, &job, known.version, ids, &proof);
+                    self.on_key_checked(context, cluster, &job, known.version, ids, &proof);
                 }
             }
             StoreResponse::Missing { revision } => {
                 self.reads_in_flight.remove(&job);
                 let proof = ReadProof::new(ProofSource::KeyRead, covers, revision);
-                self.on_key_known(context, cluster, &job, 0, ids, &proof);
+                self.on_key_checked(context, cluster, &job, 0, ids, &proof);
             }
             _ => {
                 self.reads_in_flight.remove(&job);
@@ -161,7 +161,7 @@
     fn on_own_page(&mut self, context: &mut Context, cluster: &ClusterConfig, slot: u32, answer: StoreResponse) {
         // If the read fails, the next conflict on the page repeats it.
         if let StoreResponse::Row(row) = answer {
-            self.learn_page(&row.key, &row.value, row.version, true);
+            self.apply_page(&row.key, &row.value, row.version, true);
             self.resolve_submissions(context, cluster);
         }
         tracing::debug!(slot, "a page of this node had another version than expected");
@@ -177,7 +177,7 @@
         self.page_scan = match answer {
             StoreResponse::Rows(rows) => {
                 for row in &rows.items {
-                    self.learn_page(&row.key, &row.value, row.version, false);
+                    self.apply_page(&row.key, &row.value, row.version, false);
                 }
                 match rows.items.last() {
                     Some(last) if rows.more => PageScan::From(last.key.clone()),
@@ -227,13 +227,13 @@
                 self.answer(context, id, &job, Phase::Cancelled, 200, &proof);
             }
             StoreResponse::Conflict { .. } => self.send_read(context, &job, vec![id], Micros::ZERO),
-            _ => self.retry_request(context, cluster, id, &answer),
+            _ => self.retry_cancellation(context, cluster, id, &answer),
         }
     }
 
     /// Repeats a cancellation that was refused or not answered. A cancellation is conditional on
     /// the key's version, so that a second execution has no effect.
-    fn retry_request(&mut self, context: &mut Context, cluster: &ClusterConfig, id: u64, answer: &StoreResponse) {
+    fn retry_cancellation(&mut self, context: &mut Context, cluster: &ClusterConfig, id: u64, answer: &StoreResponse) {
         if matches!(answer, StoreResponse::Unknown) {
             return self.advance(context, cluster, id);
         }
@@ -248,7 +248,7 @@
 
     /// Advances these requests after a compare or read has shown the version of a job's own key (0
     /// if there is none). The job is that of the request or one of its dependencies.
-    fn on_key_known(
+    fn on_key_checked(
         &mut self,
         context: &mut Context,
         cluster: &ClusterConfig,
--- a/src/coordination/api/cancellations.rs
+++ b/src/coordination/api/cancellations.rs
@@ -2,7 +2,7 @@
 //!
 //! The leader requests them as attestations while the state service does not answer it.
 //!
-//! Invariant: every known cancellation with a version above `cancelled_forgotten_up_to` is kept.
+//! Invariant: every known cancellation with a version above `cancellations_dropped_up_to` is kept.
 
 use super::JobApi;
 
@@ -12,8 +12,8 @@
 impl JobApi {
     /// Records the cancellation of a job, written to its own key with this version, and drops the
     /// oldest cancellations if there are more than [`MAX_CANCELLATIONS`].
-    pub(super) fn remember_cancelled(&mut self, job: &str, version: u64) {
-        if version <= self.cancelled_forgotten_up_to || self.cancelled.contains(job) {
+    pub(super) fn record_cancellation(&mut self, job: &str, version: u64) {
+        if version <= self.cancellations_dropped_up_to || self.cancelled.contains(job) {
             return;
         }
         self.cancelled.insert(job.to_string());
@@ -25,7 +25,7 @@
             let Some((version, jobs)) = self.cancelled_by_version.pop_first() else {
                 break;
             };
-            self.cancelled_forgotten_up_to = version;
+            self.cancellations_dropped_up_to = version;
             for job in jobs {
                 self.cancelled.remove(&job);
             }
@@ -37,6 +37,6 @@
     pub fn cancelled_after(&self, revision: u64) -> Option<Vec<(String, u64)>> {
         let later = self.cancelled_by_version.range(revision + 1..);
         let named = later.flat_map(|(version, jobs)| jobs.iter().map(|job| (job.clone(), *version)));
-        (self.cancelled_forgotten_up_to <= revision).then(|| named.collect())
+        (self.cancellations_dropped_up_to <= revision).then(|| named.collect())
     }
 }
--- a/src/coordination/api/dependencies.rs
+++ b/src/coordination/api/dependencies.rs
@@ -51,7 +51,7 @@
     }
 
     /// Adds a job from a page of acceptances to the graph, if it has dependencies.
-    pub(super) fn learn_dependencies(&mut self, spec: JobSpec, version: u64) {
+    pub(super) fn add_to_dependency_graph(&mut self, spec: JobSpec, version: u64) {
         if spec.hidden_fields.is_none() || self.statuses.get(&spec.id).is_some_and(|k| k.phase.is_final()) {
             return;
         }
@@ -90,7 +90,7 @@
         let is_service = |n: &&String| self.statuses.get(*n).is_some_and(|k| k.service);
         let is_unknown = |n: &&String| !self.statuses.contains_key(*n);
         let refused = if spec.needs.iter().any(|n| is_service(&n)) {
-            Some(Refusal::NeedsService)
+            Some(Refusal::DependsOnService)
         } else if !spec.needs.iter().any(|n| is_unknown(&n)) {
             return true;
         } else if spec
@@ -102,7 +102,7 @@
             // All unknown dependencies had no key of their own. If a read of all changes that was
             // sent after the request had arrived shows no page with them either, they were never
             // accepted.
-            pending.changes_read.then_some(Refusal::NeedsUnknownJob)
+            pending.changes_read.then_some(Refusal::DependsOnUnknownJob)
         } else {
             for need in spec.needs.iter().filter(is_unknown) {
                 if !pending.missing_dependencies.contains(need) {
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -169,7 +169,7 @@
     /// The jobs in `cancelled`, by the version of their keys.
     cancelled_by_version: BTreeMap<u64, Vec<String>>,
     /// Cancellations up to this version may have been dropped.
-    cancelled_forgotten_up_to: u64,
+    cancellations_dropped_up_to: u64,
     /// User requests without an answer, by their id.
     pending: BTreeMap<u64, PendingRequest>,
     /// The number of the last user request that has arrived.
@@ -216,7 +216,7 @@
             next_dependency_read_at: Micros::ZERO,
             cancelled: BTreeSet::new(),
             cancelled_by_version: BTreeMap::new(),
-            cancelled_forgotten_up_to: 0,
+            cancellations_dropped_up_to: 0,
             pending: BTreeMap::new(),
             last_sequence: RequestSequence::default(),
             awaiting_compare: BTreeMap::new(),
@@ -248,7 +248,7 @@
     /// that are due. `seen` is the revision up to which all changes of jobs are known here; with
     /// `None` nothing is sent.
     pub fn tick(&mut self, context: &mut Context, cluster: &ClusterConfig, seen: Option<u64>) {
-        self.refuse_late(context);
+        self.refuse_timed_out(context);
         let Some(seen) = seen else { return };
         self.scan_pages(context);
         self.write_pages(context, cluster);
--- a/src/coordination/api/refusal.rs
+++ b/src/coordination/api/refusal.rs
@@ -23,11 +23,11 @@
     /// The submission names a team that is not configured.
     UnknownTeam,
     /// The job depends on itself.
-    NeedsItself,
+    DependsOnItself,
     /// The job depends on a service, which is never done.
-    NeedsService,
+    DependsOnService,
     /// The job depends on one that was never accepted.
-    NeedsUnknownJob,
+    DependsOnUnknownJob,
     /// The catalogue of machine types has not been read yet.
     CatalogueUnknown,
     /// The named controller runs a release without job dependencies.
@@ -49,9 +49,9 @@
             Refusal::Malformed(_) => 400,
             Refusal::NoSuchJob => 404,
             Refusal::UnknownTeam
-            | Refusal::NeedsItself
-            | Refusal::NeedsService
-            | Refusal::NeedsUnknownJob
+            | Refusal::DependsOnItself
+            | Refusal::DependsOnService
+            | Refusal::DependsOnUnknownJob
             | Refusal::OverTeamLimit
             | Refusal::NoFittingMachineType => 422,
             Refusal::NotDecidedInTime
@@ -83,9 +83,9 @@
             Refusal::Malformed(why) => why,
             Refusal::NoSuchJob => "no such job",
             Refusal::UnknownTeam => "unknown team",
-            Refusal::NeedsItself => "the job waits for itself",
-            Refusal::NeedsService => "a job waits for a service, which is never done",
-            Refusal::NeedsUnknownJob => "a job that it waits for was never accepted",
+            Refusal::DependsOnItself => "the job waits for itself",
+            Refusal::DependsOnService => "a job waits for a service, which is never done",
+            Refusal::DependsOnUnknownJob => "a job that it waits for was never accepted",
             Refusal::CatalogueUnknown => "the machine types are not known yet",
             Refusal::LaggingController(node) => return write!(f, "{node} has yet to get this version"),
             Refusal::OverTeamLimit => "over the team's limit",
--- a/src/coordination/api/request.rs
+++ b/src/coordination/api/request.rs
@@ -79,7 +79,7 @@
         return Some(Refusal::UnknownTeam);
     }
     if spec.needs.contains(&spec.id) {
-        return Some(Refusal::NeedsItself);
+        return Some(Refusal::DependsOnItself);
     }
     if cluster.catalogue.is_empty() {
         return Some(Refusal::CatalogueUnknown);
--- a/src/coordination/api/request_flow.rs
+++ b/src/coordination/api/request_flow.rs
@@ -116,16 +116,16 @@
     }
 
     /// Refuses requests that were not decided within their timeout.
-    pub(super) fn refuse_late(&mut self, context: &mut Context) {
-        let is_late = |pending: &&PendingRequest| {
+    pub(super) fn refuse_timed_out(&mut self, context: &mut Context) {
+        let has_timed_out = |pending: &&PendingRequest| {
             let timeout = match pending.kind {
                 RequestKind::Poll => POLL_TIMEOUT,
                 _ => SUBMIT_TIMEOUT,
             };
             context.now.since(pending.received_at) > timeout
         };
-        let late: Vec<u64> = self.pending.values().filter(is_late).map(|p| p.id).collect();
-        for id in late {
+        let timed_out: Vec<u64> = self.pending.values().filter(has_timed_out).map(|p| p.id).collect();
+        for id in timed_out {
             self.drop_request(id);
             self.refuse_unavailable(context, id, Refusal::NotDecidedInTime);
         }
--- a/src/coordination/api/status.rs
+++ b/src/coordination/api/status.rs
@@ -31,7 +31,7 @@
 impl JobApi {
     /// Stores the status of a job. If there are more than [`MAX_STATUSES`], drops those of the
     /// oldest jobs with a final phase.
-    pub(super) fn remember(&mut self, job: String, status: JobStatus) {
+    pub(super) fn insert_status(&mut self, job: String, status: JobStatus) {
         self.statuses.insert(job.clone(), status);
         self.status_order.push_back(job);
         let mut tries = self.status_order.len();
@@ -61,10 +61,10 @@
         match self.statuses.get_mut(job) {
             Some(status) if status.version >= version => {}
             Some(status) => *status = new,
-            None => self.remember(job.to_string(), new),
+            None => self.insert_status(job.to_string(), new),
         }
         if phase == Phase::Cancelled {
-            self.remember_cancelled(job, version);
+            self.record_cancellation(job, version);
         }
         if phase.is_final() {
             self.counts.remove(job);
--- a/src/protocol/agents.rs
+++ b/src/protocol/agents.rs
@@ -4,7 +4,7 @@
 //! Agents use CBOR with the serde names. Controllers exchange some of these types with bitcode,
 //! which encodes fields and variants by position: their order must not change.
 
-use super::maybe_amount;
+use super::optional_amount;
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
@@ -98,7 +98,7 @@
     #[serde(rename = "fence")]
     pub fencing_token: u64,
     /// The time in seconds until the cloud reclaims the machine, if it has given notice.
-    #[serde(rename = "warning_s", default, deserialize_with = "maybe_amount")]
+    #[serde(rename = "warning_s", default, deserialize_with = "optional_amount")]
     pub notice_s: Option<f64>,
     /// The attempts that the agent lists, including exited ones that it was not yet ordered to
     /// forget.
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -101,6 +101,6 @@
 /// # Errors
 ///
 /// Fails for any value that is neither a number nor null.
-pub fn maybe_amount<'de, D: Deserializer<'de>>(input: D) -> Result<Option<f64>, D::Error> {
+pub fn optional_amount<'de, D: Deserializer<'de>>(input: D) -> Result<Option<f64>, D::Error> {
     Ok(Option::<Amount>::deserialize(input)?.map(|Amount(value)| value))
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -3,7 +3,7 @@
 //! Field names on the wire are the serde names and must not change. `JobSpec` is also part of
 //! stored records, with the same names.
 
-use super::{amount, from_cbor, maybe_amount, Malformed};
+use super::{amount, from_cbor, optional_amount, Malformed};
 use serde::{Deserialize, Deserializer, Serialize};
 
 /// The largest number of tasks in a job.
@@ -97,13 +97,13 @@
     #[serde(rename = "snapshot_cost_s", deserialize_with = "amount")]
     pub save_s: f64,
     /// The time after submission within which the job should be done, in seconds.
-    #[serde(rename = "due_s", default, deserialize_with = "maybe_amount")]
+    #[serde(rename = "due_s", default, deserialize_with = "optional_amount")]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts.
     #[serde(
         rename = "waits_on",
         default,
-        deserialize_with = "maybe_list",
+        deserialize_with = "optional_list",
         skip_serializing_if = "Vec::is_empty"
     )]
     pub needs: Vec<String>,
@@ -131,7 +131,7 @@
 }
 
 /// Deserializes a list that may be null, which is read as empty.
-fn maybe_list<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<String>, D::Error> {
+fn optional_list<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<String>, D::Error> {
     Ok(Option::<Vec<String>>::deserialize(input)?.unwrap_or_default())
 }
 
@@ -153,12 +153,12 @@
     pub fn parse(body: &[u8]) -> Result<JobSpec, Malformed> {
         let mut spec: JobSpec = from_cbor(body)?;
         spec.hidden_fields = None;
-        let bad = |what: &str| Err(Malformed(format!("field {what} is not valid")));
+        let invalid = |what: &str| Err(Malformed(format!("field {what} is not valid")));
         if !is_job_id(&spec.id) {
-            return bad("ref");
+            return invalid("ref");
         }
         if spec.tasks == 0 || spec.tasks > MAX_TASKS {
-            return bad("pieces");
+            return invalid("pieces");
         }
         for (name, value) in [
             ("cores", spec.cpus),
@@ -171,12 +171,12 @@
             ("due_s", spec.deadline_s.unwrap_or(0.0)),
         ] {
             if !value.is_finite() || value < 0.0 {
-                return bad(name);
+                return invalid(name);
             }
         }
         if spec.cpus == 0.0 && spec.gpus == 0.0 {
             // An unlimited number of tasks without CPUs and GPUs would fit on a machine.
-            return bad("cores");
+            return invalid("cores");
         }
         for (name, text) in [
             ("jobclass", &spec.class),
@@ -184,7 +184,7 @@
             ("bundle", &spec.image),
         ] {
             if text.is_empty() || text.len() > 200 {
-                return bad(name);
+                return invalid(name);
             }
         }
         if spec
@@ -192,13 +192,13 @@
             .as_ref()
             .is_some_and(|t| t.len() > 64 || t.iter().any(|t| t.len() > 100))
         {
-            return bad("flavors");
+            return invalid("flavors");
         }
         if spec.zone.as_ref().is_some_and(|z| z.len() > 100) {
-            return bad("yard");
+            return invalid("yard");
         }
         if !spec.needs.iter().all(|id| is_job_id(id)) {
-            return bad("waits_on");
+            return invalid("waits_on");
         }
         // A dependency that is listed twice counts once.
         spec.needs.sort();
@@ -214,10 +214,13 @@
 /// submission is not refused.
 pub fn id_in(body: &[u8]) -> Option<String> {
     #[derive(Deserialize)]
-    struct Only {
+    struct IdOnly {
         r#ref: String,
     }
-    from_cbor::<Only>(body).ok().map(|o| o.r#ref).filter(|id| is_job_id(id))
+    from_cbor::<IdOnly>(body)
+        .ok()
+        .map(|o| o.r#ref)
+        .filter(|id| is_job_id(id))
 }
 
 /// The phase of a job as it is reported to users.
