--- a/src/coordination/api/acceptance.rs
+++ b/src/coordination/api/acceptance.rs
@@ -198,8 +198,8 @@
             self.apply_accepted_job(*spec, proof.revision, true);
             let phase = self.statuses.get(&job).map_or(Phase::Pending, |k| k.phase);
             let phase = self.final_phase(&job).unwrap_or(phase);
-            // Another node may have accepted the job earlier, and may have told a user since then
-            // that the job was cancelled with a dependency. A read of all changes shows this.
+            // Another node may have accepted the job earlier, and may have answered a user since
+            // then that the job was cancelled with a dependency. A read of all changes shows this.
             let waits = !phase.is_final() && self.waits_for_dependencies(&job);
             for id in self.submissions.remove(&job).unwrap_or_default() {
                 if waits {
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -73,7 +73,7 @@
         covers: RequestSequence,
         /// The job.
         job: String,
-        /// The requests that wait for it.
+        /// The user requests that wait for the read.
         requests: Vec<u64>,
     },
     /// The write of a page of acceptances of this node.
@@ -93,7 +93,7 @@
     ReadJobChanges {
         /// The last request that the answer may decide.
         covers: RequestSequence,
-        /// The requests that wait for it.
+        /// The user requests that wait for the read.
         requests: Vec<u64>,
     },
     /// The cancellation for the user request with this id.
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -25,7 +25,7 @@
     Alive {
         /// The sender's name.
         node: String,
-        /// The term that the sender knows.
+        /// The current term, as known to the sender.
         term: u64,
         /// Whether the sender has recently verified its copy of the state service's data.
         fresh: bool,
@@ -102,7 +102,7 @@
         id: u64,
         /// The sender's monotonic clock, as in `Alive`.
         at: u64,
-        /// The term that the sender knows.
+        /// The current term, as known to the sender.
         term: u64,
         /// The time for which the sender waits for the answer, in milliseconds.
         timeout_ms: u32,
@@ -153,7 +153,7 @@
         node: String,
         /// The receiver's number for the round.
         round: u64,
-        /// The term that the sender knows.
+        /// The current term, as known to the sender.
         term: u64,
         /// The cancelled jobs, with the versions of their keys.
         cancelled: Vec<(String, u64)>,
