--- a/src/coordination/agents/mod.rs
+++ b/src/coordination/agents/mod.rs
@@ -1,13 +1,13 @@
-//! Agents on the machines: their heartbeats, the commands that they get, and how a controller that
-//! does not lead answers an agent that can't reach the leader.
+//! Communication with the agents on the machines: their heartbeats, the commands to them, and the
+//! responses of a controller that is not the leader while the leader can't be reached.
 //!
-//! Every controller receives heartbeats; the leader decides what an agent is commanded.
+//! Every controller receives heartbeats; only the leader decides which commands an agent is sent.
 //!
-//! - `heartbeats`: the path of a heartbeat to the leader and of the response back;
-//! - `heartbeat_proxy`: heartbeats that are answered without the leader;
-//! - `heartbeat_status`: what a heartbeat says of the leader's records;
-//! - `outbox`: the reasons to command a machine, and the commands that follow from them;
-//! - `push`: commands that are sent outside of responses to heartbeats;
+//! - `heartbeats`: forwards heartbeats to the leader and returns the responses;
+//! - `heartbeat_proxy`: answers heartbeats without the leader;
+//! - `heartbeat_status`: applies heartbeats to the leader's state;
+//! - `outbox`: the reasons to send a machine commands, and the commands built from them;
+//! - `push`: sends commands outside of heartbeat responses;
 //! - `machines`: periodic checks of machines without heartbeats.
 //!
 //! Invariant: a start is sent only for a recorded placement, which notes the highest fencing token
@@ -28,22 +28,25 @@
 pub use push::SentPush;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the leader sends to agents outside of answers to their heartbeats, and what it waits for.
+/// The leader's state for sending commands to agents outside of heartbeat responses.
 pub struct AgentChannels {
     /// Machines whose outbox is not empty.
     pub(super) outboxes: BTreeSet<MachineId>,
-    /// Pushed commands without an answer so far, by request number.
+    /// Pushes that have not been answered yet, by request number.
     pub(super) pushes_in_flight: BTreeMap<u64, SentPush>,
-    /// Heartbeats that came as answers to pushed commands and are not processed yet.
+    /// Heartbeats received as answers to pushes and not yet processed.
     push_heartbeats: Vec<Heartbeat>,
+    /// When the periodic checks of machines run next.
     next_check: Micros,
+    /// When the lists of proxied machines may be read next.
     next_proxied_read: Micros,
-    /// Versions of the lists of machines that other controllers proxy, as last read.
+    /// The versions, as last read, of the lists in which other controllers publish the machines
+    /// that they proxy, by key.
     pub(super) proxied_versions: BTreeMap<String, u64>,
 }
 
 impl AgentChannels {
-    /// A leader that has sent nothing yet.
+    /// Creates the state of a leader that has sent nothing yet.
     pub fn new(now: Micros) -> AgentChannels {
         AgentChannels {
             outboxes: BTreeSet::new(),
@@ -56,8 +59,9 @@
     }
 }
 
-/// Splits a task's name into its job and number; `None` if it is malformed. A number with leading
-/// zeros or a sign is malformed: it would be a second name of the same task.
+/// Splits a task's name into its job and its number; returns `None` if the name is malformed.
+///
+/// A number with leading zeros or a sign is malformed, because it would give one task two names.
 pub fn parse_task(task: &str) -> Option<(&str, u32)> {
     let (job, digits) = task.rsplit_once('/')?;
     let plain = digits.bytes().all(|b| b.is_ascii_digit()) && (digits == "0" || !digits.starts_with('0'));
--- a/src/coordination/agents/outbox.rs
+++ b/src/coordination/agents/outbox.rs
@@ -1,14 +1,16 @@
-//! The outbox of each machine: the reasons to command its agent, and the commands that follow.
+//! The outbox of each machine: the reasons to send its agent commands, and the commands built from
+//! them.
 //!
-//! Commands are not queued. What is queued is the reason: the record of a task that is to start or
-//! to stop, or an attempt that has ended and may be forgotten. Commands are built from the present
-//! records when a message is sent, as a push or as the response to a heartbeat. If the reason no
-//! longer holds then (the record was freed, the task was stopped, its job has ended, the agent has a
-//! new incarnation, or the machine is being released), there is no command.
+//! The outbox queues reasons instead of commands: the record of a task that is to be started or
+//! stopped, or an attempt that has ended and that the agent may forget. Commands are built from the
+//! current records when a message is sent, as a push or as the response to a heartbeat. No command
+//! is built if the reason no longer holds (the record was freed, the task was stopped, its job has
+//! ended, the agent has a new incarnation, or the machine is being released).
 //!
-//! Invariant: a record's `fencing_token` is the highest token under which any start of it was sent,
-//! because it is noted when the start is built. So a heartbeat with a higher token that does not
-//! list the task proves that no start of it can be executed any more.
+//! Invariant: a record's `fencing_token` is the highest token under which any start of the record
+//! was sent, because the token is recorded when the start is built. A heartbeat with a higher token
+//! that does not list the task therefore proves that no start of the record can be executed any
+//! more.
 
 use super::parse_task;
 use super::push::SentPush;
@@ -23,13 +25,13 @@
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What commands are built with when a message is sent.
+/// The inputs for building the commands of one message.
 pub struct SendContext<'a> {
     /// The fencing token of the message.
     pub fencing_token: u64,
-    /// The job API, which may know of cancellations that the records don't show yet.
+    /// The job API, which may have cancellations that the leader's records don't show yet.
     pub api: &'a JobApi,
-    /// The present time.
+    /// The current time.
     pub now: Micros,
 }
 
@@ -51,36 +53,36 @@
     pub number: u64,
 }
 
-/// Reasons to command an agent. Whether a command follows is decided when a message is sent.
+/// Reasons to send an agent commands; whether a command is built is decided when a message is sent.
 #[derive(Clone, Debug, Default)]
 pub struct CommandReasons {
-    /// Tasks that were asked to stop.
+    /// Tasks for which a stop was requested.
     pub stops: BTreeSet<TaskRef>,
-    /// Attempts that a heartbeat lists without a record, which are to be stopped.
+    /// Attempts to be stopped because a heartbeat lists them and they have no record.
     pub orphaned_attempts: BTreeSet<Attempt>,
     /// Tasks whose start is recorded and may have to be sent.
     pub starts: BTreeSet<TaskRef>,
-    /// Attempts that have ended, which the agent may forget.
+    /// Attempts that have ended and that the agent may forget.
     pub forgets: BTreeSet<Attempt>,
-    /// Whether a heartbeat under the present fencing token is wanted even if there is no command: it
-    /// proves which records of earlier leaders are void.
+    /// Whether a heartbeat under the current fencing token is wanted even if there is no command.
+    /// Such a heartbeat proves which records of earlier leaders are void.
     pub wants_heartbeat: bool,
 }
 
 impl CommandReasons {
-    /// Whether there is no reason at all.
+    /// Returns whether there are no reasons.
     pub fn is_empty(&self) -> bool {
         let no_commands = self.stops.is_empty() && self.orphaned_attempts.is_empty();
         no_commands && self.starts.is_empty() && self.forgets.is_empty() && !self.wants_heartbeat
     }
 }
 
-/// Whether a job is known to be cancelled.
+/// Returns whether a job is known to be cancelled.
 fn is_cancelled(api: &JobApi, job: &str) -> bool {
     api.phase(job) == Some(Phase::Cancelled)
 }
 
-/// Whether a command starts a task of a job that is known to be cancelled.
+/// Returns whether a command starts a task of a job that is known to be cancelled.
 pub(super) fn starts_cancelled(api: &JobApi, command: &AgentCommand) -> bool {
     match command {
         AgentCommand::Start { task, .. } => parse_task(task).is_some_and(|(job, _)| is_cancelled(api, job)),
@@ -88,39 +90,42 @@
     }
 }
 
-/// The reasons to command one machine's agent, and the starts that may be in flight to it.
+/// The reasons to send one machine's agent commands, and the starts that may be in flight to it.
 #[derive(Debug, Default)]
 pub struct Outbox {
     /// Reasons for the next push.
     pub reasons: CommandReasons,
-    /// The push that has not been answered yet.
+    /// The request number of the push that has not been answered yet.
     pub in_flight: Option<u64>,
-    /// Starts whose push was not answered, and the fencing token of the push.
+    /// Starts whose push was not answered, with the fencing token of the push.
     unanswered: BTreeMap<Attempt, u64>,
-    /// Starts in the response to the last heartbeat: the response may be in flight until the next
-    /// heartbeat, which the agent sends when it has arrived or was given up.
+    /// Starts in the response to the last heartbeat. The response may be in flight until the next
+    /// heartbeat, which the agent sends once the response has arrived or the agent has stopped
+    /// waiting for it.
     in_response: BTreeSet<Attempt>,
 }
 
 impl Outbox {
-    /// Handles a new incarnation of the agent, which has no tasks and refuses commands for an earlier
-    /// one.
+    /// Drops all reasons and unanswered starts, because the agent has a new incarnation, which has
+    /// no tasks and refuses commands to an earlier one.
     pub fn on_new_incarnation(&mut self) {
         self.reasons = CommandReasons::default();
         self.unanswered.clear();
     }
 
-    /// Handles that the agent refuses every message with a lower fencing token than this one.
+    /// Drops unanswered starts with a lower fencing token than this one, because the agent now
+    /// refuses them.
     pub fn drop_starts_below(&mut self, fencing_token: u64) {
         self.unanswered.retain(|_, sent_under| *sent_under >= fencing_token);
     }
 
-    /// Handles the agent's next heartbeat: the response to the last one has arrived or never will.
+    /// Handles the agent's next heartbeat: the response to the last one has arrived or never will
+    /// arrive.
     pub fn on_next_heartbeat(&mut self) {
         self.in_response.clear();
     }
 
-    /// Notes the starts of a push that was not answered: they may be executed at any time.
+    /// Records the starts of a push that was not answered, which may be executed at any time.
     pub fn mark_unanswered(&mut self, commands: &[AgentCommand], fencing_token: u64) {
         for command in commands {
             if let AgentCommand::Start { task, attempt } = command {
@@ -133,7 +138,7 @@
         }
     }
 
-    /// Whether a start of this attempt was sent and may not have arrived yet.
+    /// Returns whether a start of this attempt was sent and may not have arrived yet.
     fn start_may_arrive(&self, attempt: &Attempt, pushes_in_flight: &BTreeMap<u64, SentPush>) -> bool {
         let starts_it = |command: &AgentCommand| match command {
             AgentCommand::Start { task, attempt: number } => *task == attempt.task && *number == attempt.number,
@@ -146,7 +151,8 @@
 }
 
 impl Machine {
-    /// Whether it is not being released: nothing starts on a machine that is.
+    /// Returns whether the machine is not being released. No task is started on a machine that is
+    /// being released.
     fn is_staying(&self) -> bool {
         self.state != MachineState::Releasing && self.release_requested_at.is_none()
     }
@@ -167,7 +173,7 @@
         });
     }
 
-    /// Queues the request of a heartbeat under the present fencing token.
+    /// Queues a request for a heartbeat under the current fencing token.
     fn request_heartbeat(&mut self, name: &MachineId) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.outbox.reasons.wants_heartbeat = true;
@@ -175,7 +181,7 @@
         }
     }
 
-    /// Adds a reason for the machine of a placement, if there is one.
+    /// Adds a reason to the outbox of a task's machine, if the task has a placement.
     fn queue(&mut self, id: &JobId, task: u32, add: impl FnOnce(&mut CommandReasons, TaskRef)) {
         let placement = self.jobs.get(id).and_then(|job| job.placements.get(&task));
         let Some(name) = placement.map(|p| p.machine.clone()) else {
@@ -189,7 +195,8 @@
         self.agents.outboxes.insert(name);
     }
 
-    /// The commands in the response to a machine's heartbeat, which gives these reasons.
+    /// Builds the commands for the response to a machine's heartbeat from the reasons that the
+    /// heartbeat gave.
     pub fn commands_in_response(
         &mut self,
         name: &MachineId,
@@ -220,8 +227,8 @@
         commands
     }
 
-    /// Builds commands from the present records; reasons for which there is no space in one message
-    /// stay.
+    /// Builds commands from the current records, up to the limit of one message. The remaining
+    /// reasons stay in `reasons`.
     pub(super) fn build_commands(
         &mut self,
         name: &MachineId,
@@ -252,10 +259,11 @@
         commands
     }
 
-    /// The start of a task, if its record is still wanted. The record notes the fencing token.
+    /// Builds the start of a task, if it is still wanted, and stores the fencing token in the
+    /// record.
     fn start_command(&mut self, name: &MachineId, task: &TaskRef, send: &SendContext) -> Option<AgentCommand> {
         if is_cancelled(send.api, &task.job) {
-            // The change of the job's key will soon free or stop its placements.
+            // The pending change of the job's key will free or stop its placements.
             return None;
         }
         let machine = self.machines.get(name)?;
@@ -269,8 +277,8 @@
         }
         if !is_wanted || placement.stop_grace_s.is_some() {
             if !placement.sent {
-                // Only this leadership could have sent the start, and it has not: the record is
-                // void without a heartbeat that proves it.
+                // Only the current leadership could have sent the start, and it has not, so the
+                // record is void without proof by a heartbeat.
                 self.free(&task.job, task.task, VoidProof::NeverSent, send.now);
             }
             return None;
@@ -300,7 +308,7 @@
         })
     }
 
-    /// The stop of a task that is to be stopped and may be on this machine.
+    /// Builds the stop of a task that is to be stopped and may be on this machine.
     fn stop_command(&self, name: &MachineId, task: &TaskRef) -> Option<AgentCommand> {
         let placement = self.jobs.get(&task.job)?.placements.get(&task.task)?;
         let may_run = matches!(placement.phase, PlacementPhase::Sent | PlacementPhase::Seen(_)) && placement.sent;
@@ -322,19 +330,19 @@
         })
     }
 
-    /// The stop of an attempt without a record.
+    /// Builds the stop of an attempt, unless the attempt has a record.
     fn stop_orphan(&self, name: &MachineId, attempt: Attempt) -> Option<AgentCommand> {
         if self.has_record(name, &attempt) {
             return None;
         }
-        // The attempt counts towards its team's limit until the machine lists it no more. If it
-        // was started under the present token, its record was freed too early.
+        // The attempt counts towards its team's limit until the machine no longer lists it. If it
+        // was started under the current token, its record was freed too early.
         tracing::debug!(
             machine = %name,
             task = attempt.task,
             attempt = attempt.number,
             term = self.term,
-            "stop sent: the attempt has no record"
+            "stop sent for an attempt without a record"
         );
         Some(AgentCommand::Stop {
             task: attempt.task,
@@ -343,8 +351,8 @@
         })
     }
 
-    /// The command to forget an attempt that has ended, unless its outcome has yet to be recorded, or
-    /// a start of it may still be in flight, which would run the task again.
+    /// Builds the command to forget an attempt that has ended, unless its outcome is not recorded
+    /// yet or a start of it may still be in flight, which would run the task again.
     fn forget_command(&self, name: &MachineId, attempt: Attempt) -> Option<AgentCommand> {
         let machine = self.machines.get(name)?;
         if self.has_record(name, &attempt) || machine.outbox.start_may_arrive(&attempt, &self.agents.pushes_in_flight) {
@@ -356,7 +364,8 @@
         })
     }
 
-    /// Whether this attempt has a record on this machine in its present incarnation.
+    /// Returns whether this attempt has a record on this machine in the current incarnation of the
+    /// agent.
     pub(super) fn has_record(&self, name: &MachineId, attempt: &Attempt) -> bool {
         let Some((job, task)) = parse_task(&attempt.task) else {
             return false;
