--- a/src/coordination/agents/machines.rs
+++ b/src/coordination/agents/machines.rs
@@ -1,5 +1,5 @@
-//! Periodic checks of the leader that no heartbeat triggers: machines without heartbeats, pushes
-//! without answers, zones, stragglers and accounting.
+//! The leader's periodic checks, which run independently of heartbeats: silent machines,
+//! unanswered pushes, zones, stragglers and accounting.
 
 use super::heartbeat_proxy::PUBLISH_INTERVAL;
 use super::push::{SentPush, RELAY_TIMEOUT};
@@ -15,12 +15,12 @@
 const CHECK_INTERVAL: Micros = Micros::from_millis(500);
 /// Pause between two searches for stragglers.
 const STRAGGLER_INTERVAL: Micros = Micros::from_millis(1000);
-/// How long the answer to the read of the lists of proxied machines is awaited.
+/// Timeout of the read of the lists of proxied machines.
 const PROXIED_READ_TIMEOUT: Micros = Micros::from_millis(700);
 
 impl LeaderState {
-    /// Runs the checks that are due. `sure`: whether this node's lease can't have ended, so that it
-    /// may release machines.
+    /// Runs the checks that are due. `sure` says whether this node's lease can't have ended; only
+    /// then are machines released.
     pub fn run_machine_checks(&mut self, context: &mut Context, cluster: &ClusterConfig, sure: bool) {
         let now = context.now;
         self.take_push_heartbeats(cluster, now);
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Gives up pushes that another controller was to relay and has not answered.
+    /// Handles relayed pushes without an answer within [`RELAY_TIMEOUT`] as pushes with an unknown
+    /// outcome.
     fn expire_relayed_pushes(&mut self, now: Micros) {
         let is_late = |push: &SentPush| push.relayed && now.since(push.sent_at) > RELAY_TIMEOUT;
         let late: Vec<u64> = self
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Reads which machines other controllers proxy, while some machine or zone is silent here.
+    /// Reads the lists of machines that other controllers proxy, while this node receives no
+    /// heartbeats from some machine or zone.
     fn read_proxied_machines(&mut self, context: &mut Context, cluster: &ClusterConfig) {
         let now = context.now;
         let max_silence = Self::work_silence(cluster);
--- a/src/coordination/agents/push.rs
+++ b/src/coordination/agents/push.rs
@@ -1,8 +1,8 @@
 //! Pushes: commands that the leader sends to agents outside of responses to heartbeats.
 //!
-//! There is at most one push in flight to each machine. It is relayed by the controller that the
-//! agent reports to, if that can be reached. An unanswered push may be executed at any time, which
-//! the machine's outbox remembers.
+//! At most one push is in flight to each machine. It is relayed by the controller to which the
+//! agent reports, if that controller can be reached. An unanswered push may be executed at any
+//! time, so its starts are recorded in the machine's outbox.
 
 use super::outbox::{Attempt, SendContext};
 use crate::coordination::api::JobApi;
@@ -13,29 +13,30 @@
 use crate::protocol::peer::PeerMessage;
 use crate::time::Micros;
 
-/// The outcome of a push without an answer for this long is unknown.
+/// How long a push may go unanswered before its outcome counts as unknown.
 pub(super) const PUSH_TIMEOUT: Micros = Micros::from_millis(1500);
-/// The same of a push that another controller relays.
+/// The same for a push that another controller relays.
 pub(super) const RELAY_TIMEOUT: Micros = Micros::from_millis(2600);
 
 /// A push in flight.
 pub struct SentPush {
     /// The machine of the agent.
     pub machine: MachineId,
-    /// The commands that it carries.
+    /// The commands in the push.
     pub commands: Vec<AgentCommand>,
-    /// The fencing token that it carries.
+    /// The fencing token of the push.
     pub fencing_token: u64,
-    /// Whether another controller relays it.
+    /// Whether another controller relays the push.
     pub relayed: bool,
-    /// When it was sent.
+    /// When the push was sent.
     pub sent_at: Micros,
 }
 
 impl LeaderState {
-    /// Sends a push to each machine whose outbox has a reason and no push in flight. It is relayed
-    /// by the controller that the agent reports to, if `reached` says that this can be reached:
-    /// that one reaches the machine even if this node does not.
+    /// Sends a push to each machine whose outbox has a reason and no push in flight.
+    ///
+    /// The push is relayed by the controller to which the agent reports if `reached` returns true
+    /// for that controller, because that controller reaches the machine even if this node does not.
     pub fn flush_outboxes(
         &mut self,
         context: &mut Context,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Sends the next push to one machine, if there is a reason for a command.
+    /// Sends the next push to one machine, if a command or a heartbeat is due.
     fn flush_outbox(
         &mut self,
         context: &mut Context,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Applies the heartbeats that came as answers to pushes.
+    /// Applies the heartbeats that were received as answers to pushes.
     pub(super) fn take_push_heartbeats(&mut self, cluster: &ClusterConfig, now: Micros) {
         for heartbeat in std::mem::take(&mut self.agents.push_heartbeats) {
             let name: MachineId = heartbeat.machine.as_str().into();
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Queues the commands to forget attempts that have ended. Starts and stops are repeated with
-    /// the response to the machine's next heartbeat if necessary.
+    /// Queues the attempts that have exited, so that the agent is commanded to forget them. Starts
+    /// and stops are repeated in the response to the machine's next heartbeat if necessary.
     fn queue_forgets(&mut self, name: &MachineId, heartbeat: &Heartbeat) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -140,7 +141,8 @@
     }
 }
 
-/// Sends commands to a machine, directly or relayed by another controller.
+/// Sends commands to a machine, directly or through the controller `relay`; returns the request
+/// number and the push.
 fn send(
     context: &mut Context,
     election: &Election,
