--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -1,7 +1,8 @@
-//! The path of a heartbeat: from the agent to any controller, from there to the leader, and the
-//! response back; and the last heartbeats that a new leader requests from all controllers.
+//! The path of a heartbeat from the agent through any controller to the leader, and of the response
+//! back to the agent.
 //!
-//! An agent is redirected to another controller if this one has far more agents or is cut off.
+//! A new leader also requests the last heartbeats from all other controllers. An agent is
+//! redirected to another controller if this one serves far more agents or is cut off.
 
 use super::heartbeat_proxy::{
     answer_without_leader, Forwarded, HeartbeatNumber, LeaseRenewer, ReceivedHeartbeat, SentRedirect,
@@ -20,23 +21,23 @@
 use crate::time::Micros;
 use glenhaven_connectivity::{Host, LinkState};
 
-/// The most heartbeats that wait until a new leader can answer them.
+/// The maximum number of heartbeats that are queued until a new leader can answer them.
 const MAX_EARLY_HEARTBEATS: usize = 4000;
-/// Heartbeats in one message to a new leader, well under the limit of a frame.
+/// The number of heartbeats in one message to a new leader, well under the size limit of a frame.
 const HEARTBEATS_PER_MESSAGE: usize = 30;
-/// A controller redirects new agents to the peer with the fewest if it has this many more than four
-/// thirds of those.
+/// A controller redirects new agents to the peer with the fewest agents if its own number of agents
+/// exceeds four thirds of the peer's by more than this.
 const MIN_IMBALANCE: u32 = 16;
-/// The share of its agents that an isolated controller redirects in a second.
+/// The share of its agents that an isolated controller redirects per second.
 const REDIRECTED_SHARE_PER_S: f64 = 0.25;
 
 impl Controller {
-    /// Whether messages to this node arrive and its messages arrive here, directly or relayed.
+    /// Returns whether messages from this node to `node` and back arrive, directly or relayed.
     fn reaches_node(&self, node: &str) -> bool {
         self.forwarder.reaches(node, self.context.now)
     }
 
-    /// A peer with far fewer agents, for an agent whose first heartbeat comes here.
+    /// Returns a peer that serves far fewer agents, if the agent has not reported here recently.
     fn less_loaded_peer(&mut self, machine: &str) -> Option<String> {
         let now = self.context.now;
         let known = self.heartbeat_proxy.last_heartbeats.get(machine);
@@ -56,17 +57,18 @@
             .filter(|(name, p)| {
                 p.store_is_current && self.reaches_node(name) && !self.heartbeat_proxy.unreachable.contains_key(*name)
             })
-            // A process that keeps ending has few agents after each start.
+            // A process that restarts repeatedly has few agents after each start.
             .filter(|(_, p)| now.since(p.known_since) > timing::CONTROLLER_SETTLED)
             .map(|(name, p)| (name.clone(), p.reporting_agents))
             .min_by_key(|(_, serves)| *serves)?;
         (own > least + least / 3 + MIN_IMBALANCE).then_some(node)
     }
 
-    /// A peer in this zone for an agent, if this node is isolated: it exchanges messages with no
-    /// other controller, not even in its own zone. Then most likely its own links fail and the
-    /// agent reaches the peer. Agents are redirected a few at a time, because each loses some of
-    /// its lease if that is wrong.
+    /// Returns a peer in this zone to redirect an agent to, if this node is isolated.
+    ///
+    /// An isolated node exchanges messages with no other controller, not even in its own zone. Most
+    /// likely its own links have failed and the agent can reach the peer. Agents are redirected a
+    /// few at a time, because each of them loses part of its lease if the peer can't be reached.
     fn better_connected_peer(&mut self, machine: &str) -> Option<String> {
         let now = self.context.now;
         let link_table = &self.forwarder.link_table;
@@ -97,7 +99,7 @@
         Some(node)
     }
 
-    /// Answers a heartbeat by a redirect to another controller.
+    /// Answers a heartbeat with a redirect to another controller.
     fn redirect(&mut self, id: u64, machine: &str, to: String) {
         let redirect = SentRedirect {
             at: self.context.now,
@@ -109,8 +111,10 @@
         self.context.reply(id, 421, body, None);
     }
 
-    /// Receives a heartbeat of an agent. Every controller receives them, so that none needs a
-    /// connection to each agent, and forwards them to the leader.
+    /// Handles a heartbeat of an agent.
+    ///
+    /// Every controller receives heartbeats and forwards them to the leader, so that no controller
+    /// needs a connection to every agent.
     pub(in crate::coordination) fn on_heartbeat(&mut self, id: u64, heartbeat: Heartbeat) {
         let now = self.context.now;
         if let Some(received) = self.heartbeat_proxy.last_heartbeats.get(&heartbeat.machine) {
@@ -121,11 +125,11 @@
                         machine = heartbeat.machine,
                         incarnation = heartbeat.incarnation,
                         last = last.incarnation,
-                        "a heartbeat of an earlier incarnation"
+                        "received a heartbeat of an earlier agent incarnation"
                     );
                 }
-                // A copy of a heartbeat that was received before: nobody waits for the response, and
-                // the agent must neither be redirected nor its state be replaced.
+                // This is a copy of a heartbeat that was received before. No agent waits for the
+                // response; the agent must not be redirected, nor its last heartbeat be replaced.
                 return self.context.reply(id, 503, vec![], Some(1));
             }
         }
@@ -138,8 +142,8 @@
         self.answer_heartbeat(id, heartbeat);
     }
 
-    /// Answers an agent's heartbeat: as the leader, with the leader's response once it has come, or
-    /// as a proxy.
+    /// Answers an agent's heartbeat as the leader or as a proxy, or forwards it to the leader,
+    /// whose response is then passed on to the agent.
     pub(in crate::coordination) fn answer_heartbeat(&mut self, id: u64, heartbeat: Heartbeat) {
         if self.election.role() == Role::Leader {
             return self.answer_as_leader(id, heartbeat);
@@ -149,19 +153,19 @@
         match self.later_leader().or(known) {
             Some(leader) if self.reaches_node(&leader) => self.forward_heartbeat(id, leader, heartbeat),
             Some(leader) => self.answer_cut_off(id, leader, &heartbeat),
-            // Nobody leads at present; a new leader will soon.
+            // There is no leader at present; a new one is elected soon.
             None => self.answer_as_proxy(id, &heartbeat),
         }
     }
 
-    /// Answers a heartbeat as the leader, or queues it until the leader is able to.
+    /// Answers a heartbeat as the leader, or queues it until the leader can answer it.
     fn answer_as_leader(&mut self, id: u64, heartbeat: Heartbeat) {
         let now = self.context.now;
         if !self.attestations.may_renew(&self.election, &self.cluster, now) || self.has_unknown_token(&heartbeat) {
             return self.context.reply(id, 503, vec![], Some(1));
         }
-        // A leader whose lease may have ended and that is isolated would hold agents that a new
-        // leader takes to be lost.
+        // An isolated leader whose lease may have ended would keep agents that a new leader
+        // considers lost.
         if !self.election.holds_lease(now) && !self.forwarder.receives_store_answers(now) {
             if let Some(node) = self.better_connected_peer(&heartbeat.machine) {
                 return self.redirect(id, &heartbeat.machine, node);
@@ -171,7 +175,7 @@
             return self.context.reply(id, 503, vec![], Some(1));
         };
         if !leader.is_loaded() || self.election.is_lease_unverified() {
-            // Answered as soon as the write-ahead log is read or the lease is confirmed.
+            // Answered once the write-ahead log has been read and the lease is confirmed.
             if leader.early_heartbeats.len() < MAX_EARLY_HEARTBEATS {
                 leader.early_heartbeats.push(EarlyHeartbeat {
                     origin: HeartbeatOrigin::Agent(id),
@@ -187,7 +191,7 @@
         self.context.reply(id, 200, body, None);
     }
 
-    /// Reads the jobs of the heartbeat's tasks that are not known here: without them this node
+    /// Reads the jobs of the heartbeat's tasks that this node has not read yet, without which it
     /// can't answer the next heartbeat as a proxy.
     fn read_unknown_jobs(&mut self, heartbeat: &Heartbeat) {
         for status in &heartbeat.tasks {
@@ -216,16 +220,16 @@
         self.context.effects.push(Effect::Peer { to: leader, message });
     }
 
-    /// Answers a heartbeat on a node that can't reach the leader: by a redirect to the leader or to
-    /// a better connected peer, or else as a proxy.
+    /// Answers a heartbeat on a node that can't reach the leader, with a redirect to the leader or
+    /// to a better connected peer, or as a proxy.
     fn answer_cut_off(&mut self, id: u64, leader: String, heartbeat: &Heartbeat) {
         let now = self.context.now;
-        // If connections to the leader are refused, its host is reachable, and the agent may get
-        // through where this node does not. If packets are lost, the agent would most likely wait
-        // in vain while its lease runs out.
+        // If connections to the leader are refused, its host is reachable, and the agent may be
+        // able to connect where this node is not. If packets are lost, the agent would most likely
+        // get no answer until its lease has expired.
         let refused = self.peer_links.get(&leader) == Some(&Link::Refused);
-        // A leader that last reached the state service only through peers, and can't be reached
-        // now, most likely leads no more.
+        // A leader that last reached the state service only through peers, and that can't be
+        // reached now, most likely no longer leads.
         let lost = self.forwarder.link_table.last_reported_state(&leader, &Host::State) == LinkState::Down;
         if refused && !lost && !self.heartbeat_proxy.returned_from_redirect(&heartbeat.machine, now) {
             return self.redirect(id, &heartbeat.machine, leader);
@@ -236,7 +240,8 @@
         self.answer_as_proxy(id, heartbeat);
     }
 
-    /// Answers a heartbeat without the leader, and remembers that the machine is proxied here.
+    /// Answers a heartbeat without the leader, and records the machine as proxied if its lease was
+    /// renewed.
     fn answer_as_proxy(&mut self, id: u64, heartbeat: &Heartbeat) {
         let renewer = LeaseRenewer {
             election: &self.election,
@@ -250,7 +255,7 @@
         }
     }
 
-    /// Receives a heartbeat that another controller forwards.
+    /// Handles a heartbeat that another controller forwarded.
     pub(in crate::coordination) fn on_forwarded_heartbeat(&mut self, node: String, id: u64, heartbeat: Heartbeat) {
         let now = self.context.now;
         match self.leader.as_mut() {
@@ -264,12 +269,12 @@
                 }
             }
             Some(_) => self.answer_forwarded_heartbeat(node, id, heartbeat),
-            // Without a response the other controller answers it as a proxy.
+            // If it gets no response, the other controller answers the heartbeat as a proxy.
             None => {}
         }
     }
 
-    /// Answers the heartbeats that came before this leader was able to.
+    /// Answers the heartbeats that were queued before this leader could answer them.
     pub(in crate::coordination) fn answer_early_heartbeats(&mut self) {
         let Some(leader) = self.leader.as_mut().filter(|l| l.is_loaded()) else {
             return;
@@ -284,8 +289,8 @@
         }
     }
 
-    /// Whether a heartbeat has a fencing token later than this leader's term, which this leader never
-    /// gave out.
+    /// Returns whether a heartbeat has a fencing token higher than this leader's term, which this
+    /// leader has never issued.
     fn has_unknown_token(&self, heartbeat: &Heartbeat) -> bool {
         let (fencing_token, term) = (heartbeat.fencing_token, self.election.term());
         if fencing_token > term {
@@ -293,7 +298,7 @@
                 machine = heartbeat.machine,
                 fencing_token,
                 term,
-                "a heartbeat has a fencing token that was never given out here"
+                "heartbeat rejected: this leader never issued its fencing token"
             );
         }
         fencing_token > term
@@ -311,7 +316,8 @@
         self.context.effects.push(Effect::Peer { to: node, message });
     }
 
-    /// The leader's response to a heartbeat, which came here or through the controller `via`.
+    /// Builds the leader's response to a heartbeat that was received here or through the controller
+    /// `via`.
     fn leader_response(&mut self, heartbeat: &Heartbeat, via: Option<&str>) -> HeartbeatResponse {
         let now = self.context.now;
         let Some(leader) = self.leader.as_mut() else {
@@ -338,8 +344,10 @@
         answer.unwrap_or_else(lease_renewal::non_renewing_response)
     }
 
-    /// Requests the last heartbeats from all other controllers, once for each leadership: otherwise
-    /// a new leader would learn the state of its machines only over a whole heartbeat period.
+    /// Requests the last heartbeats from all other controllers, once per leadership.
+    ///
+    /// Without them, a new leader would get the state of its machines only over a whole heartbeat
+    /// period.
     pub(in crate::coordination) fn request_last_heartbeats(&mut self) {
         let Some(leader) = self
             .leader
@@ -366,7 +374,7 @@
         }
     }
 
-    /// Sends a new leader the last heartbeats that came here, with their ages.
+    /// Sends a new leader the last heartbeats that this node received, with their ages.
     pub(in crate::coordination) fn send_last_heartbeats(&mut self, to: String) {
         let now = self.context.now;
         let lease = Micros::from_secs(self.cluster.settings.params.workers.lease_s);
@@ -394,7 +402,8 @@
         }
     }
 
-    /// Takes the last heartbeats that came to another controller.
+    /// Handles the last heartbeats that another controller received, with their ages in
+    /// milliseconds.
     pub(in crate::coordination) fn on_last_heartbeats(&mut self, node: &str, heartbeats: Vec<(u32, Heartbeat)>) {
         let now = self.context.now;
         for (age_ms, heartbeat) in heartbeats {
@@ -415,8 +424,8 @@
         }
     }
 
-    /// Applies a heartbeat that was answered before: it is as valid as any late one, but no agent
-    /// waits for a response.
+    /// Applies a heartbeat that was answered before. It is as valid as any late heartbeat, but no
+    /// agent waits for a response.
     fn take_last_heartbeat(&mut self, node: &str, heartbeat: &Heartbeat, at: Micros) {
         let now = self.context.now;
         let via = (node != self.cluster.settings.node).then_some(node);
@@ -425,9 +434,10 @@
         }
     }
 
-    /// Sends commands to an agent for the leader, unless they are outdated.
+    /// Sends commands to an agent on behalf of the leader, unless they are outdated.
     pub(in crate::coordination) fn relay_push(&mut self, node: String, id: u64, addr: String, body: PushedCommands) {
-        // The leader may have been replaced meanwhile, or the job of a start been cancelled.
+        // The leader may have been replaced, or the job of a start cancelled, since the leader sent
+        // the commands.
         let cancelled = |command: &AgentCommand| starts_cancelled(&self.api, command);
         if body.fencing_token < self.election.term() || body.commands.iter().any(cancelled) {
             let answer = PushResult::NotSent;
