--- a/src/coordination/agents/heartbeat_status.rs
+++ b/src/coordination/agents/heartbeat_status.rs
@@ -1,8 +1,9 @@
-//! Applies a heartbeat to the leader's state: what it says of the machine, and of the tasks that
-//! have a record on it.
+//! Applies heartbeats to the leader's state: to the machine, and to the records of the tasks that
+//! are placed on it.
 //!
-//! A heartbeat is applied only if it is newer than the last one. Invariant: a record is freed only
-//! by a `VoidProof`, that no start of it can be executed any more or that its task has exited.
+//! A heartbeat is applied only if it is newer than the last one of its machine. Invariant: a record
+//! is freed only with a `VoidProof` that no start of the record can be executed any more or that
+//! its task has exited.
 
 use super::outbox::{Attempt, CommandReasons, TaskRef};
 use super::parse_task;
@@ -16,14 +17,16 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How long a stopped task whose start was never seen is waited for before the term is raised.
+/// How long after the request of its stop a task may stay unlisted, if its start was sent, before
+/// the term is raised.
 const MAX_UNSEEN_STOP: Micros = Micros::from_millis(3000);
-/// Failures of one job on a machine that count against the machine if the job does well elsewhere.
+/// The number of failures of one job for which a machine is quarantined, if tasks of the job have
+/// completed.
 const MIN_FAULTS_OF_JOB: u32 = 2;
-/// Jobs with failures on a machine that count against it in any case.
+/// The number of jobs with failures on a machine for which it is quarantined in any case.
 const MIN_FAULTY_JOBS: usize = 3;
 
-/// A heartbeat that is compared with the records of its machine.
+/// A heartbeat while it is compared with the records of its machine.
 struct AppliedHeartbeat<'a> {
     cluster: &'a ClusterConfig,
     machine: &'a MachineId,
@@ -32,8 +35,8 @@
 }
 
 impl LeaderState {
-    /// Applies a heartbeat that an agent sent at about `at`, here or to the controller `via`, and
-    /// returns the reasons for commands in its response.
+    /// Applies a heartbeat that an agent sent at about `at` to this node or to the controller
+    /// `via`, and returns the reasons for commands in its response.
     pub fn apply_heartbeat(
         &mut self,
         cluster: &ClusterConfig,
@@ -42,8 +45,8 @@
         at: Micros,
         now: Micros,
     ) -> CommandReasons {
-        // An agent has one heartbeat in flight at a time: the next one shows that the response to
-        // the last one has arrived, or never will.
+        // An agent has one heartbeat in flight at a time. The next one shows that the response to
+        // the last one has arrived or never will arrive.
         let is_newer = |m: &Machine| (heartbeat.incarnation, heartbeat.sequence) > (m.incarnation, m.sequence);
         if let Some(machine) = self
             .machines
@@ -55,8 +58,10 @@
         self.apply_heartbeat_content(cluster, heartbeat, via, at, now)
     }
 
-    /// Applies the content of a heartbeat, also of one that came as the answer to a push, which
-    /// shows nothing of the responses to earlier heartbeats.
+    /// Applies the content of a heartbeat.
+    ///
+    /// The heartbeat may also be the answer to a push, which does not show whether the responses to
+    /// earlier heartbeats have arrived.
     pub fn apply_heartbeat_content(
         &mut self,
         cluster: &ClusterConfig,
@@ -83,29 +88,31 @@
         reasons
     }
 
-    /// Whether a heartbeat is newer than the last one of its machine, which was not released. The
-    /// heartbeat of an unknown machine adds it to the state.
+    /// Returns whether a heartbeat is to be applied: it is newer than the last one of its machine,
+    /// the machine was not released, and the fencing token is not higher than this leader's term.
+    ///
+    /// An unknown machine is added to the state.
     fn accepts_heartbeat(&mut self, name: &MachineId, heartbeat: &Heartbeat, now: Micros) -> bool {
         if self.released_machines.contains(name) {
             return false;
         }
         if heartbeat.fencing_token > self.term {
-            // This leader never gave out the token: another one leads by now, or it is wrong. It
-            // would prove nothing about the starts that this leader has sent.
+            // This leader never issued the token: another node leads by now, or the token is wrong.
+            // The heartbeat would prove nothing about the starts that this leader has sent.
             return false;
         }
         let machine = self.machines.entry(name.clone()).or_insert_with(|| {
-            tracing::info!(machine = %name, "heartbeat of an unknown machine");
+            tracing::info!(machine = %name, "received the first heartbeat of an unknown machine");
             Machine::unknown(name.clone(), now)
         });
         if heartbeat.incarnation < machine.incarnation {
-            tracing::warn!(machine = %name, incarnation = heartbeat.incarnation, last = machine.incarnation, "heartbeat dropped: it is of an earlier incarnation");
+            tracing::warn!(machine = %name, incarnation = heartbeat.incarnation, last = machine.incarnation, "heartbeat dropped: it is from an earlier agent incarnation");
         }
-        // The task list of a late heartbeat is older than what is known.
+        // The task list of a late heartbeat is older than the list that was applied last.
         (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence)
     }
 
-    /// Applies what a heartbeat says of the machine itself.
+    /// Applies the state of the machine itself from a heartbeat.
     fn apply_machine_state(
         &mut self,
         cluster: &ClusterConfig,
@@ -157,18 +164,19 @@
         }
     }
 
-    /// Notes the time at which the cloud takes a spot machine back, if the heartbeat says so.
+    /// Records when the cloud will reclaim a spot machine, if the heartbeat has an interruption
+    /// notice.
     fn apply_interruption_notice(&mut self, name: &MachineId, heartbeat: &Heartbeat, now: Micros) {
         let Some(notice) = heartbeat.notice_s else { return };
         let Some(machine) = self.machines.get_mut(name).filter(|m| m.interruption_at.is_none()) else {
             return;
         };
-        tracing::debug!(machine = %name, notice, "spot interruption notice");
+        tracing::debug!(machine = %name, notice, "received a spot interruption notice");
         machine.interruption_at = Some(now + Micros::from_secs(notice));
         self.needs_scheduling = true;
     }
 
-    /// Compares the records of a machine's tasks with those that the heartbeat lists.
+    /// Compares the records of a machine's tasks with the tasks that the heartbeat lists.
     fn compare_records(&mut self, applied: &AppliedHeartbeat, reasons: &mut CommandReasons) {
         let (name, heartbeat) = (applied.machine, applied.heartbeat);
         let malformed = heartbeat.tasks.iter().filter(|t| parse_task(&t.task).is_none()).count();
@@ -194,8 +202,8 @@
         }
     }
 
-    /// Notes attempts that are listed without a record: those that run are to be stopped, those that
-    /// have exited are to be forgotten.
+    /// Records the listed attempts that have no record, and adds reasons to stop those that run and
+    /// to forget those that have exited.
     fn update_orphans(&mut self, name: &MachineId, heartbeat: &Heartbeat, reasons: &mut CommandReasons) {
         let mut orphaned_attempts = vec![];
         for listed in &heartbeat.tasks {
@@ -223,8 +231,10 @@
     }
 
     /// Applies heartbeats that another controller has published in the state service because it
-    /// can't reach this one. They are as valid as any late heartbeat, but don't prove that the
-    /// machines are reachable now, and no agent waits for a response.
+    /// can't reach this one.
+    ///
+    /// They are as valid as any late heartbeat, but don't prove that the machines are reachable
+    /// now, and no agent waits for a response.
     pub fn apply_proxied_heartbeats(&mut self, cluster: &ClusterConfig, heartbeats: &[Heartbeat], now: Micros) {
         for heartbeat in heartbeats {
             let Some(m) = self.machines.get(heartbeat.machine.as_str()) else {
@@ -235,7 +245,7 @@
         }
     }
 
-    /// Compares one record with the status of its attempt in the heartbeat, if that lists it.
+    /// Compares one record with the status of its attempt, if the heartbeat lists the attempt.
     fn compare_record(
         &mut self,
         applied: &AppliedHeartbeat,
@@ -253,10 +263,10 @@
             return;
         }
         if heartbeat.incarnation > placement.incarnation {
-            // The incarnation that the record was made for has ended, with all of its tasks.
+            // The agent incarnation of the record has ended, with all of its tasks.
             let (incarnation, recorded) = (heartbeat.incarnation, placement.incarnation);
             let attempt = placement.attempt;
-            tracing::debug!(job = %id, task, attempt, machine = %name, incarnation, recorded, "task lost with its agent's incarnation");
+            tracing::debug!(job = %id, task, attempt, machine = %name, incarnation, recorded, "task lost: its agent has a new incarnation");
             let proof = VoidProof::LaterSession { reported: incarnation };
             return self.free(id, task, proof, now);
         }
@@ -269,8 +279,8 @@
         }
     }
 
-    /// Handles that the heartbeat does not list the recorded attempt: its start may not have
-    /// arrived yet, or never will.
+    /// Handles a recorded attempt that the heartbeat does not list: its start may not have arrived
+    /// yet, or may never arrive.
     fn record_unlisted(&mut self, applied: &AppliedHeartbeat, record: &TaskRef, reasons: &mut CommandReasons) {
         let (name, heartbeat, now) = (applied.machine, applied.heartbeat, applied.now);
         let (id, task) = (&record.job, record.task);
@@ -279,11 +289,11 @@
             return;
         };
         if placement.sent && heartbeat.fencing_token > placement.fencing_token {
-            // Every start of it was sent under a lower token, which the agent refuses from now on,
-            // and the agent does not have the task.
+            // Every start of the attempt was sent under a lower token, which the agent refuses from
+            // now on, and the agent does not have the task.
             let (attempt, sent_under, fencing_token) =
                 (placement.attempt, placement.fencing_token, heartbeat.fencing_token);
-            tracing::debug!(job = %id, task, attempt, machine = %name, sent_under, fencing_token, "task is not on its machine");
+            tracing::debug!(job = %id, task, attempt, machine = %name, sent_under, fencing_token, "start is void: the machine does not list the task and refuses the start");
             let proof = VoidProof::RefusedByToken {
                 reported: fencing_token,
             };
@@ -295,13 +305,13 @@
         } else if placement.may_be_sent() {
             reasons.starts.insert(record.clone());
         } else if placement.phase == PlacementPhase::Sent {
-            // The record of an earlier leader: a heartbeat with the present token shows whether it
-            // is void.
+            // The record was made by an earlier leader. A heartbeat with the current token shows
+            // whether the record is void.
             reasons.wants_heartbeat = true;
         }
     }
 
-    /// Handles that the machine lists the task as exited.
+    /// Handles a task that the machine lists as exited.
     fn record_exit(&mut self, applied: &AppliedHeartbeat, record: &TaskRef, cause: Cause) {
         let (cluster, name, now) = (applied.cluster, applied.machine, applied.now);
         let (id, task) = (&record.job, record.task);
@@ -326,7 +336,7 @@
         }
     }
 
-    /// Handles that the machine lists the task in this phase.
+    /// Handles a task that the machine lists in a phase other than exited.
     fn record_seen(
         &mut self,
         applied: &AppliedHeartbeat,
@@ -357,7 +367,7 @@
         }
     }
 
-    /// Notes that a task has begun to run, the first time that its machine lists it as running.
+    /// Records the start of a task's run the first time that the machine lists the task as running.
     fn record_running(&mut self, name: &MachineId, record: &TaskRef, now: Micros) {
         let (id, task) = (&record.job, record.task);
         let Some(job) = self.jobs.get_mut(id) else { return };
@@ -384,7 +394,7 @@
             attempt = placement.attempt,
             waited_s = waited.secs(),
             placed_s = now.since(placement.placed_at).secs(),
-            "task runs"
+            "task started running"
         );
     }
 
@@ -404,8 +414,8 @@
             Cause::Done if job.is_live() => self.apply_completion(name, id, task, now),
             Cause::Error => self.apply_failure(name, id, task, now),
             Cause::NoRoom | Cause::Busy => {
-                // The machine's resources differ from what is recorded here: its next heartbeat
-                // will show how.
+                // The machine's free resources differ from the leader's records. The next heartbeat
+                // will show the difference.
                 let pause = Micros::from_secs(cluster.settings.params.workers.report_s);
                 if let Some(machine) = self.machines.get_mut(name) {
                     machine.quarantined_until = machine.quarantined_until.max(now + pause);
@@ -420,14 +430,14 @@
         }
     }
 
-    /// Applies that a task has completed.
+    /// Applies the completion of a task.
     fn apply_completion(&mut self, name: &MachineId, id: &JobId, task: u32, now: Micros) {
         let range_index = task / self.tasks_per_range;
         let Some(job) = self.jobs.get_mut(id) else { return };
         let seen = job.placements.get(&task).filter(|p| !p.restored);
         if let Some(since) = seen.and_then(|p| p.running_since) {
             let ran_s = now.since(since).secs();
-            tracing::debug!(job = %id, task, machine = %name, ran_s, "task done");
+            tracing::debug!(job = %id, task, machine = %name, ran_s, "task completed");
             job.completed_runs.record(ran_s);
             self.slo.ran(&job.spec.class, job.spec.estimate_s, ran_s, now);
         }
@@ -448,8 +458,8 @@
         }
     }
 
-    /// Applies that a task has failed: it counts against the machine, or against the job if that
-    /// fails everywhere.
+    /// Applies the failure of a task, which counts against the machine, or against the job if the
+    /// job has failed on several machines and never succeeded.
     fn apply_failure(&mut self, name: &MachineId, id: &JobId, task: u32, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         tracing::debug!(job = %id, task, machine = %name, "task failed");
@@ -469,9 +479,11 @@
         }
     }
 
-    /// Counts the failure of a task of this job against the machine, and quarantines it if there
-    /// are enough. Failures of one job alone count only if the job does well elsewhere: a job that
-    /// was submitted with a mistake fails on good machines too.
+    /// Counts the failure of a task of this job against the machine, and quarantines the machine
+    /// after enough failures.
+    ///
+    /// Failures of one job alone lead to a quarantine only if tasks of the job have completed: a
+    /// job that was submitted with a mistake fails on good machines too.
     fn count_fault(&mut self, name: &MachineId, id: &JobId, now: Micros) {
         let jobs = &self.jobs;
         let Some(machine) = self.machines.get_mut(name) else {
@@ -484,21 +496,22 @@
         let fails_good_job = faults.any(|(job, count)| *count >= MIN_FAULTS_OF_JOB && does_well(job));
         if fails_good_job || machine.task_failures.len() >= MIN_FAULTY_JOBS {
             if machine.quarantined_since.is_none() {
-                tracing::info!(machine = %name, jobs = machine.task_failures.len(), "machine quarantined: tasks fail on it");
+                tracing::info!(machine = %name, jobs = machine.task_failures.len(), "machine quarantined because tasks fail on it");
             }
             machine.quarantined_since.get_or_insert(now);
             machine.quarantined_until = now + timing::QUARANTINE;
         }
     }
 
-    /// Removes the failures of a job that fails everywhere from a machine's faults.
+    /// Removes the failures of a job that has failed on several machines and never succeeded from
+    /// those of a machine, and ends the machine's quarantine if too few failures remain.
     fn clear_fault(&mut self, name: &MachineId, id: &JobId) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
         let had_faults = machine.task_failures.remove(id).is_some() && machine.task_failures.len() < MIN_FAULTY_JOBS;
         if had_faults && machine.quarantined_since.take().is_some() {
-            tracing::info!(machine = %name, job = %id, "machine no longer quarantined: the job fails everywhere");
+            tracing::info!(machine = %name, job = %id, "quarantine of the machine ended: the job has failed on several machines and never succeeded");
             machine.quarantined_until = Micros::ZERO;
             self.needs_scheduling = true;
         }
