--- a/src/coordination/agents/heartbeat_proxy.rs
+++ b/src/coordination/agents/heartbeat_proxy.rs
@@ -1,9 +1,9 @@
-//! The heartbeat proxy of every controller: it remembers the last heartbeat of each agent that
-//! reports here, and answers agents without the leader while that can't be reached.
+//! The heartbeat proxy of every controller: it keeps the last heartbeat of each agent that reports
+//! to this node, and answers agents without the leader while the leader can't be reached.
 //!
-//! It starts no task and decides nothing: it only renews leases, and stops tasks of cancelled jobs.
-//! Invariant: a lease is renewed only if every job that the agent reports is known here, so that no
-//! task of a cancelled job is kept running.
+//! The proxy starts no task and makes no scheduling decision: it only renews leases, and stops
+//! tasks of cancelled jobs. Invariant: a lease is renewed only if this node has read every job
+//! whose tasks the agent runs, so that no task of a cancelled job is kept running.
 
 use super::outbox::starts_cancelled;
 use super::parse_task;
@@ -23,16 +23,16 @@
 
 /// A heartbeat that was forwarded to the leader.
 pub(super) struct Forwarded {
-    /// The request of the agent that waits for the response.
+    /// The number of the agent's request, which waits for the response.
     pub(super) reply: u64,
     pub(super) heartbeat: Heartbeat,
-    /// When it was forwarded.
+    /// When the heartbeat was forwarded.
     pub(super) at: Micros,
 }
 
-/// A heartbeat that came to this controller.
+/// A heartbeat that this controller received.
 pub(super) struct ReceivedHeartbeat {
-    /// When it came.
+    /// When the heartbeat was received.
     pub(super) at: Micros,
     pub(super) heartbeat: Heartbeat,
 }
@@ -46,15 +46,15 @@
     }
 }
 
-/// A redirect that an agent was sent.
+/// A redirect that was sent to an agent.
 pub(super) struct SentRedirect {
-    /// When it was sent.
+    /// When the redirect was sent.
     pub(super) at: Micros,
-    /// The controller that it names.
+    /// The controller to which the agent was redirected.
     pub(super) to: String,
 }
 
-/// The place of a heartbeat among those of its machine.
+/// The position of a heartbeat in the order of all heartbeats of its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct HeartbeatNumber {
     incarnation: u64,
@@ -70,58 +70,59 @@
     }
 }
 
-/// What decides whether this controller may renew a lease without the leader.
+/// The inputs to the decision whether this controller may renew a lease without the leader.
 pub struct LeaseRenewer<'a> {
-    /// This node's knowledge of the term.
+    /// The state of the election on this node.
     pub election: &'a Election,
-    /// Up to when cancellations are known.
+    /// The attestations that show up to when cancellations are known.
     pub attestations: &'a CancellationAttestations,
-    /// The phases of jobs that are known here.
+    /// The job API, which has the phases of the jobs that this node has read.
     pub api: &'a JobApi,
     /// Settings and limits.
     pub cluster: &'a ClusterConfig,
 }
 
-/// What a controller remembers of the agents that report to it.
+/// A controller's state of the agents that report to it.
 #[derive(Default)]
 pub struct HeartbeatProxy {
     /// The last redirect of each agent, by machine.
     pub(super) redirects: BTreeMap<String, SentRedirect>,
-    /// Heartbeats that the leader has not answered yet, by the number of the message.
+    /// Forwarded heartbeats that the leader has not answered yet, by the number of the message.
     pub(super) forwarded: BTreeMap<u64, Forwarded>,
-    /// The last heartbeat of each agent that reports here, by machine.
+    /// The last heartbeat of each agent that reports to this node, by machine.
     pub(super) last_heartbeats: BTreeMap<String, ReceivedHeartbeat>,
-    /// Controllers that agents could not reach, until when no agent is redirected to them.
+    /// Controllers that agents could not reach, and until when no agent is redirected to them.
     pub(super) unreachable: BTreeMap<String, Micros>,
-    /// How long such a controller is avoided.
+    /// How long no agent is redirected to a controller that an agent could not reach.
     pub(super) unreachable_for: Micros,
     /// Machines that were answered without the leader, and when that last happened.
     pub(super) proxied: BTreeMap<String, Micros>,
-    /// The last heartbeat of each of them that was published.
+    /// The number of the last published heartbeat of each proxied machine.
     pub(super) published: BTreeMap<String, HeartbeatNumber>,
-    /// When the proxied machines may be published next.
+    /// The earliest time of the next publication of the proxied machines.
     pub(super) next_publication_at: Micros,
-    /// When the next agent may be redirected from an isolated controller.
+    /// The earliest time of the next redirect of an agent while this controller is isolated.
     pub(super) next_redirect_at: Micros,
 }
 
-/// The most proxied machines that are published.
+/// The maximum number of proxied machines that are published.
 const MAX_PUBLISHED: usize = 400;
-/// The most redirects that are remembered.
+/// The maximum number of redirects that are kept.
 const MAX_REDIRECTS: usize = 10_000;
-/// A machine that was not answered without the leader for this long is no longer proxied.
+/// How long a machine counts as proxied after its last heartbeat that was answered without the
+/// leader.
 const PROXIED_FOR_S: f64 = 5.0;
-/// An agent without a heartbeat for this long is forgotten.
+/// How long the last heartbeat of an agent is kept.
 const REMEMBERED_FOR_S: f64 = 60.0;
-/// An agent without a heartbeat for this long doesn't count as load.
+/// How long an agent counts as load after its last heartbeat.
 const COUNTED_FOR_S: f64 = 15.0;
-/// How long the answer to a publication is awaited.
+/// Timeout of a publication.
 const PUBLISH_TIMEOUT: Micros = Micros::from_millis(700);
-/// Pause between two publications of the proxied machines.
+/// Interval between two publications of the proxied machines.
 pub(super) const PUBLISH_INTERVAL: Micros = Micros::from_millis(2000);
 
 impl HeartbeatProxy {
-    /// A proxy to which no agent has reported yet.
+    /// Creates a proxy to which no agent has reported yet.
     pub fn new(workers: &Workers) -> HeartbeatProxy {
         HeartbeatProxy {
             unreachable_for: timing::unreachable_controller(workers),
@@ -129,9 +130,11 @@
         }
     }
 
-    /// Passes the leader's response to a forwarded heartbeat on to the agent. Tasks of jobs that are
-    /// known here to be cancelled are stopped and not started, because the leader may not know it
-    /// yet; and no start of a leader that was replaced meanwhile is passed on.
+    /// Passes the leader's response to a forwarded heartbeat on to the agent.
+    ///
+    /// Tasks of jobs that this node has read as cancelled are stopped and not started, because the
+    /// leader may not have read the cancellation yet. No start is passed on from a leader that has
+    /// been replaced.
     pub fn on_leader_response(
         &mut self,
         context: &mut Context,
@@ -151,14 +154,16 @@
         }
     }
 
-    /// The zone and the time of the last heartbeat of each agent that reports here.
+    /// Returns the zone of each agent that reports to this node, and the time of its last
+    /// heartbeat.
     pub fn agent_zones(&self) -> impl Iterator<Item = (&str, Micros)> {
         self.last_heartbeats
             .values()
             .map(|received| (received.heartbeat.zone.as_str(), received.at))
     }
 
-    /// How many agents report here. The leader, which has more work for each, counts them twice.
+    /// Returns the number of agents that report to this node. The leader, which has more work for
+    /// each agent, counts them twice.
     pub fn agent_count(&mut self, now: Micros, leads: bool) -> u32 {
         self.last_heartbeats
             .retain(|_, received| now.since(received.at) < Micros::from_secs(REMEMBERED_FOR_S));
@@ -171,8 +176,8 @@
         }
     }
 
-    /// Whether the agent has come back from a redirect a moment ago, because it could not reach the
-    /// controller that the redirect named; that one is avoided for a while then.
+    /// Returns whether the agent has just returned from a redirect because it could not reach the
+    /// other controller. If so, no agent is redirected to that controller for a while.
     pub(super) fn returned_from_redirect(&mut self, machine: &str, now: Micros) -> bool {
         let Some(redirect) = self.redirects.get(machine) else {
             return false;
@@ -184,11 +189,12 @@
         returned
     }
 
-    /// The lists of proxied machines to be published: their names, and the last heartbeats with
-    /// ended tasks, as many as fit, those first that were not published yet. From these the leader,
-    /// which can't receive the heartbeats, records outcomes meanwhile.
+    /// Builds the lists of proxied machines to publish.
     ///
-    /// There are several lists if the names alone exceed one value.
+    /// A list has the names of its machines and as many of their last heartbeats with exited tasks
+    /// as fit; heartbeats that were not published yet come first. The leader, which can't receive
+    /// these heartbeats, records the outcomes of tasks from them. The names are split into several
+    /// lists so that the names of one list take at most half of the size limit of a value.
     fn proxied_machine_lists(&mut self, cluster: &ClusterConfig) -> Vec<ProxiedMachines> {
         self.published.retain(|machine, _| self.proxied.contains_key(machine));
         let names: Vec<String> = self.proxied.keys().take(MAX_PUBLISHED).cloned().collect();
@@ -210,7 +216,7 @@
         lists.into_iter().map(with_heartbeats).collect()
     }
 
-    /// One list: these machines, with their heartbeats as far as they fit.
+    /// Builds one list of these machines, with as many of their heartbeats as fit.
     fn proxied_machine_list(&mut self, cluster: &ClusterConfig, machines: Vec<String>) -> ProxiedMachines {
         let has_ended_tasks = |h: &&Heartbeat| h.tasks.iter().any(|t| t.phase == TaskPhase::Exited);
         let received = machines.iter().filter_map(|name| self.last_heartbeats.get(name));
@@ -224,7 +230,7 @@
             self.published
                 .insert(heartbeat.machine.clone(), HeartbeatNumber::of(heartbeat));
         }
-        // An empty list takes a few bytes when it is packed.
+        // Even an empty list takes a few bytes when packed.
         let last_heartbeats = if packed_count == 0 { String::new() } else { packed };
         ProxiedMachines {
             machines,
@@ -232,8 +238,8 @@
         }
     }
 
-    /// Answers heartbeats that the leader has not answered in time, and publishes the proxied
-    /// machines.
+    /// Answers forwarded heartbeats that the leader has not answered in time, and publishes the
+    /// proxied machines when a publication is due.
     pub fn tick(&mut self, context: &mut Context, renewer: &LeaseRenewer) {
         self.answer_late(context, renewer);
         let now = context.now;
@@ -249,7 +255,7 @@
         }
     }
 
-    /// Answers forwarded heartbeats without the leader that it has not answered in time.
+    /// Answers forwarded heartbeats without the leader if it has not answered them in time.
     fn answer_late(&mut self, context: &mut Context, renewer: &LeaseRenewer) {
         let now = context.now;
         let late: Vec<u64> = self
@@ -267,8 +273,10 @@
         }
     }
 
-    /// Publishes the proxied machines in the state service. Otherwise the leader, which receives no
-    /// heartbeats of them, would take them to be lost and release them with all their tasks.
+    /// Publishes the proxied machines in the state service.
+    ///
+    /// Otherwise the leader, which receives no heartbeats from these machines, would consider them
+    /// lost and release them with all their tasks.
     fn publish(&mut self, context: &mut Context, renewer: &LeaseRenewer) {
         let node = &renewer.cluster.settings.node;
         let mut changes = vec![];
@@ -295,8 +303,10 @@
     }
 }
 
-/// Answers a heartbeat without the leader, and returns whether its lease was renewed: only if this
-/// node knows every job in it, so that no task of a cancelled job is kept running.
+/// Answers a heartbeat without the leader, and returns whether the agent's lease was renewed.
+///
+/// The lease is renewed only if this node has read the jobs of all running tasks in the heartbeat,
+/// so that no task of a cancelled job is kept running.
 pub(super) fn answer_without_leader(
     context: &mut Context,
     renewer: &LeaseRenewer,
