--- a/src/coordination/election/announce.rs
+++ b/src/coordination/election/announce.rs
@@ -1,8 +1,8 @@
-//! What this node announces to all others in the state service: the release that it runs, and that
-//! the lower limits of the service hold.
+//! The announcements that this node publishes to all others in the state service: the release that
+//! it runs, and that the lower limits of the service apply.
 //!
-//! The watch on the term's keys brings the announcements of all nodes, also this node's own. An
-//! announcement is repeated until the watch has brought it back.
+//! The watch on the term's keys returns the announcements of all nodes, including this node's own.
+//! An announcement is repeated until the watch has returned it.
 
 use super::super::store_queue::Urgency;
 use super::super::{timing, Continuation, Controller};
@@ -12,15 +12,15 @@
 use crate::storage::records::{to_value, Release, CURRENT_RELEASE, RELEASE_DEPENDENCIES};
 use crate::time::Micros;
 
-/// An announcement that was not seen is repeated after this long.
+/// Interval after which an announcement that the watch has not returned is repeated.
 const ANNOUNCE_AGAIN_AFTER: Micros = Micros::from_millis(3000);
-/// A peer whose last message is younger than this may be running.
+/// How long after its last message a peer is considered running.
 const PEER_ALIVE_FOR: Micros = Micros::from_millis(2500);
-/// How long the answer to an announcement is awaited.
+/// Timeout of the write of an announcement.
 const ANNOUNCE_TIMEOUT: Micros = Micros::from_millis(600);
 
 impl Controller {
-    /// Applies what the announcements say, and announces what this node has to say itself.
+    /// Applies the announcements that were read, and publishes this node's own if they are due.
     pub(in crate::coordination) fn run_announcements(&mut self) {
         let now = self.context.now;
         self.apply_lower_limits();
@@ -38,19 +38,19 @@
         }
     }
 
-    /// Applies the lower limits of the state service once they were announced.
+    /// Applies the lower limits of the state service once a node has announced them.
     fn apply_lower_limits(&mut self) {
         let limits = &mut self.cluster.limits;
         if self.election.limits_lowered && limits.lower() {
             tracing::warn!(
                 changes_per_s = limits.changes_per_s(),
-                "the lower limits of the state service hold"
+                "the lower limits of the state service apply"
             );
             self.set_rates();
         }
     }
 
-    /// Determines whether a running peer has a release without job dependencies.
+    /// Updates which running peer has a release without job dependencies, if any.
     fn update_lagging_peer(&mut self) {
         let lagging = self.lagging_peer();
         if lagging == self.cluster.lagging {
@@ -59,15 +59,17 @@
         match &lagging {
             Some(node) => tracing::info!(
                 node,
-                "a controller runs an earlier release: jobs with dependencies wait"
+                "a controller runs a release without job dependencies: jobs with dependencies wait"
             ),
-            None => tracing::info!("all running controllers have this release"),
+            None => tracing::info!("all running controllers support job dependencies"),
         }
         self.cluster.lagging = lagging;
     }
 
-    /// Sets the release that this process incarnation announces. If the earlier incarnation of
-    /// this node started only a moment ago, the process keeps ending and avoids the lead.
+    /// Sets the release that this process incarnation announces.
+    ///
+    /// If the previous incarnation of this node started only a short time ago, the process is
+    /// restarting repeatedly, and this node yields to other nodes in elections for a while.
     fn set_own_release(&mut self) {
         let began_ms = self.context.time_of_day(self.started_at).max(1);
         let election = &mut self.election;
@@ -81,13 +83,13 @@
         if earlier_began_ms > 0 && elapsed < timing::CRASH_LOOP {
             tracing::warn!(
                 after_s = elapsed.secs(),
-                "this process keeps ending: other controllers go first in elections"
+                "this process restarts repeatedly: it yields to other controllers in elections"
             );
             election.avoids_lead_until = Some(self.context.now + timing::CRASH_LOOP_DEFERENCE);
         }
     }
 
-    /// The announcements of this node that the state service does not have yet.
+    /// Returns the announcements of this node that the state service does not have yet.
     fn due_announcements(&self) -> Vec<Change> {
         let election = &self.election;
         let put = |key: String, value| Change::Put {
@@ -120,7 +122,7 @@
         );
     }
 
-    /// A running peer that has not announced a release with job dependencies.
+    /// Returns a running peer that has not announced a release with job dependencies.
     fn lagging_peer(&self) -> Option<String> {
         let is_alive = |p: &&crate::settings::Peer| {
             let view = self.peers.get(&p.node);
--- a/src/coordination/election/campaign.rs
+++ b/src/coordination/election/campaign.rs
@@ -1,8 +1,8 @@
 //! The campaign for leadership: requesting and renewing the lease, taking over when there is no
 //! leader, raising the term of a leader, and stepping down.
 //!
-//! Invariant: the key `term` is only ever changed by a compare-and-set on the version that is
-//! known here, so that at most one node leads each term.
+//! Invariant: the key `term` is changed only by a compare-and-set on the version that this node has
+//! read or written, so that at most one node leads in each term.
 
 use super::super::state::LeaderState;
 use super::super::store_queue::Urgency;
@@ -15,28 +15,29 @@
 use crate::time::Micros;
 use glenhaven_connectivity::{Host, LinkState};
 
-/// How much longer a node waits that gave up the lead lately, or that keeps restarting.
+/// Additional delay of a node that recently gave up the lead or that restarts repeatedly.
 const DELAY_AFTER_GIVING_UP: Micros = Micros::from_millis(1500);
-/// How much longer a node waits for each peer that is better connected.
+/// Additional delay of a node for each peer that is better connected.
 const DELAY_PER_RANK: Micros = Micros::from_millis(60);
-/// How much longer a node waits for each node whose name comes before its own, where no other
-/// order is known.
+/// Delay of a node for each node whose name sorts before its own, if there is no term yet or the
+/// node led before its restart.
 const DELAY_PER_INDEX: Micros = Micros::from_millis(150);
 /// Random part of the delay before a takeover.
 const CAMPAIGN_JITTER: Micros = Micros::from_millis(40);
-/// How long a node without the catalogue of machine types waits for it before a takeover.
+/// How long after its start a node without the catalogue of machine types waits for the catalogue
+/// before a takeover.
 const CATALOGUE_WAIT_S: f64 = 3.0;
-/// Pause before the next attempt after one that failed.
+/// Pause before the next attempt to take over after a failed one.
 const RETRY_PAUSE: Micros = Micros::from_millis(150);
-/// Pause before the next renewal after one that failed.
+/// Pause before the next renewal of the lease after a failed one.
 const RENEWAL_RETRY_PAUSE: Micros = Micros::from_millis(200);
-/// How long the answer to the request of a lease is awaited.
+/// Timeout of the request for a lease.
 const GRANT_TIMEOUT: Micros = Micros::from_millis(500);
-/// How long the answer to any other write is awaited.
+/// Timeout of any other write.
 const WRITE_TIMEOUT: Micros = Micros::from_millis(600);
 
 impl Controller {
-    /// Handles the answer to the request of a lease that was sent at `sent`.
+    /// Handles the answer to the request for a lease that was sent at `sent`.
     pub(super) fn on_lease_granted(&mut self, sent: Micros, answer: StoreResponse) {
         let now = self.context.now;
         self.election.lease_requested = false;
@@ -93,9 +94,11 @@
         self.set_rates();
     }
 
-    /// Transfers the lead: this node steps down first, then tells its peers and drops its lease,
-    /// which they observe by their watches. If the request to drop it is lost, the lease expires.
-    /// Requests still in flight carry a term that the next leader's replaces.
+    /// Transfers the lead: this node first steps down, then notifies its peers and drops its lease.
+    ///
+    /// The peers observe the drop through their watches. If the request to drop the lease is lost,
+    /// the lease expires. Requests that are still in flight have a term that the next leader's term
+    /// replaces.
     pub(in crate::coordination) fn give_up_lead(&mut self, successor: Option<String>, reason: StepDownReason) {
         let (lease, term) = (self.election.lease, self.election.term());
         self.step_down(reason);
@@ -120,8 +123,8 @@
         }
     }
 
-    /// Renews the lease and raises the term as the leader; as a follower, starts a takeover once
-    /// there is no leader.
+    /// Renews the lease and raises the term if this node is the leader; advances a takeover if it
+    /// is a follower and there is no leader.
     pub(in crate::coordination) fn run_election(&mut self) {
         if self.election.role == Role::Leader {
             self.renew_lease();
@@ -131,11 +134,12 @@
         }
     }
 
-    /// Renews the leader's lease when that is due.
+    /// Renews the leader's lease when a renewal is due.
     ///
-    /// It is not renewed while the state service does not answer: a lease that is renewed while
-    /// the answers are lost would keep all others from taking over. `forwarder` probes the link
-    /// meanwhile, and after an outage every lease has its full time again.
+    /// The lease is not renewed while no answers of the state service arrive: if requests arrived
+    /// but answers were lost, the renewed lease would prevent all other nodes from taking over.
+    /// `forwarder` probes the link during this time, and after an outage every lease has its full
+    /// duration again.
     fn renew_lease(&mut self) {
         let now = self.context.now;
         let Some(lease) = self.election.lease else { return };
@@ -149,7 +153,7 @@
         }
     }
 
-    /// Raises the leader's term if that was asked for, with a new lease if it has none.
+    /// Raises the leader's term if a raise is pending; requests a new lease first if there is none.
     fn raise_term(&mut self) {
         if self.election.raise_pending && !self.election.writing_term {
             match self.election.lease {
@@ -159,8 +163,8 @@
         }
     }
 
-    /// Advances the takeover of a follower: waits its delay, then requests a lease, with which it
-    /// writes the term.
+    /// Advances the takeover of a follower: waits for the node's delay, then requests a lease and
+    /// writes the term with it.
     fn campaign(&mut self) {
         let now = self.context.now;
         let election = &self.election;
@@ -183,7 +187,8 @@
                 self.election.campaign_at = Some(now + delay);
             }
             Some(at) if now >= at => match self.election.lease {
-                // A lease from an earlier attempt may be about to end.
+                // The lease of an earlier attempt is used only in the first half of its duration,
+                // because it could expire too soon otherwise.
                 Some(_) if now.since(self.election.lease_renewed_at) < Micros(self.election.lease_ttl.0 / 2) => {
                     self.write_term()
                 }
@@ -193,15 +198,15 @@
         }
     }
 
-    /// Whether this node reaches the state service only through peers: it leaves the lead to
-    /// those.
+    /// Returns whether this node reaches the state service only through peers, in which case it
+    /// leaves the lead to them.
     fn has_only_forwarded_store(&self, now: Micros) -> bool {
         let host = Host::State;
         let link_table = &self.forwarder.link_table;
         link_table.own_link(&host, now) == LinkState::Down && link_table.is_reached_by_any(&host, now)
     }
 
-    /// How long this node waits before it takes over: the best candidate waits shortest.
+    /// Returns the delay before this node takes over, which is shortest on the best candidate.
     fn campaign_delay(&mut self, had_lead: bool, keeps_restarting: bool, now: Micros) -> Micros {
         if had_lead || self.election.current.is_none() {
             return Micros(self.election.index as u64 * DELAY_PER_INDEX.0);
@@ -213,7 +218,7 @@
         Micros(rank * DELAY_PER_RANK.0 + jitter) + penalty + self.election.successor_delay(now)
     }
 
-    /// Requests a lease, unless such a request is in flight.
+    /// Requests a lease, unless a request for one is in flight.
     fn request_lease(&mut self) {
         if self.election.lease_requested {
             return;
@@ -233,8 +238,8 @@
         if self.election.writing_term {
             return;
         }
-        // The lease was requested when there was no leader. After a pause of this process, it
-        // would take the lead from a node that has taken over meanwhile.
+        // The lease was requested when there was no leader. If another node has taken over since
+        // then, during a pause of this process, this write would take the lead from that node.
         if self.election.is_led_by_other() {
             self.election.campaign_at = None;
             return;
@@ -254,8 +259,8 @@
         );
     }
 
-    /// The transaction that writes a term and attaches the key `term-live` to the lease, on
-    /// condition that both keys are as they are known here.
+    /// Builds the transaction that writes a term and attaches the key `term-live` to the lease, on
+    /// condition that both keys still have the versions that this node has.
     fn term_transaction(&self, term: &Term, lease: u64) -> Transaction {
         Transaction {
             conditions: vec![
@@ -293,9 +298,10 @@
                     self.election.campaign_at = None;
                 }
             }
-            // Not executed, lost to another node, or unknown: the watch shows which. A leader
-            // whose own raise is unknown has to read the term anew, because a successful raise
-            // changes the condition of every write.
+            // The write was not executed, another node's write came first, or the outcome is
+            // unknown; the watch will show which. A leader whose own raise has an unknown outcome
+            // has to read the term again, because a successful raise changes the condition of every
+            // write.
             other => {
                 if self.election.role == Role::Leader {
                     if matches!(other, StoreResponse::Refused) {
@@ -309,7 +315,7 @@
         }
     }
 
-    /// Leads the term that this node has written at this revision, unless it is outdated already.
+    /// Leads the term that this node has written at this revision, unless a later term is known.
     fn lead(&mut self, term: Term, lease: u64, revision: u64) {
         let known = self.election.current.as_ref();
         if known.is_some_and(|current| current.version > revision) {
@@ -341,13 +347,13 @@
         if let Some(leader) = self.leader.as_mut() {
             leader.term_raised(self.election.term());
         }
-        // The compare-and-set from this node's own term proves that nobody else led meanwhile.
+        // The compare-and-set on this node's own term proves that no other node has led since.
         if self.election.lease_unverified_since.take().is_some() {
             self.answer_early_heartbeats();
         }
     }
 
-    /// Starts a new leadership, which first restores its state from the write-ahead log.
+    /// Starts a new leadership, whose state is first restored from the write-ahead log.
     fn start_leading(&mut self) {
         let incarnation = self.context.id();
         let mut leader = LeaderState::new(incarnation, self.election.term(), self.context.now);
