--- a/src/coordination/agents/heartbeat_proxy.rs
+++ b/src/coordination/agents/heartbeat_proxy.rs
@@ -22,9 +22,9 @@
 use std::collections::BTreeMap;
 
 /// A heartbeat that was forwarded to the leader.
-pub(super) struct Forwarded {
+pub(super) struct ForwardedHeartbeat {
     /// The number of the agent's request, which waits for the response.
-    pub(super) reply: u64,
+    pub(super) request_id: u64,
     pub(super) heartbeat: Heartbeat,
     /// When the heartbeat was forwarded.
     pub(super) at: Micros,
@@ -88,7 +88,7 @@
     /// The last redirect of each agent, by machine.
     pub(super) redirects: BTreeMap<String, SentRedirect>,
     /// Forwarded heartbeats that the leader has not answered yet, by the number of the message.
-    pub(super) forwarded: BTreeMap<u64, Forwarded>,
+    pub(super) forwarded: BTreeMap<u64, ForwardedHeartbeat>,
     /// The last heartbeat of each agent that reports to this node, by machine.
     pub(super) last_heartbeats: BTreeMap<String, ReceivedHeartbeat>,
     /// Controllers that agents could not reach, and until when no agent is redirected to them.
@@ -143,14 +143,14 @@
         id: u64,
         mut commands: HeartbeatResponse,
     ) {
-        let deposed = commands.fencing_token < election.term();
+        let is_outdated = commands.fencing_token < election.term();
         let starts = |command: &AgentCommand| matches!(command, AgentCommand::Start { .. });
-        let void = |command: &AgentCommand| starts_cancelled(api, command) || (deposed && starts(command));
-        commands.commands.retain(|command| !void(command));
+        let is_dropped = |command: &AgentCommand| starts_cancelled(api, command) || (is_outdated && starts(command));
+        commands.commands.retain(|command| !is_dropped(command));
         if let Some(f) = self.forwarded.remove(&id) {
             self.proxied.remove(&f.heartbeat.machine);
             lease_renewal::add_stops_of_cancelled(api, &f.heartbeat, &mut commands.commands);
-            context.reply(f.reply, 200, to_cbor(&commands), None);
+            context.reply(f.request_id, 200, to_cbor(&commands), None);
         }
     }
 
@@ -266,7 +266,7 @@
             .collect();
         for id in late {
             if let Some(f) = self.forwarded.remove(&id) {
-                if answer_without_leader(context, renewer, f.reply, &f.heartbeat) {
+                if answer_without_leader(context, renewer, f.request_id, &f.heartbeat) {
                     self.proxied.insert(f.heartbeat.machine.clone(), now);
                 }
             }
@@ -310,7 +310,7 @@
 pub(super) fn answer_without_leader(
     context: &mut Context,
     renewer: &LeaseRenewer,
-    reply: u64,
+    request_id: u64,
     heartbeat: &Heartbeat,
 ) -> bool {
     let LeaseRenewer {
@@ -323,9 +323,9 @@
     let all_known = running.all(|t| parse_task(&t.task).is_some_and(|(job, _)| api.phase(job).is_some()));
     let response = all_known.then(|| attestations.renewal(election, api, cluster, heartbeat, vec![], context.now));
     match response.flatten() {
-        Some(response) => context.reply(reply, 200, to_cbor(&response), None),
+        Some(response) => context.reply(request_id, 200, to_cbor(&response), None),
         None => {
-            context.reply(reply, 503, vec![], Some(1));
+            context.reply(request_id, 503, vec![], Some(1));
             return false;
         }
     }
--- a/src/coordination/agents/heartbeat_status.rs
+++ b/src/coordination/agents/heartbeat_status.rs
@@ -19,12 +19,12 @@
 
 /// How long after the request of its stop a task may stay unlisted, if its start was sent, before
 /// the term is raised.
-const MAX_UNSEEN_STOP: Micros = Micros::from_millis(3000);
+const MAX_UNLISTED_STOP: Micros = Micros::from_millis(3000);
 /// The number of failures of one job for which a machine is quarantined, if tasks of the job have
 /// completed.
-const MIN_FAULTS_OF_JOB: u32 = 2;
+const MIN_FAILURES_OF_JOB: u32 = 2;
 /// The number of jobs with failures on a machine for which it is quarantined in any case.
-const MIN_FAULTY_JOBS: usize = 3;
+const MIN_FAILED_JOBS: usize = 3;
 
 /// A heartbeat while it is compared with the records of its machine.
 struct AppliedHeartbeat<'a> {
@@ -299,7 +299,7 @@
             };
             self.free(id, task, proof, now);
         } else if placement.stop_grace_s.is_some() || !job.is_live() {
-            if placement.sent && now.since(placement.stop_requested_at) > MAX_UNSEEN_STOP {
+            if placement.sent && now.since(placement.stop_requested_at) > MAX_UNLISTED_STOP {
                 self.new_term_reason = Some(NewTermReason::UnwantedStart);
             }
         } else if placement.may_be_sent() {
@@ -319,12 +319,12 @@
         let Some(placement) = job.placements.get_mut(&task) else {
             return;
         };
-        let first = !matches!(placement.phase, PlacementPhase::Exited(_));
+        let is_first_report = !matches!(placement.phase, PlacementPhase::Exited(_));
         placement.phase = PlacementPhase::Exited(cause);
-        let helper = placement.on_helper_machine;
+        let on_helper_machine = placement.on_helper_machine;
         let cancelled = job.cancelled_at.is_some();
-        if first {
-            job.release_task(helper);
+        if is_first_report {
+            job.release_task(on_helper_machine);
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.discharge(&job.spec);
             }
@@ -466,16 +466,16 @@
         job.failed_machines.insert(name.clone());
         job.consecutive_failures += 1;
         if !job.is_suspect(now) {
-            return self.count_fault(name, id, now);
+            return self.count_failure(name, id, now);
         }
         // Exponential backoff.
-        let tries =
+        let backoff_steps =
             job.failed_machines.len().max(2) - 2 + job.consecutive_failures as usize / job.spec.tasks.max(1) as usize;
-        let pause = Micros::from_secs((2u64 << tries.min(5)) as f64);
+        let pause = Micros::from_secs((2u64 << backoff_steps.min(5)) as f64);
         job.backoff_until = now + pause;
         let machines = job.failed_machines.clone();
         for machine in machines {
-            self.clear_fault(&machine, id);
+            self.clear_failures(&machine, id);
         }
     }
 
@@ -484,17 +484,17 @@
     ///
     /// Failures of one job alone lead to a quarantine only if tasks of the job have completed: a
     /// job that was submitted with a mistake fails on good machines too.
-    fn count_fault(&mut self, name: &MachineId, id: &JobId, now: Micros) {
+    fn count_failure(&mut self, name: &MachineId, id: &JobId, now: Micros) {
         let jobs = &self.jobs;
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
         *machine.task_failures.entry(id.clone()).or_default() += 1;
         machine.task_failures.retain(|job, _| jobs.contains_key(job));
-        let does_well = |job: &JobId| jobs.get(job).is_some_and(|j| j.finished_tasks > 0);
-        let mut faults = machine.task_failures.iter();
-        let fails_good_job = faults.any(|(job, count)| *count >= MIN_FAULTS_OF_JOB && does_well(job));
-        if fails_good_job || machine.task_failures.len() >= MIN_FAULTY_JOBS {
+        let has_completed_tasks = |job: &JobId| jobs.get(job).is_some_and(|j| j.finished_tasks > 0);
+        let mut failures = machine.task_failures.iter();
+        let fails_working_job = failures.any(|(job, count)| *count >= MIN_FAILURES_OF_JOB && has_completed_tasks(job));
+        if fails_working_job || machine.task_failures.len() >= MIN_FAILED_JOBS {
             if machine.quarantined_since.is_none() {
                 tracing::info!(machine = %name, jobs = machine.task_failures.len(), "machine quarantined because tasks fail on it");
             }
@@ -505,12 +505,13 @@
 
     /// Removes the failures of a job that has failed on several machines and never succeeded from
     /// those of a machine, and ends the machine's quarantine if too few failures remain.
-    fn clear_fault(&mut self, name: &MachineId, id: &JobId) {
+    fn clear_failures(&mut self, name: &MachineId, id: &JobId) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let had_faults = machine.task_failures.remove(id).is_some() && machine.task_failures.len() < MIN_FAULTY_JOBS;
-        if had_faults && machine.quarantined_since.take().is_some() {
+        let ends_quarantine =
+            machine.task_failures.remove(id).is_some() && machine.task_failures.len() < MIN_FAILED_JOBS;
+        if ends_quarantine && machine.quarantined_since.take().is_some() {
             tracing::info!(machine = %name, job = %id, "quarantine of the machine ended: the job has failed on several machines and never succeeded");
             machine.quarantined_until = Micros::ZERO;
             self.needs_scheduling = true;
--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -5,7 +5,7 @@
 //! redirected to another controller if this one serves far more agents or is cut off.
 
 use super::heartbeat_proxy::{
-    answer_without_leader, Forwarded, HeartbeatNumber, LeaseRenewer, ReceivedHeartbeat, SentRedirect,
+    answer_without_leader, ForwardedHeartbeat, HeartbeatNumber, LeaseRenewer, ReceivedHeartbeat, SentRedirect,
 };
 use super::outbox::{starts_cancelled, SendContext};
 use super::parse_task;
@@ -48,10 +48,10 @@
             return None;
         }
         self.heartbeat_proxy.unreachable.retain(|_, until| now < *until);
-        let own = self
+        let own_count = self
             .heartbeat_proxy
             .agent_count(now, self.election.role() == Role::Leader);
-        let (node, least) = self
+        let (node, fewest) = self
             .peers
             .iter()
             .filter(|(name, p)| {
@@ -60,8 +60,8 @@
             // A process that restarts repeatedly has few agents after each start.
             .filter(|(_, p)| now.since(p.known_since) > timing::CONTROLLER_SETTLED)
             .map(|(name, p)| (name.clone(), p.reporting_agents))
-            .min_by_key(|(_, serves)| *serves)?;
-        (own > least + least / 3 + MIN_IMBALANCE).then_some(node)
+            .min_by_key(|(_, agents)| *agents)?;
+        (own_count > fewest + fewest / 3 + MIN_IMBALANCE).then_some(node)
     }
 
     /// Returns a peer in this zone to redirect an agent to, if this node is isolated.
@@ -72,20 +72,20 @@
     fn better_connected_peer(&mut self, machine: &str) -> Option<String> {
         let now = self.context.now;
         let link_table = &self.forwarder.link_table;
-        let alone = self
+        let is_isolated = self
             .cluster
             .settings
             .peers
             .iter()
             .all(|p| link_table.own_link(&Host::Node(p.node.clone()), now) < LinkState::Slow);
-        if !alone || now < self.heartbeat_proxy.next_redirect_at {
+        if !is_isolated || now < self.heartbeat_proxy.next_redirect_at {
             return None;
         }
         if self.heartbeat_proxy.returned_from_redirect(machine, now) {
             return None;
         }
         self.heartbeat_proxy.unreachable.retain(|_, until| now < *until);
-        let near: Vec<&String> = self
+        let candidates: Vec<&String> = self
             .cluster
             .settings
             .peers
@@ -93,7 +93,7 @@
             .filter(|p| p.zone == self.cluster.settings.zone && !self.heartbeat_proxy.unreachable.contains_key(&p.node))
             .map(|p| &p.node)
             .collect();
-        let node = (*near.get(self.context.rng.usize(0..near.len().max(1)))?).clone();
+        let node = (*candidates.get(self.context.rng.usize(0..candidates.len().max(1)))?).clone();
         let rate = (self.heartbeat_proxy.last_heartbeats.len() as f64 * REDIRECTED_SHARE_PER_S).max(1.0);
         self.heartbeat_proxy.next_redirect_at = now + Micros::from_secs(1.0 / rate);
         Some(node)
@@ -211,8 +211,8 @@
             id: number,
             heartbeat: heartbeat.clone(),
         };
-        let forwarded = Forwarded {
-            reply: id,
+        let forwarded = ForwardedHeartbeat {
+            request_id: id,
             heartbeat,
             at: self.context.now,
         };
@@ -230,8 +230,8 @@
         let refused = self.peer_links.get(&leader) == Some(&Link::Refused);
         // A leader that last reached the state service only through peers, and that can't be
         // reached now, most likely no longer leads.
-        let lost = self.forwarder.link_table.last_reported_state(&leader, &Host::State) == LinkState::Down;
-        if refused && !lost && !self.heartbeat_proxy.returned_from_redirect(&heartbeat.machine, now) {
+        let lost_store = self.forwarder.link_table.last_reported_state(&leader, &Host::State) == LinkState::Down;
+        if refused && !lost_store && !self.heartbeat_proxy.returned_from_redirect(&heartbeat.machine, now) {
             return self.redirect(id, &heartbeat.machine, leader);
         }
         if let Some(node) = self.better_connected_peer(&heartbeat.machine) {
@@ -284,7 +284,7 @@
             match early.origin {
                 HeartbeatOrigin::Agent(id) => self.answer_heartbeat(id, heartbeat),
                 HeartbeatOrigin::Controller(node, id) => self.answer_forwarded_heartbeat(node, id, heartbeat),
-                HeartbeatOrigin::Memory(node) => self.take_last_heartbeat(&node, &heartbeat, at),
+                HeartbeatOrigin::Memory(node) => self.apply_last_heartbeat(&node, &heartbeat, at),
             }
         }
     }
@@ -307,8 +307,8 @@
     /// Answers a forwarded heartbeat as the leader, if the lease may be renewed.
     fn answer_forwarded_heartbeat(&mut self, node: String, id: u64, heartbeat: Heartbeat) {
         let now = self.context.now;
-        let current = self.attestations.may_renew(&self.election, &self.cluster, now);
-        if self.election.role() != Role::Leader || !current || self.has_unknown_token(&heartbeat) {
+        let may_renew = self.attestations.may_renew(&self.election, &self.cluster, now);
+        if self.election.role() != Role::Leader || !may_renew || self.has_unknown_token(&heartbeat) {
             return;
         }
         let commands = self.leader_response(&heartbeat, Some(&node));
@@ -323,7 +323,7 @@
         let Some(leader) = self.leader.as_mut() else {
             return lease_renewal::non_renewing_response();
         };
-        let due = leader.apply_heartbeat(&self.cluster, heartbeat, via, now, now);
+        let reasons = leader.apply_heartbeat(&self.cluster, heartbeat, via, now, now);
         if leader.must_let_lease_lapse(&self.cluster, heartbeat, now) {
             tracing::warn!(
                 machine = heartbeat.machine,
@@ -337,7 +337,7 @@
             api: &self.api,
             now,
         };
-        let commands = leader.commands_in_response(&name, due, &context);
+        let commands = leader.commands_in_response(&name, reasons, &context);
         let answer = self
             .attestations
             .renewal(&self.election, &self.api, &self.cluster, heartbeat, commands, now);
@@ -390,10 +390,10 @@
             .filter(is_recent)
             .map(with_age)
             .collect();
-        for some in heartbeats.chunks(HEARTBEATS_PER_MESSAGE) {
+        for chunk in heartbeats.chunks(HEARTBEATS_PER_MESSAGE) {
             let message = PeerMessage::LastHeartbeats {
                 node: self.cluster.settings.node.clone(),
-                heartbeats: some.to_vec(),
+                heartbeats: chunk.to_vec(),
             };
             self.context.effects.push(Effect::Peer {
                 to: to.clone(),
@@ -418,7 +418,7 @@
                         });
                     }
                 }
-                Some(_) => self.take_last_heartbeat(node, &heartbeat, at),
+                Some(_) => self.apply_last_heartbeat(node, &heartbeat, at),
                 None => {}
             }
         }
@@ -426,7 +426,7 @@
 
     /// Applies a heartbeat that was answered before. It is as valid as any late heartbeat, but no
     /// agent waits for a response.
-    fn take_last_heartbeat(&mut self, node: &str, heartbeat: &Heartbeat, at: Micros) {
+    fn apply_last_heartbeat(&mut self, node: &str, heartbeat: &Heartbeat, at: Micros) {
         let now = self.context.now;
         let via = (node != self.cluster.settings.node).then_some(node);
         if let Some(leader) = self.leader.as_mut() {
--- a/src/coordination/agents/machines.rs
+++ b/src/coordination/agents/machines.rs
@@ -19,11 +19,11 @@
 const PROXIED_READ_TIMEOUT: Micros = Micros::from_millis(700);
 
 impl LeaderState {
-    /// Runs the checks that are due. `sure` says whether this node's lease can't have ended; only
-    /// then are machines released.
-    pub fn run_machine_checks(&mut self, context: &mut Context, cluster: &ClusterConfig, sure: bool) {
+    /// Runs the checks that are due. `holds_lease` says whether this node's lease can't have ended;
+    /// only then are machines released.
+    pub fn run_machine_checks(&mut self, context: &mut Context, cluster: &ClusterConfig, holds_lease: bool) {
         let now = context.now;
-        self.take_push_heartbeats(cluster, now);
+        self.apply_push_heartbeats(cluster, now);
         if now < self.agents.next_check {
             return;
         }
@@ -35,7 +35,7 @@
         self.log_replicas(cluster, now);
         self.update_slo_accounting(cluster, now);
         self.read_proxied_machines(context, cluster);
-        if sure {
+        if holds_lease {
             self.release_failed_machines(cluster, now);
         }
         if now >= self.failures.next_straggler_check {
--- a/src/coordination/agents/outbox.rs
+++ b/src/coordination/agents/outbox.rs
@@ -140,12 +140,12 @@
 
     /// Returns whether a start of this attempt was sent and may not have arrived yet.
     fn start_may_arrive(&self, attempt: &Attempt, pushes_in_flight: &BTreeMap<u64, SentPush>) -> bool {
-        let starts_it = |command: &AgentCommand| match command {
+        let is_start = |command: &AgentCommand| match command {
             AgentCommand::Start { task, attempt: number } => *task == attempt.task && *number == attempt.number,
             _ => false,
         };
         let push = self.in_flight.and_then(|id| pushes_in_flight.get(&id));
-        let in_flight = push.is_some_and(|push| push.commands.iter().any(starts_it));
+        let in_flight = push.is_some_and(|push| push.commands.iter().any(is_start));
         in_flight || self.unanswered.contains_key(attempt) || self.in_response.contains(attempt)
     }
 }
@@ -153,7 +153,7 @@
 impl Machine {
     /// Returns whether the machine is not being released. No task is started on a machine that is
     /// being released.
-    fn is_staying(&self) -> bool {
+    fn accepts_starts(&self) -> bool {
         self.state != MachineState::Releasing && self.release_requested_at.is_none()
     }
 }
@@ -161,14 +161,14 @@
 impl LeaderState {
     /// Queues the start of a recorded placement.
     pub fn queue_start(&mut self, id: &JobId, task: u32) {
-        self.queue(id, task, |reasons, task| {
+        self.add_reason(id, task, |reasons, task| {
             reasons.starts.insert(task);
         });
     }
 
     /// Queues the stop of a task.
     pub fn queue_stop(&mut self, id: &JobId, task: u32) {
-        self.queue(id, task, |reasons, task| {
+        self.add_reason(id, task, |reasons, task| {
             reasons.stops.insert(task);
         });
     }
@@ -182,7 +182,7 @@
     }
 
     /// Adds a reason to the outbox of a task's machine, if the task has a placement.
-    fn queue(&mut self, id: &JobId, task: u32, add: impl FnOnce(&mut CommandReasons, TaskRef)) {
+    fn add_reason(&mut self, id: &JobId, task: u32, add: impl FnOnce(&mut CommandReasons, TaskRef)) {
         let placement = self.jobs.get(id).and_then(|job| job.placements.get(&task));
         let Some(name) = placement.map(|p| p.machine.clone()) else {
             return;
@@ -244,7 +244,7 @@
             let Some(attempt) = reasons.orphaned_attempts.pop_first() else {
                 break;
             };
-            commands.extend(self.stop_orphan(name, attempt));
+            commands.extend(self.stop_orphan_command(name, attempt));
         }
         while commands.len() < MAX_COMMANDS {
             let Some(task) = reasons.starts.pop_first() else { break };
@@ -267,9 +267,9 @@
             return None;
         }
         let machine = self.machines.get(name)?;
-        let (incarnation, is_staying) = (machine.incarnation, machine.is_staying());
+        let (incarnation, accepts_starts) = (machine.incarnation, machine.accepts_starts());
         let job = self.jobs.get_mut(&task.job)?;
-        let is_wanted = job.is_live() && is_staying;
+        let is_wanted = job.is_live() && accepts_starts;
         let placement = job.placements.get_mut(&task.task)?;
         let is_here = placement.machine == *name && placement.incarnation == incarnation;
         if !is_here || !placement.may_be_sent() {
@@ -331,7 +331,7 @@
     }
 
     /// Builds the stop of an attempt, unless the attempt has a record.
-    fn stop_orphan(&self, name: &MachineId, attempt: Attempt) -> Option<AgentCommand> {
+    fn stop_orphan_command(&self, name: &MachineId, attempt: Attempt) -> Option<AgentCommand> {
         if self.has_record(name, &attempt) {
             return None;
         }
--- a/src/coordination/agents/push.rs
+++ b/src/coordination/agents/push.rs
@@ -35,21 +35,22 @@
 impl LeaderState {
     /// Sends a push to each machine whose outbox has a reason and no push in flight.
     ///
-    /// The push is relayed by the controller to which the agent reports if `reached` returns true
-    /// for that controller, because that controller reaches the machine even if this node does not.
+    /// The push is relayed by the controller to which the agent reports if `is_reachable` returns
+    /// true for that controller, because that controller reaches the machine even if this node does
+    /// not.
     pub fn flush_outboxes(
         &mut self,
         context: &mut Context,
         election: &Election,
         api: &JobApi,
-        reached: impl Fn(&str) -> bool,
+        is_reachable: impl Fn(&str) -> bool,
     ) {
         if election.role() != Role::Leader {
             return;
         }
         let names: Vec<MachineId> = self.agents.outboxes.iter().cloned().collect();
         for name in names {
-            self.flush_outbox(context, election, api, &name, &reached);
+            self.flush_outbox(context, election, api, &name, &is_reachable);
         }
     }
 
@@ -60,7 +61,7 @@
         election: &Election,
         api: &JobApi,
         name: &MachineId,
-        reached: impl Fn(&str) -> bool,
+        is_reachable: impl Fn(&str) -> bool,
     ) {
         let Some(machine) = self.machines.get_mut(name) else {
             self.agents.outboxes.remove(name);
@@ -87,8 +88,8 @@
         if commands.is_empty() && !wants_heartbeat {
             return;
         }
-        let relay = machine.heartbeat_proxy.clone().filter(|node| reached(node));
-        let (id, sent) = send(context, election, machine, commands, relay.as_deref());
+        let relay = machine.heartbeat_proxy.clone().filter(|node| is_reachable(node));
+        let (id, sent) = send_push(context, election, machine, commands, relay.as_deref());
         machine.outbox.in_flight = Some(id);
         self.agents.pushes_in_flight.insert(id, sent);
     }
@@ -114,7 +115,7 @@
     }
 
     /// Applies the heartbeats that were received as answers to pushes.
-    pub(super) fn take_push_heartbeats(&mut self, cluster: &ClusterConfig, now: Micros) {
+    pub(super) fn apply_push_heartbeats(&mut self, cluster: &ClusterConfig, now: Micros) {
         for heartbeat in std::mem::take(&mut self.agents.push_heartbeats) {
             let name: MachineId = heartbeat.machine.as_str().into();
             let via = self.machines.get(&name).and_then(|m| m.heartbeat_proxy.clone());
@@ -143,7 +144,7 @@
 
 /// Sends commands to a machine, directly or through the controller `relay`; returns the request
 /// number and the push.
-fn send(
+fn send_push(
     context: &mut Context,
     election: &Election,
     machine: &Machine,
--- a/src/coordination/election/announce.rs
+++ b/src/coordination/election/announce.rs
@@ -13,9 +13,9 @@
 use crate::time::Micros;
 
 /// Interval after which an announcement that the watch has not returned is repeated.
-const ANNOUNCE_AGAIN_AFTER: Micros = Micros::from_millis(3000);
+const ANNOUNCE_REPEAT_INTERVAL: Micros = Micros::from_millis(3000);
 /// How long after its last message a peer is considered running.
-const PEER_ALIVE_FOR: Micros = Micros::from_millis(2500);
+const PEER_ALIVE_TIMEOUT: Micros = Micros::from_millis(2500);
 /// Timeout of the write of an announcement.
 const ANNOUNCE_TIMEOUT: Micros = Micros::from_millis(600);
 
@@ -33,7 +33,7 @@
         }
         let changes = self.due_announcements();
         if !changes.is_empty() {
-            self.election.next_announcement_at = now + ANNOUNCE_AGAIN_AFTER;
+            self.election.next_announcement_at = now + ANNOUNCE_REPEAT_INTERVAL;
             self.announce(changes);
         }
     }
@@ -85,7 +85,7 @@
                 after_s = elapsed.secs(),
                 "this process restarts repeatedly: it yields to other controllers in elections"
             );
-            election.avoids_lead_until = Some(self.context.now + timing::CRASH_LOOP_DEFERENCE);
+            election.yields_until = Some(self.context.now + timing::CRASH_LOOP_DEFERENCE);
         }
     }
 
@@ -126,7 +126,7 @@
     fn lagging_peer(&self) -> Option<String> {
         let is_alive = |p: &&crate::settings::Peer| {
             let view = self.peers.get(&p.node);
-            view.is_some_and(|v| self.context.now.since(v.last_contact) < PEER_ALIVE_FOR)
+            view.is_some_and(|v| self.context.now.since(v.last_contact) < PEER_ALIVE_TIMEOUT)
         };
         let peers = self.cluster.settings.peers.iter().filter(is_alive);
         let mut outdated = peers.filter(|p| {
--- a/src/coordination/election/campaign.rs
+++ b/src/coordination/election/campaign.rs
@@ -16,7 +16,7 @@
 use glenhaven_connectivity::{Host, LinkState};
 
 /// Additional delay of a node that recently gave up the lead or that restarts repeatedly.
-const DELAY_AFTER_GIVING_UP: Micros = Micros::from_millis(1500);
+const YIELD_DELAY: Micros = Micros::from_millis(1500);
 /// Additional delay of a node for each peer that is better connected.
 const DELAY_PER_RANK: Micros = Micros::from_millis(60);
 /// Delay of a node for each node whose name sorts before its own, if there is no term yet or the
@@ -171,9 +171,9 @@
         if !election.initialized || election.term_verified_at == Micros::ZERO || election.writing_term {
             return;
         }
-        let keeps_restarting = election.avoids_lead_until.is_some_and(|until| now < until);
-        let had_lead = election.led_before_restart() && !keeps_restarting;
-        let has_leader = election.live.is_some() && !had_lead;
+        let keeps_restarting = election.yields_until.is_some_and(|until| now < until);
+        let resumes_lead = election.led_before_restart() && !keeps_restarting;
+        let has_leader = election.live_leader.is_some() && !resumes_lead;
         if has_leader || self.has_only_forwarded_store(now) {
             self.election.campaign_at = None;
             return;
@@ -183,7 +183,7 @@
         }
         match self.election.campaign_at {
             None => {
-                let delay = self.campaign_delay(had_lead, keeps_restarting, now);
+                let delay = self.campaign_delay(resumes_lead, keeps_restarting, now);
                 self.election.campaign_at = Some(now + delay);
             }
             Some(at) if now >= at => match self.election.lease {
@@ -207,13 +207,13 @@
     }
 
     /// Returns the delay before this node takes over, which is shortest on the best candidate.
-    fn campaign_delay(&mut self, had_lead: bool, keeps_restarting: bool, now: Micros) -> Micros {
-        if had_lead || self.election.current.is_none() {
+    fn campaign_delay(&mut self, resumes_lead: bool, keeps_restarting: bool, now: Micros) -> Micros {
+        if resumes_lead || self.election.current.is_none() {
             return Micros(self.election.index as u64 * DELAY_PER_INDEX.0);
         }
         let rank = u64::from(self.forwarder.link_table.rank(now));
-        let goes_last = keeps_restarting || self.gave_up_lead_recently();
-        let penalty = if goes_last { DELAY_AFTER_GIVING_UP } else { Micros::ZERO };
+        let yields = keeps_restarting || self.gave_up_lead_recently();
+        let penalty = if yields { YIELD_DELAY } else { Micros::ZERO };
         let jitter = self.context.rng.u64(0..CAMPAIGN_JITTER.0);
         Micros(rank * DELAY_PER_RANK.0 + jitter) + penalty + self.election.successor_delay(now)
     }
@@ -267,7 +267,7 @@
                 self.election.condition(),
                 Condition {
                     key: keys::TERM_LIVE.into(),
-                    version: self.election.live.as_ref().map_or(0, |live| live.version),
+                    version: self.election.live_leader.as_ref().map_or(0, |live| live.version),
                 },
             ],
             changes: vec![
@@ -327,7 +327,7 @@
             value: term,
             version: revision,
         });
-        self.election.live = Some(Versioned {
+        self.election.live_leader = Some(Versioned {
             value: self.election.node.clone(),
             version: revision,
         });
--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -146,7 +146,7 @@
     /// The last value of the key `term`.
     current: Option<Versioned<Term>>,
     /// The last value of the key `term-live`, which is attached to the leader's lease.
-    live: Option<Versioned<String>>,
+    live_leader: Option<Versioned<String>>,
     /// Whether the term's keys have been read.
     initialized: bool,
     /// The revision at which this process incarnation began to read.
@@ -192,7 +192,7 @@
     own_release: Release,
     /// Until when this node yields to other nodes in elections, because its process restarts
     /// repeatedly.
-    avoids_lead_until: Option<Micros>,
+    yields_until: Option<Micros>,
     /// Whether a node has announced the lower limits of the state service.
     limits_lowered: bool,
     /// The earliest time of the next announcement.
@@ -208,7 +208,7 @@
             index,
             lease_ttl: Micros::from_secs(settings.operator.leader_lease_s),
             current: None,
-            live: None,
+            live_leader: None,
             initialized: false,
             first_read_revision: None,
             term_verified_at: Micros::ZERO,
@@ -229,7 +229,7 @@
             preferred_successor: None,
             releases: BTreeMap::new(),
             own_release: Release::default(),
-            avoids_lead_until: None,
+            yields_until: None,
             limits_lowered: false,
             next_announcement_at: now,
         }
@@ -280,7 +280,7 @@
     /// Returns the leader's name, unless this node has read that the leader's lease has ended.
     pub fn leader(&self) -> Option<&str> {
         let current = self.current.as_ref()?;
-        self.live.as_ref()?;
+        self.live_leader.as_ref()?;
         Some(&current.value.leader)
     }
 
@@ -363,7 +363,7 @@
     fn is_led_by_other(&self) -> bool {
         let current = self.current.as_ref();
         let other = current.is_some_and(|current| current.value.leader != self.node);
-        self.role == Role::Follower && self.live.is_some() && other
+        self.role == Role::Follower && self.live_leader.is_some() && other
     }
 
     /// Requests the term's keys; the watches start after they have been read.
@@ -394,7 +394,7 @@
         match key {
             keys::TERM => self.apply_term(row),
             keys::TERM_LIVE => {
-                self.live = row.map(|(value, version)| Versioned {
+                self.live_leader = row.map(|(value, version)| Versioned {
                     value: from_value(value).unwrap_or_default(),
                     version,
                 });
--- a/src/coordination/election/watches.rs
+++ b/src/coordination/election/watches.rs
@@ -55,7 +55,7 @@
                     self.election.apply_row(key, Some((value, *version)));
                 }
                 if !rows.items.iter().any(|r| r.key == keys::TERM_LIVE) {
-                    self.election.live = None;
+                    self.election.live_leader = None;
                 }
                 self.election.initialized = true;
                 self.election.first_read_revision.get_or_insert(rows.revision);
@@ -189,7 +189,7 @@
         if self.election.role == Role::Leader && !self.election.names_this_node() {
             self.step_down(StepDownReason::OtherLeader);
         }
-        if self.election.role == Role::Leader && self.election.live.is_none() && !self.election.writing_term {
+        if self.election.role == Role::Leader && self.election.live_leader.is_none() && !self.election.writing_term {
             self.election.lease = None;
             self.election.raise_pending = true;
         }
