--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -284,8 +284,8 @@
         Some(&current.value.leader)
     }
 
-    /// Returns a time at or after which this node's copies of the term and of the jobs were
-    /// current.
+    /// Returns a time such that this node's copies of the term and of the jobs reflect the state
+    /// service at that time or later.
     pub fn verified_at(&self) -> Micros {
         self.term_verified_at.min(self.jobs_verified_at)
     }
