--- a/src/coordination/agents/push.rs
+++ b/src/coordination/agents/push.rs
@@ -1,8 +1,8 @@
 //! Pushes: commands that the leader sends to agents outside of responses to heartbeats.
 //!
-//! There is at most one push in flight to each machine. It is relayed by the controller that the
-//! agent reports to, if that can be reached. An unanswered push may be executed at any time, which
-//! the machine's outbox remembers.
+//! At most one push is in flight to each machine. It is relayed by the controller to which the
+//! agent reports, if that controller can be reached. An unanswered push may be executed at any
+//! time, so its starts are recorded in the machine's outbox.
 
 use super::outbox::{Attempt, SendContext};
 use crate::coordination::api::JobApi;
@@ -13,53 +13,55 @@
 use crate::protocol::peer::PeerMessage;
 use crate::time::Micros;
 
-/// The outcome of a push without an answer for this long is unknown.
+/// How long a push may go unanswered before its outcome counts as unknown.
 pub(super) const PUSH_TIMEOUT: Micros = Micros::from_millis(1500);
-/// The same of a push that another controller relays.
+/// The same for a push that another controller relays.
 pub(super) const RELAY_TIMEOUT: Micros = Micros::from_millis(2600);
 
 /// A push in flight.
 pub struct SentPush {
     /// The machine of the agent.
     pub machine: MachineId,
-    /// The commands that it carries.
+    /// The commands in the push.
     pub commands: Vec<AgentCommand>,
-    /// The fencing token that it carries.
+    /// The fencing token of the push.
     pub fencing_token: u64,
-    /// Whether another controller relays it.
+    /// Whether another controller relays the push.
     pub relayed: bool,
-    /// When it was sent.
+    /// When the push was sent.
     pub sent_at: Micros,
 }
 
 impl LeaderState {
-    /// Sends a push to each machine whose outbox has a reason and no push in flight. It is relayed
-    /// by the controller that the agent reports to, if `reached` says that this can be reached:
-    /// that one reaches the machine even if this node does not.
+    /// Sends a push to each machine whose outbox has a reason and no push in flight.
+    ///
+    /// The push is relayed by the controller to which the agent reports if `is_reachable` returns
+    /// true for that controller, because that controller reaches the machine even if this node does
+    /// not.
     pub fn flush_outboxes(
         &mut self,
         context: &mut Context,
         election: &Election,
         api: &JobApi,
-        reached: impl Fn(&str) -> bool,
+        is_reachable: impl Fn(&str) -> bool,
     ) {
         if election.role() != Role::Leader {
             return;
         }
         let names: Vec<MachineId> = self.agents.outboxes.iter().cloned().collect();
         for name in names {
-            self.flush_outbox(context, election, api, &name, &reached);
+            self.flush_outbox(context, election, api, &name, &is_reachable);
         }
     }
 
-    /// Sends the next push to one machine, if there is a reason for a command.
+    /// Sends the next push to one machine, if a command or a heartbeat is due.
     fn flush_outbox(
         &mut self,
         context: &mut Context,
         election: &Election,
         api: &JobApi,
         name: &MachineId,
-        reached: impl Fn(&str) -> bool,
+        is_reachable: impl Fn(&str) -> bool,
     ) {
         let Some(machine) = self.machines.get_mut(name) else {
             self.agents.outboxes.remove(name);
@@ -86,8 +88,8 @@
         if commands.is_empty() && !wants_heartbeat {
             return;
         }
-        let relay = machine.heartbeat_proxy.clone().filter(|node| reached(node));
-        let (id, sent) = send(context, election, machine, commands, relay.as_deref());
+        let relay = machine.heartbeat_proxy.clone().filter(|node| is_reachable(node));
+        let (id, sent) = send_push(context, election, machine, commands, relay.as_deref());
         machine.outbox.in_flight = Some(id);
         self.agents.pushes_in_flight.insert(id, sent);
     }
@@ -112,8 +114,8 @@
         }
     }
 
-    /// Applies the heartbeats that came as answers to pushes.
-    pub(super) fn take_push_heartbeats(&mut self, cluster: &ClusterConfig, now: Micros) {
+    /// Applies the heartbeats that were received as answers to pushes.
+    pub(super) fn apply_push_heartbeats(&mut self, cluster: &ClusterConfig, now: Micros) {
         for heartbeat in std::mem::take(&mut self.agents.push_heartbeats) {
             let name: MachineId = heartbeat.machine.as_str().into();
             let via = self.machines.get(&name).and_then(|m| m.heartbeat_proxy.clone());
@@ -122,8 +124,8 @@
         }
     }
 
-    /// Queues the commands to forget attempts that have ended. Starts and stops are repeated with
-    /// the response to the machine's next heartbeat if necessary.
+    /// Queues the attempts that have exited, so that the agent is commanded to forget them. Starts
+    /// and stops are repeated in the response to the machine's next heartbeat if necessary.
     fn queue_forgets(&mut self, name: &MachineId, heartbeat: &Heartbeat) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -140,8 +142,9 @@
     }
 }
 
-/// Sends commands to a machine, directly or relayed by another controller.
-fn send(
+/// Sends commands to a machine, directly or through the controller `relay`; returns the request
+/// number and the push.
+fn send_push(
     context: &mut Context,
     election: &Election,
     machine: &Machine,
