--- a/crates/fakes/src/answer_check.rs
+++ b/crates/fakes/src/answer_check.rs
@@ -1,4 +1,5 @@
-//! Checks answers to users against what the state service held when the question was sent.
+//! Checks answers to users against what the state service held when the request was sent and when
+//! the answer arrived.
 
 use crate::store::Store;
 use crate::user::{Asked, User};
@@ -6,17 +7,17 @@
 use glenhaven::protocol::users::{JobState, Phase, Shape};
 use std::collections::BTreeSet;
 
-/// What the state service holds of a job.
+/// What the state service holds about a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoredJob {
-    /// A page of acceptances names it.
+    /// Whether a page of acceptances has ever named it.
     pub accepted: bool,
-    /// Its final phase, which is kept for ever.
+    /// Its final phase, which is never removed.
     pub ended: Option<Phase>,
 }
 
 impl StoredJob {
-    /// What is held of a job now.
+    /// Returns what the state service holds about a job now.
     pub fn of(store: &Store, job: &str) -> StoredJob {
         StoredJob {
             accepted: store.names_acceptance(job),
@@ -29,26 +30,26 @@
     }
 }
 
-/// A question and its answer.
+/// A user's request and its answer.
 pub struct CheckedAnswer<'a> {
-    /// Who asked.
+    /// The user that sent the request.
     pub user: &'a User,
-    /// What was asked.
+    /// The kind of the request.
     pub asked: Asked,
-    /// What was stored when the question was sent.
+    /// What was stored when the request was sent.
     pub before: StoredJob,
-    /// What was stored when its answer had arrived.
+    /// What was stored when the answer had arrived.
     pub after: StoredJob,
-    /// HTTP status of the answer.
+    /// The HTTP status of the answer.
     pub status: u16,
-    /// Body of the answer (CBOR).
+    /// The body of the answer, as CBOR.
     pub body: &'a [u8],
     /// Tasks that have completed.
     pub results: &'a BTreeSet<String>,
 }
 
 impl CheckedAnswer<'_> {
-    /// What is wrong with the answer.
+    /// Returns the broken rule and how the answer breaks it; `None` if the answer is right.
     pub fn problem(&self) -> Option<String> {
         let job = &self.user.spec.id;
         let asked = self.asked;
--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud.
+//! A fake of the cloud provider.
 
 use crate::worker::Worker;
 use crate::SEC;
@@ -6,9 +6,9 @@
 use glenhaven::protocol::cloud::{Catalogue, ListPage, ListedMachine, MachineType, ProvisionRequest};
 use std::collections::BTreeMap;
 
-/// Machines in one page of the list, unless said otherwise: few, so that paging is exercised.
+/// Machines in one page of the list by default. It is small so that tests exercise paging.
 const SMALL_PAGE: usize = 10;
-/// The address in the list of a machine that never came up.
+/// The listed address of a machine that has no worker.
 const NO_ADDRESS: &str = "10.1.9.9:9000";
 
 struct Rented {
@@ -20,35 +20,36 @@
     terminated_at: Option<u64>,
 }
 
-/// What a rental request leads to.
+/// What a rental request results in.
 pub enum Rental {
-    /// The request was answered before, or can't be fulfilled.
+    /// The request was fulfilled before, or there is no capacity for it.
     Answered(CloudResponse),
-    /// So many machines are to be created.
+    /// The caller has to create this number of machines.
     Machines(u32),
 }
 
-/// Machines and rental requests.
+/// The cloud's machines and fulfilled rental requests.
 pub struct Cloud {
     types: Vec<MachineType>,
     claims: BTreeMap<String, (ProvisionRequest, Vec<String>)>,
     machines: BTreeMap<String, Rented>,
-    /// Machines to be had of each type, zone and kind.
+    /// The number of machines of one type, one zone and one kind (spot or not) that can be rented
+    /// at the same time.
     pub capacity: u32,
     /// Machines in one page of the list.
     pub page: usize,
     lag: u64,
     next: u64,
     failed_boots: u32,
-    /// What should never have been asked of it.
+    /// Requests that break the cloud's protocol, as text.
     pub problems: Vec<String>,
     /// Calls so far.
     pub calls: u64,
 }
 
 impl Cloud {
-    /// A cloud with these machine types, whose list lags by `lag`; so many machines
-    /// that it rents first never come up.
+    /// Creates a cloud with these machine types, whose list lags by `lag`. The first `failed_boots`
+    /// machines that it rents never come up.
     pub fn new(types: Vec<MachineType>, capacity: u32, failed_boots: u32, lag: u64) -> Cloud {
         Cloud {
             types,
@@ -64,29 +65,29 @@
         }
     }
 
-    /// Machines ever rented.
+    /// Returns the number of machines ever rented.
     pub fn rented_in_all(&self) -> usize {
         self.machines.len()
     }
 
-    /// Machines that are paid for.
+    /// Returns the number of machines that are rented and not terminated.
     pub fn rented(&self) -> usize {
         self.machines.values().filter(|m| m.terminated_at.is_none()).count()
     }
 
-    /// What can be rented.
+    /// Returns the catalogue of machine types.
     pub fn catalogue(&self) -> Catalogue {
         Catalogue {
             types: self.types.clone(),
         }
     }
 
-    /// The description of a machine type.
+    /// Returns the machine type with this name.
     pub fn machine_type(&self, name: &str) -> Option<&MachineType> {
         self.types.iter().find(|t| t.name == name)
     }
 
-    /// Enters a new machine: its number, and its name.
+    /// Adds a machine and returns its number and name.
     pub fn create(&mut self, now: u64, machine_type: &str, zone: &str, spot: bool) -> (u64, String) {
         self.next += 1;
         let name = format!("n-{:06}", self.next);
@@ -102,14 +103,15 @@
         (self.next, name)
     }
 
-    /// Whether the machine that is created now is one of those that never come up.
+    /// Returns whether the machine that is being created never comes up, and counts it.
     pub fn next_boot_fails(&mut self) -> bool {
         let dead = self.failed_boots > 0;
         self.failed_boots = self.failed_boots.saturating_sub(1);
         dead
     }
 
-    /// Takes in a rental request.
+    /// Handles a rental request. A repeated claim that was fulfilled gets the same answer again;
+    /// its use for a different request is a problem.
     pub fn rent(&mut self, rent: &ProvisionRequest) -> Rental {
         if let Some((earlier, names)) = self.claims.get(&rent.claim) {
             if earlier != rent {
@@ -136,13 +138,14 @@
         Rental::Machines(count)
     }
 
-    /// The machines of a rental request are created.
+    /// Records the machines that were created for a rental request and returns its answer.
     pub fn rented_as(&mut self, rent: ProvisionRequest, names: Vec<String>) -> CloudResponse {
         self.claims.insert(rent.claim.clone(), (rent, names.clone()));
         CloudResponse::Rented(names)
     }
 
-    /// A page of the machine list, after a name.
+    /// Returns the page of the machine list that follows the name `after`. New machines appear, and
+    /// terminated ones disappear, after the list's lag.
     pub fn list(&self, now: u64, after: &str, workers: &BTreeMap<String, Worker>) -> ListPage {
         let rows: Vec<ListedMachine> = self
             .machines
@@ -171,7 +174,7 @@
         }
     }
 
-    /// The machine is terminated_at.
+    /// Terminates a machine.
     pub fn terminate(&mut self, now: u64, name: &str) {
         if let Some(m) = self.machines.get_mut(name) {
             m.terminated_at.get_or_insert(now);
--- a/crates/fakes/src/http.rs
+++ b/crates/fakes/src/http.rs
@@ -1,18 +1,19 @@
-//! HTTP/1.1 as the stand-ins speak it: bodies with a length, one request at a time on a
-//! connection.
+//! The subset of HTTP/1.1 that the fakes use: bodies with a `content-length`, and one request at a
+//! time on a connection.
 
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::io::{Error, ErrorKind, Result};
 use std::net::{SocketAddr, TcpStream};
 
-/// Headers of one message.
+/// The largest number of headers in a message.
 const MAX_HEADERS: usize = 32;
-/// The largest head.
+/// The largest head of a message, in bytes.
 const MAX_HEAD: usize = 16 * 1024;
-/// The largest body: a list of keys has up to 512 KiB, a watch's answer has no limit.
+/// The largest body, in bytes. A page of a list of keys has up to 512 KiB; the protocol does not
+/// limit the answer to a watch.
 const MAX_BODY: usize = 16 * 1024 * 1024;
-/// Bytes asked of a connection at once.
+/// The most bytes read from a connection at once.
 const CHUNK: usize = 4096;
 
 /// A request.
@@ -31,16 +32,16 @@
 pub struct Response {
     /// The status.
     pub status: u16,
-    /// What `Retry-After` says, in seconds.
+    /// The value of `Retry-After`, in seconds.
     pub retry_after_s: Option<u32>,
     /// The body.
     pub body: Vec<u8>,
-    /// Whether the connection is closed after it.
+    /// Whether the connection is closed after the answer.
     pub close: bool,
 }
 
 impl Response {
-    /// An answer with this body.
+    /// Creates an answer without `Retry-After` that keeps the connection open.
     pub fn new(status: u16, body: Vec<u8>) -> Response {
         Response {
             status,
@@ -51,7 +52,8 @@
     }
 }
 
-/// A whole head at the beginning of some bytes: how long it is, and what it says.
+/// The head at the start of a buffer, as its length in bytes and its parsed content; `None` if the
+/// buffer does not have all of the head yet.
 type Head<T> = Option<(usize, T)>;
 
 /// The first line and the headers of a request.
@@ -61,7 +63,7 @@
     headers: Headers,
 }
 
-/// What is looked at in a message's headers.
+/// The headers of a message that are used.
 #[derive(Default)]
 struct Headers {
     length: usize,
@@ -95,7 +97,7 @@
     Error::new(ErrorKind::InvalidData, format!("a message with a bad {what}"))
 }
 
-/// Bytes that went through a connection.
+/// The traffic of a connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Bytes read.
@@ -104,7 +106,7 @@
     pub written: u64,
 }
 
-/// A connection and what has been read of it beyond the last message.
+/// A connection, with the bytes that were read beyond the last message.
 pub struct Connection {
     stream: Async<TcpStream>,
     rest: Vec<u8>,
@@ -112,7 +114,7 @@
 }
 
 impl Connection {
-    /// Takes over a connected stream.
+    /// Wraps a connected stream.
     pub fn new(stream: Async<TcpStream>) -> Connection {
         stream.get_ref().set_nodelay(true).ok();
         Connection {
@@ -127,17 +129,17 @@
         Ok(Connection::new(Async::<TcpStream>::connect(addr).await?))
     }
 
-    /// Bytes since the last look.
+    /// Returns the traffic since the last call of this function.
     pub fn take_traffic(&mut self) -> Traffic {
         std::mem::take(&mut self.traffic)
     }
 
-    /// The address at which the other side reached this one.
+    /// Returns the local address, at which the peer reaches this side.
     pub fn local_addr(&self) -> Result<SocketAddr> {
         self.stream.get_ref().local_addr()
     }
 
-    /// Reads more; `false` at the end of the stream.
+    /// Reads more bytes; `false` at the end of the stream.
     async fn more(&mut self) -> Result<bool> {
         let mut chunk = [0u8; CHUNK];
         let n = self.stream.read(&mut chunk).await?;
@@ -146,7 +148,8 @@
         Ok(n > 0)
     }
 
-    /// Reads until `parse` has found a whole head: what it found, without the head's bytes.
+    /// Reads until `parse` finds a complete head, removes the head from the buffer and returns its
+    /// parsed content; `None` if the stream ends before the head's first byte.
     async fn head<T>(&mut self, parse: impl Fn(&[u8]) -> Result<Head<T>>) -> Result<Option<T>> {
         loop {
             if let Some((length, head)) = parse(&self.rest)? {
@@ -175,7 +178,7 @@
         Ok(std::mem::replace(&mut self.rest, rest))
     }
 
-    /// Reads a request; `None` when the other side has closed the connection.
+    /// Reads a request; `None` if the peer has closed the connection.
     pub async fn read_request(&mut self) -> Result<Option<Request>> {
         let Some(head) = self.head(request_head).await? else {
             return Ok(None);
@@ -227,7 +230,7 @@
         self.write(head, &response.body).await
     }
 
-    /// Makes one call.
+    /// Sends a request and reads its answer.
     pub async fn call(&mut self, request: &Request) -> Result<Response> {
         self.write_request(request).await?;
         self.read_response().await
--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -1,4 +1,7 @@
-//! The protocol's rules, checked independently of the code under test.
+//! Checks the protocol's rules from what workers and users see, independently of the code under
+//! test.
+//!
+//! A finding begins with the tag of the broken rule and a colon, if the rule has a tag.
 
 use crate::user::{job_of, User};
 use crate::worker::Worker;
@@ -8,31 +11,34 @@
 use glenhaven::settings::Team;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What was seen of a play, and which rules were broken in it.
+/// The events counted in a run, and the rules broken in it.
 pub struct Rules {
-    /// The rules that were broken, each with what broke it.
+    /// The findings: which rule was broken, and by what.
     pub broken: Vec<String>,
     /// Tasks that have begun.
     pub starts: u64,
-    /// Tasks killed because a worker's lease expired.
+    /// Tasks killed because their worker's lease expired.
     pub lease_kills: usize,
     /// Tasks that failed.
     pub failures: usize,
-    /// Running tasks stopped by command without their job being cancelled.
+    /// Stop commands that reached an unfinished task of a job that its user had not asked to
+    /// cancel.
     pub stops: usize,
-    /// When each task first began.
+    /// The time at which each task first began.
     pub first_start: BTreeMap<String, u64>,
-    /// When a task of each job last began.
+    /// The time at which a task of each job last began.
     pub last_start: BTreeMap<String, u64>,
-    /// Replica seconds missed by each service whose replicas all ran once.
+    /// The replica seconds missed by each service, counted from when all its replicas first ran
+    /// together.
     pub missed: BTreeMap<String, u64>,
-    /// Starts of jobs that their users had been told are cancelled: no rule, but worth knowing.
+    /// Starts of tasks whose user had already received the cancellation of the job. No rule forbids
+    /// them within the time that a cancellation may take.
     pub starts_after_cancellation: u64,
     limits: BTreeMap<String, Use>,
     cancel: u64,
 }
 
-/// What tasks take of machines together.
+/// The resources that some tasks use together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Use {
     /// Cores.
@@ -47,19 +53,21 @@
         self.gpus += spec.gpus;
     }
 
-    /// Whether this is more than a limit allows.
+    /// Returns whether this use is above a limit.
     fn exceeds(&self, limit: &Use) -> bool {
         self.cpus > limit.cpus + ROUNDING || self.gpus > limit.gpus + ROUNDING
     }
 }
 
-/// Sums of cores differ by less than this from what they should be.
+/// The tolerance for rounding errors in sums of cores and GPUs.
 const ROUNDING: f64 = 1e-6;
-/// Breaks of what holds at every moment that are kept: one that lasts is seen at every look.
+/// The number of findings from which on the checks of limits and of cancelled jobs add no more:
+/// they are repeated throughout a run and find a lasting break again each time.
 const MOST_BROKEN: usize = 20;
 
 impl Rules {
-    /// A checker of these teams' limits; a cancelled job's tasks are gone within `cancel_s`.
+    /// Creates a checker with the limits of these teams. The tasks of a cancelled job must have
+    /// stopped after `cancel_s` seconds.
     pub fn new(teams: &[Team], cancel_s: f64) -> Rules {
         Rules {
             broken: vec![],
@@ -76,14 +84,15 @@
         }
     }
 
-    /// What a team's tasks may take, if that is limited.
+    /// Returns the number of cores that a team's tasks may use, if it is limited.
     pub fn limit(&self, team: &str) -> Option<f64> {
         let limit = self.limits.get(team)?;
         limit.cpus.is_finite().then_some(limit.cpus)
     }
 
-    /// A worker has taken a start: whatever a team's attempts take on machines, also those that
-    /// wait for their image, is covered by records, and so by the team's limit.
+    /// Checks a team's limit after a worker has accepted a start. All attempts on machines, also
+    /// those that still fetch their image, are covered by placement records and count towards the
+    /// limit.
     pub fn start_taken(
         &mut self,
         now: u64,
@@ -96,7 +105,7 @@
         self.check_limit(now, &user.spec.team, held, "with what waits for its image");
     }
 
-    /// Whether a team's limit has room for one more task of this job.
+    /// Returns whether a team's limit allows one more task of this job.
     pub fn has_capacity(
         &self,
         spec: &JobSpec,
@@ -118,7 +127,8 @@
         }
     }
 
-    /// Once a second: which replicas of services that ran in full are missing.
+    /// Counts the missing replicas of services that have run in full. Has to be called once a
+    /// second.
     pub fn check_services(&mut self, now: u64, workers: &BTreeMap<String, Worker>, users: &BTreeMap<String, User>) {
         let mut on: BTreeMap<&str, u64> = BTreeMap::new();
         let runs = |w: &&Worker| w.up && now >= w.hangs_until;
@@ -138,7 +148,7 @@
         }
     }
 
-    /// A task has its image and begins.
+    /// Records that a task, with its image fetched, begins to run, and checks the rules for starts.
     pub fn started(
         &mut self,
         now: u64,
@@ -190,7 +200,7 @@
         self.check_limit(now, &spec.team, held, "as a task starts");
     }
 
-    /// A job's task begins although something that the job needs is not done.
+    /// Checks, as a task begins, that all jobs on which its job depends are done.
     pub fn started_in_order(&mut self, task: &str, users: &BTreeMap<String, User>, results: &BTreeSet<String>) {
         let Some(user) = users.get(job_of(task)) else { return };
         for need in &user.spec.needs {
@@ -204,7 +214,8 @@
         }
     }
 
-    /// Whether the user of a job before this one asked to cancel it.
+    /// Returns whether the user of any direct or indirect dependency of a job has asked to cancel
+    /// the dependency.
     fn abort_before(user: &User, users: &BTreeMap<String, User>) -> bool {
         let mut rest: Vec<&String> = user.spec.needs.iter().collect();
         while let Some(before) = rest.pop().and_then(|need| users.get(need)) {
@@ -216,7 +227,8 @@
         false
     }
 
-    /// Since when a job before this one is known to its user to be cancelled.
+    /// Returns the earliest time at which the user of a direct or indirect dependency of a job was
+    /// told that the dependency is cancelled, among those whose users asked for that.
     fn cancelled_before(user: &User, users: &BTreeMap<String, User>) -> Option<u64> {
         let mut first = None;
         let mut rest: Vec<&String> = user.spec.needs.iter().collect();
@@ -228,7 +240,7 @@
         first
     }
 
-    /// What holds at every moment.
+    /// Checks the rules that hold at every time: limits of teams, and no tasks of cancelled jobs.
     pub fn check(&mut self, now: u64, workers: &BTreeMap<String, Worker>, users: &BTreeMap<String, User>) {
         let mut held: BTreeMap<&str, Use> = BTreeMap::new();
         for w in workers.values().filter(|w| !w.tasks.is_empty()) {
@@ -245,7 +257,8 @@
         }
     }
 
-    /// A user who asks one question at a time was told a phase after another that is final.
+    /// Checks that a final phase that a user has received does not change. Applies only to a user
+    /// that sends one request at a time.
     pub fn went_back(&mut self, job: &str, phase: Phase, user: &User) {
         if user.done.is_some() && phase != Phase::Done {
             self.broken.push(format!("went_back: {job} was done, now {phase:?}"));
@@ -256,7 +269,7 @@
         }
     }
 
-    /// A user was told a phase.
+    /// Checks the phase in an answer to a user.
     pub fn record_answer(
         &mut self,
         now: u64,
@@ -288,7 +301,7 @@
     }
 }
 
-/// A team's limit; 0 in the settings means none.
+/// Returns a team's limit; 0 in the settings means unlimited.
 fn limit_of(team: &Team) -> Use {
     let or_none = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
     Use {
@@ -297,7 +310,8 @@
     }
 }
 
-/// What some tasks of each machine take together, of one team's jobs.
+/// Returns the resources that one team's jobs use, over the tasks of each machine that `tasks`
+/// selects.
 fn team_use<'a>(
     team: &str,
     workers: &'a BTreeMap<String, Worker>,
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the state service.
+//! A fake of the state service, which also checks the records that controllers write to it.
 
 use crate::{MS, SEC};
 use ciborium::Value;
@@ -8,7 +8,7 @@
 use glenhaven::protocol::{json_size, store::Condition};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Rows in one page of a list, unless said otherwise: few, so that paging is exercised.
+/// Rows in one page of a list by default. It is small so that tests exercise paging.
 const SMALL_PAGE: usize = 40;
 
 struct Entry {
@@ -22,10 +22,11 @@
     ends: u64,
 }
 
-/// What the service holds, and its limits.
+/// The content of the state service, and its limits.
 pub struct Store {
     keys: BTreeMap<String, Entry>,
-    /// Counts every change.
+    /// The current revision. Each transaction with changes, expired key and granted lease
+    /// increments it.
     pub revision: u64,
     leases: BTreeMap<u64, Lease>,
     log: Vec<WatchEvent>,
@@ -33,32 +34,34 @@
     compacted: u64,
     /// Rows in one page of a list.
     pub page: usize,
-    /// Whether each written page of the book is compared with all others: its cost grows
-    /// with their number.
+    /// Whether each written segment of the write-ahead log is compared with all others. The cost
+    /// grows with their number.
     pub audits: bool,
-    /// Whether it answers nobody just now.
+    /// Whether the service is unavailable.
     pub out: bool,
     rps: f64,
     write_rps: f64,
     txn_ops: usize,
     value_kb: f64,
-    /// Lower limits of values, operations and changes that are announced.
+    /// The lower limits that are announced: KiB of a value, operations of a transaction, and
+    /// changes a second.
     pub next: Option<(f64, usize, f64)>,
+    /// The tokens left for requests and for changes, and when they were computed.
     level: (f64, f64, u64),
-    /// Requests refused above the limits.
+    /// Requests refused by the rate limits.
     pub refused: u64,
     /// Changes made.
     pub changes: u64,
-    /// Requests in each second.
+    /// The number of requests in each second, also of those refused.
     pub by_second: BTreeMap<u64, u64>,
-    /// What should never have been asked of it.
+    /// Requests that break the protocol or the rules of records, as text.
     pub problems: Vec<String>,
-    /// Jobs that a page of acceptances has named.
+    /// The jobs that a page of acceptances has ever named.
     accepted: BTreeSet<String>,
 }
 
 impl Store {
-    /// An empty service with these limits.
+    /// Creates an empty service with these limits.
     pub fn new(rps: f64, write_rps: f64, txn_ops: usize, value_kb: f64) -> Store {
         Store {
             keys: BTreeMap::new(),
@@ -83,13 +86,14 @@
         }
     }
 
-    /// Pages of the book ever used: their keys are never removed.
+    /// Returns the number of segments of the write-ahead log ever used; their keys are never
+    /// removed.
     pub fn log_pages(&self) -> usize {
         use glenhaven::storage::keys;
         self.keys.keys().filter(|k| k.starts_with(keys::LOG_SEGMENTS)).count()
     }
 
-    /// Whether a job's own key says that it is withdrawn.
+    /// Returns whether a job's own key records it as cancelled.
     pub fn says_withdrawn(&self, job: &str) -> bool {
         use glenhaven::storage::{keys, records};
         let entry = self.keys.get(&keys::job(job));
@@ -97,7 +101,7 @@
         value.is_some_and(|v| v.phase == glenhaven::protocol::users::Phase::Cancelled)
     }
 
-    /// A job's final phase, if it has one.
+    /// Returns a job's final phase, if the job has ended.
     pub fn final_phase(&self, job: &str) -> Option<glenhaven::protocol::users::Phase> {
         use glenhaven::storage::{keys, records};
         let entry = self.keys.get(&keys::job(job))?;
@@ -105,19 +109,19 @@
         Some(value.phase).filter(|phase| phase.is_final())
     }
 
-    /// Whether a page of acceptances has ever named a job.
+    /// Returns whether a page of acceptances has ever named a job.
     pub fn names_acceptance(&self, job: &str) -> bool {
         self.accepted.contains(job)
     }
 
-    /// The lower limits hold from now on.
+    /// Puts the announced lower limits into effect.
     pub fn lower(&mut self) {
         if let Some((value_kb, ops, writes)) = self.next.take() {
             (self.value_kb, self.txn_ops, self.write_rps) = (value_kb, ops, writes);
         }
     }
 
-    /// A job as earlier versions of the service accepted it.
+    /// Stores an open job as earlier releases accepted jobs: under a key of its own.
     pub fn inherit(&mut self, spec: &glenhaven::protocol::users::JobSpec) {
         use glenhaven::storage::{keys, records};
         let value = records::to_value(&records::JobValue {
@@ -135,7 +139,7 @@
         });
     }
 
-    /// What a controller of the release before the present one says of itself.
+    /// Stores the record with which a controller of the previous release announces itself.
     pub fn old_release(&mut self, node: &str) {
         use glenhaven::storage::{keys, records};
         let value = records::to_value(&records::Release {
@@ -154,7 +158,7 @@
         });
     }
 
-    /// Somebody writes what nobody can read.
+    /// Writes a value that is malformed for every type of record.
     pub fn garbage(&mut self, key: String) {
         let value = Value::Array(vec![Value::Text("what is this?".into()), Value::Null]);
         let put = Change::Put {
@@ -168,7 +172,7 @@
         });
     }
 
-    /// The number in the key `term`.
+    /// Returns the number of the current term; 0 if there is none.
     pub fn term(&self) -> u64 {
         use glenhaven::storage::{keys, records};
         let value = self
@@ -178,14 +182,14 @@
         value.map_or(0, |t| t.term)
     }
 
-    /// The controller that the key `term` names.
+    /// Returns the leader of the current term.
     pub fn leader(&self) -> Option<String> {
         use glenhaven::storage::{keys, records};
         let entry = self.keys.get(keys::TERM)?;
         records::from_value::<records::Term>(&entry.value).map(|t| t.leader)
     }
 
-    /// After an outage every lease has its full time again.
+    /// Begins or ends an outage. At the end of an outage every lease gets its full duration again.
     pub fn outage(&mut self, out: bool, now: u64) {
         if self.out && !out {
             for lease in self.leases.values_mut() {
@@ -195,7 +199,7 @@
         self.out = out;
     }
 
-    /// Ends the leases whose time is over.
+    /// Ends the expired leases and deletes the keys bound to them; does nothing during an outage.
     pub fn expire(&mut self, now: u64) {
         if self.out {
             return;
@@ -221,7 +225,12 @@
         }
     }
 
-    /// Whether a request is taken, and if not whether that is for its changes.
+    /// Applies the rate limits to a request with this number of changes. The token buckets hold one
+    /// second's worth of requests and of changes.
+    ///
+    /// # Errors
+    ///
+    /// Returns `Limited` for a request with changes, and `Refused` for any other.
     pub fn allow(&mut self, writes: f64, now: u64) -> Result<(), StoreResponse> {
         *self.by_second.entry(now / SEC).or_default() += 1;
         let span = (now - self.level.2) as f64 / SEC as f64;
@@ -246,7 +255,7 @@
         self.keys.get(&c.key).map_or(0, |e| e.version) == c.version
     }
 
-    /// Executes a transaction.
+    /// Executes a transaction, and checks its changes against the rules of records.
     pub fn apply(&mut self, txn: &Transaction) -> StoreResponse {
         if let Some(rejection) = self.rejection(txn) {
             return rejection;
@@ -275,8 +284,8 @@
         }
     }
 
-    /// The answer to a transaction that is not executed whatever its conditions: one over the limits, or
-    /// one that binds a value to a lease that is over.
+    /// Returns the answer to a transaction that is rejected whatever its conditions: one above the
+    /// limits, or one that binds a value to a lease that has ended.
     fn rejection(&mut self, txn: &Transaction) -> Option<StoreResponse> {
         let size = json_size(txn);
         let large = txn.changes.iter().any(|c| match c {
@@ -300,7 +309,7 @@
 
     /// Checks what a transaction is about to write against what is stored.
     fn check_rules(&mut self, txn: &Transaction) {
-        // What the transaction itself says is done is done with it.
+        // A job that the transaction itself records as done counts as done.
         let is_done = |v: &Value| {
             let value = glenhaven::storage::records::from_value::<glenhaven::storage::records::JobValue>(v);
             value.is_some_and(|v| v.phase == glenhaven::protocol::users::Phase::Done)
@@ -321,7 +330,7 @@
         }
     }
 
-    /// Makes one change at the present revision.
+    /// Makes one change at the current revision.
     fn execute(&mut self, change: Change) {
         let version = self.revision;
         match change {
@@ -350,8 +359,9 @@
         }
     }
 
-    /// What is kept for ever stays: a final phase; an acceptance whose job is open; pages of
-    /// the book follow each other, and the present leader writes them.
+    /// Checks a write against the value that it replaces. A final phase never changes. The
+    /// acceptance of an open job is not overwritten. A segment of the write-ahead log only replaces
+    /// one with a lower sequence number, and is written in the current term.
     fn check_overwrite(&mut self, key: &str, value: &Value, txn: &Transaction) {
         use glenhaven::storage::{keys, records};
         let before = self.keys.get(key).map(|e| &e.value);
@@ -389,8 +399,9 @@
         }
     }
 
-    /// A start must not be recorded for a job that is over.
-    /// Nor for one of which a job that it needs is not recorded as done.
+    /// Checks the placements that a segment of the write-ahead log adds. Their job must be open and
+    /// accepted, and all jobs on which it depends must be recorded as done, or be recorded so by
+    /// the same transaction, whose keys of jobs that become done are in `ends`.
     fn check_starts(&mut self, key: &str, value: &Value, ends: &[String]) {
         use glenhaven::storage::{keys, records};
         if keys::parse_segment(key).is_none() {
@@ -447,7 +458,8 @@
         }
     }
 
-    /// Executes a request; a watch is not one that is answered at once.
+    /// Executes a request and returns its answer. A watch is answered as malformed: the caller has
+    /// to serve watches, by `has_news` and `news`.
     pub fn answer(&mut self, request: &StoreRequest, now: u64) -> StoreResponse {
         match request {
             StoreRequest::Get { key } => match self.keys.get(key) {
@@ -505,7 +517,7 @@
         }
     }
 
-    /// Forgets all but the last changes; a watch of earlier ones is refused.
+    /// Removes all but the latest `most` changes from the log; see `is_compacted`.
     pub fn keep_changes(&mut self, most: usize) {
         let over = self.log.len().saturating_sub(most);
         if let Some(last) = over.checked_sub(1) {
@@ -514,17 +526,18 @@
         }
     }
 
-    /// Whether changes after this revision were forgotten.
+    /// Returns whether changes after this revision were removed from the log, so that a watch from
+    /// it must be refused.
     pub fn is_compacted(&self, after: u64) -> bool {
         after < self.compacted
     }
 
-    /// Whether a key with this prefix has changed since a revision.
+    /// Returns whether a key with this prefix has changed since a revision.
     pub fn has_news(&self, prefix: &str, after: u64) -> bool {
         self.since(after).any(|e| key(e).starts_with(prefix))
     }
 
-    /// The changes of keys with this prefix since a revision, oldest first.
+    /// Returns the changes of keys with this prefix since a revision, oldest first.
     pub fn news(&self, prefix: &str, after: u64) -> WatchEvents {
         let of_prefix = self.since(after).filter(|e| key(e).starts_with(prefix));
         let mut events: Vec<WatchEvent> = of_prefix.cloned().collect();
@@ -535,7 +548,7 @@
         }
     }
 
-    /// Changes since a revision, the latest first.
+    /// Returns the changes since a revision, latest first.
     fn since(&self, after: u64) -> impl Iterator<Item = &WatchEvent> {
         self.log.iter().rev().take_while(move |e| key_version(e) > after)
     }
--- a/crates/fakes/src/user.rs
+++ b/crates/fakes/src/user.rs
@@ -1,4 +1,4 @@
-//! A stand-in for users.
+//! A fake of users: each job has one, which submits it, polls it and may cancel it.
 
 use crate::rules::Rules;
 use crate::SEC;
@@ -7,22 +7,23 @@
 use glenhaven::transport::server::Outgoing;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job about which no question is answered for so long is forgotten.
+/// The time, in microseconds, after which an accepted job counts as forgotten if no request about
+/// it is answered.
 const FORGOTTEN: u64 = 90 * SEC;
 
-/// What a user asks.
+/// The kind of a user's request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Asked {
-    /// To accept the job.
+    /// Submits the job.
     Submit,
-    /// How the job is.
+    /// Requests the job's state.
     Poll,
-    /// To cancel the job.
+    /// Cancels the job.
     Abort,
 }
 
 impl Asked {
-    /// How long the user waits for an answer.
+    /// Returns how long the user waits for an answer.
     pub fn limit(self) -> u64 {
         match self {
             Asked::Submit | Asked::Abort => 5 * SEC,
@@ -30,7 +31,8 @@
         }
     }
 
-    /// When the user asks next after an answer, if nobody makes it ask more often.
+    /// Returns the time between an answer and the user's next request, unless a scenario shortens
+    /// it.
     pub fn pause(self) -> u64 {
         match self {
             Asked::Submit | Asked::Abort => SEC / 10,
@@ -41,45 +43,48 @@
 
 /// A job with its user.
 pub struct User {
-    /// The job as it is submitted.
+    /// The job's description, as it is submitted.
     pub spec: JobSpec,
-    /// How long each task runs.
+    /// The run time of each task, in microseconds.
     pub run: u64,
-    /// It fails on every machine.
+    /// Whether the job's tasks fail on every machine.
     pub mistake: bool,
-    /// The job's description is uploaded with its first submission.
+    /// Whether the job was submitted. Workers can read its description from the first submission
+    /// on.
     pub submitted: bool,
-    /// Its user has asked, or asks next, to cancel it.
+    /// Whether the user has asked, or asks next, to cancel the job.
     pub wants_abort: bool,
-    /// Its user submits it once more.
+    /// Whether the user submits the job again with the next request.
     pub resubmit: bool,
-    /// Nobody submitted it.
+    /// Whether the job is never submitted; the user only polls it.
     pub never_submitted: bool,
-    /// When it was first submitted.
+    /// When the job was first submitted.
     pub first_asked: Option<u64>,
-    /// When its user first heard that it is accepted.
+    /// When the user first received an answer that the job is accepted.
     pub accepted: Option<u64>,
-    /// The status by which it was refused for good.
+    /// The HTTP status with which the job was finally refused.
     pub refused: Option<u16>,
-    /// When the answer left that first told its user that it is cancelled, and arrived.
+    /// When the first answer that reported the job as cancelled left its controller. Answers that
+    /// did not reach the user don't count.
     pub cancelled: Option<u64>,
-    /// When its user was first told that it is done.
+    /// When the user first received an answer that the job is done.
     pub done: Option<u64>,
-    /// When its user was first told that it is running.
+    /// When the user first received an answer that the job is running.
     pub first_running: Option<u64>,
-    /// The request under way, with its number.
+    /// The number and kind of the request that awaits its answer.
     pub asked: Option<(u64, Asked)>,
     /// When the last request was sent.
     pub sent: u64,
-    /// The controller that was asked.
+    /// The number of the controller that got the last request.
     pub node: Option<usize>,
+    /// When the first of the requests without an answer since the last answer failed.
     failed_since: Option<u64>,
-    /// How long questions about it went unanswered once all troubles were over, at most.
+    /// The longest time for which requests went unanswered after the last injected fault was over.
     pub silent: u64,
 }
 
 impl User {
-    /// A job that has not been submitted yet.
+    /// Creates the user of a job that has not been submitted yet.
     pub fn new(spec: JobSpec, run_s: f64, mistake: bool) -> User {
         User {
             mistake,
@@ -103,12 +108,12 @@
         }
     }
 
-    /// The request that this controller has yet to answer.
+    /// Returns the number of the request that awaits an answer of controller `n`.
     pub fn asked_of(&self, n: usize) -> Option<u64> {
         self.asked.filter(|_| self.node == Some(n)).map(|a| a.0)
     }
 
-    /// Someone who asks about a job that no one submitted.
+    /// Creates a user that polls a job that was never submitted.
     pub fn never_submitted(job: &str) -> User {
         let mut spec = plain_spec(job);
         spec.image = "none".into();
@@ -118,7 +123,8 @@
         }
     }
 
-    /// The next request, unless one is under way or the job was refused.
+    /// Begins the next request and returns its kind; `None` if one awaits its answer or the job was
+    /// refused.
     pub fn asks(&mut self, now: u64, rid: u64, node: Option<usize>) -> Option<Asked> {
         if self.asked.is_some() || self.refused.is_some() {
             return None;
@@ -141,18 +147,18 @@
         Some(asked)
     }
 
-    /// Nothing came of a request; `calm` is when the last trouble is over.
+    /// Records that a request got no usable answer; `calm` is when the last injected fault is over.
     pub fn unanswered(&mut self, now: u64, calm: u64) {
         let since = *self.failed_since.get_or_insert(now);
         self.silent = self.silent.max(now.saturating_sub(since.max(calm)));
     }
 
-    /// Whether the job is accepted, and questions about it went unanswered for too long.
+    /// Returns whether the job is accepted and requests about it went unanswered for too long.
     pub fn is_forgotten(&self, now: u64) -> bool {
         self.accepted.is_some() && self.failed_since.is_some_and(|since| now - since > FORGOTTEN)
     }
 
-    /// It was told a phase; the answer left its controller at `left`.
+    /// Records the phase in an answer, which left its controller at `left`.
     pub fn record_answer(&mut self, now: u64, left: u64, phase: Phase) {
         self.failed_since = None;
         self.accepted.get_or_insert(now);
@@ -171,21 +177,21 @@
     }
 }
 
-/// An answer as its user gets it.
+/// An answer that a user receives.
 pub struct Answered<'a> {
-    /// When it arrives.
+    /// When the answer arrives.
     pub now: u64,
-    /// When it left its controller.
+    /// When the answer left its controller.
     pub left: u64,
-    /// When the last trouble is over.
+    /// When the last injected fault is over.
     pub calm: u64,
-    /// What was asked.
+    /// The kind of the request.
     pub asked: Asked,
     /// The answer.
     pub answer: &'a Outgoing,
 }
 
-/// A user gets an answer to a request that it waits for; the rules are checked.
+/// Delivers the answer to a user's pending request, and checks the rules for answers.
 pub fn answered(
     users: &mut BTreeMap<String, User>,
     results: &BTreeSet<String>,
@@ -229,12 +235,12 @@
     }
 }
 
-/// The job of a task.
+/// Returns the id of a task's job; a name without a job is returned whole.
 pub fn job_of(task: &str) -> &str {
     task.rsplit_once('/').map_or(task, |x| x.0)
 }
 
-/// A small job with ordinary settings.
+/// Returns the description of a job with one small task and default settings.
 pub fn plain_spec(id: &str) -> JobSpec {
     JobSpec {
         id: id.into(),
--- a/crates/fakes/src/wire.rs
+++ b/crates/fakes/src/wire.rs
@@ -1,5 +1,5 @@
-//! The state service's, the cloud's and the workers' interfaces as they are on the wire:
-//! HTTP requests are read into typed ones, typed answers become HTTP answers.
+//! The wire format of the state service's and the cloud's interfaces: decodes HTTP requests into
+//! typed requests, and encodes typed answers as HTTP answers.
 
 use crate::http::{Request, Response};
 use glenhaven::coordination::{CloudRequest, CloudResponse};
@@ -8,7 +8,7 @@
 use glenhaven::protocol::users::ErrorBody;
 use glenhaven::protocol::{from_cbor, to_cbor};
 
-/// An answer with a CBOR body.
+/// Creates an answer with a CBOR body.
 fn with<T: serde::Serialize>(status: u16, body: &T) -> Response {
     Response::new(status, to_cbor(body))
 }
@@ -17,12 +17,12 @@
     with(status, &ErrorBody { error: text.into() })
 }
 
-/// The answer to a request that can't be read.
+/// Creates the answer to a request that can't be decoded.
 pub fn malformed() -> Response {
     error(400, "malformed")
 }
 
-/// The answer of a service that takes no request just now.
+/// Creates the answer of a service that is unavailable.
 pub fn refusal() -> Response {
     error(503, "trouble")
 }
@@ -39,13 +39,15 @@
         Target { path, query }
     }
 
-    /// A field of the query; empty if it is absent.
+    /// Returns a field of the query; empty if the field is absent.
     fn field(&self, name: &str) -> String {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         let mut found = pairs.filter(|(key, _)| *key == name);
         found.next().map_or(String::new(), |(_, value)| unescape(value))
     }
 
+    /// Returns a field of the query as a number; 0 if the field is absent, `None` if it is
+    /// malformed.
     fn number(&self, name: &str) -> Option<u64> {
         let text = self.field(name);
         if text.is_empty() {
@@ -56,7 +58,7 @@
     }
 }
 
-/// Undoes the escapes of a query.
+/// Decodes the percent-encoding of a query.
 fn unescape(text: &str) -> String {
     let bytes = text.as_bytes();
     let mut out = Vec::with_capacity(bytes.len());
@@ -77,7 +79,7 @@
     String::from_utf8_lossy(&out).into_owned()
 }
 
-/// Reads a request to the state service.
+/// Decodes a request to the state service; `None` if it is malformed.
 pub fn state_request(request: &Request) -> Option<StoreRequest> {
     let target = Target::of(&request.path);
     match (request.method.as_str(), target.path) {
@@ -113,7 +115,7 @@
     }
 }
 
-/// An answer of the state service to a request; `None`: it gives none.
+/// Encodes the state service's answer to a request; `None` if no answer is sent.
 pub fn state_response(request: &StoreRequest, answer: &StoreResponse) -> Option<Response> {
     let revision = |revision: u64, failed: &[String]| Revision {
         revision,
@@ -137,7 +139,7 @@
     })
 }
 
-/// Reads a request to the cloud.
+/// Decodes a request to the cloud; `None` if it is malformed.
 pub fn cloud_request(request: &Request) -> Option<CloudRequest> {
     let target = Target::of(&request.path);
     match (request.method.as_str(), target.path) {
@@ -153,7 +155,7 @@
     }
 }
 
-/// An answer of the cloud; `None`: it gives none.
+/// Encodes an answer of the cloud; `None` if no answer is sent.
 pub fn cloud_response(answer: &CloudResponse) -> Option<Response> {
     Some(match answer {
         CloudResponse::Catalogue(catalogue) => with(200, catalogue),
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in for workers.
+//! A fake of the workers: a machine, the agent on it and its tasks.
 
 use crate::user::{job_of, User};
 use crate::{MS, SEC};
@@ -9,7 +9,7 @@
 use glenhaven::protocol::users::{JobSpec, Shape};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What tasks did by themselves.
+/// The transitions that tasks made without a command.
 #[derive(Default)]
 pub struct Progress {
     /// Tasks that have begun, with their attempts.
@@ -20,26 +20,28 @@
     pub failures: usize,
 }
 
-/// What became of tasks by the orders that a worker executed.
+/// The results of the commands that a worker executed.
 #[derive(Default)]
 pub struct Executed {
-    /// Running tasks of jobs not cancelled that were stopped.
+    /// Stop commands that reached an unfinished task of a job that its user had not asked to
+    /// cancel.
     pub stops: usize,
-    /// Tasks and attempts that the worker no longer knows.
+    /// Tasks and attempts that the worker has forgotten.
     pub forgotten: Vec<(String, u64)>,
-    /// Tasks and attempts that it has begun to fetch the image for.
+    /// Tasks and attempts whose start the worker has accepted; it fetches their images.
     pub taken: Vec<(String, u64)>,
-    /// Those of them that it had forgotten in this session: nobody may start them again.
+    /// Accepted starts of attempts that the worker had forgotten in this session, which must not be
+    /// started again.
     pub taken_again: Vec<(String, u64)>,
 }
 
 /// A task on a machine.
 pub struct Task {
-    /// Its state, as reported.
+    /// Its phase, as reported.
     pub phase: TaskPhase,
-    /// Why it exited.
+    /// Why it exited, if it has.
     pub cause: Option<Cause>,
-    /// When it leaves this state by itself.
+    /// When it leaves this phase without a command.
     pub until: u64,
 }
 
@@ -47,13 +49,13 @@
 pub struct Worker {
     /// The machine's name.
     pub name: String,
-    /// Where it takes direct commands.
+    /// The address at which it takes pushed commands.
     pub addr: String,
     /// Its machine type.
     pub machine_type: String,
     /// Its zone.
     pub zone: String,
-    /// Whether the cloud may take it back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     pub spot: bool,
     cpus: f64,
     gpus: f64,
@@ -61,36 +63,39 @@
     fetch: f64,
     /// Whether it is up.
     pub up: bool,
-    /// Whether it is gone.
+    /// Whether it is gone for good.
     pub dead: bool,
-    /// Whether every task fails on it.
+    /// Whether every task that runs on it fails.
     pub faulty: bool,
+    /// The factor by which run times are prolonged.
     slowness: u64,
-    /// Until when it stands still.
+    /// Until when it hangs.
     pub hangs_until: u64,
-    /// When the cloud takes it away.
+    /// When the cloud reclaims it, if that was announced.
     pub taken: Option<u64>,
     incarnation: u64,
     sequence: u64,
     fencing_token: u64,
-    /// Its tasks by name and attempt.
+    /// Its tasks, by name and attempt.
     pub tasks: BTreeMap<(String, u64), Task>,
-    /// Attempts that were forgotten in this session.
+    /// The attempts that it has forgotten in this session.
     forgotten: BTreeSet<(String, u64)>,
     images: BTreeSet<String>,
-    /// When the last answered report was sent, or the session began.
+    /// When the last answered heartbeat was sent, or the session began; the lease runs from this
+    /// time.
     answered: u64,
-    /// The controller that it reports to.
+    /// The number of the controller that gets its heartbeats.
     pub node: usize,
-    /// The report that waits for its answer: its number, when it was sent, its session.
+    /// The heartbeat that awaits its answer: its number, when it was sent, and its session.
     pub flying: Option<(u64, u64, u64)>,
     next_report: u64,
     last_sent: u64,
+    /// The fencing token in the last heartbeat.
     token_answered: u64,
 }
 
 impl Worker {
-    /// A machine that is not up yet.
+    /// Creates a machine that is not up yet.
     pub fn new(name: &str, addr: &str, t: &MachineType, zone: &str, spot: bool) -> Worker {
         Worker {
             name: name.into(),
@@ -123,7 +128,7 @@
         }
     }
 
-    /// The next report.
+    /// Creates the next heartbeat.
     pub fn heartbeat(&mut self, now: u64) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
@@ -149,17 +154,19 @@
         }
     }
 
-    /// The present session.
+    /// Returns the number of the current session.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Something changed that is to be reported soon.
+    /// Brings the next heartbeat forward after a change, to half a second after the last one or
+    /// now.
     pub fn changed(&mut self, now: u64) {
         self.next_report = self.next_report.min((self.last_sent + SEC / 2).max(now));
     }
 
-    /// From now on everything takes so many times as long.
+    /// Prolongs run times by `factor`: what is left of those of running tasks, and those of later
+    /// tasks.
     pub fn slow_down(&mut self, now: u64, factor: u64) {
         self.slowness = factor;
         for t in self.tasks.values_mut().filter(|t| t.phase == TaskPhase::Running) {
@@ -167,20 +174,20 @@
         }
     }
 
-    /// Running tasks that don't end before this.
+    /// Returns the running tasks that end after `until`.
     pub fn long_to_go(&self, until: u64) -> impl Iterator<Item = &str> {
         let runs = move |t: &Task| t.phase == TaskPhase::Running && t.until > until;
         let long = self.tasks.iter().filter(move |(_, t)| runs(t));
         long.map(|((task, _), _)| task.as_str())
     }
 
-    /// Tasks that have not exited.
+    /// Returns the tasks that have not exited.
     pub fn live(&self) -> impl Iterator<Item = &str> {
         let live = self.tasks.iter().filter(|(_, t)| t.phase != TaskPhase::Exited);
         live.map(|((task, _), _)| task.as_str())
     }
 
-    /// The cores and memory that these tasks leave.
+    /// Returns the cores and memory that tasks which have not exited leave free.
     pub fn free(&self, users: &BTreeMap<String, User>) -> (f64, f64) {
         let specs = self.live().filter_map(|task| users.get(job_of(task)));
         specs.fold((self.cpus, self.memory), |(cpus, memory), user| {
@@ -188,7 +195,7 @@
         })
     }
 
-    /// Whether a task of this job fits beside what is here.
+    /// Returns whether the free resources suffice for one more task of this job.
     pub fn has_capacity(&self, spec: &JobSpec, users: &BTreeMap<String, User>) -> bool {
         let (cpus, memory) = self.free(users);
         spec.cpus <= cpus && spec.memory <= memory && spec.gpus <= self.free_gpus(users)
@@ -199,7 +206,7 @@
         self.gpus - specs.map(|user| user.spec.gpus).sum::<f64>()
     }
 
-    /// Tasks that have their image and have not exited.
+    /// Returns the tasks that have their image and have not exited.
     pub fn on_machine(&self) -> impl Iterator<Item = &str> {
         self.tasks
             .iter()
@@ -207,7 +214,7 @@
             .map(|((task, _), _)| task.as_str())
     }
 
-    /// The machine is up, and reports to this controller first.
+    /// Completes the boot of the machine, which sends its first heartbeat to controller `node`.
     pub fn finish_boot(&mut self, now: u64, node: usize) {
         self.up = true;
         self.answered = now;
@@ -215,15 +222,15 @@
         self.next_report = now;
     }
 
-    /// The machine and everything on it is gone.
+    /// Removes the machine with everything on it.
     pub fn dies(&mut self) {
         self.up = false;
         self.dead = true;
         self.tasks.clear();
     }
 
-    /// Kills and forgets all tasks, and begins a session, if the lease is over; how many
-    /// tasks these were.
+    /// Removes all tasks and begins a new session if the lease has expired, and returns the number
+    /// of removed tasks; `None` if the lease has not expired.
     pub fn expire_lease(&mut self, now: u64, lease: u64) -> Option<usize> {
         if now <= self.answered + lease {
             return None;
@@ -238,7 +245,7 @@
         Some(killed)
     }
 
-    /// Does what tasks do by themselves.
+    /// Makes the transitions of tasks that are due at `now`, and adds completed tasks to `results`.
     pub fn run_tasks(&mut self, now: u64, users: &BTreeMap<String, User>, results: &mut BTreeSet<String>) -> Progress {
         let mut progress = Progress::default();
         let mut changed = false;
@@ -293,7 +300,8 @@
         progress
     }
 
-    /// The report that is due, with its number; the caller says when the next one is.
+    /// Returns the heartbeat that is due, with its number. The caller has to schedule the next one
+    /// by `report_next`.
     pub fn due_report(&mut self, now: u64) -> Option<(u64, Heartbeat)> {
         if now < self.next_report || self.flying.is_some() {
             return None;
@@ -305,12 +313,12 @@
         Some((rid, self.heartbeat(now)))
     }
 
-    /// The next report is due at this time, unless something changes before.
+    /// Schedules the next heartbeat at this time; a change brings it forward.
     pub fn report_next(&mut self, at: u64) {
         self.next_report = at;
     }
 
-    /// When the worker does something by itself next.
+    /// Returns when the worker next acts without a command, a millisecond from now at the earliest.
     pub fn wakes_at(&self, now: u64, lease: u64) -> u64 {
         self.tasks
             .values()
@@ -323,12 +331,12 @@
             .max(now + MS)
     }
 
-    /// Whether the answer with this token, to a report of this session, counts.
+    /// Returns whether an answer with this fencing token, to a heartbeat of this session, is valid.
     pub fn accepts(&self, fencing_token: u64, incarnation: u64) -> bool {
         fencing_token >= self.fencing_token && incarnation == self.incarnation
     }
 
-    /// Executes the orders in the answer to a report that was sent at this time.
+    /// Executes the commands in the answer to a heartbeat that was sent at `sent`.
     pub fn take_orders(
         &mut self,
         now: u64,
@@ -345,7 +353,8 @@
         executed
     }
 
-    /// Executes orders sent straight to the machine, unless they are rejected.
+    /// Executes commands that were pushed to the machine; `None` if their fencing token or session
+    /// is outdated.
     pub fn take_direct(&mut self, now: u64, body: &PushedCommands, users: &BTreeMap<String, User>) -> Option<Executed> {
         if !self.accepts(body.fencing_token, body.incarnation) {
             return None;
@@ -354,7 +363,8 @@
         Some(self.execute(now, &body.commands, users))
     }
 
-    /// It was told to report to another controller, if it was told to which.
+    /// Follows a redirect to controller `to`; tries the next controller if `to` is unknown or is
+    /// the one that sent the redirect.
     pub fn redirected(&mut self, now: u64, to: Option<usize>, nodes: usize) {
         match to {
             Some(n) if n != self.node => {
@@ -365,13 +375,13 @@
         }
     }
 
-    /// It got no use of the controller that it asked.
+    /// Switches to the next controller after the current one gave no usable answer.
     pub fn tries_next(&mut self, now: u64, nodes: usize) {
         self.node = (self.node + 1) % nodes;
         self.next_report = now + SEC;
     }
 
-    /// Executes orders.
+    /// Executes commands.
     fn execute(&mut self, now: u64, commands: &[AgentCommand], users: &BTreeMap<String, User>) -> Executed {
         let mut executed = Executed::default();
         let before = self.tasks.len();
@@ -405,7 +415,7 @@
         executed
     }
 
-    /// Whether the worker begins to fetch the task's image.
+    /// Executes a start command; returns whether the worker has accepted it and fetches the image.
     fn start(&mut self, now: u64, task: &str, attempt: u64, users: &BTreeMap<String, User>) -> bool {
         let key = (task.to_string(), attempt);
         if self.tasks.contains_key(&key) {
@@ -438,7 +448,8 @@
         cause.is_none()
     }
 
-    /// Whether this stopped a task of a job that its user has not asked to cancel.
+    /// Executes a stop command; returns whether it reached an unfinished task of a job that its
+    /// user has not asked to cancel.
     fn stop(&mut self, now: u64, key: &(String, u64), grace_s: f64, users: &BTreeMap<String, User>) -> bool {
         let Some(t) = self.tasks.get_mut(key).filter(|t| t.phase != TaskPhase::Exited) else {
             return false;
@@ -456,7 +467,7 @@
     }
 }
 
-/// The job that a task's name says; none for a name that says none.
+/// Returns the id of the job in a task's name; empty if the name has none.
 fn owner_of(task: &str) -> &str {
     task.rsplit_once('/').map_or("", |x| x.0)
 }
--- a/crates/fakes/tests/checker.rs
+++ b/crates/fakes/tests/checker.rs
@@ -1,5 +1,5 @@
-//! The checker itself: each rule, broken by a history made for it, is seen; histories that break
-//! nothing are not complained about.
+//! Tests of the checker: it reports each rule that a history breaks on purpose, and reports nothing
+//! for histories that break no rule.
 
 use glenhaven::protocol::agents::{AgentCommand, PushedCommands};
 use glenhaven::protocol::cloud::MachineType;
@@ -85,7 +85,7 @@
         executed
     }
 
-    /// Time passes: images are there, tasks begin.
+    /// Advances all machines to `now`; tasks whose image is fetched begin.
     fn runs(&mut self, now: u64) {
         for name in ["n-1", "n-2", "n-3"] {
             let worker = self.workers.get_mut(name).expect("a machine");
@@ -128,7 +128,7 @@
     world.runs(5 * SEC);
     assert!(!world.broken("quota"));
     world.starts("n-3", 2, 3);
-    // While it waits for its image, records cover it already.
+    // A task that still fetches its image counts too, since a placement record covers it already.
     assert!(world.broken("quota"));
     world.rules.broken.clear();
     world.runs(10 * SEC);
@@ -227,7 +227,7 @@
     assert_eq!(world.starts("n-1", 0, 1).taken_again, [(task, 1)]);
 }
 
-/// An answer to a question, with what was held before it was sent and after it came.
+/// Checks an answer, given what was stored when the request was sent and when the answer arrived.
 fn checked(before: StoredJob, after: StoredJob, asked: Asked, status: u16, phase: Phase) -> Option<String> {
     let mut user = User::new(job(1), 1.0, false);
     user.wants_abort = phase == Phase::Cancelled;
@@ -265,14 +265,14 @@
     let starts = |problem: Option<String>, with: &str| {
         assert!(problem.as_ref().is_some_and(|p| p.starts_with(with)), "{problem:?}");
     };
-    // What is right.
+    // Correct answers.
     assert_eq!(checked(nothing, open, Asked::Submit, 201, Phase::Pending), None);
     assert_eq!(checked(open, cancelled, Asked::Poll, 200, Phase::Running), None);
     assert_eq!(checked(open, cancelled, Asked::Abort, 200, Phase::Cancelled), None);
     assert_eq!(checked(done, done, Asked::Poll, 200, Phase::Done), None);
     assert_eq!(checked(nothing, open, Asked::Poll, 404, Phase::Pending), None);
     assert_eq!(checked(done, done, Asked::Poll, 503, Phase::Pending), None);
-    // What is not.
+    // Wrong answers.
     starts(
         checked(cancelled, cancelled, Asked::Submit, 200, Phase::Pending),
         "went_back",
