--- a/crates/fakes/src/answer_check.rs
+++ b/crates/fakes/src/answer_check.rs
@@ -20,12 +20,12 @@
     /// Returns what the state service holds about a job now.
     pub fn of(store: &Store, job: &str) -> StoredJob {
         StoredJob {
-            accepted: store.names_acceptance(job),
+            accepted: store.was_accepted(job),
             ended: store.final_phase(job),
         }
     }
 
-    fn knows(&self) -> bool {
+    fn is_stored(&self) -> bool {
         self.accepted || self.ended.is_some()
     }
 }
@@ -61,7 +61,7 @@
                     None => Some(format!("malformed: the answer to {asked:?} of {job}")),
                 }
             }
-            404 | 400 | 422 if self.before.knows() => {
+            404 | 400 | 422 if self.before.is_stored() => {
                 Some(format!("forgotten: {job} answered {} to {asked:?}", self.status))
             }
             _ => None,
@@ -76,7 +76,7 @@
                 "went_back: {job} was {ended:?}, and {asked:?} is answered {phase:?}"
             ));
         }
-        if !self.after.knows() {
+        if !self.after.is_stored() {
             return Some(format!("invented: {job} is answered {phase:?} before it is written"));
         }
         if phase.is_final() && self.after.ended != Some(phase) {
--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -7,16 +7,16 @@
 use std::collections::BTreeMap;
 
 /// Machines in one page of the list by default. It is small so that tests exercise paging.
-const SMALL_PAGE: usize = 10;
+const DEFAULT_PAGE_SIZE: usize = 10;
 /// The listed address of a machine that has no worker.
-const NO_ADDRESS: &str = "10.1.9.9:9000";
+const PLACEHOLDER_ADDRESS: &str = "10.1.9.9:9000";
 
-struct Rented {
+struct RentedMachine {
     machine_type: String,
     zone: String,
     spot: bool,
-    at: u64,
-    visible: u64,
+    rented_at: u64,
+    visible_at: u64,
     terminated_at: Option<u64>,
 }
 
@@ -32,14 +32,14 @@
 pub struct Cloud {
     types: Vec<MachineType>,
     claims: BTreeMap<String, (ProvisionRequest, Vec<String>)>,
-    machines: BTreeMap<String, Rented>,
+    machines: BTreeMap<String, RentedMachine>,
     /// The number of machines of one type, one zone and one kind (spot or not) that can be rented
     /// at the same time.
     pub capacity: u32,
     /// Machines in one page of the list.
     pub page: usize,
     lag: u64,
-    next: u64,
+    last_number: u64,
     failed_boots: u32,
     /// Requests that break the cloud's protocol, as text.
     pub problems: Vec<String>,
@@ -56,9 +56,9 @@
             claims: BTreeMap::new(),
             machines: BTreeMap::new(),
             capacity,
-            page: SMALL_PAGE,
+            page: DEFAULT_PAGE_SIZE,
             lag,
-            next: 0,
+            last_number: 0,
             failed_boots,
             problems: vec![],
             calls: 0,
@@ -89,18 +89,18 @@
 
     /// Adds a machine and returns its number and name.
     pub fn create(&mut self, now: u64, machine_type: &str, zone: &str, spot: bool) -> (u64, String) {
-        self.next += 1;
-        let name = format!("n-{:06}", self.next);
-        let machine = Rented {
+        self.last_number += 1;
+        let name = format!("n-{:06}", self.last_number);
+        let machine = RentedMachine {
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
-            at: now,
-            visible: now + self.lag,
+            rented_at: now,
+            visible_at: now + self.lag,
             terminated_at: None,
         };
         self.machines.insert(name.clone(), machine);
-        (self.next, name)
+        (self.last_number, name)
     }
 
     /// Returns whether the machine that is being created never comes up, and counts it.
@@ -120,7 +120,7 @@
             }
             return Rental::Answered(CloudResponse::Rented(names.clone()));
         }
-        let kind = |m: &&Rented| {
+        let kind = |m: &&RentedMachine| {
             m.terminated_at.is_none()
                 && m.machine_type == rent.machine_type
                 && m.zone == rent.zone
@@ -151,11 +151,11 @@
             .machines
             .iter()
             .filter(|(name, m)| {
-                name.as_str() > after && m.visible <= now && m.terminated_at.is_none_or(|g| now < g + self.lag)
+                name.as_str() > after && m.visible_at <= now && m.terminated_at.is_none_or(|g| now < g + self.lag)
             })
             .map(|(name, m)| ListedMachine {
                 name: name.clone(),
-                addr: workers.get(name).map_or(NO_ADDRESS.into(), |w| w.addr.clone()),
+                addr: workers.get(name).map_or(PLACEHOLDER_ADDRESS.into(), |w| w.addr.clone()),
                 machine_type: m.machine_type.clone(),
                 zone: m.zone.clone(),
                 spot: m.spot,
@@ -164,7 +164,7 @@
                 } else {
                     "booting".into()
                 },
-                age_s: (now - m.at) as f64 / SEC as f64,
+                age_s: (now - m.rented_at) as f64 / SEC as f64,
             })
             .collect();
         let more = rows.len() > self.page;
--- a/crates/fakes/src/http.rs
+++ b/crates/fakes/src/http.rs
@@ -9,12 +9,12 @@
 /// The largest number of headers in a message.
 const MAX_HEADERS: usize = 32;
 /// The largest head of a message, in bytes.
-const MAX_HEAD: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The largest body, in bytes. A page of a list of keys has up to 512 KiB; the protocol does not
 /// limit the answer to a watch.
-const MAX_BODY: usize = 16 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 /// The most bytes read from a connection at once.
-const CHUNK: usize = 4096;
+const READ_CHUNK_BYTES: usize = 4096;
 
 /// A request.
 #[derive(Clone, Debug, PartialEq)]
@@ -77,23 +77,23 @@
         for header in headers {
             let value = std::str::from_utf8(header.value).unwrap_or("").trim();
             if header.name.eq_ignore_ascii_case("content-length") {
-                found.length = value.parse().map_err(|_| bad("content-length"))?;
+                found.length = value.parse().map_err(|_| malformed("content-length"))?;
             } else if header.name.eq_ignore_ascii_case("retry-after") {
                 found.retry_after_s = value.parse().ok();
             } else if header.name.eq_ignore_ascii_case("connection") {
                 found.close = value.eq_ignore_ascii_case("close");
             } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
-                return Err(bad("transfer-encoding"));
+                return Err(malformed("transfer-encoding"));
             }
         }
-        if found.length > MAX_BODY {
-            return Err(bad("content-length"));
+        if found.length > MAX_BODY_BYTES {
+            return Err(malformed("content-length"));
         }
         Ok(found)
     }
 }
 
-fn bad(what: &str) -> Error {
+fn malformed(what: &str) -> Error {
     Error::new(ErrorKind::InvalidData, format!("a message with a bad {what}"))
 }
 
@@ -109,7 +109,7 @@
 /// A connection, with the bytes that were read beyond the last message.
 pub struct Connection {
     stream: Async<TcpStream>,
-    rest: Vec<u8>,
+    unread: Vec<u8>,
     traffic: Traffic,
 }
 
@@ -119,7 +119,7 @@
         stream.get_ref().set_nodelay(true).ok();
         Connection {
             stream,
-            rest: vec![],
+            unread: vec![],
             traffic: Traffic::default(),
         }
     }
@@ -140,27 +140,27 @@
     }
 
     /// Reads more bytes; `false` at the end of the stream.
-    async fn more(&mut self) -> Result<bool> {
-        let mut chunk = [0u8; CHUNK];
+    async fn read_more(&mut self) -> Result<bool> {
+        let mut chunk = [0u8; READ_CHUNK_BYTES];
         let n = self.stream.read(&mut chunk).await?;
-        self.rest.extend_from_slice(&chunk[..n]);
+        self.unread.extend_from_slice(&chunk[..n]);
         self.traffic.read += n as u64;
         Ok(n > 0)
     }
 
     /// Reads until `parse` finds a complete head, removes the head from the buffer and returns its
     /// parsed content; `None` if the stream ends before the head's first byte.
-    async fn head<T>(&mut self, parse: impl Fn(&[u8]) -> Result<Head<T>>) -> Result<Option<T>> {
+    async fn read_head<T>(&mut self, parse: impl Fn(&[u8]) -> Result<Head<T>>) -> Result<Option<T>> {
         loop {
-            if let Some((length, head)) = parse(&self.rest)? {
-                self.rest.drain(..length);
+            if let Some((length, head)) = parse(&self.unread)? {
+                self.unread.drain(..length);
                 return Ok(Some(head));
             }
-            if self.rest.len() > MAX_HEAD {
-                return Err(bad("head"));
+            if self.unread.len() > MAX_HEAD_BYTES {
+                return Err(malformed("head"));
             }
-            if !self.more().await? {
-                return match self.rest.is_empty() {
+            if !self.read_more().await? {
+                return match self.unread.is_empty() {
                     true => Ok(None),
                     false => Err(ErrorKind::UnexpectedEof.into()),
                 };
@@ -168,34 +168,34 @@
         }
     }
 
-    async fn body(&mut self, length: usize) -> Result<Vec<u8>> {
-        while self.rest.len() < length {
-            if !self.more().await? {
+    async fn read_body(&mut self, length: usize) -> Result<Vec<u8>> {
+        while self.unread.len() < length {
+            if !self.read_more().await? {
                 return Err(ErrorKind::UnexpectedEof.into());
             }
         }
-        let rest = self.rest.split_off(length);
-        Ok(std::mem::replace(&mut self.rest, rest))
+        let rest = self.unread.split_off(length);
+        Ok(std::mem::replace(&mut self.unread, rest))
     }
 
     /// Reads a request; `None` if the peer has closed the connection.
     pub async fn read_request(&mut self) -> Result<Option<Request>> {
-        let Some(head) = self.head(request_head).await? else {
+        let Some(head) = self.read_head(parse_request_head).await? else {
             return Ok(None);
         };
-        let body = self.body(head.headers.length).await?;
+        let body = self.read_body(head.headers.length).await?;
         let (method, path) = (head.method, head.path);
         Ok(Some(Request { method, path, body }))
     }
 
     /// Reads an answer.
     pub async fn read_response(&mut self) -> Result<Response> {
-        let head = self.head(response_head).await?;
+        let head = self.read_head(parse_response_head).await?;
         let (status, headers) = head.ok_or(ErrorKind::UnexpectedEof)?;
         Ok(Response {
             status,
             retry_after_s: headers.retry_after_s,
-            body: self.body(headers.length).await?,
+            body: self.read_body(headers.length).await?,
             close: headers.close,
         })
     }
@@ -224,7 +224,7 @@
         let head = format!(
             "HTTP/1.1 {} {}\r\ncontent-type: application/cbor\r\ncontent-length: {}\r\n\r\n",
             response.status,
-            reason(response.status),
+            reason_phrase(response.status),
             response.body.len()
         );
         self.write(head, &response.body).await
@@ -237,7 +237,7 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200..=299 => "OK",
         400..=499 => "Refused",
@@ -245,10 +245,10 @@
     }
 }
 
-fn request_head(bytes: &[u8]) -> Result<Head<RequestHead>> {
+fn parse_request_head(bytes: &[u8]) -> Result<Head<RequestHead>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    match request.parse(bytes).map_err(|e| bad(&e.to_string()))? {
+    match request.parse(bytes).map_err(|e| malformed(&e.to_string()))? {
         httparse::Status::Partial => Ok(None),
         httparse::Status::Complete(length) => {
             let head = RequestHead {
@@ -261,10 +261,10 @@
     }
 }
 
-fn response_head(bytes: &[u8]) -> Result<Head<(u16, Headers)>> {
+fn parse_response_head(bytes: &[u8]) -> Result<Head<(u16, Headers)>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    match response.parse(bytes).map_err(|e| bad(&e.to_string()))? {
+    match response.parse(bytes).map_err(|e| malformed(&e.to_string()))? {
         httparse::Status::Partial => Ok(None),
         httparse::Status::Complete(length) => {
             let status = response.code.unwrap_or(0);
--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -34,36 +34,36 @@
     /// Starts of tasks whose user had already received the cancellation of the job. No rule forbids
     /// them within the time that a cancellation may take.
     pub starts_after_cancellation: u64,
-    limits: BTreeMap<String, Use>,
-    cancel: u64,
+    limits: BTreeMap<String, ResourceUse>,
+    cancel_limit: u64,
 }
 
 /// The resources that some tasks use together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Use {
+pub struct ResourceUse {
     /// Cores.
     pub cpus: f64,
     /// GPUs.
     pub gpus: f64,
 }
 
-impl Use {
+impl ResourceUse {
     fn add(&mut self, spec: &JobSpec) {
         self.cpus += spec.cpus;
         self.gpus += spec.gpus;
     }
 
     /// Returns whether this use is above a limit.
-    fn exceeds(&self, limit: &Use) -> bool {
-        self.cpus > limit.cpus + ROUNDING || self.gpus > limit.gpus + ROUNDING
+    fn exceeds(&self, limit: &ResourceUse) -> bool {
+        self.cpus > limit.cpus + ROUNDING_TOLERANCE || self.gpus > limit.gpus + ROUNDING_TOLERANCE
     }
 }
 
 /// The tolerance for rounding errors in sums of cores and GPUs.
-const ROUNDING: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 /// The number of findings from which on the checks of limits and of cancelled jobs add no more:
 /// they are repeated throughout a run and find a lasting break again each time.
-const MOST_BROKEN: usize = 20;
+const MAX_REPEATED_FINDINGS: usize = 20;
 
 impl Rules {
     /// Creates a checker with the limits of these teams. The tasks of a cancelled job must have
@@ -80,7 +80,7 @@
             missed: BTreeMap::new(),
             starts_after_cancellation: 0,
             limits: teams.iter().map(|t| (t.name.clone(), limit_of(t))).collect(),
-            cancel: (cancel_s * SEC as f64) as u64,
+            cancel_limit: (cancel_s * SEC as f64) as u64,
         }
     }
 
@@ -117,10 +117,10 @@
         self.limits.get(&spec.team).is_none_or(|limit| !held.exceeds(limit))
     }
 
-    fn check_limit(&mut self, now: u64, team: &str, held: Use, what: &str) {
+    fn check_limit(&mut self, now: u64, team: &str, held: ResourceUse, what: &str) {
         let over = self.limits.get(team).is_some_and(|limit| held.exceeds(limit));
-        if over && self.broken.len() < MOST_BROKEN {
-            let Use { cpus, gpus } = held;
+        if over && self.broken.len() < MAX_REPEATED_FINDINGS {
+            let ResourceUse { cpus, gpus } = held;
             self.broken.push(format!(
                 "quota: {team} holds {cpus} cores and {gpus} GPUs {what} at {now}"
             ));
@@ -192,7 +192,7 @@
         if spec.spread && zones.get(w.zone.as_str()).copied().unwrap_or(0) > spec.tasks.div_ceil(2) {
             self.broken.push(format!("wrong_place: {task} too close to its job"));
         }
-        if user.cancelled.is_some_and(|at| now > at + self.cancel) {
+        if user.cancelled.is_some_and(|at| now > at + self.cancel_limit) {
             self.broken.push(format!("ran_cancelled: {task} starts"));
         }
         self.starts_after_cancellation += u64::from(user.cancelled.is_some());
@@ -216,7 +216,7 @@
 
     /// Returns whether the user of any direct or indirect dependency of a job has asked to cancel
     /// the dependency.
-    fn abort_before(user: &User, users: &BTreeMap<String, User>) -> bool {
+    fn dependency_abort_requested(user: &User, users: &BTreeMap<String, User>) -> bool {
         let mut rest: Vec<&String> = user.spec.needs.iter().collect();
         while let Some(before) = rest.pop().and_then(|need| users.get(need)) {
             if before.wants_abort {
@@ -229,7 +229,7 @@
 
     /// Returns the earliest time at which the user of a direct or indirect dependency of a job was
     /// told that the dependency is cancelled, among those whose users asked for that.
-    fn cancelled_before(user: &User, users: &BTreeMap<String, User>) -> Option<u64> {
+    fn dependency_cancelled_at(user: &User, users: &BTreeMap<String, User>) -> Option<u64> {
         let mut first = None;
         let mut rest: Vec<&String> = user.spec.needs.iter().collect();
         while let Some(before) = rest.pop().and_then(|need| users.get(need)) {
@@ -242,12 +242,14 @@
 
     /// Checks the rules that hold at every time: limits of teams, and no tasks of cancelled jobs.
     pub fn check(&mut self, now: u64, workers: &BTreeMap<String, Worker>, users: &BTreeMap<String, User>) {
-        let mut held: BTreeMap<&str, Use> = BTreeMap::new();
+        let mut held: BTreeMap<&str, ResourceUse> = BTreeMap::new();
         for w in workers.values().filter(|w| !w.tasks.is_empty()) {
             for task in w.on_machine() {
                 let Some(user) = users.get(job_of(task)) else { continue };
                 held.entry(&user.spec.team).or_default().add(&user.spec);
-                if user.cancelled.is_some_and(|at| now > at + self.cancel) && self.broken.len() < MOST_BROKEN {
+                if user.cancelled.is_some_and(|at| now > at + self.cancel_limit)
+                    && self.broken.len() < MAX_REPEATED_FINDINGS
+                {
                     self.broken.push(format!("ran_cancelled: {task} still on {}", w.name));
                 }
             }
@@ -279,13 +281,13 @@
         user: &User,
         users: &BTreeMap<String, User>,
     ) {
-        let before = Self::cancelled_before(user, users);
-        if before.is_some_and(|at| now > at + self.cancel) && !phase.is_final() {
+        let before = Self::dependency_cancelled_at(user, users);
+        if before.is_some_and(|at| now > at + self.cancel_limit) && !phase.is_final() {
             self.broken.push(format!(
                 "orphaned: {job} is called {phase:?} at {now}, one before it was cancelled at {before:?}"
             ));
         }
-        if phase == Phase::Cancelled && !user.wants_abort && !Self::abort_before(user, users) {
+        if phase == Phase::Cancelled && !user.wants_abort && !Self::dependency_abort_requested(user, users) {
             self.broken
                 .push(format!("went_back: {job} is called cancelled by nobody"));
         }
@@ -302,9 +304,9 @@
 }
 
 /// Returns a team's limit; 0 in the settings means unlimited.
-fn limit_of(team: &Team) -> Use {
+fn limit_of(team: &Team) -> ResourceUse {
     let or_none = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
-    Use {
+    ResourceUse {
         cpus: or_none(team.cpus_max),
         gpus: or_none(team.gpus_max),
     }
@@ -317,8 +319,8 @@
     workers: &'a BTreeMap<String, Worker>,
     users: &BTreeMap<String, User>,
     tasks: impl Fn(&'a Worker) -> Vec<&'a str>,
-) -> Use {
-    let mut held = Use::default();
+) -> ResourceUse {
+    let mut held = ResourceUse::default();
     for worker in workers.values().filter(|w| !w.tasks.is_empty()) {
         for task in tasks(worker) {
             if let Some(user) = users.get(job_of(task)).filter(|u| u.spec.team == team) {
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Rows in one page of a list by default. It is small so that tests exercise paging.
-const SMALL_PAGE: usize = 40;
+const DEFAULT_PAGE_SIZE: usize = 40;
 
 struct Entry {
     value: Value,
@@ -19,7 +19,7 @@
 
 struct Lease {
     ttl: u64,
-    ends: u64,
+    expires_at: u64,
 }
 
 /// The content of the state service, and its limits.
@@ -47,7 +47,7 @@
     /// changes a second.
     pub next: Option<(f64, usize, f64)>,
     /// The tokens left for requests and for changes, and when they were computed.
-    level: (f64, f64, u64),
+    tokens: (f64, f64, u64),
     /// Requests refused by the rate limits.
     pub refused: u64,
     /// Changes made.
@@ -69,7 +69,7 @@
             leases: BTreeMap::new(),
             log: vec![],
             compacted: 0,
-            page: SMALL_PAGE,
+            page: DEFAULT_PAGE_SIZE,
             audits: true,
             out: false,
             rps,
@@ -77,7 +77,7 @@
             txn_ops,
             value_kb,
             next: None,
-            level: (rps, write_rps, 0),
+            tokens: (rps, write_rps, 0),
             refused: 0,
             changes: 0,
             by_second: BTreeMap::new(),
@@ -110,7 +110,7 @@
     }
 
     /// Returns whether a page of acceptances has ever named a job.
-    pub fn names_acceptance(&self, job: &str) -> bool {
+    pub fn was_accepted(&self, job: &str) -> bool {
         self.accepted.contains(job)
     }
 
@@ -193,7 +193,7 @@
     pub fn outage(&mut self, out: bool, now: u64) {
         if self.out && !out {
             for lease in self.leases.values_mut() {
-                lease.ends = now + lease.ttl;
+                lease.expires_at = now + lease.ttl;
             }
         }
         self.out = out;
@@ -207,7 +207,7 @@
         let over: BTreeSet<u64> = self
             .leases
             .iter()
-            .filter(|(_, l)| l.ends < now)
+            .filter(|(_, l)| l.expires_at < now)
             .map(|(id, _)| *id)
             .collect();
         self.leases.retain(|id, _| !over.contains(id));
@@ -233,11 +233,11 @@
     /// Returns `Limited` for a request with changes, and `Refused` for any other.
     pub fn allow(&mut self, writes: f64, now: u64) -> Result<(), StoreResponse> {
         *self.by_second.entry(now / SEC).or_default() += 1;
-        let span = (now - self.level.2) as f64 / SEC as f64;
-        self.level.0 = (self.level.0 + span * self.rps).min(self.rps);
-        self.level.1 = (self.level.1 + span * self.write_rps).min(self.write_rps);
-        self.level.2 = now;
-        if self.level.0 < 1.0 || self.level.1 < writes {
+        let span = (now - self.tokens.2) as f64 / SEC as f64;
+        self.tokens.0 = (self.tokens.0 + span * self.rps).min(self.rps);
+        self.tokens.1 = (self.tokens.1 + span * self.write_rps).min(self.write_rps);
+        self.tokens.2 = now;
+        if self.tokens.0 < 1.0 || self.tokens.1 < writes {
             self.refused += 1;
             return Err(if writes > 0.0 {
                 StoreResponse::Limited
@@ -245,13 +245,13 @@
                 StoreResponse::Refused
             });
         }
-        self.level.0 -= 1.0;
-        self.level.1 -= writes;
+        self.tokens.0 -= 1.0;
+        self.tokens.1 -= writes;
         self.changes += writes as u64;
         Ok(())
     }
 
-    fn holds(&self, c: &Condition) -> bool {
+    fn condition_holds(&self, c: &Condition) -> bool {
         self.keys.get(&c.key).map_or(0, |e| e.version) == c.version
     }
 
@@ -263,7 +263,7 @@
         let failed: Vec<String> = txn
             .conditions
             .iter()
-            .filter(|c| !self.holds(c))
+            .filter(|c| !self.condition_holds(c))
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
@@ -323,7 +323,7 @@
         for change in &txn.changes {
             if let Change::Put { key, value, .. } = change {
                 if self.audits {
-                    self.check_starts(key, value, &done);
+                    self.check_placements(key, value, &done);
                 }
                 self.check_overwrite(key, value, txn);
             }
@@ -335,7 +335,7 @@
         let version = self.revision;
         match change {
             Change::Put { key, value, lease } => {
-                self.note_acceptances(&key, &value);
+                self.record_acceptances(&key, &value);
                 self.log.push(WatchEvent::Put {
                     key: key.clone(),
                     value: value.clone(),
@@ -351,7 +351,7 @@
         }
     }
 
-    fn note_acceptances(&mut self, key: &str, value: &Value) {
+    fn record_acceptances(&mut self, key: &str, value: &Value) {
         use glenhaven::storage::{keys, records};
         if keys::parse_accepted(key).is_some() {
             let page = records::from_value::<records::Accepted>(value).unwrap_or_default();
@@ -402,7 +402,7 @@
     /// Checks the placements that a segment of the write-ahead log adds. Their job must be open and
     /// accepted, and all jobs on which it depends must be recorded as done, or be recorded so by
     /// the same transaction, whose keys of jobs that become done are in `ends`.
-    fn check_starts(&mut self, key: &str, value: &Value, ends: &[String]) {
+    fn check_placements(&mut self, key: &str, value: &Value, ends: &[String]) {
         use glenhaven::storage::{keys, records};
         if keys::parse_segment(key).is_none() {
             return;
@@ -495,19 +495,25 @@
                 self.revision += 1;
                 let id = self.revision;
                 let ttl = ttl_ms * MS;
-                self.leases.insert(id, Lease { ttl, ends: now + ttl });
+                self.leases.insert(
+                    id,
+                    Lease {
+                        ttl,
+                        expires_at: now + ttl,
+                    },
+                );
                 StoreResponse::Lease(id)
             }
             StoreRequest::Renew { lease } => match self.leases.get_mut(lease) {
                 Some(l) => {
-                    l.ends = now + l.ttl;
+                    l.expires_at = now + l.ttl;
                     StoreResponse::Lease(*lease)
                 }
                 None => StoreResponse::NoLease,
             },
             StoreRequest::Drop { lease } => match self.leases.get_mut(lease) {
                 Some(l) => {
-                    l.ends = 0;
+                    l.expires_at = 0;
                     self.expire(now);
                     StoreResponse::Lease(*lease)
                 }
@@ -521,7 +527,7 @@
     pub fn keep_changes(&mut self, most: usize) {
         let over = self.log.len().saturating_sub(most);
         if let Some(last) = over.checked_sub(1) {
-            self.compacted = key_version(&self.log[last]);
+            self.compacted = event_version(&self.log[last]);
             self.log.drain(..over);
         }
     }
@@ -534,12 +540,12 @@
 
     /// Returns whether a key with this prefix has changed since a revision.
     pub fn has_news(&self, prefix: &str, after: u64) -> bool {
-        self.since(after).any(|e| key(e).starts_with(prefix))
+        self.changes_since(after).any(|e| event_key(e).starts_with(prefix))
     }
 
     /// Returns the changes of keys with this prefix since a revision, oldest first.
     pub fn news(&self, prefix: &str, after: u64) -> WatchEvents {
-        let of_prefix = self.since(after).filter(|e| key(e).starts_with(prefix));
+        let of_prefix = self.changes_since(after).filter(|e| event_key(e).starts_with(prefix));
         let mut events: Vec<WatchEvent> = of_prefix.cloned().collect();
         events.reverse();
         WatchEvents {
@@ -549,18 +555,18 @@
     }
 
     /// Returns the changes since a revision, latest first.
-    fn since(&self, after: u64) -> impl Iterator<Item = &WatchEvent> {
-        self.log.iter().rev().take_while(move |e| key_version(e) > after)
+    fn changes_since(&self, after: u64) -> impl Iterator<Item = &WatchEvent> {
+        self.log.iter().rev().take_while(move |e| event_version(e) > after)
     }
 }
 
-fn key_version(e: &WatchEvent) -> u64 {
+fn event_version(e: &WatchEvent) -> u64 {
     match e {
         WatchEvent::Put { version, .. } | WatchEvent::Delete { version, .. } => *version,
     }
 }
 
-fn key(e: &WatchEvent) -> &str {
+fn event_key(e: &WatchEvent) -> &str {
     match e {
         WatchEvent::Put { key, .. } | WatchEvent::Delete { key, .. } => key,
     }
--- a/crates/fakes/src/user.rs
+++ b/crates/fakes/src/user.rs
@@ -9,7 +9,7 @@
 
 /// The time, in microseconds, after which an accepted job counts as forgotten if no request about
 /// it is answered.
-const FORGOTTEN: u64 = 90 * SEC;
+const FORGOTTEN_AFTER: u64 = 90 * SEC;
 
 /// The kind of a user's request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -78,7 +78,7 @@
     /// The number of the controller that got the last request.
     pub node: Option<usize>,
     /// When the first of the requests without an answer since the last answer failed.
-    failed_since: Option<u64>,
+    unanswered_since: Option<u64>,
     /// The longest time for which requests went unanswered after the last injected fault was over.
     pub silent: u64,
 }
@@ -103,7 +103,7 @@
             asked: None,
             sent: 0,
             node: None,
-            failed_since: None,
+            unanswered_since: None,
             silent: 0,
         }
     }
@@ -149,18 +149,18 @@
 
     /// Records that a request got no usable answer; `calm` is when the last injected fault is over.
     pub fn unanswered(&mut self, now: u64, calm: u64) {
-        let since = *self.failed_since.get_or_insert(now);
+        let since = *self.unanswered_since.get_or_insert(now);
         self.silent = self.silent.max(now.saturating_sub(since.max(calm)));
     }
 
     /// Returns whether the job is accepted and requests about it went unanswered for too long.
     pub fn is_forgotten(&self, now: u64) -> bool {
-        self.accepted.is_some() && self.failed_since.is_some_and(|since| now - since > FORGOTTEN)
+        self.accepted.is_some() && self.unanswered_since.is_some_and(|since| now - since > FORGOTTEN_AFTER)
     }
 
     /// Records the phase in an answer, which left its controller at `left`.
     pub fn record_answer(&mut self, now: u64, left: u64, phase: Phase) {
-        self.failed_since = None;
+        self.unanswered_since = None;
         self.accepted.get_or_insert(now);
         match phase {
             Phase::Done => {
@@ -197,13 +197,13 @@
     results: &BTreeSet<String>,
     rules: &mut Rules,
     job: &str,
-    it: &Answered,
+    received: &Answered,
 ) {
     let Some(user) = users.get_mut(job) else { return };
     user.asked = None;
-    let state: Option<JobState> = from_cbor(&it.answer.body).ok();
-    let status = it.answer.status;
-    if status == 503 && it.answer.retry_after_s.is_none() {
+    let state: Option<JobState> = from_cbor(&received.answer.body).ok();
+    let status = received.answer.status;
+    if status == 503 && received.answer.retry_after_s.is_none() {
         rules.broken.push(format!("{job}: refused without Retry-After"));
     }
     if user.never_submitted {
@@ -216,19 +216,19 @@
     match (status, state) {
         (200 | 201, Some(state)) => {
             rules.went_back(job, state.phase, &users[job]);
-            rules.record_answer(it.now, job, state.phase, results, &users[job], users);
+            rules.record_answer(received.now, job, state.phase, results, &users[job], users);
             if let Some(user) = users.get_mut(job) {
-                user.record_answer(it.now, it.left, state.phase);
+                user.record_answer(received.now, received.left, state.phase);
             }
         }
         (404, _) if known => rules
             .broken
-            .push(format!("forgotten: {job} answered 404 to {:?}", it.asked)),
+            .push(format!("forgotten: {job} answered 404 to {:?}", received.asked)),
         (400 | 422, _) if known => rules.broken.push(format!("forgotten: {job} answered {status}")),
         (400 | 422, _) => user.refused = Some(status),
         _ => {
-            user.unanswered(it.now, it.calm);
-            if user.is_forgotten(it.now) {
+            user.unanswered(received.now, received.calm);
+            if user.is_forgotten(received.now) {
                 rules.broken.push(format!("forgotten: {job} not answered for 90 s"));
             }
         }
--- a/crates/fakes/src/wire.rs
+++ b/crates/fakes/src/wire.rs
@@ -9,22 +9,22 @@
 use glenhaven::protocol::{from_cbor, to_cbor};
 
 /// Creates an answer with a CBOR body.
-fn with<T: serde::Serialize>(status: u16, body: &T) -> Response {
+fn cbor_response<T: serde::Serialize>(status: u16, body: &T) -> Response {
     Response::new(status, to_cbor(body))
 }
 
-fn error(status: u16, text: &str) -> Response {
-    with(status, &ErrorBody { error: text.into() })
+fn error_response(status: u16, text: &str) -> Response {
+    cbor_response(status, &ErrorBody { error: text.into() })
 }
 
 /// Creates the answer to a request that can't be decoded.
 pub fn malformed() -> Response {
-    error(400, "malformed")
+    error_response(400, "malformed")
 }
 
 /// Creates the answer of a service that is unavailable.
 pub fn refusal() -> Response {
-    error(503, "trouble")
+    error_response(503, "trouble")
 }
 
 /// A path and its query.
@@ -122,18 +122,20 @@
         failed: failed.to_vec(),
     };
     Some(match answer {
-        StoreResponse::Row(row) => with(200, row),
-        StoreResponse::Missing { revision: r } => with(404, &revision(*r, &[])),
-        StoreResponse::Rows(rows) => with(200, rows),
-        StoreResponse::Committed { revision: r } => with(200, &revision(*r, &[])),
-        StoreResponse::Conflict { failed, revision: r } => with(409, &revision(*r, failed)),
-        StoreResponse::Lease(lease) => with(200, &Lease { lease: *lease }),
-        StoreResponse::Events(events) => with(200, events),
-        StoreResponse::Compacted => error(410, "compacted"),
-        StoreResponse::NoLease if matches!(request, StoreRequest::Transaction(_)) => error(400, "no such lease"),
-        StoreResponse::NoLease => error(404, "no such lease"),
-        StoreResponse::Limited => error(429, "too many"),
-        StoreResponse::Refused => error(503, "trouble"),
+        StoreResponse::Row(row) => cbor_response(200, row),
+        StoreResponse::Missing { revision: r } => cbor_response(404, &revision(*r, &[])),
+        StoreResponse::Rows(rows) => cbor_response(200, rows),
+        StoreResponse::Committed { revision: r } => cbor_response(200, &revision(*r, &[])),
+        StoreResponse::Conflict { failed, revision: r } => cbor_response(409, &revision(*r, failed)),
+        StoreResponse::Lease(lease) => cbor_response(200, &Lease { lease: *lease }),
+        StoreResponse::Events(events) => cbor_response(200, events),
+        StoreResponse::Compacted => error_response(410, "compacted"),
+        StoreResponse::NoLease if matches!(request, StoreRequest::Transaction(_)) => {
+            error_response(400, "no such lease")
+        }
+        StoreResponse::NoLease => error_response(404, "no such lease"),
+        StoreResponse::Limited => error_response(429, "too many"),
+        StoreResponse::Refused => error_response(503, "trouble"),
         StoreResponse::Malformed => malformed(),
         StoreResponse::Unknown => return None,
     })
@@ -158,17 +160,17 @@
 /// Encodes an answer of the cloud; `None` if no answer is sent.
 pub fn cloud_response(answer: &CloudResponse) -> Option<Response> {
     Some(match answer {
-        CloudResponse::Catalogue(catalogue) => with(200, catalogue),
-        CloudResponse::Rented(machines) => with(
+        CloudResponse::Catalogue(catalogue) => cbor_response(200, catalogue),
+        CloudResponse::Rented(machines) => cbor_response(
             200,
             &MachineNames {
                 machines: machines.clone(),
             },
         ),
         CloudResponse::Released => Response::new(200, to_cbor(&ciborium::Value::Map(vec![]))),
-        CloudResponse::List(page) => with(200, page),
-        CloudResponse::NoCapacity => error(503, "no capacity"),
-        CloudResponse::Refused => error(503, "trouble"),
+        CloudResponse::List(page) => cbor_response(200, page),
+        CloudResponse::NoCapacity => error_response(503, "no capacity"),
+        CloudResponse::Refused => error_response(503, "trouble"),
         CloudResponse::Malformed => malformed(),
         CloudResponse::Unknown => return None,
     })
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -60,7 +60,7 @@
     cpus: f64,
     gpus: f64,
     memory: f64,
-    fetch: f64,
+    fetch_gb_per_s: f64,
     /// Whether it is up.
     pub up: bool,
     /// Whether it is gone for good.
@@ -68,7 +68,7 @@
     /// Whether every task that runs on it fails.
     pub faulty: bool,
     /// The factor by which run times are prolonged.
-    slowness: u64,
+    slowdown: u64,
     /// Until when it hangs.
     pub hangs_until: u64,
     /// When the cloud reclaims it, if that was announced.
@@ -83,15 +83,15 @@
     images: BTreeSet<String>,
     /// When the last answered heartbeat was sent, or the session began; the lease runs from this
     /// time.
-    answered: u64,
+    lease_start: u64,
     /// The number of the controller that gets its heartbeats.
     pub node: usize,
     /// The heartbeat that awaits its answer: its number, when it was sent, and its session.
     pub flying: Option<(u64, u64, u64)>,
-    next_report: u64,
+    next_heartbeat: u64,
     last_sent: u64,
     /// The fencing token in the last heartbeat.
-    token_answered: u64,
+    reported_token: u64,
 }
 
 impl Worker {
@@ -106,11 +106,11 @@
             cpus: t.cpus,
             gpus: t.gpus,
             memory: t.memory,
-            fetch: t.fetch_gb_per_s,
+            fetch_gb_per_s: t.fetch_gb_per_s,
             up: false,
             dead: false,
             faulty: false,
-            slowness: 1,
+            slowdown: 1,
             hangs_until: 0,
             taken: None,
             incarnation: 1,
@@ -119,12 +119,12 @@
             tasks: BTreeMap::new(),
             forgotten: BTreeSet::new(),
             images: BTreeSet::new(),
-            answered: 0,
+            lease_start: 0,
             node: 0,
             flying: None,
-            next_report: 0,
+            next_heartbeat: 0,
             last_sent: 0,
-            token_answered: 0,
+            reported_token: 0,
         }
     }
 
@@ -162,13 +162,13 @@
     /// Brings the next heartbeat forward after a change, to half a second after the last one or
     /// now.
     pub fn changed(&mut self, now: u64) {
-        self.next_report = self.next_report.min((self.last_sent + SEC / 2).max(now));
+        self.next_heartbeat = self.next_heartbeat.min((self.last_sent + SEC / 2).max(now));
     }
 
     /// Prolongs run times by `factor`: what is left of those of running tasks, and those of later
     /// tasks.
     pub fn slow_down(&mut self, now: u64, factor: u64) {
-        self.slowness = factor;
+        self.slowdown = factor;
         for t in self.tasks.values_mut().filter(|t| t.phase == TaskPhase::Running) {
             t.until = now.saturating_add(t.until.saturating_sub(now).saturating_mul(factor));
         }
@@ -217,9 +217,9 @@
     /// Completes the boot of the machine, which sends its first heartbeat to controller `node`.
     pub fn finish_boot(&mut self, now: u64, node: usize) {
         self.up = true;
-        self.answered = now;
+        self.lease_start = now;
         self.node = node;
-        self.next_report = now;
+        self.next_heartbeat = now;
     }
 
     /// Removes the machine with everything on it.
@@ -232,14 +232,14 @@
     /// Removes all tasks and begins a new session if the lease has expired, and returns the number
     /// of removed tasks; `None` if the lease has not expired.
     pub fn expire_lease(&mut self, now: u64, lease: u64) -> Option<usize> {
-        if now <= self.answered + lease {
+        if now <= self.lease_start + lease {
             return None;
         }
         let killed = self.tasks.len();
         self.tasks.clear();
         self.forgotten.clear();
         self.incarnation += 1;
-        self.answered = now;
+        self.lease_start = now;
         self.flying = None;
         self.changed(now);
         Some(killed)
@@ -268,7 +268,7 @@
                     t.phase = TaskPhase::Running;
                     progress.started.push((task.clone(), *attempt));
                     t.until = match user {
-                        Some(u) if u.spec.shape == Shape::Array => now + u.run * self.slowness,
+                        Some(u) if u.spec.shape == Shape::Array => now + u.run * self.slowdown,
                         _ => u64::MAX,
                     };
                     if self.faulty || user.is_some_and(|u| u.mistake) {
@@ -303,19 +303,19 @@
     /// Returns the heartbeat that is due, with its number. The caller has to schedule the next one
     /// by `report_next`.
     pub fn due_report(&mut self, now: u64) -> Option<(u64, Heartbeat)> {
-        if now < self.next_report || self.flying.is_some() {
+        if now < self.next_heartbeat || self.flying.is_some() {
             return None;
         }
         let rid = self.sequence + 1;
         self.flying = Some((rid, now, self.incarnation));
         self.last_sent = now;
-        self.token_answered = self.fencing_token;
+        self.reported_token = self.fencing_token;
         Some((rid, self.heartbeat(now)))
     }
 
     /// Schedules the next heartbeat at this time; a change brings it forward.
     pub fn report_next(&mut self, at: u64) {
-        self.next_report = at;
+        self.next_heartbeat = at;
     }
 
     /// Returns when the worker next acts without a command, a millisecond from now at the earliest.
@@ -324,8 +324,8 @@
             .values()
             .filter(|t| t.phase != TaskPhase::Exited)
             .map(|t| t.until)
-            .chain([self.answered + lease + 1])
-            .chain(self.flying.is_none().then_some(self.next_report))
+            .chain([self.lease_start + lease + 1])
+            .chain(self.flying.is_none().then_some(self.next_heartbeat))
             .min()
             .unwrap_or(now + SEC)
             .max(now + MS)
@@ -344,10 +344,10 @@
         commands: &HeartbeatResponse,
         users: &BTreeMap<String, User>,
     ) -> Executed {
-        self.answered = self.answered.max(sent);
+        self.lease_start = self.lease_start.max(sent);
         self.fencing_token = commands.fencing_token;
         let executed = self.execute(now, &commands.commands, users);
-        if self.fencing_token > self.token_answered {
+        if self.fencing_token > self.reported_token {
             self.changed(now);
         }
         executed
@@ -369,7 +369,7 @@
         match to {
             Some(n) if n != self.node => {
                 self.node = n;
-                self.next_report = now + MS;
+                self.next_heartbeat = now + MS;
             }
             _ => self.tries_next(now, nodes),
         }
@@ -378,7 +378,7 @@
     /// Switches to the next controller after the current one gave no usable answer.
     pub fn tries_next(&mut self, now: u64, nodes: usize) {
         self.node = (self.node + 1) % nodes;
-        self.next_report = now + SEC;
+        self.next_heartbeat = now + SEC;
     }
 
     /// Executes commands.
@@ -421,7 +421,7 @@
         if self.tasks.contains_key(&key) {
             return false;
         }
-        let user = users.get(owner_of(task)).filter(|u| u.submitted);
+        let user = users.get(job_in_task_name(task)).filter(|u| u.submitted);
         let live = |t: &Task| t.phase != TaskPhase::Exited;
         let busy = self.tasks.iter().any(|((t, _), x)| t == task && live(x));
         let (cpus, memory) = self.free(users);
@@ -435,7 +435,9 @@
             Some(_) => None,
         };
         let until = match user {
-            Some(u) if !self.images.contains(&u.spec.image) => now + (u.spec.image_gb / self.fetch * SEC as f64) as u64,
+            Some(u) if !self.images.contains(&u.spec.image) => {
+                now + (u.spec.image_gb / self.fetch_gb_per_s * SEC as f64) as u64
+            }
             _ => now + 5 * MS,
         };
         let phase = if refuse.is_some() {
@@ -454,7 +456,7 @@
         let Some(t) = self.tasks.get_mut(key).filter(|t| t.phase != TaskPhase::Exited) else {
             return false;
         };
-        let user = users.get(owner_of(&key.0));
+        let user = users.get(job_in_task_name(&key.0));
         let save = user.map_or(0.0, |u| u.spec.save_s);
         if t.phase == TaskPhase::Running && save > 0.0 && grace_s >= save {
             t.phase = TaskPhase::Saving;
@@ -468,6 +470,6 @@
 }
 
 /// Returns the id of the job in a task's name; empty if the name has none.
-fn owner_of(task: &str) -> &str {
+fn job_in_task_name(task: &str) -> &str {
     task.rsplit_once('/').map_or("", |x| x.0)
 }
--- a/crates/fakes/tests/checker.rs
+++ b/crates/fakes/tests/checker.rs
@@ -76,7 +76,7 @@
         worker.take_direct(0, &body, &self.users).expect("taken")
     }
 
-    fn starts(&mut self, machine: &str, task: u32, attempt: u64) -> Executed {
+    fn start(&mut self, machine: &str, task: u32, attempt: u64) -> Executed {
         let task = format!("{JOB}/{task}");
         let executed = self.order(machine, AgentCommand::Start { task, attempt });
         for (task, _) in &executed.taken {
@@ -86,7 +86,7 @@
     }
 
     /// Advances all machines to `now`; tasks whose image is fetched begin.
-    fn runs(&mut self, now: u64) {
+    fn run_until(&mut self, now: u64) {
         for name in ["n-1", "n-2", "n-3"] {
             let worker = self.workers.get_mut(name).expect("a machine");
             let progress = worker.run_tasks(now, &self.users, &mut self.results);
@@ -112,9 +112,9 @@
 #[test]
 fn a_history_that_breaks_nothing_is_not_complained_about() {
     let mut world = World::new(8.0, 0.0, job(2));
-    world.starts("n-1", 0, 1);
-    world.starts("n-3", 1, 2);
-    world.runs(5 * SEC);
+    world.start("n-1", 0, 1);
+    world.start("n-3", 1, 2);
+    world.run_until(5 * SEC);
     world.rules.check(6 * SEC, &world.workers, &world.users);
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
     assert_eq!(world.rules.starts, 2);
@@ -123,15 +123,15 @@
 #[test]
 fn a_limit_of_cores_is_broken_when_a_task_begins() {
     let mut world = World::new(8.0, 0.0, job(3));
-    world.starts("n-1", 0, 1);
-    world.starts("n-2", 1, 2);
-    world.runs(5 * SEC);
+    world.start("n-1", 0, 1);
+    world.start("n-2", 1, 2);
+    world.run_until(5 * SEC);
     assert!(!world.broken("quota"));
-    world.starts("n-3", 2, 3);
+    world.start("n-3", 2, 3);
     // A task that still fetches its image counts too, since a placement record covers it already.
     assert!(world.broken("quota"));
     world.rules.broken.clear();
-    world.runs(10 * SEC);
+    world.run_until(10 * SEC);
     assert!(world.broken("quota"));
 }
 
@@ -139,20 +139,20 @@
 fn a_limit_of_gpus_is_broken_when_a_task_begins() {
     let spec = JobSpec { gpus: 2.0, ..job(2) };
     let mut world = World::new(100.0, 3.0, spec);
-    world.starts("n-1", 0, 1);
-    world.runs(5 * SEC);
+    world.start("n-1", 0, 1);
+    world.run_until(5 * SEC);
     assert!(!world.broken("quota"));
-    world.starts("n-2", 1, 2);
+    world.start("n-2", 1, 2);
     assert!(world.broken("quota"));
 }
 
 #[test]
 fn a_task_on_two_machines_is_seen() {
     let mut world = World::new(0.0, 0.0, job(1));
-    world.starts("n-1", 0, 1);
-    world.runs(5 * SEC);
-    world.starts("n-2", 0, 2);
-    world.runs(10 * SEC);
+    world.start("n-1", 0, 1);
+    world.run_until(5 * SEC);
+    world.start("n-2", 0, 2);
+    world.run_until(10 * SEC);
     assert!(world.broken("ran_twice"));
 }
 
@@ -175,9 +175,9 @@
         let tasks = spec.tasks;
         let mut world = World::new(0.0, 0.0, spec);
         for task in 0..tasks {
-            world.starts(machines[task as usize], task, u64::from(task) + 1);
+            world.start(machines[task as usize], task, u64::from(task) + 1);
         }
-        world.runs(5 * SEC);
+        world.run_until(5 * SEC);
         assert!(world.broken("wrong_place"), "{machines:?}");
     }
 }
@@ -185,8 +185,8 @@
 #[test]
 fn a_task_of_a_cancelled_job_is_seen() {
     let mut world = World::new(0.0, 0.0, job(1));
-    world.starts("n-1", 0, 1);
-    world.runs(5 * SEC);
+    world.start("n-1", 0, 1);
+    world.run_until(5 * SEC);
     world.users.get_mut(JOB).expect("the job").cancelled = Some(6 * SEC);
     world.rules.check(15 * SEC, &world.workers, &world.users);
     assert!(!world.broken("ran_cancelled"), "it has its time to stop");
@@ -198,7 +198,7 @@
 fn an_attempt_that_begins_again_after_it_was_forgotten_is_seen() {
     let mut world = World::new(0.0, 0.0, job(1));
     let task = format!("{JOB}/0");
-    assert!(world.starts("n-1", 0, 1).taken_again.is_empty());
+    assert!(world.start("n-1", 0, 1).taken_again.is_empty());
     let (stopped, grace_s) = (task.clone(), 0.0);
     world.order(
         "n-1",
@@ -208,7 +208,7 @@
             grace_s,
         },
     );
-    assert!(world.starts("n-1", 0, 1).taken.is_empty(), "it is still known");
+    assert!(world.start("n-1", 0, 1).taken.is_empty(), "it is still known");
     let forgotten = task.clone();
     world.order(
         "n-1",
@@ -217,14 +217,14 @@
             attempt: 1,
         },
     );
-    assert!(world.starts("n-1", 0, 2).taken_again.is_empty());
+    assert!(world.start("n-1", 0, 2).taken_again.is_empty());
     let stopped = AgentCommand::Stop {
         task: task.clone(),
         attempt: 2,
         grace_s,
     };
     world.order("n-1", stopped);
-    assert_eq!(world.starts("n-1", 0, 1).taken_again, [(task, 1)]);
+    assert_eq!(world.start("n-1", 0, 1).taken_again, [(task, 1)]);
 }
 
 /// Checks an answer, given what was stored when the request was sent and when the answer arrived.
