--- a/crates/fakes/src/answer_check.rs
+++ b/crates/fakes/src/answer_check.rs
@@ -61,9 +61,10 @@
                     None => Some(format!("malformed: the answer to {asked:?} of {job}")),
                 }
             }
-            404 | 400 | 422 if self.before.is_stored() => {
-                Some(format!("forgotten: {job} answered {} to {asked:?}", self.status))
-            }
+            404 | 400 | 422 if self.before.is_stored() => Some(format!(
+                "forgotten: {asked:?} of {job} was answered {}, but the job is stored",
+                self.status
+            )),
             _ => None,
         }
     }
@@ -73,20 +74,27 @@
         if let Some(ended) = self.before.ended.filter(|ended| *ended != phase) {
             let asked = self.asked;
             return Some(format!(
-                "went_back: {job} was {ended:?}, and {asked:?} is answered {phase:?}"
+                "went_back: {job} was stored as {ended:?}, but {asked:?} was answered {phase:?}"
             ));
         }
         if !self.after.is_stored() {
-            return Some(format!("invented: {job} is answered {phase:?} before it is written"));
+            return Some(format!(
+                "invented: {job} was reported as {phase:?}, but the job is not stored"
+            ));
         }
         if phase.is_final() && self.after.ended != Some(phase) {
-            return Some(format!("went_back: {job} is answered {phase:?} before that is written"));
+            return Some(format!(
+                "went_back: {job} was reported as {phase:?}, but this phase is not stored"
+            ));
         }
         if phase == Phase::Cancelled && !self.user.wants_abort {
-            return Some(format!("went_back: {job} is called cancelled by nobody"));
+            return Some(format!(
+                "went_back: {job} was reported as cancelled, but its user did not ask for that"
+            ));
         }
         let missing = (0..self.user.spec.tasks).filter(|t| !self.results.contains(&format!("{job}/{t}")));
         let unfinished = self.user.spec.shape == Shape::Service || missing.count() > 0;
-        (phase == Phase::Done && unfinished).then(|| format!("not_done: {job} is called done"))
+        (phase == Phase::Done && unfinished)
+            .then(|| format!("not_done: {job} was reported as done, but has unfinished tasks or is a service"))
     }
 }
--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -129,8 +129,10 @@
         let used = self.machines.values().filter(kind).count() as u32;
         let count = rent.count.min(self.capacity.saturating_sub(used));
         if rent.count == 0 || rent.count > 50 {
-            self.problems
-                .push(format!("claim {} for {} machines", rent.claim, rent.count));
+            self.problems.push(format!(
+                "claim {} asks for {} machines; 1 to 50 are allowed",
+                rent.claim, rent.count
+            ));
         }
         if count == 0 {
             return Rental::Answered(CloudResponse::NoCapacity);
--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -102,7 +102,7 @@
     ) {
         let Some(user) = users.get(job_of(task)) else { return };
         let held = team_use(&user.spec.team, workers, users, |w| w.live().collect());
-        self.check_limit(now, &user.spec.team, held, "with what waits for its image");
+        self.check_limit(now, &user.spec.team, held, "with tasks that fetch their image");
     }
 
     /// Returns whether a team's limit allows one more task of this job.
@@ -170,14 +170,16 @@
         }
         let Some(w) = workers.get(machine) else { return };
         let Some(user) = users.get(job_of(task)) else {
-            return self.broken.push(format!("{task} starts without a job"));
+            return self.broken.push(format!("{task} starts, but its job is unknown"));
         };
         let spec = &user.spec;
         if spec.zone.as_ref().is_some_and(|z| *z != w.zone)
             || (!spec.spot && w.spot)
             || spec.types.as_ref().is_some_and(|t| !t.contains(&w.machine_type))
         {
-            self.broken.push(format!("wrong_place: {task} on {machine}"));
+            self.broken.push(format!(
+                "wrong_place: {task} is on {machine}, which its job does not allow"
+            ));
         }
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         for other in workers.values() {
@@ -187,10 +189,14 @@
             }
         }
         if spec.one_zone && zones.len() > 1 {
-            self.broken.push(format!("wrong_place: {task} apart from its job"));
+            self.broken.push(format!(
+                "wrong_place: {task} is not in the zone of the other tasks of its job"
+            ));
         }
         if spec.spread && zones.get(w.zone.as_str()).copied().unwrap_or(0) > spec.tasks.div_ceil(2) {
-            self.broken.push(format!("wrong_place: {task} too close to its job"));
+            self.broken.push(format!(
+                "wrong_place: {task} is in a zone with more than half of the tasks of its job"
+            ));
         }
         if user.cancelled.is_some_and(|at| now > at + self.cancel_limit) {
             self.broken.push(format!("ran_cancelled: {task} starts"));
@@ -208,7 +214,7 @@
             let left = (0..tasks).filter(|t| !results.contains(&format!("{need}/{t}"))).count();
             if left > 0 || tasks == 0 {
                 self.broken.push(format!(
-                    "too_early: {task} starts, and {need} has {left} of {tasks} tasks to go"
+                    "too_early: {task} starts, but {need} has {left} of {tasks} tasks unfinished"
                 ));
             }
         }
@@ -284,20 +290,22 @@
         let before = Self::dependency_cancelled_at(user, users);
         if before.is_some_and(|at| now > at + self.cancel_limit) && !phase.is_final() {
             self.broken.push(format!(
-                "orphaned: {job} is called {phase:?} at {now}, one before it was cancelled at {before:?}"
+                "orphaned: {job} was reported as {phase:?} at {now}, but a dependency was cancelled at {before:?}"
             ));
         }
         if phase == Phase::Cancelled && !user.wants_abort && !Self::dependency_abort_requested(user, users) {
-            self.broken
-                .push(format!("went_back: {job} is called cancelled by nobody"));
+            self.broken.push(format!(
+                "went_back: {job} was reported as cancelled, but no user of it or its dependencies asked for that"
+            ));
         }
         if phase == Phase::Done {
             let missing = (0..user.spec.tasks)
                 .filter(|t| !results.contains(&format!("{job}/{t}")))
                 .count();
             if missing > 0 || user.spec.shape == Shape::Service {
-                self.broken
-                    .push(format!("not_done: {job} with {missing} tasks to go at {now}"));
+                self.broken.push(format!(
+                    "not_done: {job} was reported as done at {now}, but has {missing} unfinished tasks or is a service"
+                ));
             }
         }
     }
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -294,7 +294,7 @@
         });
         if txn.changes.len() > self.txn_ops || txn.conditions.len() > 4 * self.txn_ops || size > 64 * 1024 || large {
             self.problems.push(format!(
-                "transaction over the limits: {} changes, {} conditions, {size} bytes",
+                "transaction above the limits: {} changes, {} conditions, {size} bytes",
                 txn.changes.len(),
                 txn.conditions.len()
             ));
@@ -372,11 +372,13 @@
             let old = before.and_then(records::from_value::<records::Segment>);
             if old.is_some_and(|old| old.seq >= page.seq) {
                 self.problems
-                    .push(format!("{key} of the book was written over by an older one"));
+                    .push(format!("log segment {key} was overwritten by an older one"));
             }
             if page.term != self.term() {
-                self.problems
-                    .push(format!("{key} of the book was written in term {}", page.term));
+                self.problems.push(format!(
+                    "log segment {key} was written in term {}, which is not the current one",
+                    page.term
+                ));
             }
         } else if keys::parse_accepted(key).is_some() {
             let jobs = |v: &Value| records::from_value::<records::Accepted>(v).unwrap_or_default().jobs;
@@ -385,8 +387,10 @@
                 let own = keys::job(&spec.id);
                 let ends = txn.changes.iter().any(|c| c.key() == own);
                 if !stay.contains(&spec.id) && !ends && !self.keys.contains_key(&own) {
-                    self.problems
-                        .push(format!("the acceptance of {} was written over", spec.id));
+                    self.problems.push(format!(
+                        "the acceptance of {} was overwritten, but the job is open",
+                        spec.id
+                    ));
                 }
             }
         } else if key.starts_with(keys::JOBS) {
--- a/crates/fakes/tests/checker.rs
+++ b/crates/fakes/tests/checker.rs
@@ -189,7 +189,7 @@
     world.run_until(5 * SEC);
     world.users.get_mut(JOB).expect("the job").cancelled = Some(6 * SEC);
     world.rules.check(15 * SEC, &world.workers, &world.users);
-    assert!(!world.broken("ran_cancelled"), "it has its time to stop");
+    assert!(!world.broken("ran_cancelled"), "the task still has time to stop");
     world.rules.check(17 * SEC, &world.workers, &world.users);
     assert!(world.broken("ran_cancelled"));
 }
@@ -208,7 +208,10 @@
             grace_s,
         },
     );
-    assert!(world.start("n-1", 0, 1).taken.is_empty(), "it is still known");
+    assert!(
+        world.start("n-1", 0, 1).taken.is_empty(),
+        "the worker has not forgotten the attempt"
+    );
     let forgotten = task.clone();
     world.order(
         "n-1",
