--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -267,7 +267,7 @@
 
     /// Checks that a final phase that a user has received does not change. Applies only to a user
     /// that sends one request at a time.
-    pub fn went_back(&mut self, job: &str, phase: Phase, user: &User) {
+    pub fn check_final_phase(&mut self, job: &str, phase: Phase, user: &User) {
         if user.done.is_some() && phase != Phase::Done {
             self.broken.push(format!("went_back: {job} was done, now {phase:?}"));
         }
--- a/crates/fakes/src/user.rs
+++ b/crates/fakes/src/user.rs
@@ -215,7 +215,7 @@
     let known = user.accepted.is_some();
     match (status, state) {
         (200 | 201, Some(state)) => {
-            rules.went_back(job, state.phase, &users[job]);
+            rules.check_final_phase(job, state.phase, &users[job]);
             rules.record_answer(received.now, job, state.phase, results, &users[job], users);
             if let Some(user) = users.get_mut(job) {
                 user.record_answer(received.now, received.left, state.phase);
