--- a/crates/fakes/src/http.rs
+++ b/crates/fakes/src/http.rs
@@ -94,7 +94,7 @@
 }
 
 fn malformed(what: &str) -> Error {
-    Error::new(ErrorKind::InvalidData, format!("malformed HTTP message: {what}"))
+    Error::new(ErrorKind::InvalidData, format!("invalid HTTP message: {what}"))
 }
 
 /// The traffic of a connection.
