--- a/crates/fakes/src/answer_check.rs
+++ b/crates/fakes/src/answer_check.rs
@@ -1,4 +1,5 @@
-//! Checks answers to users against what the state service held when the question was sent.
+//! Checks answers to users against what the state service held when the request was sent and when
+//! the answer arrived.
 
 use crate::store::Store;
 use crate::user::{Asked, User};
@@ -6,49 +7,49 @@
 use glenhaven::protocol::users::{JobState, Phase, Shape};
 use std::collections::BTreeSet;
 
-/// What the state service holds of a job.
+/// What the state service holds about a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoredJob {
-    /// A page of acceptances names it.
+    /// Whether a page of acceptances has ever named it.
     pub accepted: bool,
-    /// Its final phase, which is kept for ever.
+    /// Its final phase, which is never removed.
     pub ended: Option<Phase>,
 }
 
 impl StoredJob {
-    /// What is held of a job now.
+    /// Returns what the state service holds about a job now.
     pub fn of(store: &Store, job: &str) -> StoredJob {
         StoredJob {
-            accepted: store.names_acceptance(job),
+            accepted: store.was_accepted(job),
             ended: store.final_phase(job),
         }
     }
 
-    fn knows(&self) -> bool {
+    fn is_stored(&self) -> bool {
         self.accepted || self.ended.is_some()
     }
 }
 
-/// A question and its answer.
+/// A user's request and its answer.
 pub struct CheckedAnswer<'a> {
-    /// Who asked.
+    /// The user that sent the request.
     pub user: &'a User,
-    /// What was asked.
+    /// The kind of the request.
     pub asked: Asked,
-    /// What was stored when the question was sent.
+    /// What was stored when the request was sent.
     pub before: StoredJob,
-    /// What was stored when its answer had arrived.
+    /// What was stored when the answer had arrived.
     pub after: StoredJob,
-    /// HTTP status of the answer.
+    /// The HTTP status of the answer.
     pub status: u16,
-    /// Body of the answer (CBOR).
+    /// The body of the answer, as CBOR.
     pub body: &'a [u8],
     /// Tasks that have completed.
     pub results: &'a BTreeSet<String>,
 }
 
 impl CheckedAnswer<'_> {
-    /// What is wrong with the answer.
+    /// Returns the broken rule and how the answer breaks it; `None` if the answer is right.
     pub fn problem(&self) -> Option<String> {
         let job = &self.user.spec.id;
         let asked = self.asked;
@@ -60,9 +61,10 @@
                     None => Some(format!("malformed: the answer to {asked:?} of {job}")),
                 }
             }
-            404 | 400 | 422 if self.before.knows() => {
-                Some(format!("forgotten: {job} answered {} to {asked:?}", self.status))
-            }
+            404 | 400 | 422 if self.before.is_stored() => Some(format!(
+                "forgotten: {asked:?} of {job} was answered {}, but the job is stored",
+                self.status
+            )),
             _ => None,
         }
     }
@@ -72,20 +74,27 @@
         if let Some(ended) = self.before.ended.filter(|ended| *ended != phase) {
             let asked = self.asked;
             return Some(format!(
-                "went_back: {job} was {ended:?}, and {asked:?} is answered {phase:?}"
+                "went_back: {job} was stored as {ended:?}, but {asked:?} was answered {phase:?}"
             ));
         }
-        if !self.after.knows() {
-            return Some(format!("invented: {job} is answered {phase:?} before it is written"));
+        if !self.after.is_stored() {
+            return Some(format!(
+                "invented: {job} was reported as {phase:?}, but the job is not stored"
+            ));
         }
         if phase.is_final() && self.after.ended != Some(phase) {
-            return Some(format!("went_back: {job} is answered {phase:?} before that is written"));
+            return Some(format!(
+                "went_back: {job} was reported as {phase:?}, but this phase is not stored"
+            ));
         }
         if phase == Phase::Cancelled && !self.user.wants_abort {
-            return Some(format!("went_back: {job} is called cancelled by nobody"));
+            return Some(format!(
+                "went_back: {job} was reported as cancelled, but its user did not ask for that"
+            ));
         }
         let missing = (0..self.user.spec.tasks).filter(|t| !self.results.contains(&format!("{job}/{t}")));
         let unfinished = self.user.spec.shape == Shape::Service || missing.count() > 0;
-        (phase == Phase::Done && unfinished).then(|| format!("not_done: {job} is called done"))
+        (phase == Phase::Done && unfinished)
+            .then(|| format!("not_done: {job} was reported as done, but has unfinished tasks or is a service"))
     }
 }
--- a/crates/fakes/src/http.rs
+++ b/crates/fakes/src/http.rs
@@ -1,19 +1,20 @@
-//! HTTP/1.1 as the stand-ins speak it: bodies with a length, one request at a time on a
-//! connection.
+//! The subset of HTTP/1.1 that the fakes use: bodies with a `content-length`, and one request at a
+//! time on a connection.
 
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::io::{Error, ErrorKind, Result};
 use std::net::{SocketAddr, TcpStream};
 
-/// Headers of one message.
+/// The largest number of headers in a message.
 const MAX_HEADERS: usize = 32;
-/// The largest head.
-const MAX_HEAD: usize = 16 * 1024;
-/// The largest body: a list of keys has up to 512 KiB, a watch's answer has no limit.
-const MAX_BODY: usize = 16 * 1024 * 1024;
-/// Bytes asked of a connection at once.
-const CHUNK: usize = 4096;
+/// The largest head of a message, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The largest body, in bytes. A page of a list of keys has up to 512 KiB; the protocol does not
+/// limit the answer to a watch.
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
+/// The most bytes read from a connection at once.
+const READ_CHUNK_BYTES: usize = 4096;
 
 /// A request.
 #[derive(Clone, Debug, PartialEq)]
@@ -31,16 +32,16 @@
 pub struct Response {
     /// The status.
     pub status: u16,
-    /// What `Retry-After` says, in seconds.
+    /// The value of `Retry-After`, in seconds.
     pub retry_after_s: Option<u32>,
     /// The body.
     pub body: Vec<u8>,
-    /// Whether the connection is closed after it.
+    /// Whether the connection is closed after the answer.
     pub close: bool,
 }
 
 impl Response {
-    /// An answer with this body.
+    /// Creates an answer without `Retry-After` that keeps the connection open.
     pub fn new(status: u16, body: Vec<u8>) -> Response {
         Response {
             status,
@@ -51,7 +52,8 @@
     }
 }
 
-/// A whole head at the beginning of some bytes: how long it is, and what it says.
+/// The head at the start of a buffer, as its length in bytes and its parsed content; `None` if the
+/// buffer does not have all of the head yet.
 type Head<T> = Option<(usize, T)>;
 
 /// The first line and the headers of a request.
@@ -61,7 +63,7 @@
     headers: Headers,
 }
 
-/// What is looked at in a message's headers.
+/// The headers of a message that are used.
 #[derive(Default)]
 struct Headers {
     length: usize,
@@ -75,27 +77,27 @@
         for header in headers {
             let value = std::str::from_utf8(header.value).unwrap_or("").trim();
             if header.name.eq_ignore_ascii_case("content-length") {
-                found.length = value.parse().map_err(|_| bad("content-length"))?;
+                found.length = value.parse().map_err(|_| malformed("content-length"))?;
             } else if header.name.eq_ignore_ascii_case("retry-after") {
                 found.retry_after_s = value.parse().ok();
             } else if header.name.eq_ignore_ascii_case("connection") {
                 found.close = value.eq_ignore_ascii_case("close");
             } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
-                return Err(bad("transfer-encoding"));
+                return Err(malformed("transfer-encoding"));
             }
         }
-        if found.length > MAX_BODY {
-            return Err(bad("content-length"));
+        if found.length > MAX_BODY_BYTES {
+            return Err(malformed("content-length"));
         }
         Ok(found)
     }
 }
 
-fn bad(what: &str) -> Error {
-    Error::new(ErrorKind::InvalidData, format!("a message with a bad {what}"))
+fn malformed(what: &str) -> Error {
+    Error::new(ErrorKind::InvalidData, format!("invalid HTTP message: {what}"))
 }
 
-/// Bytes that went through a connection.
+/// The traffic of a connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Bytes read.
@@ -104,20 +106,20 @@
     pub written: u64,
 }
 
-/// A connection and what has been read of it beyond the last message.
+/// A connection, with the bytes that were read beyond the last message.
 pub struct Connection {
     stream: Async<TcpStream>,
-    rest: Vec<u8>,
+    unread: Vec<u8>,
     traffic: Traffic,
 }
 
 impl Connection {
-    /// Takes over a connected stream.
+    /// Wraps a connected stream.
     pub fn new(stream: Async<TcpStream>) -> Connection {
         stream.get_ref().set_nodelay(true).ok();
         Connection {
             stream,
-            rest: vec![],
+            unread: vec![],
             traffic: Traffic::default(),
         }
     }
@@ -127,37 +129,38 @@
         Ok(Connection::new(Async::<TcpStream>::connect(addr).await?))
     }
 
-    /// Bytes since the last look.
+    /// Returns the traffic since the last call of this function.
     pub fn take_traffic(&mut self) -> Traffic {
         std::mem::take(&mut self.traffic)
     }
 
-    /// The address at which the other side reached this one.
+    /// Returns the local address, at which the peer reaches this side.
     pub fn local_addr(&self) -> Result<SocketAddr> {
         self.stream.get_ref().local_addr()
     }
 
-    /// Reads more; `false` at the end of the stream.
-    async fn more(&mut self) -> Result<bool> {
-        let mut chunk = [0u8; CHUNK];
+    /// Reads more bytes; `false` at the end of the stream.
+    async fn read_more(&mut self) -> Result<bool> {
+        let mut chunk = [0u8; READ_CHUNK_BYTES];
         let n = self.stream.read(&mut chunk).await?;
-        self.rest.extend_from_slice(&chunk[..n]);
+        self.unread.extend_from_slice(&chunk[..n]);
         self.traffic.read += n as u64;
         Ok(n > 0)
     }
 
-    /// Reads until `parse` has found a whole head: what it found, without the head's bytes.
-    async fn head<T>(&mut self, parse: impl Fn(&[u8]) -> Result<Head<T>>) -> Result<Option<T>> {
+    /// Reads until `parse` finds a complete head, removes the head from the buffer and returns its
+    /// parsed content; `None` if the stream ends before the head's first byte.
+    async fn read_head<T>(&mut self, parse: impl Fn(&[u8]) -> Result<Head<T>>) -> Result<Option<T>> {
         loop {
-            if let Some((length, head)) = parse(&self.rest)? {
-                self.rest.drain(..length);
+            if let Some((length, head)) = parse(&self.unread)? {
+                self.unread.drain(..length);
                 return Ok(Some(head));
             }
-            if self.rest.len() > MAX_HEAD {
-                return Err(bad("head"));
+            if self.unread.len() > MAX_HEAD_BYTES {
+                return Err(malformed("head"));
             }
-            if !self.more().await? {
-                return match self.rest.is_empty() {
+            if !self.read_more().await? {
+                return match self.unread.is_empty() {
                     true => Ok(None),
                     false => Err(ErrorKind::UnexpectedEof.into()),
                 };
@@ -165,34 +168,34 @@
         }
     }
 
-    async fn body(&mut self, length: usize) -> Result<Vec<u8>> {
-        while self.rest.len() < length {
-            if !self.more().await? {
+    async fn read_body(&mut self, length: usize) -> Result<Vec<u8>> {
+        while self.unread.len() < length {
+            if !self.read_more().await? {
                 return Err(ErrorKind::UnexpectedEof.into());
             }
         }
-        let rest = self.rest.split_off(length);
-        Ok(std::mem::replace(&mut self.rest, rest))
+        let rest = self.unread.split_off(length);
+        Ok(std::mem::replace(&mut self.unread, rest))
     }
 
-    /// Reads a request; `None` when the other side has closed the connection.
+    /// Reads a request; `None` if the peer has closed the connection.
     pub async fn read_request(&mut self) -> Result<Option<Request>> {
-        let Some(head) = self.head(request_head).await? else {
+        let Some(head) = self.read_head(parse_request_head).await? else {
             return Ok(None);
         };
-        let body = self.body(head.headers.length).await?;
+        let body = self.read_body(head.headers.length).await?;
         let (method, path) = (head.method, head.path);
         Ok(Some(Request { method, path, body }))
     }
 
     /// Reads an answer.
     pub async fn read_response(&mut self) -> Result<Response> {
-        let head = self.head(response_head).await?;
+        let head = self.read_head(parse_response_head).await?;
         let (status, headers) = head.ok_or(ErrorKind::UnexpectedEof)?;
         Ok(Response {
             status,
             retry_after_s: headers.retry_after_s,
-            body: self.body(headers.length).await?,
+            body: self.read_body(headers.length).await?,
             close: headers.close,
         })
     }
@@ -221,20 +224,20 @@
         let head = format!(
             "HTTP/1.1 {} {}\r\ncontent-type: application/cbor\r\ncontent-length: {}\r\n\r\n",
             response.status,
-            reason(response.status),
+            reason_phrase(response.status),
             response.body.len()
         );
         self.write(head, &response.body).await
     }
 
-    /// Makes one call.
+    /// Sends a request and reads its answer.
     pub async fn call(&mut self, request: &Request) -> Result<Response> {
         self.write_request(request).await?;
         self.read_response().await
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200..=299 => "OK",
         400..=499 => "Refused",
@@ -242,10 +245,10 @@
     }
 }
 
-fn request_head(bytes: &[u8]) -> Result<Head<RequestHead>> {
+fn parse_request_head(bytes: &[u8]) -> Result<Head<RequestHead>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    match request.parse(bytes).map_err(|e| bad(&e.to_string()))? {
+    match request.parse(bytes).map_err(|e| malformed(&e.to_string()))? {
         httparse::Status::Partial => Ok(None),
         httparse::Status::Complete(length) => {
             let head = RequestHead {
@@ -258,10 +261,10 @@
     }
 }
 
-fn response_head(bytes: &[u8]) -> Result<Head<(u16, Headers)>> {
+fn parse_response_head(bytes: &[u8]) -> Result<Head<(u16, Headers)>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    match response.parse(bytes).map_err(|e| bad(&e.to_string()))? {
+    match response.parse(bytes).map_err(|e| malformed(&e.to_string()))? {
         httparse::Status::Partial => Ok(None),
         httparse::Status::Complete(length) => {
             let status = response.code.unwrap_or(0);
--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -1,4 +1,7 @@
-//! The protocol's rules, checked independently of the code under test.
+//! Checks the protocol's rules from what workers and users see, independently of the code under
+//! test.
+//!
+//! A finding begins with the tag of the broken rule and a colon, if the rule has a tag.
 
 use crate::user::{job_of, User};
 use crate::worker::Worker;
@@ -8,58 +11,63 @@
 use glenhaven::settings::Team;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What was seen of a play, and which rules were broken in it.
+/// The events counted in a run, and the rules broken in it.
 pub struct Rules {
-    /// The rules that were broken, each with what broke it.
+    /// The findings: which rule was broken, and by what.
     pub broken: Vec<String>,
     /// Tasks that have begun.
     pub starts: u64,
-    /// Tasks killed because a worker's lease expired.
+    /// Tasks killed because their worker's lease expired.
     pub lease_kills: usize,
     /// Tasks that failed.
     pub failures: usize,
-    /// Running tasks stopped by command without their job being cancelled.
+    /// Stop commands that reached an unfinished task of a job that its user had not asked to
+    /// cancel.
     pub stops: usize,
-    /// When each task first began.
+    /// The time at which each task first began.
     pub first_start: BTreeMap<String, u64>,
-    /// When a task of each job last began.
+    /// The time at which a task of each job last began.
     pub last_start: BTreeMap<String, u64>,
-    /// Replica seconds missed by each service whose replicas all ran once.
+    /// The replica seconds missed by each service, counted from when all its replicas first ran
+    /// together.
     pub missed: BTreeMap<String, u64>,
-    /// Starts of jobs that their users had been told are cancelled: no rule, but worth knowing.
+    /// Starts of tasks whose user had already received the cancellation of the job. No rule forbids
+    /// them within the time that a cancellation may take.
     pub starts_after_cancellation: u64,
-    limits: BTreeMap<String, Use>,
-    cancel: u64,
+    limits: BTreeMap<String, ResourceUse>,
+    cancel_limit: u64,
 }
 
-/// What tasks take of machines together.
+/// The resources that some tasks use together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Use {
+pub struct ResourceUse {
     /// Cores.
     pub cpus: f64,
     /// GPUs.
     pub gpus: f64,
 }
 
-impl Use {
+impl ResourceUse {
     fn add(&mut self, spec: &JobSpec) {
         self.cpus += spec.cpus;
         self.gpus += spec.gpus;
     }
 
-    /// Whether this is more than a limit allows.
-    fn exceeds(&self, limit: &Use) -> bool {
-        self.cpus > limit.cpus + ROUNDING || self.gpus > limit.gpus + ROUNDING
+    /// Returns whether this use is above a limit.
+    fn exceeds(&self, limit: &ResourceUse) -> bool {
+        self.cpus > limit.cpus + ROUNDING_TOLERANCE || self.gpus > limit.gpus + ROUNDING_TOLERANCE
     }
 }
 
-/// Sums of cores differ by less than this from what they should be.
-const ROUNDING: f64 = 1e-6;
-/// Breaks of what holds at every moment that are kept: one that lasts is seen at every look.
-const MOST_BROKEN: usize = 20;
+/// The tolerance for rounding errors in sums of cores and GPUs.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
+/// The number of findings from which on the checks of limits and of cancelled jobs add no more:
+/// they are repeated throughout a run and find a lasting break again each time.
+const MAX_REPEATED_FINDINGS: usize = 20;
 
 impl Rules {
-    /// A checker of these teams' limits; a cancelled job's tasks are gone within `cancel_s`.
+    /// Creates a checker with the limits of these teams. The tasks of a cancelled job must have
+    /// stopped after `cancel_s` seconds.
     pub fn new(teams: &[Team], cancel_s: f64) -> Rules {
         Rules {
             broken: vec![],
@@ -72,18 +80,19 @@
             missed: BTreeMap::new(),
             starts_after_cancellation: 0,
             limits: teams.iter().map(|t| (t.name.clone(), limit_of(t))).collect(),
-            cancel: (cancel_s * SEC as f64) as u64,
+            cancel_limit: (cancel_s * SEC as f64) as u64,
         }
     }
 
-    /// What a team's tasks may take, if that is limited.
+    /// Returns the number of cores that a team's tasks may use, if it is limited.
     pub fn limit(&self, team: &str) -> Option<f64> {
         let limit = self.limits.get(team)?;
         limit.cpus.is_finite().then_some(limit.cpus)
     }
 
-    /// A worker has taken a start: whatever a team's attempts take on machines, also those that
-    /// wait for their image, is covered by records, and so by the team's limit.
+    /// Checks a team's limit after a worker has accepted a start. All attempts on machines, also
+    /// those that still fetch their image, are covered by placement records and count towards the
+    /// limit.
     pub fn start_taken(
         &mut self,
         now: u64,
@@ -93,10 +102,10 @@
     ) {
         let Some(user) = users.get(job_of(task)) else { return };
         let held = team_use(&user.spec.team, workers, users, |w| w.live().collect());
-        self.check_limit(now, &user.spec.team, held, "with what waits for its image");
+        self.check_limit(now, &user.spec.team, held, "with tasks that fetch their image");
     }
 
-    /// Whether a team's limit has room for one more task of this job.
+    /// Returns whether a team's limit allows one more task of this job.
     pub fn has_capacity(
         &self,
         spec: &JobSpec,
@@ -108,17 +117,18 @@
         self.limits.get(&spec.team).is_none_or(|limit| !held.exceeds(limit))
     }
 
-    fn check_limit(&mut self, now: u64, team: &str, held: Use, what: &str) {
+    fn check_limit(&mut self, now: u64, team: &str, held: ResourceUse, what: &str) {
         let over = self.limits.get(team).is_some_and(|limit| held.exceeds(limit));
-        if over && self.broken.len() < MOST_BROKEN {
-            let Use { cpus, gpus } = held;
+        if over && self.broken.len() < MAX_REPEATED_FINDINGS {
+            let ResourceUse { cpus, gpus } = held;
             self.broken.push(format!(
                 "quota: {team} holds {cpus} cores and {gpus} GPUs {what} at {now}"
             ));
         }
     }
 
-    /// Once a second: which replicas of services that ran in full are missing.
+    /// Counts the missing replicas of services that have run in full. Has to be called once a
+    /// second.
     pub fn check_services(&mut self, now: u64, workers: &BTreeMap<String, Worker>, users: &BTreeMap<String, User>) {
         let mut on: BTreeMap<&str, u64> = BTreeMap::new();
         let runs = |w: &&Worker| w.up && now >= w.hangs_until;
@@ -138,7 +148,7 @@
         }
     }
 
-    /// A task has its image and begins.
+    /// Records that a task, with its image fetched, begins to run, and checks the rules for starts.
     pub fn started(
         &mut self,
         now: u64,
@@ -160,14 +170,16 @@
         }
         let Some(w) = workers.get(machine) else { return };
         let Some(user) = users.get(job_of(task)) else {
-            return self.broken.push(format!("{task} starts without a job"));
+            return self.broken.push(format!("{task} starts, but its job is unknown"));
         };
         let spec = &user.spec;
         if spec.zone.as_ref().is_some_and(|z| *z != w.zone)
             || (!spec.spot && w.spot)
             || spec.types.as_ref().is_some_and(|t| !t.contains(&w.machine_type))
         {
-            self.broken.push(format!("wrong_place: {task} on {machine}"));
+            self.broken.push(format!(
+                "wrong_place: {task} is on {machine}, which its job does not allow"
+            ));
         }
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         for other in workers.values() {
@@ -177,12 +189,16 @@
             }
         }
         if spec.one_zone && zones.len() > 1 {
-            self.broken.push(format!("wrong_place: {task} apart from its job"));
+            self.broken.push(format!(
+                "wrong_place: {task} is not in the zone of the other tasks of its job"
+            ));
         }
         if spec.spread && zones.get(w.zone.as_str()).copied().unwrap_or(0) > spec.tasks.div_ceil(2) {
-            self.broken.push(format!("wrong_place: {task} too close to its job"));
+            self.broken.push(format!(
+                "wrong_place: {task} is in a zone with more than half of the tasks of its job"
+            ));
         }
-        if user.cancelled.is_some_and(|at| now > at + self.cancel) {
+        if user.cancelled.is_some_and(|at| now > at + self.cancel_limit) {
             self.broken.push(format!("ran_cancelled: {task} starts"));
         }
         self.starts_after_cancellation += u64::from(user.cancelled.is_some());
@@ -190,7 +206,7 @@
         self.check_limit(now, &spec.team, held, "as a task starts");
     }
 
-    /// A job's task begins although something that the job needs is not done.
+    /// Checks, as a task begins, that all jobs on which its job depends are done.
     pub fn started_in_order(&mut self, task: &str, users: &BTreeMap<String, User>, results: &BTreeSet<String>) {
         let Some(user) = users.get(job_of(task)) else { return };
         for need in &user.spec.needs {
@@ -198,14 +214,15 @@
             let left = (0..tasks).filter(|t| !results.contains(&format!("{need}/{t}"))).count();
             if left > 0 || tasks == 0 {
                 self.broken.push(format!(
-                    "too_early: {task} starts, and {need} has {left} of {tasks} tasks to go"
+                    "too_early: {task} starts, but {need} has {left} of {tasks} tasks unfinished"
                 ));
             }
         }
     }
 
-    /// Whether the user of a job before this one asked to cancel it.
-    fn abort_before(user: &User, users: &BTreeMap<String, User>) -> bool {
+    /// Returns whether the user of any direct or indirect dependency of a job has asked to cancel
+    /// the dependency.
+    fn dependency_abort_requested(user: &User, users: &BTreeMap<String, User>) -> bool {
         let mut rest: Vec<&String> = user.spec.needs.iter().collect();
         while let Some(before) = rest.pop().and_then(|need| users.get(need)) {
             if before.wants_abort {
@@ -216,8 +233,9 @@
         false
     }
 
-    /// Since when a job before this one is known to its user to be cancelled.
-    fn cancelled_before(user: &User, users: &BTreeMap<String, User>) -> Option<u64> {
+    /// Returns the earliest time at which the user of a direct or indirect dependency of a job was
+    /// told that the dependency is cancelled, among those whose users asked for that.
+    fn dependency_cancelled_at(user: &User, users: &BTreeMap<String, User>) -> Option<u64> {
         let mut first = None;
         let mut rest: Vec<&String> = user.spec.needs.iter().collect();
         while let Some(before) = rest.pop().and_then(|need| users.get(need)) {
@@ -228,14 +246,16 @@
         first
     }
 
-    /// What holds at every moment.
+    /// Checks the rules that hold at every time: limits of teams, and no tasks of cancelled jobs.
     pub fn check(&mut self, now: u64, workers: &BTreeMap<String, Worker>, users: &BTreeMap<String, User>) {
-        let mut held: BTreeMap<&str, Use> = BTreeMap::new();
+        let mut held: BTreeMap<&str, ResourceUse> = BTreeMap::new();
         for w in workers.values().filter(|w| !w.tasks.is_empty()) {
             for task in w.on_machine() {
                 let Some(user) = users.get(job_of(task)) else { continue };
                 held.entry(&user.spec.team).or_default().add(&user.spec);
-                if user.cancelled.is_some_and(|at| now > at + self.cancel) && self.broken.len() < MOST_BROKEN {
+                if user.cancelled.is_some_and(|at| now > at + self.cancel_limit)
+                    && self.broken.len() < MAX_REPEATED_FINDINGS
+                {
                     self.broken.push(format!("ran_cancelled: {task} still on {}", w.name));
                 }
             }
@@ -245,8 +265,9 @@
         }
     }
 
-    /// A user who asks one question at a time was told a phase after another that is final.
-    pub fn went_back(&mut self, job: &str, phase: Phase, user: &User) {
+    /// Checks that a final phase that a user has received does not change. Applies only to a user
+    /// that sends one request at a time.
+    pub fn check_final_phase(&mut self, job: &str, phase: Phase, user: &User) {
         if user.done.is_some() && phase != Phase::Done {
             self.broken.push(format!("went_back: {job} was done, now {phase:?}"));
         }
@@ -256,7 +277,7 @@
         }
     }
 
-    /// A user was told a phase.
+    /// Checks the phase in an answer to a user.
     pub fn record_answer(
         &mut self,
         now: u64,
@@ -266,45 +287,48 @@
         user: &User,
         users: &BTreeMap<String, User>,
     ) {
-        let before = Self::cancelled_before(user, users);
-        if before.is_some_and(|at| now > at + self.cancel) && !phase.is_final() {
+        let before = Self::dependency_cancelled_at(user, users);
+        if before.is_some_and(|at| now > at + self.cancel_limit) && !phase.is_final() {
             self.broken.push(format!(
-                "orphaned: {job} is called {phase:?} at {now}, one before it was cancelled at {before:?}"
+                "orphaned: {job} was reported as {phase:?} at {now}, but a dependency was cancelled at {before:?}"
             ));
         }
-        if phase == Phase::Cancelled && !user.wants_abort && !Self::abort_before(user, users) {
-            self.broken
-                .push(format!("went_back: {job} is called cancelled by nobody"));
+        if phase == Phase::Cancelled && !user.wants_abort && !Self::dependency_abort_requested(user, users) {
+            self.broken.push(format!(
+                "went_back: {job} was reported as cancelled, but no user of it or its dependencies asked for that"
+            ));
         }
         if phase == Phase::Done {
             let missing = (0..user.spec.tasks)
                 .filter(|t| !results.contains(&format!("{job}/{t}")))
                 .count();
             if missing > 0 || user.spec.shape == Shape::Service {
-                self.broken
-                    .push(format!("not_done: {job} with {missing} tasks to go at {now}"));
+                self.broken.push(format!(
+                    "not_done: {job} was reported as done at {now}, but has {missing} unfinished tasks or is a service"
+                ));
             }
         }
     }
 }
 
-/// A team's limit; 0 in the settings means none.
-fn limit_of(team: &Team) -> Use {
+/// Returns a team's limit; 0 in the settings means unlimited.
+fn limit_of(team: &Team) -> ResourceUse {
     let or_none = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
-    Use {
+    ResourceUse {
         cpus: or_none(team.cpus_max),
         gpus: or_none(team.gpus_max),
     }
 }
 
-/// What some tasks of each machine take together, of one team's jobs.
+/// Returns the resources that one team's jobs use, over the tasks of each machine that `tasks`
+/// selects.
 fn team_use<'a>(
     team: &str,
     workers: &'a BTreeMap<String, Worker>,
     users: &BTreeMap<String, User>,
     tasks: impl Fn(&'a Worker) -> Vec<&'a str>,
-) -> Use {
-    let mut held = Use::default();
+) -> ResourceUse {
+    let mut held = ResourceUse::default();
     for worker in workers.values().filter(|w| !w.tasks.is_empty()) {
         for task in tasks(worker) {
             if let Some(user) = users.get(job_of(task)).filter(|u| u.spec.team == team) {
--- a/crates/fakes/src/wire.rs
+++ b/crates/fakes/src/wire.rs
@@ -1,5 +1,5 @@
-//! The state service's, the cloud's and the workers' interfaces as they are on the wire:
-//! HTTP requests are read into typed ones, typed answers become HTTP answers.
+//! The wire format of the state service's and the cloud's interfaces: decodes HTTP requests into
+//! typed requests, and encodes typed answers as HTTP answers.
 
 use crate::http::{Request, Response};
 use glenhaven::coordination::{CloudRequest, CloudResponse};
@@ -8,23 +8,23 @@
 use glenhaven::protocol::users::ErrorBody;
 use glenhaven::protocol::{from_cbor, to_cbor};
 
-/// An answer with a CBOR body.
-fn with<T: serde::Serialize>(status: u16, body: &T) -> Response {
+/// Creates an answer with a CBOR body.
+fn cbor_response<T: serde::Serialize>(status: u16, body: &T) -> Response {
     Response::new(status, to_cbor(body))
 }
 
-fn error(status: u16, text: &str) -> Response {
-    with(status, &ErrorBody { error: text.into() })
+fn error_response(status: u16, text: &str) -> Response {
+    cbor_response(status, &ErrorBody { error: text.into() })
 }
 
-/// The answer to a request that can't be read.
+/// Creates the answer to a request that can't be decoded.
 pub fn malformed() -> Response {
-    error(400, "malformed")
+    error_response(400, "malformed")
 }
 
-/// The answer of a service that takes no request just now.
+/// Creates the answer of a service that is unavailable.
 pub fn refusal() -> Response {
-    error(503, "trouble")
+    error_response(503, "trouble")
 }
 
 /// A path and its query.
@@ -39,13 +39,15 @@
         Target { path, query }
     }
 
-    /// A field of the query; empty if it is absent.
+    /// Returns a field of the query; empty if the field is absent.
     fn field(&self, name: &str) -> String {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         let mut found = pairs.filter(|(key, _)| *key == name);
         found.next().map_or(String::new(), |(_, value)| unescape(value))
     }
 
+    /// Returns a field of the query as a number; 0 if the field is absent, `None` if it is
+    /// malformed.
     fn number(&self, name: &str) -> Option<u64> {
         let text = self.field(name);
         if text.is_empty() {
@@ -56,7 +58,7 @@
     }
 }
 
-/// Undoes the escapes of a query.
+/// Decodes the percent-encoding of a query.
 fn unescape(text: &str) -> String {
     let bytes = text.as_bytes();
     let mut out = Vec::with_capacity(bytes.len());
@@ -77,7 +79,7 @@
     String::from_utf8_lossy(&out).into_owned()
 }
 
-/// Reads a request to the state service.
+/// Decodes a request to the state service; `None` if it is malformed.
 pub fn state_request(request: &Request) -> Option<StoreRequest> {
     let target = Target::of(&request.path);
     match (request.method.as_str(), target.path) {
@@ -113,31 +115,33 @@
     }
 }
 
-/// An answer of the state service to a request; `None`: it gives none.
+/// Encodes the state service's answer to a request; `None` if no answer is sent.
 pub fn state_response(request: &StoreRequest, answer: &StoreResponse) -> Option<Response> {
     let revision = |revision: u64, failed: &[String]| Revision {
         revision,
         failed: failed.to_vec(),
     };
     Some(match answer {
-        StoreResponse::Row(row) => with(200, row),
-        StoreResponse::Missing { revision: r } => with(404, &revision(*r, &[])),
-        StoreResponse::Rows(rows) => with(200, rows),
-        StoreResponse::Committed { revision: r } => with(200, &revision(*r, &[])),
-        StoreResponse::Conflict { failed, revision: r } => with(409, &revision(*r, failed)),
-        StoreResponse::Lease(lease) => with(200, &Lease { lease: *lease }),
-        StoreResponse::Events(events) => with(200, events),
-        StoreResponse::Compacted => error(410, "compacted"),
-        StoreResponse::NoLease if matches!(request, StoreRequest::Transaction(_)) => error(400, "no such lease"),
-        StoreResponse::NoLease => error(404, "no such lease"),
-        StoreResponse::Limited => error(429, "too many"),
-        StoreResponse::Refused => error(503, "trouble"),
+        StoreResponse::Row(row) => cbor_response(200, row),
+        StoreResponse::Missing { revision: r } => cbor_response(404, &revision(*r, &[])),
+        StoreResponse::Rows(rows) => cbor_response(200, rows),
+        StoreResponse::Committed { revision: r } => cbor_response(200, &revision(*r, &[])),
+        StoreResponse::Conflict { failed, revision: r } => cbor_response(409, &revision(*r, failed)),
+        StoreResponse::Lease(lease) => cbor_response(200, &Lease { lease: *lease }),
+        StoreResponse::Events(events) => cbor_response(200, events),
+        StoreResponse::Compacted => error_response(410, "compacted"),
+        StoreResponse::NoLease if matches!(request, StoreRequest::Transaction(_)) => {
+            error_response(400, "no such lease")
+        }
+        StoreResponse::NoLease => error_response(404, "no such lease"),
+        StoreResponse::Limited => error_response(429, "too many"),
+        StoreResponse::Refused => error_response(503, "trouble"),
         StoreResponse::Malformed => malformed(),
         StoreResponse::Unknown => return None,
     })
 }
 
-/// Reads a request to the cloud.
+/// Decodes a request to the cloud; `None` if it is malformed.
 pub fn cloud_request(request: &Request) -> Option<CloudRequest> {
     let target = Target::of(&request.path);
     match (request.method.as_str(), target.path) {
@@ -153,20 +157,20 @@
     }
 }
 
-/// An answer of the cloud; `None`: it gives none.
+/// Encodes an answer of the cloud; `None` if no answer is sent.
 pub fn cloud_response(answer: &CloudResponse) -> Option<Response> {
     Some(match answer {
-        CloudResponse::Catalogue(catalogue) => with(200, catalogue),
-        CloudResponse::Rented(machines) => with(
+        CloudResponse::Catalogue(catalogue) => cbor_response(200, catalogue),
+        CloudResponse::Rented(machines) => cbor_response(
             200,
             &MachineNames {
                 machines: machines.clone(),
             },
         ),
         CloudResponse::Released => Response::new(200, to_cbor(&ciborium::Value::Map(vec![]))),
-        CloudResponse::List(page) => with(200, page),
-        CloudResponse::NoCapacity => error(503, "no capacity"),
-        CloudResponse::Refused => error(503, "trouble"),
+        CloudResponse::List(page) => cbor_response(200, page),
+        CloudResponse::NoCapacity => error_response(503, "no capacity"),
+        CloudResponse::Refused => error_response(503, "trouble"),
         CloudResponse::Malformed => malformed(),
         CloudResponse::Unknown => return None,
     })
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in for workers.
+//! A fake of the workers: a machine, the agent on it and its tasks.
 
 use crate::user::{job_of, User};
 use crate::{MS, SEC};
@@ -9,7 +9,7 @@
 use glenhaven::protocol::users::{JobSpec, Shape};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What tasks did by themselves.
+/// The transitions that tasks made without a command.
 #[derive(Default)]
 pub struct Progress {
     /// Tasks that have begun, with their attempts.
@@ -20,26 +20,28 @@
     pub failures: usize,
 }
 
-/// What became of tasks by the orders that a worker executed.
+/// The results of the commands that a worker executed.
 #[derive(Default)]
 pub struct Executed {
-    /// Running tasks of jobs not cancelled that were stopped.
+    /// Stop commands that reached an unfinished task of a job that its user had not asked to
+    /// cancel.
     pub stops: usize,
-    /// Tasks and attempts that the worker no longer knows.
+    /// Tasks and attempts that the worker has forgotten.
     pub forgotten: Vec<(String, u64)>,
-    /// Tasks and attempts that it has begun to fetch the image for.
+    /// Tasks and attempts whose start the worker has accepted; it fetches their images.
     pub taken: Vec<(String, u64)>,
-    /// Those of them that it had forgotten in this session: nobody may start them again.
+    /// Accepted starts of attempts that the worker had forgotten in this session, which must not be
+    /// started again.
     pub taken_again: Vec<(String, u64)>,
 }
 
 /// A task on a machine.
 pub struct Task {
-    /// Its state, as reported.
+    /// Its phase, as reported.
     pub phase: TaskPhase,
-    /// Why it exited.
+    /// Why it exited, if it has.
     pub cause: Option<Cause>,
-    /// When it leaves this state by itself.
+    /// When it leaves this phase without a command.
     pub until: u64,
 }
 
@@ -47,50 +49,53 @@
 pub struct Worker {
     /// The machine's name.
     pub name: String,
-    /// Where it takes direct commands.
+    /// The address at which it takes pushed commands.
     pub addr: String,
     /// Its machine type.
     pub machine_type: String,
     /// Its zone.
     pub zone: String,
-    /// Whether the cloud may take it back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     pub spot: bool,
     cpus: f64,
     gpus: f64,
     memory: f64,
-    fetch: f64,
+    fetch_gb_per_s: f64,
     /// Whether it is up.
     pub up: bool,
-    /// Whether it is gone.
+    /// Whether it is gone for good.
     pub dead: bool,
-    /// Whether every task fails on it.
+    /// Whether every task that runs on it fails.
     pub faulty: bool,
-    slowness: u64,
-    /// Until when it stands still.
+    /// The factor by which run times are prolonged.
+    slowdown: u64,
+    /// Until when it hangs.
     pub hangs_until: u64,
-    /// When the cloud takes it away.
+    /// When the cloud reclaims it, if that was announced.
     pub taken: Option<u64>,
     incarnation: u64,
     sequence: u64,
     fencing_token: u64,
-    /// Its tasks by name and attempt.
+    /// Its tasks, by name and attempt.
     pub tasks: BTreeMap<(String, u64), Task>,
-    /// Attempts that were forgotten in this session.
+    /// The attempts that it has forgotten in this session.
     forgotten: BTreeSet<(String, u64)>,
     images: BTreeSet<String>,
-    /// When the last answered report was sent, or the session began.
-    answered: u64,
-    /// The controller that it reports to.
+    /// When the last answered heartbeat was sent, or the session began; the lease runs from this
+    /// time.
+    lease_start: u64,
+    /// The number of the controller that gets its heartbeats.
     pub node: usize,
-    /// The report that waits for its answer: its number, when it was sent, its session.
+    /// The heartbeat that awaits its answer: its number, when it was sent, and its session.
     pub flying: Option<(u64, u64, u64)>,
-    next_report: u64,
+    next_heartbeat: u64,
     last_sent: u64,
-    token_answered: u64,
+    /// The fencing token in the last heartbeat.
+    reported_token: u64,
 }
 
 impl Worker {
-    /// A machine that is not up yet.
+    /// Creates a machine that is not up yet.
     pub fn new(name: &str, addr: &str, t: &MachineType, zone: &str, spot: bool) -> Worker {
         Worker {
             name: name.into(),
@@ -101,11 +106,11 @@
             cpus: t.cpus,
             gpus: t.gpus,
             memory: t.memory,
-            fetch: t.fetch_gb_per_s,
+            fetch_gb_per_s: t.fetch_gb_per_s,
             up: false,
             dead: false,
             faulty: false,
-            slowness: 1,
+            slowdown: 1,
             hangs_until: 0,
             taken: None,
             incarnation: 1,
@@ -114,16 +119,16 @@
             tasks: BTreeMap::new(),
             forgotten: BTreeSet::new(),
             images: BTreeSet::new(),
-            answered: 0,
+            lease_start: 0,
             node: 0,
             flying: None,
-            next_report: 0,
+            next_heartbeat: 0,
             last_sent: 0,
-            token_answered: 0,
+            reported_token: 0,
         }
     }
 
-    /// The next report.
+    /// Creates the next heartbeat.
     pub fn heartbeat(&mut self, now: u64) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
@@ -149,38 +154,40 @@
         }
     }
 
-    /// The present session.
+    /// Returns the number of the current session.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Something changed that is to be reported soon.
+    /// Brings the next heartbeat forward after a change, to half a second after the last one or
+    /// now.
     pub fn changed(&mut self, now: u64) {
-        self.next_report = self.next_report.min((self.last_sent + SEC / 2).max(now));
+        self.next_heartbeat = self.next_heartbeat.min((self.last_sent + SEC / 2).max(now));
     }
 
-    /// From now on everything takes so many times as long.
+    /// Prolongs run times by `factor`: what is left of those of running tasks, and those of later
+    /// tasks.
     pub fn slow_down(&mut self, now: u64, factor: u64) {
-        self.slowness = factor;
+        self.slowdown = factor;
         for t in self.tasks.values_mut().filter(|t| t.phase == TaskPhase::Running) {
             t.until = now.saturating_add(t.until.saturating_sub(now).saturating_mul(factor));
         }
     }
 
-    /// Running tasks that don't end before this.
+    /// Returns the running tasks that end after `until`.
     pub fn long_to_go(&self, until: u64) -> impl Iterator<Item = &str> {
         let runs = move |t: &Task| t.phase == TaskPhase::Running && t.until > until;
         let long = self.tasks.iter().filter(move |(_, t)| runs(t));
         long.map(|((task, _), _)| task.as_str())
     }
 
-    /// Tasks that have not exited.
+    /// Returns the tasks that have not exited.
     pub fn live(&self) -> impl Iterator<Item = &str> {
         let live = self.tasks.iter().filter(|(_, t)| t.phase != TaskPhase::Exited);
         live.map(|((task, _), _)| task.as_str())
     }
 
-    /// The cores and memory that these tasks leave.
+    /// Returns the cores and memory that tasks which have not exited leave free.
     pub fn free(&self, users: &BTreeMap<String, User>) -> (f64, f64) {
         let specs = self.live().filter_map(|task| users.get(job_of(task)));
         specs.fold((self.cpus, self.memory), |(cpus, memory), user| {
@@ -188,7 +195,7 @@
         })
     }
 
-    /// Whether a task of this job fits beside what is here.
+    /// Returns whether the free resources suffice for one more task of this job.
     pub fn has_capacity(&self, spec: &JobSpec, users: &BTreeMap<String, User>) -> bool {
         let (cpus, memory) = self.free(users);
         spec.cpus <= cpus && spec.memory <= memory && spec.gpus <= self.free_gpus(users)
@@ -199,7 +206,7 @@
         self.gpus - specs.map(|user| user.spec.gpus).sum::<f64>()
     }
 
-    /// Tasks that have their image and have not exited.
+    /// Returns the tasks that have their image and have not exited.
     pub fn on_machine(&self) -> impl Iterator<Item = &str> {
         self.tasks
             .iter()
@@ -207,38 +214,38 @@
             .map(|((task, _), _)| task.as_str())
     }
 
-    /// The machine is up, and reports to this controller first.
+    /// Completes the boot of the machine, which sends its first heartbeat to controller `node`.
     pub fn finish_boot(&mut self, now: u64, node: usize) {
         self.up = true;
-        self.answered = now;
+        self.lease_start = now;
         self.node = node;
-        self.next_report = now;
+        self.next_heartbeat = now;
     }
 
-    /// The machine and everything on it is gone.
+    /// Removes the machine with everything on it.
     pub fn dies(&mut self) {
         self.up = false;
         self.dead = true;
         self.tasks.clear();
     }
 
-    /// Kills and forgets all tasks, and begins a session, if the lease is over; how many
-    /// tasks these were.
+    /// Removes all tasks and begins a new session if the lease has expired, and returns the number
+    /// of removed tasks; `None` if the lease has not expired.
     pub fn expire_lease(&mut self, now: u64, lease: u64) -> Option<usize> {
-        if now <= self.answered + lease {
+        if now <= self.lease_start + lease {
             return None;
         }
         let killed = self.tasks.len();
         self.tasks.clear();
         self.forgotten.clear();
         self.incarnation += 1;
-        self.answered = now;
+        self.lease_start = now;
         self.flying = None;
         self.changed(now);
         Some(killed)
     }
 
-    /// Does what tasks do by themselves.
+    /// Makes the transitions of tasks that are due at `now`, and adds completed tasks to `results`.
     pub fn run_tasks(&mut self, now: u64, users: &BTreeMap<String, User>, results: &mut BTreeSet<String>) -> Progress {
         let mut progress = Progress::default();
         let mut changed = false;
@@ -261,7 +268,7 @@
                     t.phase = TaskPhase::Running;
                     progress.started.push((task.clone(), *attempt));
                     t.until = match user {
-                        Some(u) if u.spec.shape == Shape::Array => now + u.run * self.slowness,
+                        Some(u) if u.spec.shape == Shape::Array => now + u.run * self.slowdown,
                         _ => u64::MAX,
                     };
                     if self.faulty || user.is_some_and(|u| u.mistake) {
@@ -293,42 +300,43 @@
         progress
     }
 
-    /// The report that is due, with its number; the caller says when the next one is.
+    /// Returns the heartbeat that is due, with its number. The caller has to schedule the next one
+    /// by `report_next`.
     pub fn due_report(&mut self, now: u64) -> Option<(u64, Heartbeat)> {
-        if now < self.next_report || self.flying.is_some() {
+        if now < self.next_heartbeat || self.flying.is_some() {
             return None;
         }
         let rid = self.sequence + 1;
         self.flying = Some((rid, now, self.incarnation));
         self.last_sent = now;
-        self.token_answered = self.fencing_token;
+        self.reported_token = self.fencing_token;
         Some((rid, self.heartbeat(now)))
     }
 
-    /// The next report is due at this time, unless something changes before.
+    /// Schedules the next heartbeat at this time; a change brings it forward.
     pub fn report_next(&mut self, at: u64) {
-        self.next_report = at;
+        self.next_heartbeat = at;
     }
 
-    /// When the worker does something by itself next.
+    /// Returns when the worker next acts without a command, a millisecond from now at the earliest.
     pub fn wakes_at(&self, now: u64, lease: u64) -> u64 {
         self.tasks
             .values()
             .filter(|t| t.phase != TaskPhase::Exited)
             .map(|t| t.until)
-            .chain([self.answered + lease + 1])
-            .chain(self.flying.is_none().then_some(self.next_report))
+            .chain([self.lease_start + lease + 1])
+            .chain(self.flying.is_none().then_some(self.next_heartbeat))
             .min()
             .unwrap_or(now + SEC)
             .max(now + MS)
     }
 
-    /// Whether the answer with this token, to a report of this session, counts.
+    /// Returns whether an answer with this fencing token, to a heartbeat of this session, is valid.
     pub fn accepts(&self, fencing_token: u64, incarnation: u64) -> bool {
         fencing_token >= self.fencing_token && incarnation == self.incarnation
     }
 
-    /// Executes the orders in the answer to a report that was sent at this time.
+    /// Executes the commands in the answer to a heartbeat that was sent at `sent`.
     pub fn take_orders(
         &mut self,
         now: u64,
@@ -336,16 +344,17 @@
         commands: &HeartbeatResponse,
         users: &BTreeMap<String, User>,
     ) -> Executed {
-        self.answered = self.answered.max(sent);
+        self.lease_start = self.lease_start.max(sent);
         self.fencing_token = commands.fencing_token;
         let executed = self.execute(now, &commands.commands, users);
-        if self.fencing_token > self.token_answered {
+        if self.fencing_token > self.reported_token {
             self.changed(now);
         }
         executed
     }
 
-    /// Executes orders sent straight to the machine, unless they are rejected.
+    /// Executes commands that were pushed to the machine; `None` if their fencing token or session
+    /// is outdated.
     pub fn take_direct(&mut self, now: u64, body: &PushedCommands, users: &BTreeMap<String, User>) -> Option<Executed> {
         if !self.accepts(body.fencing_token, body.incarnation) {
             return None;
@@ -354,24 +363,25 @@
         Some(self.execute(now, &body.commands, users))
     }
 
-    /// It was told to report to another controller, if it was told to which.
+    /// Follows a redirect to controller `to`; tries the next controller if `to` is unknown or is
+    /// the one that sent the redirect.
     pub fn redirected(&mut self, now: u64, to: Option<usize>, nodes: usize) {
         match to {
             Some(n) if n != self.node => {
                 self.node = n;
-                self.next_report = now + MS;
+                self.next_heartbeat = now + MS;
             }
             _ => self.tries_next(now, nodes),
         }
     }
 
-    /// It got no use of the controller that it asked.
+    /// Switches to the next controller after the current one gave no usable answer.
     pub fn tries_next(&mut self, now: u64, nodes: usize) {
         self.node = (self.node + 1) % nodes;
-        self.next_report = now + SEC;
+        self.next_heartbeat = now + SEC;
     }
 
-    /// Executes orders.
+    /// Executes commands.
     fn execute(&mut self, now: u64, commands: &[AgentCommand], users: &BTreeMap<String, User>) -> Executed {
         let mut executed = Executed::default();
         let before = self.tasks.len();
@@ -405,13 +415,13 @@
         executed
     }
 
-    /// Whether the worker begins to fetch the task's image.
+    /// Executes a start command; returns whether the worker has accepted it and fetches the image.
     fn start(&mut self, now: u64, task: &str, attempt: u64, users: &BTreeMap<String, User>) -> bool {
         let key = (task.to_string(), attempt);
         if self.tasks.contains_key(&key) {
             return false;
         }
-        let user = users.get(owner_of(task)).filter(|u| u.submitted);
+        let user = users.get(job_in_task_name(task)).filter(|u| u.submitted);
         let live = |t: &Task| t.phase != TaskPhase::Exited;
         let busy = self.tasks.iter().any(|((t, _), x)| t == task && live(x));
         let (cpus, memory) = self.free(users);
@@ -425,7 +435,9 @@
             Some(_) => None,
         };
         let until = match user {
-            Some(u) if !self.images.contains(&u.spec.image) => now + (u.spec.image_gb / self.fetch * SEC as f64) as u64,
+            Some(u) if !self.images.contains(&u.spec.image) => {
+                now + (u.spec.image_gb / self.fetch_gb_per_s * SEC as f64) as u64
+            }
             _ => now + 5 * MS,
         };
         let phase = if refuse.is_some() {
@@ -438,12 +450,13 @@
         cause.is_none()
     }
 
-    /// Whether this stopped a task of a job that its user has not asked to cancel.
+    /// Executes a stop command; returns whether it reached an unfinished task of a job that its
+    /// user has not asked to cancel.
     fn stop(&mut self, now: u64, key: &(String, u64), grace_s: f64, users: &BTreeMap<String, User>) -> bool {
         let Some(t) = self.tasks.get_mut(key).filter(|t| t.phase != TaskPhase::Exited) else {
             return false;
         };
-        let user = users.get(owner_of(&key.0));
+        let user = users.get(job_in_task_name(&key.0));
         let save = user.map_or(0.0, |u| u.spec.save_s);
         if t.phase == TaskPhase::Running && save > 0.0 && grace_s >= save {
             t.phase = TaskPhase::Saving;
@@ -456,7 +469,7 @@
     }
 }
 
-/// The job that a task's name says; none for a name that says none.
-fn owner_of(task: &str) -> &str {
+/// Returns the id of the job in a task's name; empty if the name has none.
+fn job_in_task_name(task: &str) -> &str {
     task.rsplit_once('/').map_or("", |x| x.0)
 }
--- a/crates/fakes/tests/checker.rs
+++ b/crates/fakes/tests/checker.rs
@@ -1,5 +1,5 @@
-//! The checker itself: each rule, broken by a history made for it, is seen; histories that break
-//! nothing are not complained about.
+//! Tests of the checker: it reports each rule that a history breaks on purpose, and reports nothing
+//! for histories that break no rule.
 
 use glenhaven::protocol::agents::{AgentCommand, PushedCommands};
 use glenhaven::protocol::cloud::MachineType;
@@ -76,7 +76,7 @@
         worker.take_direct(0, &body, &self.users).expect("taken")
     }
 
-    fn starts(&mut self, machine: &str, task: u32, attempt: u64) -> Executed {
+    fn start(&mut self, machine: &str, task: u32, attempt: u64) -> Executed {
         let task = format!("{JOB}/{task}");
         let executed = self.order(machine, AgentCommand::Start { task, attempt });
         for (task, _) in &executed.taken {
@@ -85,8 +85,8 @@
         executed
     }
 
-    /// Time passes: images are there, tasks begin.
-    fn runs(&mut self, now: u64) {
+    /// Advances all machines to `now`; tasks whose image is fetched begin.
+    fn run_until(&mut self, now: u64) {
         for name in ["n-1", "n-2", "n-3"] {
             let worker = self.workers.get_mut(name).expect("a machine");
             let progress = worker.run_tasks(now, &self.users, &mut self.results);
@@ -112,9 +112,9 @@
 #[test]
 fn a_history_that_breaks_nothing_is_not_complained_about() {
     let mut world = World::new(8.0, 0.0, job(2));
-    world.starts("n-1", 0, 1);
-    world.starts("n-3", 1, 2);
-    world.runs(5 * SEC);
+    world.start("n-1", 0, 1);
+    world.start("n-3", 1, 2);
+    world.run_until(5 * SEC);
     world.rules.check(6 * SEC, &world.workers, &world.users);
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
     assert_eq!(world.rules.starts, 2);
@@ -123,15 +123,15 @@
 #[test]
 fn a_limit_of_cores_is_broken_when_a_task_begins() {
     let mut world = World::new(8.0, 0.0, job(3));
-    world.starts("n-1", 0, 1);
-    world.starts("n-2", 1, 2);
-    world.runs(5 * SEC);
+    world.start("n-1", 0, 1);
+    world.start("n-2", 1, 2);
+    world.run_until(5 * SEC);
     assert!(!world.broken("quota"));
-    world.starts("n-3", 2, 3);
-    // While it waits for its image, records cover it already.
+    world.start("n-3", 2, 3);
+    // A task that still fetches its image counts too, since a placement record covers it already.
     assert!(world.broken("quota"));
     world.rules.broken.clear();
-    world.runs(10 * SEC);
+    world.run_until(10 * SEC);
     assert!(world.broken("quota"));
 }
 
@@ -139,20 +139,20 @@
 fn a_limit_of_gpus_is_broken_when_a_task_begins() {
     let spec = JobSpec { gpus: 2.0, ..job(2) };
     let mut world = World::new(100.0, 3.0, spec);
-    world.starts("n-1", 0, 1);
-    world.runs(5 * SEC);
+    world.start("n-1", 0, 1);
+    world.run_until(5 * SEC);
     assert!(!world.broken("quota"));
-    world.starts("n-2", 1, 2);
+    world.start("n-2", 1, 2);
     assert!(world.broken("quota"));
 }
 
 #[test]
 fn a_task_on_two_machines_is_seen() {
     let mut world = World::new(0.0, 0.0, job(1));
-    world.starts("n-1", 0, 1);
-    world.runs(5 * SEC);
-    world.starts("n-2", 0, 2);
-    world.runs(10 * SEC);
+    world.start("n-1", 0, 1);
+    world.run_until(5 * SEC);
+    world.start("n-2", 0, 2);
+    world.run_until(10 * SEC);
     assert!(world.broken("ran_twice"));
 }
 
@@ -175,9 +175,9 @@
         let tasks = spec.tasks;
         let mut world = World::new(0.0, 0.0, spec);
         for task in 0..tasks {
-            world.starts(machines[task as usize], task, u64::from(task) + 1);
+            world.start(machines[task as usize], task, u64::from(task) + 1);
         }
-        world.runs(5 * SEC);
+        world.run_until(5 * SEC);
         assert!(world.broken("wrong_place"), "{machines:?}");
     }
 }
@@ -185,11 +185,11 @@
 #[test]
 fn a_task_of_a_cancelled_job_is_seen() {
     let mut world = World::new(0.0, 0.0, job(1));
-    world.starts("n-1", 0, 1);
-    world.runs(5 * SEC);
+    world.start("n-1", 0, 1);
+    world.run_until(5 * SEC);
     world.users.get_mut(JOB).expect("the job").cancelled = Some(6 * SEC);
     world.rules.check(15 * SEC, &world.workers, &world.users);
-    assert!(!world.broken("ran_cancelled"), "it has its time to stop");
+    assert!(!world.broken("ran_cancelled"), "the task still has time to stop");
     world.rules.check(17 * SEC, &world.workers, &world.users);
     assert!(world.broken("ran_cancelled"));
 }
@@ -198,7 +198,7 @@
 fn an_attempt_that_begins_again_after_it_was_forgotten_is_seen() {
     let mut world = World::new(0.0, 0.0, job(1));
     let task = format!("{JOB}/0");
-    assert!(world.starts("n-1", 0, 1).taken_again.is_empty());
+    assert!(world.start("n-1", 0, 1).taken_again.is_empty());
     let (stopped, grace_s) = (task.clone(), 0.0);
     world.order(
         "n-1",
@@ -208,7 +208,10 @@
             grace_s,
         },
     );
-    assert!(world.starts("n-1", 0, 1).taken.is_empty(), "it is still known");
+    assert!(
+        world.start("n-1", 0, 1).taken.is_empty(),
+        "the worker has not forgotten the attempt"
+    );
     let forgotten = task.clone();
     world.order(
         "n-1",
@@ -217,17 +220,17 @@
             attempt: 1,
         },
     );
-    assert!(world.starts("n-1", 0, 2).taken_again.is_empty());
+    assert!(world.start("n-1", 0, 2).taken_again.is_empty());
     let stopped = AgentCommand::Stop {
         task: task.clone(),
         attempt: 2,
         grace_s,
     };
     world.order("n-1", stopped);
-    assert_eq!(world.starts("n-1", 0, 1).taken_again, [(task, 1)]);
+    assert_eq!(world.start("n-1", 0, 1).taken_again, [(task, 1)]);
 }
 
-/// An answer to a question, with what was held before it was sent and after it came.
+/// Checks an answer, given what was stored when the request was sent and when the answer arrived.
 fn checked(before: StoredJob, after: StoredJob, asked: Asked, status: u16, phase: Phase) -> Option<String> {
     let mut user = User::new(job(1), 1.0, false);
     user.wants_abort = phase == Phase::Cancelled;
@@ -265,14 +268,14 @@
     let starts = |problem: Option<String>, with: &str| {
         assert!(problem.as_ref().is_some_and(|p| p.starts_with(with)), "{problem:?}");
     };
-    // What is right.
+    // Correct answers.
     assert_eq!(checked(nothing, open, Asked::Submit, 201, Phase::Pending), None);
     assert_eq!(checked(open, cancelled, Asked::Poll, 200, Phase::Running), None);
     assert_eq!(checked(open, cancelled, Asked::Abort, 200, Phase::Cancelled), None);
     assert_eq!(checked(done, done, Asked::Poll, 200, Phase::Done), None);
     assert_eq!(checked(nothing, open, Asked::Poll, 404, Phase::Pending), None);
     assert_eq!(checked(done, done, Asked::Poll, 503, Phase::Pending), None);
-    // What is not.
+    // Wrong answers.
     starts(
         checked(cancelled, cancelled, Asked::Submit, 200, Phase::Pending),
         "went_back",
