--- a/src/runtime/agent_client.rs
+++ b/src/runtime/agent_client.rs
@@ -53,7 +53,7 @@
         }),
         CallResult::NotSent => PushResult::NotSent,
         _ => {
-            client.forget();
+            client.drop_idle_connections();
             PushResult::Unknown
         }
     }
--- a/src/runtime/cloud_client.rs
+++ b/src/runtime/cloud_client.rs
@@ -1,6 +1,6 @@
 //! The client of the cloud.
 //!
-//! Each call is described in one place, [`describe`]: what is sent, and what the answers mean.
+//! Each call is described in one place, [`build_call`]: what is sent, and what the answers mean.
 
 use super::http_call::{decode_body, escape_query, CallOutcome, HttpCall};
 use crate::coordination::{CloudRequest, CloudResponse};
@@ -33,7 +33,7 @@
 
     /// Makes a call and waits for its answer.
     pub(super) async fn send(&self, request: CloudRequest, timeout: Micros) -> CloudResponse {
-        describe(request).send(&self.calls, "the cloud", timeout).await
+        build_call(request).send(&self.calls, "the cloud", timeout).await
     }
 }
 
@@ -50,7 +50,7 @@
 }
 
 /// What is sent for a call, and what the answers to it mean.
-fn describe(request: CloudRequest) -> HttpCall<CloudResponse> {
+fn build_call(request: CloudRequest) -> HttpCall<CloudResponse> {
     match request {
         CloudRequest::Catalogue => HttpCall::new(Method::Get, "/catalog".into(), |status, body| {
             (status == 200).then(|| decode_body(body, CloudResponse::Unknown, CloudResponse::Catalogue))
--- a/src/runtime/http_call.rs
+++ b/src/runtime/http_call.rs
@@ -90,13 +90,13 @@
 }
 
 /// Reads an answer's body. A malformed answer is no answer: what it answered may have been
-/// executed, and `otherwise` must say so.
-pub(super) fn decode_body<M: DeserializeOwned, T>(body: &[u8], otherwise: T, then: impl FnOnce(M) -> T) -> T {
+/// executed, and `if_malformed` must say so.
+pub(super) fn decode_body<M: DeserializeOwned, T>(body: &[u8], if_malformed: T, convert: impl FnOnce(M) -> T) -> T {
     match from_cbor(body) {
-        Ok(message) => then(message),
+        Ok(message) => convert(message),
         Err(error) => {
             tracing::warn!(%error, "malformed answer");
-            otherwise
+            if_malformed
         }
     }
 }
--- a/src/runtime/process.rs
+++ b/src/runtime/process.rs
@@ -67,8 +67,8 @@
 
 /// Starts the sockets and runs the controller until one of them fails.
 pub(super) async fn serve(executor: Rc<LocalExecutor<'static>>, settings: Settings) -> Result<(), RuntimeError> {
-    let began = Instant::now();
-    let now = move || CLOCK_START + Micros(began.elapsed().as_micros() as u64);
+    let started_at = Instant::now();
+    let now = move || CLOCK_START + Micros(started_at.elapsed().as_micros() as u64);
     let (events, queue) = async_channel::unbounded::<Event>();
     let process = Process::new(executor, events, &settings)?;
     let failure = Failure::default();
@@ -194,7 +194,7 @@
             for effect in controller.handle(decided_at, batch) {
                 // The process may have been paused between the decision and here.
                 if now().since(decided_at) > MAX_DECISION_AGE {
-                    self.withdraw(effect);
+                    self.reject_expired(effect);
                 } else {
                     self.perform(effect);
                 }
@@ -246,7 +246,7 @@
     }
 
     /// Tells the controller that an effect was not carried out.
-    fn withdraw(&self, effect: Effect) {
+    fn reject_expired(&self, effect: Effect) {
         let event = match effect {
             Effect::Reply { id, answer } => {
                 let answer = if answer.status < 300 { retry_later() } else { answer };
--- a/src/runtime/state_client.rs
+++ b/src/runtime/state_client.rs
@@ -1,6 +1,6 @@
 //! The client of the state service.
 //!
-//! Each request is described in one place, [`describe`]: what is sent, and what the answers mean.
+//! Each request is described in one place, [`build_call`]: what is sent, and what the answers mean.
 
 use super::http_call::{decode_body, escape_query, CallOutcome, HttpCall};
 use crate::protocol::store::{Lease, NewLease, Revision, Row, Rows, StoreRequest, StoreResponse, WatchEvents};
@@ -40,7 +40,7 @@
             StoreRequest::Watch { .. } => &self.watches,
             _ => &self.requests,
         };
-        describe(request).send(client, "the state service", timeout).await
+        build_call(request).send(client, "the state service", timeout).await
     }
 }
 
@@ -57,7 +57,7 @@
 }
 
 /// What is sent for a request, and what the answers to it mean.
-fn describe(request: StoreRequest) -> HttpCall<StoreResponse> {
+fn build_call(request: StoreRequest) -> HttpCall<StoreResponse> {
     match request {
         StoreRequest::Get { key } => HttpCall::new(Method::Get, format!("/kv/{key}"), decode_row),
         StoreRequest::List { prefix, after } => {
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -4,7 +4,7 @@
 //! twice, except reads.
 
 use super::stream::Stream;
-use super::timeout::within;
+use super::timeout::with_timeout;
 use crate::time::Micros;
 use async_io::Async;
 use http_types::{Method, Request, Url};
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 /// Connecting takes at most this long.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The result of a call.
 #[derive(Clone, Debug, PartialEq)]
@@ -37,8 +37,8 @@
     method: Method,
     url: Url,
     body: Option<Vec<u8>>,
-    limit: Duration,
-    began: Instant,
+    timeout: Duration,
+    started_at: Instant,
 }
 
 impl Call {
@@ -51,13 +51,13 @@
         request
     }
 
-    fn connect_limit(&self) -> Duration {
-        self.limit.min(CONNECT_LIMIT)
+    fn connect_timeout(&self) -> Duration {
+        self.timeout.min(CONNECT_TIMEOUT)
     }
 
     /// A process that was paused while it connected must not send what it has long given up.
-    fn is_too_late(&self) -> bool {
-        self.began.elapsed() > self.limit
+    fn has_timed_out(&self) -> bool {
+        self.started_at.elapsed() > self.timeout
     }
 }
 
@@ -88,8 +88,8 @@
         }))
     }
 
-    async fn connect(&self, limit: Duration) -> Option<Stream> {
-        let stream = within(limit, async { Async::<TcpStream>::connect(self.address).await.ok() }).await?;
+    async fn connect(&self, timeout: Duration) -> Option<Stream> {
+        let stream = with_timeout(timeout, async { Async::<TcpStream>::connect(self.address).await.ok() }).await?;
         Some(Stream::new(stream))
     }
 
@@ -109,7 +109,7 @@
 
     /// Makes a call; `path` begins with a slash and may carry a query.
     pub async fn call(&self, method: Method, path: &str, body: Option<Vec<u8>>, timeout: Micros) -> CallResult {
-        let limit = Duration::from_micros(timeout.0);
+        let timeout = Duration::from_micros(timeout.0);
         let Ok(url) = self.url.join(path) else {
             return CallResult::NotSent;
         };
@@ -117,11 +117,11 @@
             method,
             url,
             body,
-            limit,
-            began: Instant::now(),
+            timeout,
+            started_at: Instant::now(),
         };
         let work = async { Some(self.attempt(&call).await) };
-        within(limit, work).await.unwrap_or(CallResult::NoAnswer)
+        with_timeout(timeout, work).await.unwrap_or(CallResult::NoAnswer)
     }
 
     async fn attempt(&self, call: &Call) -> CallResult {
@@ -129,20 +129,20 @@
         let is_reused = idle.is_some();
         let mut stream = match idle {
             Some(stream) => stream,
-            None => match self.connect(call.connect_limit()).await {
+            None => match self.connect(call.connect_timeout()).await {
                 Some(stream) => stream,
                 None => return CallResult::NotSent,
             },
         };
-        if call.is_too_late() {
+        if call.has_timed_out() {
             return CallResult::NotSent;
         }
         let mut result = Self::exchange(stream.clone(), call.request()).await;
         if result.is_none() && is_reused && call.method == Method::Get {
             // The other side may have closed the kept connection; a read can be repeated without
             // harm.
-            stream = match self.connect(call.connect_limit()).await {
-                Some(fresh) if !call.is_too_late() => fresh,
+            stream = match self.connect(call.connect_timeout()).await {
+                Some(fresh) if !call.has_timed_out() => fresh,
                 _ => return CallResult::NotSent,
             };
             result = Self::exchange(stream.clone(), call.request()).await;
@@ -162,7 +162,7 @@
     }
 
     /// Drops the kept connections, for an address that does not answer.
-    pub fn forget(&self) {
+    pub fn drop_idle_connections(&self) {
         self.idle.borrow_mut().clear();
     }
 }
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -5,7 +5,7 @@
 //! side has given up, as it does when this process is paused for a while, would accept writes
 //! without an error for ever.
 
-use super::timeout::within;
+use super::timeout::with_timeout;
 use crate::protocol::peer::{Link, PeerMessage};
 use crate::time::Micros;
 use async_channel::{Receiver, Sender};
@@ -18,17 +18,17 @@
 use std::time::{Duration, Instant};
 
 /// The largest frame, in bytes: more than a forwarded list of keys takes (512 KiB).
-const FRAME_LIMIT: usize = 1024 * 1024;
+const MAX_FRAME_BYTES: usize = 1024 * 1024;
 /// The first and the longest pause between retries to connect: a controller that comes back is not
 /// overloaded.
-const FIRST_PAUSE: Micros = Micros::from_millis(200);
-const LONGEST_PAUSE: Micros = Micros::from_millis(800);
-const CONNECT_LIMIT: Duration = Duration::from_millis(800);
-const WRITE_LIMIT: Duration = Duration::from_secs(2);
+const INITIAL_BACKOFF: Micros = Micros::from_millis(200);
+const MAX_BACKOFF: Micros = Micros::from_millis(800);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A frame that is not acknowledged by then was sent over a dead link.
-const ACK_LIMIT: Duration = Duration::from_millis(1500);
+const ACK_TIMEOUT: Duration = Duration::from_millis(1500);
 /// A connection without a frame for this long is closed.
-const IDLE_LIMIT: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What happened on the sending side of a link.
 enum SendEvent {
@@ -39,43 +39,43 @@
     /// The connection was closed, or nobody queues messages any more.
     Closed,
     /// Nothing for a while.
-    Quiet,
+    Idle,
 }
 
 /// The sending side of a link.
-struct Sending<F> {
+struct LinkSender<F> {
     address: SocketAddr,
     queue: Receiver<PeerMessage>,
     /// Told how the link is whenever something shows it.
-    on_state: F,
+    on_link_state: F,
     connection: Option<Async<TcpStream>>,
     /// When each frame was sent that is not acknowledged.
     unacknowledged: VecDeque<Instant>,
-    pauses: Backoff,
+    backoff: Backoff,
 }
 
 /// Sends queued messages to one controller, until the queue is closed. Messages are lost while the
 /// link is down: every one of them is either repeated or has a time limit.
-pub async fn send(address: SocketAddr, queue: Receiver<PeerMessage>, on_state: impl Fn(Link)) {
-    let mut sending = Sending {
+pub async fn send(address: SocketAddr, queue: Receiver<PeerMessage>, on_link_state: impl Fn(Link)) {
+    let mut sender = LinkSender {
         address,
         queue,
-        on_state,
+        on_link_state,
         connection: None,
         unacknowledged: VecDeque::new(),
-        pauses: Backoff::new(FIRST_PAUSE, LONGEST_PAUSE),
+        backoff: Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF),
     };
-    while sending.step().await {}
+    while sender.step().await {}
 }
 
-impl<F: Fn(Link)> Sending<F> {
+impl<F: Fn(Link)> LinkSender<F> {
     /// Waits for the next event and handles it; whether there is more to come.
     async fn step(&mut self) -> bool {
         let message = match self.next_event().await {
             SendEvent::Message(message) => Some(message),
             SendEvent::Acknowledged(frames) => {
-                (self.on_state)(Link::Up);
-                self.pauses.reset();
+                (self.on_link_state)(Link::Up);
+                self.backoff.reset();
                 self.unacknowledged.drain(..frames.min(self.unacknowledged.len()));
                 None
             }
@@ -84,10 +84,10 @@
                 self.connection = None;
                 None
             }
-            SendEvent::Quiet => None,
+            SendEvent::Idle => None,
         };
-        if self.unacknowledged.front().is_some_and(|at| at.elapsed() > ACK_LIMIT) {
-            (self.on_state)(Link::Silent);
+        if self.unacknowledged.front().is_some_and(|at| at.elapsed() > ACK_TIMEOUT) {
+            (self.on_link_state)(Link::Silent);
             self.connection = None;
         }
         if let Some(message) = message {
@@ -110,18 +110,18 @@
                 _ => SendEvent::Closed,
             }
         };
-        let quiet = async {
-            Timer::after(ACK_LIMIT).await;
-            SendEvent::Quiet
+        let idle = async {
+            Timer::after(ACK_TIMEOUT).await;
+            SendEvent::Idle
         };
-        acknowledged.or(next).or(quiet).await
+        acknowledged.or(next).or(idle).await
     }
 
-    /// Connects; on failure, pauses before the next try. Says whether it is connected.
+    /// Connects; on failure, backoff before the next try. Says whether it is connected.
     async fn connect(&mut self) -> bool {
         self.unacknowledged.clear();
         let connect = async { Some(Async::<TcpStream>::connect(self.address).await) };
-        match within(CONNECT_LIMIT, connect).await {
+        match with_timeout(CONNECT_TIMEOUT, connect).await {
             Some(Ok(connection)) => {
                 connection.get_ref().set_nodelay(true).ok();
                 self.connection = Some(connection);
@@ -129,10 +129,10 @@
             }
             failed => {
                 let is_refused = matches!(failed, Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused);
-                (self.on_state)(if is_refused { Link::Refused } else { Link::Silent });
+                (self.on_link_state)(if is_refused { Link::Refused } else { Link::Silent });
                 // Whatever has queued up meanwhile is out of date.
                 while self.queue.try_recv().is_ok() {}
-                let pause = self.pauses.next_pause(fastrand::f64());
+                let pause = self.backoff.next_pause(fastrand::f64());
                 Timer::after(Duration::from_micros(pause.0)).await;
                 false
             }
@@ -146,7 +146,7 @@
         let Some(connection) = self.connection.as_mut() else {
             return;
         };
-        let written = within(WRITE_LIMIT, async { connection.write_all(&frame).await.ok() }).await;
+        let written = with_timeout(WRITE_TIMEOUT, async { connection.write_all(&frame).await.ok() }).await;
         if written.is_none() {
             self.connection = None;
         } else {
@@ -161,13 +161,13 @@
     stream.get_ref().set_nodelay(true).ok();
     loop {
         let mut length = [0u8; 4];
-        within(IDLE_LIMIT, async { stream.read_exact(&mut length).await.ok() }).await?;
+        with_timeout(IDLE_TIMEOUT, async { stream.read_exact(&mut length).await.ok() }).await?;
         let length = u32::from_be_bytes(length) as usize;
-        if length > FRAME_LIMIT {
+        if length > MAX_FRAME_BYTES {
             return None;
         }
         let mut body = vec![0; length];
-        within(IDLE_LIMIT, async { stream.read_exact(&mut body).await.ok() }).await?;
+        with_timeout(IDLE_TIMEOUT, async { stream.read_exact(&mut body).await.ok() }).await?;
         match bitcode::decode(&body) {
             Ok(message) => out.send(message).await.ok()?,
             Err(error) => {
@@ -175,7 +175,7 @@
                 return None;
             }
         }
-        within(WRITE_LIMIT, async { stream.write_all(&[1]).await.ok() }).await?;
+        with_timeout(WRITE_TIMEOUT, async { stream.write_all(&[1]).await.ok() }).await?;
     }
 }
 
--- a/src/transport/rate_limit.rs
+++ b/src/transport/rate_limit.rs
@@ -10,7 +10,7 @@
     /// The most calls that it holds.
     capacity: f64,
     /// The calls that it holds; negative after a large one.
-    level: f64,
+    tokens: f64,
     /// When the level was last brought up to date.
     filled_at: Micros,
 }
@@ -22,7 +22,7 @@
         Bucket {
             rate,
             capacity,
-            level: capacity,
+            tokens: capacity,
             filled_at: now,
         }
     }
@@ -32,11 +32,11 @@
         self.fill(now);
         self.rate = rate;
         self.capacity = rate.max(1.0);
-        self.level = self.level.min(self.capacity);
+        self.tokens = self.tokens.min(self.capacity);
     }
 
     fn fill(&mut self, now: Micros) {
-        self.level = (self.level + now.since(self.filled_at).secs() * self.rate).min(self.capacity);
+        self.tokens = (self.tokens + now.since(self.filled_at).secs() * self.rate).min(self.capacity);
         self.filled_at = now;
     }
 
@@ -45,19 +45,19 @@
     pub fn allows(&mut self, cost: f64, reserve: f64, now: Micros) -> bool {
         self.fill(now);
         // A cost above the bucket's size goes out when the bucket is full.
-        self.level >= (cost + reserve * self.capacity).min(self.capacity)
+        self.tokens >= (cost + reserve * self.capacity).min(self.capacity)
     }
 
     /// Takes `cost` from the bucket; the level may go below zero.
     pub fn take(&mut self, cost: f64, now: Micros) {
         self.fill(now);
-        self.level -= cost;
+        self.tokens -= cost;
     }
 
     /// The same, but never below zero: what is lost is made up for within a moment. The
     /// refusals of a minute's outage would be paid for over minutes otherwise.
     pub fn spill(&mut self, cost: f64, now: Micros) {
         self.fill(now);
-        self.level = (self.level - cost).max(self.level.min(0.0));
+        self.tokens = (self.tokens - cost).max(self.tokens.min(0.0));
     }
 }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use super::stream::Stream;
-use super::timeout::within;
+use super::timeout::with_timeout;
 use crate::protocol::BODY_LIMIT;
 
 /// A request, reduced to what is looked at.
@@ -40,9 +40,9 @@
 
 /// A connection without a request for this long is closed, so that half-sent requests and forgotten
 /// clients free their sockets.
-const IDLE_LIMIT: Duration = Duration::from_secs(75);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
 /// The body of a request has to be received, and an answer to be sent, within this time.
-const TRANSFER_LIMIT: Duration = Duration::from_secs(5);
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Reads a whole request, or says with which status it is refused.
 async fn read(request: Request) -> Result<Incoming, u16> {
@@ -63,7 +63,7 @@
         let mut limited = request.take_body().take(BODY_LIMIT as u64 + 1);
         Some(limited.read_to_end(&mut body).await.map_err(|_| 400u16))
     };
-    within(TRANSFER_LIMIT, whole).await.unwrap_or(Err(408))?;
+    with_timeout(TRANSFER_TIMEOUT, whole).await.unwrap_or(Err(408))?;
     if body.len() > BODY_LIMIT {
         return Err(413);
     }
@@ -75,7 +75,7 @@
 }
 
 /// Whether the client asked to close the connection after the answer.
-fn asks_to_close(request: &Request) -> bool {
+fn has_close_header(request: &Request) -> bool {
     request
         .header("connection")
         .is_some_and(|v| v.last().as_str().eq_ignore_ascii_case("close"))
@@ -108,11 +108,11 @@
         // Decoded and encoded one by one: async-h1's own loop would start the timers, and the
         // thread, of a second reactor.
         let next = async { async_h1::server::decode(stream.clone()).await.ok().flatten() };
-        let Some((request, rest)) = within(IDLE_LIMIT, next).await else {
+        let Some((request, rest)) = with_timeout(IDLE_TIMEOUT, next).await else {
             return;
         };
         let method = request.method();
-        let is_last = asks_to_close(&request);
+        let is_last = has_close_header(&request);
         let (answer, is_refused) = match read(request).await {
             Ok(incoming) => (handler(incoming).await, false),
             Err(status) => (
@@ -126,19 +126,19 @@
         let closes = is_refused || is_last;
         let mut encoder = Encoder::new(response(answer, closes), method);
         let write = async { io::copy(&mut encoder, &mut stream).await.ok() };
-        if within(TRANSFER_LIMIT, write).await.is_none() || closes {
+        if with_timeout(TRANSFER_TIMEOUT, write).await.is_none() || closes {
             return;
         }
         drop(rest);
     }
 }
 
-/// Accepts connections for ever, up to `limit` at a time; `spawn` runs each on the caller's executor.
+/// Accepts connections for ever, up to `max_connections` at a time; `spawn` runs each on the caller's executor.
 ///
 /// # Errors
 ///
 /// If the address can't be listened on.
-pub async fn listen<H, F, S>(address: SocketAddr, limit: usize, handler: H, spawn: S) -> std::io::Result<()>
+pub async fn listen<H, F, S>(address: SocketAddr, max_connections: usize, handler: H, spawn: S) -> std::io::Result<()>
 where
     H: Fn(Incoming) -> F + Clone + 'static,
     F: Future<Output = Outgoing> + 'static,
@@ -152,7 +152,7 @@
             Timer::after(Duration::from_millis(50)).await;
             continue;
         };
-        if open.get() >= limit {
+        if open.get() >= max_connections {
             // Closed at once, so that the other side can try another controller.
             drop(stream);
             continue;
--- a/src/transport/timeout.rs
+++ b/src/transport/timeout.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// The result of `work`, or `None` if it gives none or takes longer than `limit`.
-pub(super) async fn within<T>(limit: Duration, work: impl Future<Output = Option<T>>) -> Option<T> {
+pub(super) async fn with_timeout<T>(limit: Duration, work: impl Future<Output = Option<T>>) -> Option<T> {
     let timeout = async {
         Timer::after(limit).await;
         None
