--- a/src/runtime/agent_client.rs
+++ b/src/runtime/agent_client.rs
@@ -1,4 +1,4 @@
-//! The clients of agents, for commands that are pushed to them.
+//! HTTP clients of the agents, which push commands to them.
 
 use super::http_call::decode_body;
 use crate::protocol::agents::{Heartbeat, PushResult, PushedCommands};
@@ -10,20 +10,20 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Agents whose connections are kept. With more, all are dropped: connections are opened again
-/// where they are needed.
+/// Maximum number of agents whose connections are kept. When it is reached, all kept connections
+/// are dropped and opened again on demand.
 const MAX_AGENTS: usize = 256;
-/// Idle connections that are kept for each agent.
+/// Maximum number of idle connections that are kept for each agent.
 const CONNECTIONS_PER_AGENT: usize = 1;
 
-/// Connections to agents, by address.
+/// The clients of agents, by address.
 #[derive(Default)]
 pub(super) struct AgentClients {
     by_address: RefCell<HashMap<String, Rc<Client>>>,
 }
 
 impl AgentClients {
-    /// The client of the agent at this address; `None` if it is not an address.
+    /// Returns the client of the agent at `address`; `None` if `address` is not a socket address.
     pub(super) fn get(&self, address: &str) -> Option<Rc<Client>> {
         let mut clients = self.by_address.borrow_mut();
         if let Some(client) = clients.get(address) {
@@ -38,7 +38,8 @@
     }
 }
 
-/// Pushes commands to an agent and waits for its answer.
+/// Pushes commands to an agent and waits for the answer. Without a client, the commands count as
+/// not sent.
 pub(super) async fn push(client: Option<Rc<Client>>, commands: PushedCommands, timeout: Micros) -> PushResult {
     let Some(client) = client else {
         return PushResult::NotSent;
--- a/src/runtime/cloud_client.rs
+++ b/src/runtime/cloud_client.rs
@@ -1,6 +1,6 @@
 //! The client of the cloud.
 //!
-//! Each call is described in one place, [`build_call`]: what is sent, and what the answers mean.
+//! [`build_call`] defines each call: what is sent, and what each response means.
 
 use super::http_call::{decode_body, escape_query, CallOutcome, HttpCall};
 use crate::coordination::{CloudRequest, CloudResponse};
@@ -12,26 +12,26 @@
 use http_types::Method;
 use std::rc::Rc;
 
-/// Idle connections that are kept.
+/// Maximum number of idle connections that are kept.
 const CONNECTIONS: usize = 2;
-/// The error text of a refusal for want of machines.
+/// Error text of the cloud when it has no machine of the requested kind.
 const NO_CAPACITY: &str = "no capacity";
 
-/// Connections to the cloud.
+/// A client of the cloud. Clones share its connections.
 #[derive(Clone)]
 pub(super) struct CloudClient {
     calls: Rc<Client>,
 }
 
 impl CloudClient {
-    /// A client of the cloud at this address; `None` if it is not an address.
+    /// Creates a client of the cloud at `address`; `None` if `address` is not a socket address.
     pub(super) fn new(address: &str) -> Option<CloudClient> {
         Some(CloudClient {
             calls: Client::new(address, CONNECTIONS)?,
         })
     }
 
-    /// Makes a call and waits for its answer.
+    /// Makes a call and waits for its outcome.
     pub(super) async fn send(&self, request: CloudRequest, timeout: Micros) -> CloudResponse {
         build_call(request).send(&self.calls, "the cloud", timeout).await
     }
@@ -49,7 +49,7 @@
     }
 }
 
-/// What is sent for a call, and what the answers to it mean.
+/// Builds the HTTP call for a request, with the decoder of its response.
 fn build_call(request: CloudRequest) -> HttpCall<CloudResponse> {
     match request {
         CloudRequest::Catalogue => HttpCall::new(Method::Get, "/catalog".into(), |status, body| {
--- a/src/runtime/http_call.rs
+++ b/src/runtime/http_call.rs
@@ -1,7 +1,7 @@
-//! A call over HTTP that is described once: what is sent, and what each status of the answer means.
+//! An HTTP call together with the decoder of its response.
 //!
-//! The clients of the state service and of the cloud describe their requests in this form. Both
-//! services share the meaning of the statuses that no request gives a meaning of its own.
+//! The clients of the state service and of the cloud build their requests in this form. Statuses
+//! that a call's decoder doesn't handle have the same meaning for both services.
 
 use crate::protocol::from_cbor;
 use crate::time::Micros;
@@ -10,7 +10,7 @@
 use percent_encoding::{utf8_percent_encode, AsciiSet, PercentEncode, NON_ALPHANUMERIC};
 use serde::de::DeserializeOwned;
 
-/// The characters that are escaped in a query: all but these and alphanumeric ones.
+/// The characters that are escaped in a query: all except alphanumeric ones and these.
 const QUERY: &AsciiSet = &NON_ALPHANUMERIC
     .remove(b'-')
     .remove(b'.')
@@ -18,12 +18,12 @@
     .remove(b'~')
     .remove(b'/');
 
-/// Escapes text for use in a query.
+/// Percent-encodes text for use in a query.
 pub(super) fn escape_query(text: &str) -> PercentEncode<'_> {
     utf8_percent_encode(text, QUERY)
 }
 
-/// The result of a call, as far as all calls to a service have it in common.
+/// The outcomes that all calls to a service have in common.
 pub(super) trait CallOutcome {
     /// The call was not executed and won't be.
     fn refused() -> Self;
@@ -33,10 +33,10 @@
     fn malformed() -> Self;
 }
 
-/// Says what a status and body mean; `None`: the status has no meaning of its own for this call.
+/// Decodes a status and body; returns `None` if the call gives the status no specific meaning.
 type Decode<T> = Box<dyn FnOnce(u16, &[u8]) -> Option<T>>;
 
-/// A call: what is sent, and what the answers mean.
+/// A request and the decoder of its response.
 pub(super) struct HttpCall<T> {
     method: Method,
     path: String,
@@ -45,7 +45,7 @@
 }
 
 impl<T: CallOutcome> HttpCall<T> {
-    /// A call without a body. `path` begins with a slash and may carry a query.
+    /// Creates a call without a body. `path` begins with a slash and may include a query.
     pub(super) fn new(
         method: Method,
         path: String,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The call with this body.
+    /// Adds a body to the call.
     pub(super) fn with_body(self, body: Vec<u8>) -> HttpCall<T> {
         HttpCall {
             body: Some(body),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Makes the call. `service` is the service's name for the log.
+    /// Makes the call and returns its outcome. `service` is the service's name in the log.
     pub(super) async fn send(self, client: &Client, service: &str, timeout: Micros) -> T {
         let result = client.call(self.method, &self.path, self.body, timeout).await;
         let (status, body) = match result {
@@ -81,7 +81,7 @@
         match status {
             429 | 503 => T::refused(),
             400 => {
-                tracing::error!(path = self.path, "{service} calls a request malformed");
+                tracing::error!(path = self.path, "{service} rejected a request as malformed");
                 T::malformed()
             }
             _ => T::unknown(),
@@ -89,13 +89,13 @@
     }
 }
 
-/// Reads an answer's body. A malformed answer is no answer: what it answered may have been
-/// executed, and `if_malformed` must say so.
+/// Decodes a response's body and converts it with `convert`; returns `if_malformed` if the body is
+/// malformed. The request may have been executed even then, which `if_malformed` must allow for.
 pub(super) fn decode_body<M: DeserializeOwned, T>(body: &[u8], if_malformed: T, convert: impl FnOnce(M) -> T) -> T {
     match from_cbor(body) {
         Ok(message) => convert(message),
         Err(error) => {
-            tracing::warn!(%error, "malformed answer");
+            tracing::warn!(%error, "malformed response body");
             if_malformed
         }
     }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,9 +1,9 @@
-//! The runtime: it joins a [`Controller`](crate::coordination::Controller) with sockets, clocks and
-//! random numbers into a process.
+//! The runtime: connects a [`Controller`](crate::coordination::Controller) to sockets, clocks and a
+//! source of random numbers, and runs it as a process.
 //!
-//! `main` is its only caller. It carries out effects and turns what happens outside into events; it
-//! takes no decision of its own, except that it doesn't carry out what was decided too long ago.
-//! Everything runs on one thread.
+//! `main` is the only caller. The runtime performs the controller's effects and turns input from
+//! outside into events. It makes no decisions itself, except that it rejects effects that were
+//! decided too long ago. Everything runs on one thread.
 
 mod agent_client;
 mod cloud_client;
@@ -17,11 +17,11 @@
 use async_executor::LocalExecutor;
 use std::rc::Rc;
 
-/// Why a process can't run.
+/// The reason why the process can't run.
 #[derive(Debug, thiserror::Error)]
 pub enum RuntimeError {
-    /// A setting is not an address.
-    #[error("{setting}: \"{address}\" is not an address")]
+    /// A setting is not a socket address.
+    #[error("{setting}: \"{address}\" is not an IP address with a port")]
     NotAnAddress {
         /// The setting's name.
         setting: &'static str,
@@ -29,7 +29,7 @@
         address: String,
     },
     /// The process can't listen on an address.
-    #[error("{setting}: {address}: {source}")]
+    #[error("{setting}: cannot listen on {address}: {source}")]
     CannotListen {
         /// The name of the setting with the address.
         setting: &'static str,
@@ -44,7 +44,8 @@
 ///
 /// # Errors
 ///
-/// If an address in the settings is none, or the process can't listen on it.
+/// Returns [`RuntimeError`] if an address in the settings is not a socket address, or if the
+/// process can't listen on it.
 pub fn run(settings: Settings) -> Result<(), RuntimeError> {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(process::serve(executor.clone(), settings)))
--- a/src/runtime/process.rs
+++ b/src/runtime/process.rs
@@ -1,7 +1,8 @@
-//! The process around a controller: it starts the sockets, feeds events in and carries out effects.
+//! The process around a controller: opens the sockets, passes events to the controller and performs
+//! the controller's effects.
 //!
-//! Invariant: every effect that waits for an answer gets exactly one event in return, also if it is
-//! not carried out.
+//! Invariant: every effect that expects an answer results in exactly one event, also if the effect
+//! is rejected.
 
 use super::agent_client::{self, AgentClients};
 use super::cloud_client::CloudClient;
@@ -25,26 +26,29 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The controller looks at its clocks at least this often.
+/// Longest interval between two calls of the controller, which checks its timers in each.
 const TICK: Duration = Duration::from_millis(20);
-/// Events that are processed as one batch, at most.
+/// Maximum number of events in a batch.
 const MAX_BATCH: usize = 256;
-/// What was decided longer ago than this is not carried out any more: another controller may lead
-/// by now, a job may be cancelled, whoever asked may have given up.
+/// Maximum age of a decision whose effects are still performed. After a longer pause, another
+/// controller may be the leader, a job may be cancelled, or the client may have given up.
 pub(super) const MAX_DECISION_AGE: Micros = Micros::from_millis(800);
-/// Where this process's clock begins: events before its start have a time too.
+/// Reading of this process's clock at its start; above zero, so that events before the start also
+/// have a time.
 const CLOCK_START: Micros = Micros::from_millis(24 * 3600 * 1000);
-/// Messages that wait for one controller, and those received from all, at most.
+/// Maximum number of messages queued for one other controller.
 const OUTGOING_MESSAGES: usize = 256;
+/// Maximum number of queued messages received from all other controllers.
 const INCOMING_MESSAGES: usize = 1024;
-/// The share of the process's sockets for users and agents, and the least number of them.
+/// Share of the process's sockets that is available to users and agents.
 const PUBLIC_SOCKETS: f64 = 0.8;
+/// Minimum number of sockets for users and agents.
 const MIN_PUBLIC_SOCKETS: usize = 16;
 
-/// The first failure that ends the process.
+/// The error that ends the process, once there is one.
 type Failure = Rc<RefCell<Option<RuntimeError>>>;
 
-/// What the controller's effects need.
+/// The connections and queues that the controller's effects use.
 struct Process {
     executor: Rc<LocalExecutor<'static>>,
     events: Sender<Event>,
@@ -52,11 +56,12 @@
     state: StateClient,
     cloud: CloudClient,
     agents: AgentClients,
-    /// The queues of messages to the other controllers, by name.
+    /// The queues of messages to the other controllers, by the controllers' names.
     peers: HashMap<String, Sender<PeerMessage>>,
 }
 
-/// The answer of a controller that can't give one just now.
+/// Returns the answer of a controller that can't handle a request now: status 503 with
+/// `retry-after`.
 pub(super) fn retry_later() -> Outgoing {
     Outgoing {
         status: 503,
@@ -65,7 +70,7 @@
     }
 }
 
-/// Starts the sockets and runs the controller until one of them fails.
+/// Opens the sockets and runs the controller until a listening socket fails.
 pub(super) async fn serve(executor: Rc<LocalExecutor<'static>>, settings: Settings) -> Result<(), RuntimeError> {
     let started_at = Instant::now();
     let now = move || CLOCK_START + Micros(started_at.elapsed().as_micros() as u64);
@@ -80,7 +85,7 @@
         addr = settings.public_addr,
         "started"
     );
-    // Controllers that start in the same moment must not retry in step.
+    // Controllers that start at the same moment must not retry at the same times.
     let seed = fastrand::u64(..) ^ hash_name(&settings.node);
     let mut controller = Controller::new(settings, seed, now());
     let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -88,7 +93,7 @@
     process.run(&mut controller, &queue, now, &failure).await
 }
 
-/// A hash of the controller's name (FNV-1a).
+/// Returns the FNV-1a hash of a controller's name.
 fn hash_name(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
@@ -180,7 +185,8 @@
         Ok(())
     }
 
-    /// The controller's loop: batches of events in, effects out.
+    /// Passes batches of events to the controller and performs its effects, until an error ends the
+    /// process.
     async fn run(
         &self,
         controller: &mut Controller,
@@ -192,7 +198,7 @@
             let batch = next_batch(queue).await;
             let decided_at = now();
             for effect in controller.handle(decided_at, batch) {
-                // The process may have been paused between the decision and here.
+                // The process may have been paused since the decision.
                 if now().since(decided_at) > MAX_DECISION_AGE {
                     self.reject_expired(effect);
                 } else {
@@ -205,7 +211,7 @@
         }
     }
 
-    /// Carries out an effect.
+    /// Performs an effect.
     fn perform(&self, effect: Effect) {
         match effect {
             Effect::Reply { id, answer } => self.replies.complete(id, answer),
@@ -237,15 +243,16 @@
             }
             Effect::Peer { to, message } => {
                 if let Some(peer) = self.peers.get(&to) {
-                    // A full queue means that the link is down; the message is repeated or has a
-                    // time limit.
+                    // A full queue means that the link is down. Dropping the message is safe: every
+                    // message is either repeated or has a time limit.
                     peer.try_send(message).ok();
                 }
             }
         }
     }
 
-    /// Tells the controller that an effect was not carried out.
+    /// Rejects an effect whose decision is too old: the controller gets an event which says that
+    /// the effect was not performed.
     fn reject_expired(&self, effect: Effect) {
         let event = match effect {
             Effect::Reply { id, answer } => {
@@ -269,7 +276,7 @@
         self.spawn(async move { event });
     }
 
-    /// Runs a request; its result becomes an event.
+    /// Runs a request in the background and queues the event that it results in.
     fn spawn(&self, request: impl std::future::Future<Output = Event> + 'static) {
         let events = self.events.clone();
         self.executor
@@ -281,8 +288,8 @@
     }
 }
 
-/// Starts the link to another controller; returns the queue of messages to it. Changes of the link
-/// become events.
+/// Starts the link to another controller and returns the queue of messages to that controller. Each
+/// change of the link's state becomes an event.
 fn start_link(
     executor: &LocalExecutor<'static>,
     peer: &Peer,
@@ -301,7 +308,8 @@
     messages
 }
 
-/// The events that wait, up to a batch; none if nothing happens for a tick.
+/// Returns the queued events, at most [`MAX_BATCH`]; an empty batch if no event comes within
+/// [`TICK`].
 async fn next_batch(queue: &Receiver<Event>) -> Vec<Event> {
     let first = async { queue.recv().await.ok() };
     let tick = async {
--- a/src/runtime/replies.rs
+++ b/src/runtime/replies.rs
@@ -1,7 +1,7 @@
 //! Requests of users and agents that wait for the controller's answer.
 //!
-//! Invariant: a number is registered as long as its connection waits; a connection that is given
-//! up takes its number with it.
+//! Invariant: a request's id is registered exactly as long as its connection waits; dropping the
+//! connection's [`PendingReply`] removes the id.
 
 use crate::transport::server::Outgoing;
 use async_channel::{Receiver, Sender};
@@ -10,15 +10,15 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// An answer, and when the controller gave it.
+/// An answer and the time at which the controller gave it.
 pub(super) struct TimedReply {
-    /// When it was given.
+    /// The time at which the answer was given.
     pub given_at: Instant,
     /// The answer.
     pub answer: Outgoing,
 }
 
-/// The requests that wait, by number. Clones share them.
+/// The waiting requests, by id. Clones share the same requests.
 #[derive(Clone, Default)]
 pub(super) struct PendingReplies {
     waiting: Rc<RefCell<HashMap<u64, Sender<TimedReply>>>>,
@@ -26,7 +26,7 @@
 }
 
 impl PendingReplies {
-    /// Registers a request under a new number.
+    /// Registers a request under a new id.
     pub(super) fn register(&self) -> PendingReply {
         self.last_id.set(self.last_id.get() + 1);
         let id = self.last_id.get();
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Answers a request, if it still waits.
+    /// Sends the answer to a request, if the request still waits.
     pub(super) fn complete(&self, id: u64, answer: Outgoing) {
         if let Some(sender) = self.waiting.borrow_mut().remove(&id) {
             let given_at = Instant::now();
@@ -48,16 +48,16 @@
     }
 }
 
-/// A request that waits; dropped when its connection is given up.
+/// A waiting request; dropped together with its connection.
 pub(super) struct PendingReply {
-    /// Its number.
+    /// The request's id.
     pub id: u64,
     receiver: Receiver<TimedReply>,
     replies: PendingReplies,
 }
 
 impl PendingReply {
-    /// Waits for the answer; `None` if there will be none.
+    /// Waits for the answer; `None` if the request was dropped without one.
     pub(super) async fn wait(&self) -> Option<TimedReply> {
         self.receiver.recv().await.ok()
     }
--- a/src/runtime/routes.rs
+++ b/src/runtime/routes.rs
@@ -1,6 +1,6 @@
 //! The HTTP routes for users, agents and the load balancer.
 //!
-//! A request becomes an event for the controller, and waits for the controller's answer.
+//! A request becomes an event for the controller and then waits for the controller's answer.
 
 use super::process::{retry_later, MAX_DECISION_AGE};
 use super::replies::PendingReplies;
@@ -12,13 +12,13 @@
 use http_types::Method;
 use std::time::Duration;
 
-/// What a request asks.
+/// A request that has been matched to a route.
 enum Route {
     User(UserRequest),
     Heartbeat(Heartbeat),
 }
 
-/// What a path and method mean, or the status that refuses them.
+/// Returns the route of a request, or the HTTP status with which the request is refused.
 fn route(request: Incoming) -> Result<Route, u16> {
     let method = request.method;
     let is_get = method == Method::Get;
@@ -69,7 +69,8 @@
     events.send(event).await.ok();
     let max_age = Duration::from_micros(MAX_DECISION_AGE.0);
     match pending.wait().await {
-        // The process may have been paused since the answer was given.
+        // The process may have been paused since the answer was given. A success that is too old is
+        // not sent; refusals and errors are.
         Some(reply) if reply.given_at.elapsed() < max_age || reply.answer.status >= 300 => reply.answer,
         _ => retry_later(),
     }
--- a/src/runtime/state_client.rs
+++ b/src/runtime/state_client.rs
@@ -1,6 +1,6 @@
 //! The client of the state service.
 //!
-//! Each request is described in one place, [`build_call`]: what is sent, and what the answers mean.
+//! [`build_call`] defines each request: what is sent, and what each response means.
 
 use super::http_call::{decode_body, escape_query, CallOutcome, HttpCall};
 use crate::protocol::store::{Lease, NewLease, Revision, Row, Rows, StoreRequest, StoreResponse, WatchEvents};
@@ -11,22 +11,24 @@
 use http_types::Method;
 use std::rc::Rc;
 
-/// Idle connections that are kept for requests, and for watches.
+/// Maximum number of idle connections that are kept for requests other than watches.
 const REQUEST_CONNECTIONS: usize = 8;
+/// Maximum number of idle connections that are kept for watches.
 const WATCH_CONNECTIONS: usize = 2;
-/// The error text of a transaction with a lease that has expired.
+/// Error text of the state service when a transaction uses an expired lease.
 const NO_SUCH_LEASE: &str = "no such lease";
 
-/// Connections to the state service.
+/// A client of the state service. Clones share its connections.
 #[derive(Clone)]
 pub(super) struct StateClient {
     requests: Rc<Client>,
-    /// Watches are long and have connections of their own.
+    /// Watches have their own connections, because each one occupies its connection for long.
     watches: Rc<Client>,
 }
 
 impl StateClient {
-    /// A client of the service at this address; `None` if it is not an address.
+    /// Creates a client of the state service at `address`; `None` if `address` is not a socket
+    /// address.
     pub(super) fn new(address: &str) -> Option<StateClient> {
         Some(StateClient {
             requests: Client::new(address, REQUEST_CONNECTIONS)?,
@@ -34,7 +36,7 @@
         })
     }
 
-    /// Sends a request and waits for its answer.
+    /// Sends a request and waits for its outcome.
     pub(super) async fn send(&self, request: StoreRequest, timeout: Micros) -> StoreResponse {
         let client = match request {
             StoreRequest::Watch { .. } => &self.watches,
@@ -56,7 +58,7 @@
     }
 }
 
-/// What is sent for a request, and what the answers to it mean.
+/// Builds the HTTP call for a request, with the decoder of its response.
 fn build_call(request: StoreRequest) -> HttpCall<StoreResponse> {
     match request {
         StoreRequest::Get { key } => HttpCall::new(Method::Get, format!("/kv/{key}"), decode_row),
@@ -137,7 +139,7 @@
             if refusal.error == NO_SUCH_LEASE {
                 StoreResponse::NoLease
             } else {
-                tracing::error!(error = refusal.error, "the state service refuses a transaction");
+                tracing::error!(error = refusal.error, "the state service rejected a transaction");
                 StoreResponse::Malformed
             }
         })),
