--- a/src/runtime/process.rs
+++ b/src/runtime/process.rs
@@ -252,7 +252,7 @@
     }
 
     /// Rejects an effect whose decision is too old: the controller gets an event which says that
-    /// the effect was not performed.
+    /// the effect was not performed, and a client gets [`retry_later`] in place of a success.
     fn reject_expired(&self, effect: Effect) {
         let event = match effect {
             Effect::Reply { id, answer } => {
--- a/src/runtime/replies.rs
+++ b/src/runtime/replies.rs
@@ -1,7 +1,7 @@
 //! Requests of users and agents that wait for the controller's answer.
 //!
-//! Invariant: a request's id is registered exactly as long as its connection waits; dropping the
-//! connection's [`PendingReply`] removes the id.
+//! Invariant: a request's id stays registered until the request is answered or its connection is
+//! dropped; dropping the connection's [`PendingReply`] removes the id.
 
 use crate::transport::server::Outgoing;
 use async_channel::{Receiver, Sender};
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,7 +1,7 @@
-//! HTTP client: kept connections, one request at a time on each.
+//! HTTP client with persistent connections, one request at a time on each.
 //!
-//! Its result says whether a request that got no answer may have been executed. It never sends a request
-//! twice, except reads.
+//! The result of a call says whether a request without an answer may have been executed. The client
+//! never sends a request twice, except reads (GET).
 
 use super::stream::Stream;
 use super::timeout::with_timeout;
@@ -13,22 +13,22 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Connecting takes at most this long.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The result of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallResult {
-    /// An answer.
+    /// A response was received.
     Answer {
-        /// Its HTTP status.
+        /// The HTTP status.
         status: u16,
-        /// Its body.
+        /// The response's body.
         body: Vec<u8>,
     },
-    /// The request was never sent: it can't have been executed.
+    /// The request was never sent, so it can't have been executed.
     NotSent,
-    /// No usable answer: the request may have been executed, or may be later.
+    /// No usable response was received: the request may have been executed, or may be later.
     NoAnswer,
 }
 
@@ -55,13 +55,14 @@
         self.timeout.min(CONNECT_TIMEOUT)
     }
 
-    /// A process that was paused while it connected must not send what it has long given up.
+    /// Returns whether the call's time is over. A process that was paused while it connected must
+    /// not send a request whose result nobody waits for.
     fn has_timed_out(&self) -> bool {
         self.started_at.elapsed() > self.timeout
     }
 }
 
-/// An answer that was read whole.
+/// A response that was read to its end.
 struct Exchange {
     status: u16,
     body: Vec<u8>,
@@ -69,7 +70,7 @@
     is_reusable: bool,
 }
 
-/// Connections to one address.
+/// A client of one address.
 pub struct Client {
     address: SocketAddr,
     url: Url,
@@ -78,7 +79,8 @@
 }
 
 impl Client {
-    /// A client that keeps up to `max_idle` idle connections; `None` if it is not an address.
+    /// Creates a client that keeps up to `max_idle` idle connections; `None` if `address` is not a
+    /// socket address.
     pub fn new(address: &str, max_idle: usize) -> Option<Rc<Client>> {
         Some(Rc::new(Client {
             address: address.parse().ok()?,
@@ -93,7 +95,7 @@
         Some(Stream::new(stream))
     }
 
-    /// Sends a request and reads the answer; `None` if there is no usable one.
+    /// Sends a request and reads the response; `None` if there is no usable response.
     async fn exchange(stream: Stream, request: Request) -> Option<Exchange> {
         let mut response = async_h1::connect(stream, request).await.ok()?;
         let body = response.body_bytes().await.ok()?;
@@ -107,7 +109,8 @@
         })
     }
 
-    /// Makes a call; `path` begins with a slash and may carry a query.
+    /// Makes a call. `path` begins with a slash and may include a query; `timeout` limits the whole
+    /// call, including the time for connecting.
     pub async fn call(&self, method: Method, path: &str, body: Option<Vec<u8>>, timeout: Micros) -> CallResult {
         let timeout = Duration::from_micros(timeout.0);
         let Ok(url) = self.url.join(path) else {
@@ -139,8 +142,7 @@
         }
         let mut result = Self::exchange(stream.clone(), call.request()).await;
         if result.is_none() && is_reused && call.method == Method::Get {
-            // The other side may have closed the kept connection; a read can be repeated without
-            // harm.
+            // The server may have closed the idle connection. A read can be repeated safely.
             stream = match self.connect(call.connect_timeout()).await {
                 Some(fresh) if !call.has_timed_out() => fresh,
                 _ => return CallResult::NotSent,
@@ -161,7 +163,7 @@
         CallResult::Answer { status, body }
     }
 
-    /// Drops the kept connections, for an address that does not answer.
+    /// Drops the idle connections; used when the address does not answer.
     pub fn drop_idle_connections(&self) {
         self.idle.borrow_mut().clear();
     }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,7 +1,7 @@
 //! HTTP server and client, links between controllers, and rate limits.
 //!
-//! Called by the runtime; the coordinator uses only [`rate_limit`] and the types of [`server`].
-//! Nothing here knows what a request means.
+//! The runtime calls these modules; the coordinator uses only [`rate_limit`] and the types of
+//! [`server`]. Nothing here depends on the meaning of a request.
 
 pub mod client;
 pub mod peers;
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -1,9 +1,9 @@
-//! Links between controllers: one outgoing connection to each, bitcode messages in length-prefixed
-//! frames.
+//! Links between controllers: one outgoing connection to each, with bitcode messages in
+//! length-prefixed frames.
 //!
-//! The other side acknowledges every frame with a byte. Without that, a connection that the other
-//! side has given up, as it does when this process is paused for a while, would accept writes
-//! without an error for ever.
+//! The receiver acknowledges every frame with one byte. Without acknowledgements, writes to a
+//! connection that the receiver has dropped, for example while this process was paused, would
+//! succeed indefinitely.
 
 use super::timeout::with_timeout;
 use crate::protocol::peer::{Link, PeerMessage};
@@ -17,28 +17,33 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The largest frame, in bytes: more than a forwarded list of keys takes (512 KiB).
+/// Largest frame, in bytes. A forwarded list of keys takes up to 512 KiB.
 const MAX_FRAME_BYTES: usize = 1024 * 1024;
-/// The first and the longest pause between retries to connect: a controller that comes back is not
+/// First pause between attempts to connect. Pauses keep a controller that restarts from being
 /// overloaded.
 const INITIAL_BACKOFF: Micros = Micros::from_millis(200);
+/// Longest pause between attempts to connect.
 const MAX_BACKOFF: Micros = Micros::from_millis(800);
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time limit for writing a frame or an acknowledgement.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A frame that is not acknowledged by then was sent over a dead link.
+/// Time limit for the acknowledgement of a frame; after it, the link counts as silent and the
+/// connection is dropped.
 const ACK_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A connection without a frame for this long is closed.
+/// Time limit for receiving a frame's length, and for its body; after it, the receiver closes the
+/// connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What happened on the sending side of a link.
+/// An event on the sending side of a link.
 enum SendEvent {
-    /// A message is to be sent.
+    /// A queued message, to be sent.
     Message(PeerMessage),
-    /// The other side has acknowledged this many more frames.
+    /// The receiver has acknowledged this many more frames.
     Acknowledged(usize),
-    /// The connection was closed, or nobody queues messages any more.
+    /// The connection or the queue of messages was closed.
     Closed,
-    /// Nothing for a while.
+    /// Nothing happened within [`ACK_TIMEOUT`].
     Idle,
 }
 
@@ -46,16 +51,16 @@
 struct LinkSender<F> {
     address: SocketAddr,
     queue: Receiver<PeerMessage>,
-    /// Told how the link is whenever something shows it.
+    /// Called with the link's state on each sign of it, also if the state is unchanged.
     on_link_state: F,
     connection: Option<Async<TcpStream>>,
-    /// When each frame was sent that is not acknowledged.
+    /// The times at which the frames without an acknowledgement were sent, oldest first.
     unacknowledged: VecDeque<Instant>,
     backoff: Backoff,
 }
 
-/// Sends queued messages to one controller, until the queue is closed. Messages are lost while the
-/// link is down: every one of them is either repeated or has a time limit.
+/// Sends queued messages to one controller until the queue is closed. Messages are lost while the
+/// link is down, which is safe because every message is either repeated or has a time limit.
 pub async fn send(address: SocketAddr, queue: Receiver<PeerMessage>, on_link_state: impl Fn(Link)) {
     let mut sender = LinkSender {
         address,
@@ -69,7 +74,8 @@
 }
 
 impl<F: Fn(Link)> LinkSender<F> {
-    /// Waits for the next event and handles it; whether there is more to come.
+    /// Waits for the next event and handles it. Returns false when the queue is closed and there is
+    /// no connection.
     async fn step(&mut self) -> bool {
         let message = match self.next_event().await {
             SendEvent::Message(message) => Some(message),
@@ -117,7 +123,8 @@
         acknowledged.or(next).or(idle).await
     }
 
-    /// Connects; on failure, backoff before the next try. Says whether it is connected.
+    /// Opens a connection; after a failure, waits for the back-off time. Returns whether the
+    /// connection is open.
     async fn connect(&mut self) -> bool {
         self.unacknowledged.clear();
         let connect = async { Some(Async::<TcpStream>::connect(self.address).await) };
@@ -130,7 +137,7 @@
             failed => {
                 let is_refused = matches!(failed, Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused);
                 (self.on_link_state)(if is_refused { Link::Refused } else { Link::Silent });
-                // Whatever has queued up meanwhile is out of date.
+                // Messages that were queued in the meantime are out of date.
                 while self.queue.try_recv().is_ok() {}
                 let pause = self.backoff.next_pause(fastrand::f64());
                 Timer::after(Duration::from_micros(pause.0)).await;
@@ -155,7 +162,8 @@
     }
 }
 
-/// Receives messages over one connection until it is closed or idle for too long.
+/// Receives messages over one connection until it is closed, idle for too long, or delivers a
+/// malformed frame.
 async fn receive(stream: TcpStream, out: Sender<PeerMessage>) -> Option<()> {
     let mut stream = Async::new(stream).ok()?;
     stream.get_ref().set_nodelay(true).ok();
@@ -179,11 +187,11 @@
     }
 }
 
-/// Accepts links from other controllers, for ever.
+/// Accepts links from other controllers. Returns only on failure.
 ///
 /// # Errors
 ///
-/// If the address can't be listened on.
+/// Returns the system's error if the address can't be listened on.
 pub async fn listen<S>(address: SocketAddr, out: Sender<PeerMessage>, spawn: S) -> std::io::Result<()>
 where
     S: Fn(std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>),
@@ -199,7 +207,7 @@
                     }));
                 }
             }
-            // Out of sockets, most likely.
+            // The process is probably out of sockets.
             Err(_) => {
                 Timer::after(Duration::from_millis(50)).await;
             }
--- a/src/transport/rate_limit.rs
+++ b/src/transport/rate_limit.rs
@@ -1,22 +1,23 @@
-//! A rate limit for calls to a service, so that it refuses none of them.
+//! A rate limit for calls to a service, which keeps calls below the rate at which the service
+//! refuses them.
 
 use crate::time::Micros;
 
-/// A token bucket that holds one second's worth.
+/// A token bucket that holds the calls of one second, and at least one call.
 #[derive(Clone, Debug)]
 pub struct Bucket {
-    /// Calls a second.
+    /// Calls per second.
     rate: f64,
-    /// The most calls that it holds.
+    /// The maximum number of calls that the bucket holds.
     capacity: f64,
-    /// The calls that it holds; negative after a large one.
+    /// The number of calls that the bucket holds; negative after a call with a large cost.
     tokens: f64,
-    /// When the level was last brought up to date.
+    /// The time at which `tokens` was last updated.
     filled_at: Micros,
 }
 
 impl Bucket {
-    /// A full bucket that allows `rate` calls a second.
+    /// Creates a full bucket that allows `rate` calls per second.
     pub fn new(rate: f64, now: Micros) -> Bucket {
         let capacity = rate.max(1.0);
         Bucket {
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Changes the rate; what is in the bucket stays, up to the new size.
+    /// Changes the rate. The bucket keeps its calls, up to the new capacity.
     pub fn set_rate(&mut self, rate: f64, now: Micros) {
         self.fill(now);
         self.rate = rate;
@@ -40,22 +41,23 @@
         self.filled_at = now;
     }
 
-    /// Whether `cost` calls may go out while `reserve` of a full bucket's share
-    /// is left for more urgent ones.
+    /// Returns whether `cost` calls may be sent while `reserve`, a share of the capacity, is left
+    /// for more urgent calls.
     pub fn allows(&mut self, cost: f64, reserve: f64, now: Micros) -> bool {
         self.fill(now);
-        // A cost above the bucket's size goes out when the bucket is full.
+        // Calls that cost more than the capacity are sent when the bucket is full.
         self.tokens >= (cost + reserve * self.capacity).min(self.capacity)
     }
 
-    /// Takes `cost` from the bucket; the level may go below zero.
+    /// Takes `cost` calls from the bucket; the rest may be negative.
     pub fn take(&mut self, cost: f64, now: Micros) {
         self.fill(now);
         self.tokens -= cost;
     }
 
-    /// The same, but never below zero: what is lost is made up for within a moment. The
-    /// refusals of a minute's outage would be paid for over minutes otherwise.
+    /// Takes up to `cost` calls from the bucket without making the rest negative, so that the
+    /// bucket recovers quickly. Otherwise the refused calls of an outage of one minute would hold
+    /// back other calls for minutes.
     pub fn spill(&mut self, cost: f64, now: Micros) {
         self.fill(now);
         self.tokens = (self.tokens - cost).max(self.tokens.min(0.0));
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,7 +1,7 @@
 //! HTTP server for users, agents and the load balancer.
 //!
-//! The runtime gives it a handler. Here requests are limited in size and time, so that slow or
-//! broken clients can't exhaust the process's sockets or memory.
+//! The runtime passes a handler to [`listen`]. Requests are limited in size and time, so that slow
+//! or broken clients can't exhaust the process's sockets or memory.
 
 use async_h1::server::Encoder;
 use async_io::{Async, Timer};
@@ -17,39 +17,39 @@
 use super::timeout::with_timeout;
 use crate::protocol::BODY_LIMIT;
 
-/// A request, reduced to what is looked at.
+/// A request, reduced to the parts that handlers use.
 pub struct Incoming {
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path of its URL, without the query.
+    /// The path of the URL, without the query.
     pub path: String,
-    /// Its body.
+    /// The request's body.
     pub body: Vec<u8>,
 }
 
-/// An answer.
+/// A response to a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outgoing {
-    /// Its HTTP status.
+    /// The HTTP status.
     pub status: u16,
-    /// Its body.
+    /// The response's body.
     pub body: Vec<u8>,
-    /// After how many seconds the client may try again.
+    /// Value of the `retry-after` header, in seconds.
     pub retry_after_s: Option<u32>,
 }
 
-/// A connection without a request for this long is closed, so that half-sent requests and forgotten
-/// clients free their sockets.
+/// A connection without a complete request head for this long is closed, so that half-sent requests
+/// and abandoned connections free their sockets.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// The body of a request has to be received, and an answer to be sent, within this time.
+/// Time limit for receiving a request's body, and for sending a response.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Reads a whole request, or says with which status it is refused.
+/// Reads a whole request; on failure, returns the HTTP status with which it is refused.
 async fn read(request: Request) -> Result<Incoming, u16> {
     let path = request.url().path().to_string();
     let whole = read_whole(request).await;
     if let Err(status) = whole {
-        tracing::warn!(path, status, "a request can't be read");
+        tracing::warn!(path, status, "failed to read a request");
     }
     whole
 }
@@ -74,14 +74,14 @@
     })
 }
 
-/// Whether the client asked to close the connection after the answer.
+/// Returns whether a request has the header `connection: close`.
 fn has_close_header(request: &Request) -> bool {
     request
         .header("connection")
         .is_some_and(|v| v.last().as_str().eq_ignore_ascii_case("close"))
 }
 
-/// The HTTP response for an answer.
+/// Builds the HTTP response for an answer.
 fn response(answer: Outgoing, closes: bool) -> Response {
     let status = StatusCode::try_from(answer.status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
@@ -105,8 +105,8 @@
     let Ok(stream) = Async::new(stream) else { return };
     let mut stream = Stream::new(stream);
     loop {
-        // Decoded and encoded one by one: async-h1's own loop would start the timers, and the
-        // thread, of a second reactor.
+        // Requests are decoded and encoded one by one here, because async-h1's own loop would start
+        // the timers, and the thread, of a second reactor.
         let next = async { async_h1::server::decode(stream.clone()).await.ok().flatten() };
         let Some((request, rest)) = with_timeout(IDLE_TIMEOUT, next).await else {
             return;
@@ -133,11 +133,12 @@
     }
 }
 
-/// Accepts connections for ever, up to `max_connections` at a time; `spawn` runs each on the caller's executor.
+/// Accepts connections, up to `max_connections` at a time; `spawn` runs each on the caller's
+/// executor. Returns only on failure.
 ///
 /// # Errors
 ///
-/// If the address can't be listened on.
+/// Returns the system's error if the address can't be listened on.
 pub async fn listen<H, F, S>(address: SocketAddr, max_connections: usize, handler: H, spawn: S) -> std::io::Result<()>
 where
     H: Fn(Incoming) -> F + Clone + 'static,
@@ -148,12 +149,12 @@
     let open = Rc::new(Cell::new(0usize));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of sockets, most likely; existing connections go on.
+            // The process is probably out of sockets; existing connections continue.
             Timer::after(Duration::from_millis(50)).await;
             continue;
         };
         if open.get() >= max_connections {
-            // Closed at once, so that the other side can try another controller.
+            // Closed at once, so that the client can try another controller.
             drop(stream);
             continue;
         }
--- a/src/transport/stream.rs
+++ b/src/transport/stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that can be shared, as async-h1 needs it.
+//! A TCP stream that can be cloned, as async-h1 requires.
 
 use async_io::Async;
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -8,13 +8,14 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 
-/// A shared handle of a stream: async-io implements reading and writing for references only, and
-/// async-h1 takes an owned handle that can be cloned.
+/// A shared handle of a TCP stream. async-io implements reading and writing only for references,
+/// while async-h1 takes an owned handle that can be cloned.
 #[derive(Clone, Debug)]
 pub struct Stream(Arc<Async<TcpStream>>);
 
 impl Stream {
-    /// Wraps a connected stream. Small messages won't wait for the acknowledgement of earlier ones.
+    /// Wraps a connected stream and disables Nagle's algorithm, so that small messages don't wait
+    /// for the acknowledgement of earlier ones.
     pub fn new(stream: Async<TcpStream>) -> Stream {
         stream.get_ref().set_nodelay(true).ok();
         Stream(Arc::new(stream))
--- a/src/transport/timeout.rs
+++ b/src/transport/timeout.rs
@@ -5,7 +5,7 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// The result of `work`, or `None` if it gives none or takes longer than `limit`.
+/// Returns the result of `work`; `None` if `work` has none or takes longer than `limit`.
 pub(super) async fn with_timeout<T>(limit: Duration, work: impl Future<Output = Option<T>>) -> Option<T> {
     let timeout = async {
         Timer::after(limit).await;
