--- a/src/settings.rs
+++ b/src/settings.rs
@@ -20,7 +20,7 @@
     },
     /// The file's contents are not valid.
     #[error("{path}: {message}")]
-    Wrong {
+    Invalid {
         /// The file.
         path: PathBuf,
         /// What is wrong, with the setting's name.
@@ -29,9 +29,9 @@
 }
 
 /// Puts and deletes that a transaction must be able to hold.
-const LEAST_OPS: usize = 4;
+const MIN_TXN_OPS: usize = 4;
 /// The size that a value must be able to have, in KiB.
-const LEAST_VALUE_KB: f64 = 1.0;
+const MIN_VALUE_KB: f64 = 1.0;
 
 /// Another controller.
 #[derive(Clone, Debug, Deserialize)]
@@ -105,7 +105,7 @@
 
 /// The limits of the state service.
 #[derive(Clone, Debug, Deserialize)]
-pub struct State {
+pub struct StateLimits {
     /// Requests a second, of all controllers together.
     pub rps: f64,
     /// Changes a second, of all controllers together.
@@ -133,7 +133,7 @@
     pub txn_ops: Option<usize>,
 }
 
-impl State {
+impl StateLimits {
     /// These limits in the form in which the program keeps to them.
     pub fn limits(&self) -> Limits {
         let now = Bounds {
@@ -152,7 +152,7 @@
 
 /// The limits of the cloud.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Cloud {
+pub struct CloudLimits {
     /// Calls a second.
     pub rps: f64,
     /// How long its list of machines usually lags behind, in seconds.
@@ -187,9 +187,9 @@
     /// The times that agents keep to.
     pub workers: Workers,
     /// The limits of the state service.
-    pub state: State,
+    pub state: StateLimits,
     /// The limits of the cloud.
-    pub cloud: Cloud,
+    pub cloud: CloudLimits,
     /// What a controller's process may use.
     pub resources: Resources,
 }
@@ -217,13 +217,13 @@
     pub operator_file: Option<PathBuf>,
     /// The operators' own settings, from that file or by default.
     #[serde(skip)]
-    pub operator: Operator,
+    pub operator: OperatorSettings,
 }
 
 /// The operators' own settings; every field has a default.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Operator {
+pub struct OperatorSettings {
     /// Time to live of the leader's lease in the state service, in seconds.
     pub leader_lease_s: f64,
     /// How long a machine stays idle before it is released, in seconds.
@@ -242,9 +242,9 @@
     pub ways_by_others: bool,
 }
 
-impl Default for Operator {
+impl Default for OperatorSettings {
     fn default() -> Self {
-        Operator {
+        OperatorSettings {
             leader_lease_s: 2.5,
             idle_s: 10.0,
             headroom: 0.0,
@@ -256,21 +256,21 @@
     }
 }
 
-fn read(path: &Path) -> Result<String, SettingsError> {
+fn read_file(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
         path: path.to_path_buf(),
         source,
     })
 }
 
-impl Operator {
+impl OperatorSettings {
     /// Parses and checks the S-expressions of an operators' file.
     ///
     /// # Errors
     ///
     /// If a setting is unknown, malformed or out of its range: a text that names it.
-    pub fn parse(text: &str) -> Result<Operator, String> {
-        let operator: Operator = serde_lexpr::from_str(text).map_err(|e| e.to_string())?;
+    pub fn parse(text: &str) -> Result<OperatorSettings, String> {
+        let operator: OperatorSettings = serde_lexpr::from_str(text).map_err(|e| e.to_string())?;
         let within = |name: &str, value: f64, low: f64, high: f64| {
             if value.is_finite() && (low..=high).contains(&value) {
                 Ok(())
@@ -336,12 +336,12 @@
             ("params.state", Some(p.state.txn_ops), Some(p.state.value_kb)),
             ("params.state.next", next.txn_ops, next.value_kb),
         ] {
-            if ops.is_some_and(|o| o < LEAST_OPS) {
-                return Err(format!("{name}.txn_ops: fewer than {LEAST_OPS}"));
+            if ops.is_some_and(|o| o < MIN_TXN_OPS) {
+                return Err(format!("{name}.txn_ops: fewer than {MIN_TXN_OPS}"));
             }
             // A page's frame and one description have to fit.
-            if value_kb.is_some_and(|v| v < LEAST_VALUE_KB) {
-                return Err(format!("{name}.value_kb: less than {LEAST_VALUE_KB}"));
+            if value_kb.is_some_and(|v| v < MIN_VALUE_KB) {
+                return Err(format!("{name}.value_kb: less than {MIN_VALUE_KB}"));
             }
         }
         let w = &p.workers;
@@ -361,13 +361,13 @@
     ///
     /// If a file can't be read or is not valid.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
-        let wrong = |path: &Path, message: String| SettingsError::Wrong {
+        let invalid = |path: &Path, message: String| SettingsError::Invalid {
             path: path.to_path_buf(),
             message,
         };
-        let mut settings = Settings::parse(&read(path)?).map_err(|m| wrong(path, m))?;
+        let mut settings = Settings::parse(&read_file(path)?).map_err(|m| invalid(path, m))?;
         if let Some(file) = settings.operator_file.clone() {
-            settings.operator = Operator::parse(&read(&file)?).map_err(|m| wrong(&file, m))?;
+            settings.operator = OperatorSettings::parse(&read_file(&file)?).map_err(|m| invalid(&file, m))?;
         }
         Ok(settings)
     }
@@ -375,16 +375,16 @@
 
 #[cfg(test)]
 mod tests {
-    use super::Operator;
+    use super::OperatorSettings;
 
     /// The file that operators start from says what holds without it.
     #[test]
     fn the_deployed_file_names_the_defaults() {
         let text = include_str!("../deploy/operator.scm");
-        assert_eq!(Operator::parse(text), Ok(Operator::default()));
-        assert!(Operator::parse("((in-time-worth . -1.0))").is_err());
-        assert!(Operator::parse("((in-time . 1.0))").is_err());
-        assert!(Operator::parse("((ways-by-others . 1.0))").is_err());
-        assert!(Operator::parse("((ways-by-others . #f))").is_ok_and(|o| !o.ways_by_others));
+        assert_eq!(OperatorSettings::parse(text), Ok(OperatorSettings::default()));
+        assert!(OperatorSettings::parse("((in-time-worth . -1.0))").is_err());
+        assert!(OperatorSettings::parse("((in-time . 1.0))").is_err());
+        assert!(OperatorSettings::parse("((ways-by-others . 1.0))").is_err());
+        assert!(OperatorSettings::parse("((ways-by-others . #f))").is_ok_and(|o| !o.ways_by_others));
     }
 }
