--- a/deploy/operator.scm
+++ b/deploy/operator.scm
@@ -1,5 +1,5 @@
-; The operators' own settings, each with its default. The platform's file names this
-; one as `operator_file`; whatever is left out here has its default.
+; The operators' settings, each with its default value. The platform's file names this
+; file in `operator_file`. A setting that is left out has its default.
 ((leader-lease-s . 2.5)
  (idle-s . 10.0)
  (headroom . 0.0)
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
-//! The glenhaven daemon: reads the arguments and the settings and starts the runtime.
+//! The glenhaven daemon: reads the arguments and the settings, and starts the runtime.
 //!
-//! Exit codes: 0 after `--check` of valid settings, 1 if the process can't run, 2 if the settings are
-//! not valid.
+//! Exit codes: 0 after `--check` of valid settings, 1 if the process can't run, 2 if the settings
+//! are not valid.
 #![forbid(unsafe_code)]
 
 use clap::Parser;
@@ -9,20 +9,20 @@
 use std::process::ExitCode;
 
 /// A cluster scheduler: one controller of a group that places jobs on rented
-/// machines. Logs go to standard error; LOG_LEVEL (error, info, debug) sets how
-/// much.
+/// machines. Logs go to standard error; LOG_LEVEL (error, warn, info, debug, trace)
+/// sets their level, and info is the default.
 #[derive(Parser)]
 #[command(version)]
 struct Args {
     /// The settings file of this controller (TOML).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// Check the settings file, and the operators' file it names, and stop.
+    /// Check the settings file and the operators' file that it names, then exit.
     #[arg(long)]
     check: bool,
 }
 
-/// Starts the log on standard error, at the level that LOG_LEVEL names.
+/// Starts logging to standard error at the level that LOG_LEVEL names; any other value means info.
 fn start_log() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => tracing::Level::ERROR,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,17 +1,18 @@
-//! The settings: the platform's file (TOML) and the operators' own (S-expressions).
+//! The settings: the platform's file (TOML) and the operators' file (S-expressions).
 //!
-//! Read once at the start and checked here, so that the rest of the program can rely on them. The names
-//! in both files are given: the serialised names of the fields must not change.
+//! Both files are read once at the start and checked here, so that the rest of the program can rely
+//! on their values. The names in both files are fixed from outside: the serialised names of the
+//! fields must not change.
 
 use glenhaven_store_limits::{Bounds, Limits};
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
-/// What is wrong with a settings file.
+/// An error of a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file can't be read.
-    #[error("{path}: cannot be read: {source}")]
+    #[error("cannot read settings file {path}: {source}")]
     Unreadable {
         /// The file.
         path: PathBuf,
@@ -19,55 +20,56 @@
         source: std::io::Error,
     },
     /// The file's contents are not valid.
-    #[error("{path}: {message}")]
+    #[error("invalid settings in {path}: {message}")]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong, with the setting's name.
+        /// The setting's name, the expected value and the actual one, or the parser's message.
         message: String,
     },
 }
 
-/// Puts and deletes that a transaction must be able to hold.
+/// Minimum limit on puts and deletes in a transaction.
 const MIN_TXN_OPS: usize = 4;
-/// The size that a value must be able to have, in KiB.
+/// Minimum limit on the size of a value, in KiB; a page's frame and one job description have to
+/// fit.
 const MIN_VALUE_KB: f64 = 1.0;
 
 /// Another controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// The controller's name.
     pub node: String,
-    /// Its zone.
+    /// The controller's zone.
     pub zone: String,
-    /// The address of its links between controllers.
+    /// The address at which the controller accepts links from other controllers.
     pub addr: String,
 }
 
 /// The addresses of the services that controllers use.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Services {
-    /// The cloud.
+    /// The cloud's address.
     pub cloud: String,
-    /// The state service.
+    /// The state service's address.
     pub state: String,
 }
 
 /// A team's guarantee and limit.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Team {
-    /// Its name.
+    /// The team's name.
     pub name: String,
-    /// The CPU cores that it is guaranteed.
+    /// Guaranteed CPU cores.
     #[serde(default)]
     pub cpus: f64,
-    /// Its limit of CPU cores; 0 means no limit.
+    /// Limit on CPU cores; 0 means no limit.
     #[serde(default)]
     pub cpus_max: f64,
-    /// The GPUs that it is guaranteed.
+    /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Its limit of GPUs; 0 means no limit.
+    /// Limit on GPUs; 0 means no limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -75,54 +77,55 @@
 /// A service level objective; unknown kinds and fields are accepted and ignored.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Objective {
-    /// What it limits, such as `wait`, `finished` or `deadline`.
+    /// What the objective limits, such as `wait`, `finished` or `deadline`.
     #[serde(default)]
     pub kind: String,
-    /// The class of jobs that it applies to.
+    /// The class of jobs to which the objective applies.
     #[serde(default)]
     pub class: String,
     /// The time limit, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// The share of jobs that must meet it.
+    /// The share of jobs that must meet the objective.
     #[serde(default)]
     pub share: Option<f64>,
-    /// Of a deadline: the multiple of its length that counts.
+    /// For `deadline`: the multiple of the deadline's length that counts.
     #[serde(default)]
     pub times: Option<f64>,
 }
 
-/// The times that agents keep to, in seconds.
+/// Time limits and periods of agents, in seconds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
     /// The period of an agent's heartbeats.
     pub report_s: f64,
-    /// How long an agent keeps running its tasks after it sent the last heartbeat that was answered.
+    /// How long an agent keeps running its tasks after sending the last heartbeat that was
+    /// answered.
     pub lease_s: f64,
-    /// How soon after its confirmed cancellation a task must be gone.
+    /// Time limit for stopping a task, counted from the confirmation of its cancellation.
     pub cancel_s: f64,
 }
 
 /// The limits of the state service.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateLimits {
-    /// Requests a second, of all controllers together.
+    /// Requests per second, of all controllers together.
     pub rps: f64,
-    /// Changes a second, of all controllers together.
+    /// Changes per second, of all controllers together.
     pub write_rps: f64,
     /// The size of a value, in KiB as JSON.
     pub value_kb: f64,
     /// Puts and deletes in a transaction.
     pub txn_ops: usize,
-    /// Lower limits that the service will have later.
+    /// Announced lower limits that will apply later.
     #[serde(default)]
     pub next: Option<NextState>,
 }
 
-/// Announced limits of the state service; those that are not named stay.
+/// Announced limits of the state service; limits that are not set stay as they are.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct NextState {
-    /// Changes a second, of all controllers together.
+    /// Changes per second, of all controllers together.
     #[serde(default)]
     pub write_rps: Option<f64>,
     /// The size of a value, in KiB as JSON.
@@ -134,7 +137,7 @@
 }
 
 impl StateLimits {
-    /// These limits in the form in which the program keeps to them.
+    /// Converts the settings into the limits that the scheduler observes.
     pub fn limits(&self) -> Limits {
         let now = Bounds {
             value_kb: self.value_kb,
@@ -153,13 +156,13 @@
 /// The limits of the cloud.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
-    /// Calls a second.
+    /// Calls per second.
     pub rps: f64,
-    /// How long its list of machines usually lags behind, in seconds.
+    /// Usual delay of the cloud's list of machines, in seconds.
     pub list_lag_s: f64,
 }
 
-/// What a controller's process may use.
+/// Limits on the resources of a controller's process.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Resources {
     /// CPU cores.
@@ -176,7 +179,7 @@
     /// The names of the zones.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// How far a host's time of day may be from the true time, in milliseconds.
+    /// Maximum deviation of a host's time of day from the true time, in milliseconds.
     #[serde(default)]
     pub clock_off_ms: f64,
     /// The teams.
@@ -184,22 +187,22 @@
     /// The service level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// The times that agents keep to.
+    /// Time limits and periods of agents.
     pub workers: Workers,
     /// The limits of the state service.
     pub state: StateLimits,
     /// The limits of the cloud.
     pub cloud: CloudLimits,
-    /// What a controller's process may use.
+    /// Limits on the resources of a controller's process.
     pub resources: Resources,
 }
 
-/// The platform's settings of one controller.
+/// The settings of one controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
     /// This controller's name.
     pub node: String,
-    /// Its zone.
+    /// This controller's zone.
     pub zone: String,
     /// The address for users, agents and the load balancer.
     pub public_addr: String,
@@ -212,33 +215,35 @@
     pub services: Services,
     /// The platform's parameters.
     pub params: Params,
-    /// A file of the operators' own settings.
+    /// The path of the operators' file.
     #[serde(default)]
     pub operator_file: Option<PathBuf>,
-    /// The operators' own settings, from that file or by default.
+    /// The operators' settings, from `operator_file` or the defaults.
     #[serde(skip)]
     pub operator: OperatorSettings,
 }
 
-/// The operators' own settings; every field has a default.
+/// The operators' settings; every field has a default.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct OperatorSettings {
     /// Time to live of the leader's lease in the state service, in seconds.
     pub leader_lease_s: f64,
-    /// How long a machine stays idle before it is released, in seconds.
+    /// Idle time after which a machine is released, in seconds.
     pub idle_s: f64,
-    /// Capacity rented in excess of the demand of batch jobs, as a share of it.
+    /// Capacity rented in excess of the demand of batch jobs, as a share of that demand.
     pub headroom: f64,
-    /// How long a job waits before it may borrow from other pools, in seconds.
+    /// Minimum wait of a job before it may borrow capacity from other pools, in seconds.
     pub borrow_after_s: f64,
     /// Period of the demand estimate, in seconds.
     pub estimate_s: f64,
-    /// What it is worth that every job of a class meets one of its objectives, as a multiple of all
-    /// that is spent.
+    /// Value of all jobs of a class meeting one of its objectives, as a multiple of the total
+    /// spending.
+    #[serde(rename = "in-time-worth")]
     pub in_time_worth: f64,
-    /// Whether requests to a service that this controller can't reach are forwarded by the others,
-    /// and it forwards theirs.
+    /// Whether other controllers forward requests to a service that this controller can't reach,
+    /// and whether this controller forwards theirs.
+    #[serde(rename = "ways-by-others")]
     pub ways_by_others: bool,
 }
 
@@ -268,7 +273,7 @@
     ///
     /// # Errors
     ///
-    /// If a setting is unknown, malformed or out of its range: a text that names it.
+    /// Returns a text that names the setting if one is unknown, malformed or out of its range.
     pub fn parse(text: &str) -> Result<OperatorSettings, String> {
         let operator: OperatorSettings = serde_lexpr::from_str(text).map_err(|e| e.to_string())?;
         let within = |name: &str, value: f64, low: f64, high: f64| {
@@ -293,7 +298,7 @@
     ///
     /// # Errors
     ///
-    /// If a setting is missing, malformed or out of its range: a text that names it.
+    /// Returns a text that names the setting if one is missing, malformed or out of its range.
     pub fn parse(text: &str) -> Result<Settings, String> {
         let settings: Settings = toml::from_str(text).map_err(|e| e.to_string().trim().replace('\n', " "))?;
         let address = |name: &str, text: &str| {
@@ -328,38 +333,44 @@
             ("params.state.next.write_rps", next.write_rps),
             ("params.state.next.value_kb", next.value_kb),
         ] {
-            if value.is_some_and(|v| !v.is_finite() || v <= 0.0) {
-                return Err(format!("{name}: not a positive number"));
+            if let Some(value) = value.filter(|v| !v.is_finite() || *v <= 0.0) {
+                return Err(format!("{name}: {value} is not a positive number"));
             }
         }
         for (name, ops, value_kb) in [
             ("params.state", Some(p.state.txn_ops), Some(p.state.value_kb)),
             ("params.state.next", next.txn_ops, next.value_kb),
         ] {
-            if ops.is_some_and(|o| o < MIN_TXN_OPS) {
-                return Err(format!("{name}.txn_ops: fewer than {MIN_TXN_OPS}"));
+            if let Some(ops) = ops.filter(|o| *o < MIN_TXN_OPS) {
+                return Err(format!("{name}.txn_ops: {ops} is less than {MIN_TXN_OPS}"));
             }
-            // A page's frame and one description have to fit.
-            if value_kb.is_some_and(|v| v < MIN_VALUE_KB) {
-                return Err(format!("{name}.value_kb: less than {MIN_VALUE_KB}"));
+            if let Some(kb) = value_kb.filter(|v| *v < MIN_VALUE_KB) {
+                return Err(format!("{name}.value_kb: {kb} is less than {MIN_VALUE_KB}"));
             }
         }
         let w = &p.workers;
         if w.cancel_s <= w.lease_s {
-            return Err("params.workers.cancel_s: not above lease_s".into());
+            return Err(format!(
+                "params.workers.cancel_s: {} is not above lease_s ({})",
+                w.cancel_s, w.lease_s
+            ));
         }
-        // Reports vary by a quarter; a lease that ends between two of them never holds.
+        // The interval between heartbeats varies by up to a quarter of its period. A shorter lease
+        // would expire between two heartbeats.
         if w.lease_s <= w.report_s * 1.25 {
-            return Err("params.workers.lease_s: not above report_s and a quarter".into());
+            return Err(format!(
+                "params.workers.lease_s: {} is not above 1.25 times report_s ({})",
+                w.lease_s, w.report_s
+            ));
         }
         Ok(settings)
     }
 
-    /// Reads and checks the platform's file and, if it names one, the operators' file.
+    /// Reads and checks the platform's file and, if `operator_file` is set, the operators' file.
     ///
     /// # Errors
     ///
-    /// If a file can't be read or is not valid.
+    /// Returns [`SettingsError`] if a file can't be read or is not valid.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let invalid = |path: &Path, message: String| SettingsError::Invalid {
             path: path.to_path_buf(),
@@ -377,7 +388,7 @@
 mod tests {
     use super::OperatorSettings;
 
-    /// The file that operators start from says what holds without it.
+    /// The deployed operators' file sets every setting to its default.
     #[test]
     fn the_deployed_file_names_the_defaults() {
         let text = include_str!("../deploy/operator.scm");
