--- a/crates/capacity/src/estimate.rs
+++ b/crates/capacity/src/estimate.rs
@@ -17,10 +17,10 @@
 
 impl Estimate {
     /// Draws a target's line through the points of its quantity.
-    pub fn of(target: &Target, points: &[Point]) -> Estimate {
-        let same =
+    pub fn for_target(target: &Target, points: &[Point]) -> Estimate {
+        let is_measured =
             |point: &&Point| point.role == target.role && point.quantity == target.quantity && point.by == target.by;
-        let measured: Vec<&Point> = points.iter().filter(same).collect();
+        let measured: Vec<&Point> = points.iter().filter(is_measured).collect();
         let pairs: Vec<(f64, f64)> = measured.iter().map(|p| (p.size, p.value)).collect();
         Estimate {
             target: target.clone(),
@@ -31,7 +31,7 @@
 
     /// The value at the target's size.
     pub fn value(&self) -> Option<f64> {
-        self.line.as_ref().ok().map(|line| line.at(self.target.size))
+        self.line.as_ref().ok().map(|line| line.value_at(self.target.size))
     }
 
     /// Standard error of that value, as of a single further measurement.
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -3,13 +3,13 @@
 use thiserror::Error;
 
 /// Sizes below which no line is drawn: three points would leave one degree of freedom.
-pub const LEAST_SIZES: usize = 4;
+pub const MIN_SIZES: usize = 4;
 
 /// Why there is no line.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum FitError {
-    /// Fewer different sizes than [`LEAST_SIZES`].
-    #[error("measured at {0} different sizes; {LEAST_SIZES} are needed")]
+    /// Fewer different sizes than [`MIN_SIZES`].
+    #[error("measured at {0} different sizes; {MIN_SIZES} are needed")]
     TooFewSizes(usize),
     /// A size or value is infinite or not a number.
     #[error("a point is not a finite number")]
@@ -45,8 +45,8 @@
         {
             return Err(FitError::NotFinite);
         }
-        let sizes = different_sizes(points);
-        if sizes < LEAST_SIZES {
+        let sizes = count_distinct_sizes(points);
+        if sizes < MIN_SIZES {
             return Err(FitError::TooFewSizes(sizes));
         }
         let count = points.len() as f64;
@@ -63,17 +63,17 @@
             .iter()
             .map(|(size, value)| value - (intercept + slope * size))
             .collect();
-        let squares: f64 = residuals.iter().map(|r| r * r).sum();
+        let squared_residuals: f64 = residuals.iter().map(|r| r * r).sum();
         let value_spread: f64 = points.iter().map(|(_, value)| (value - mean_value).powi(2)).sum();
         let r_squared = if value_spread > 0.0 {
-            1.0 - squares / value_spread
+            1.0 - squared_residuals / value_spread
         } else {
             1.0
         };
         Ok(Line {
             slope,
             intercept,
-            standard_error: (squares / (count - 2.0)).sqrt(),
+            standard_error: (squared_residuals / (count - 2.0)).sqrt(),
             largest_residual: residuals.iter().fold(0.0, |most, r| most.max(r.abs())),
             r_squared,
             points: points.len(),
@@ -83,7 +83,7 @@
     }
 
     /// The value that the line has at a size.
-    pub fn at(&self, size: f64) -> f64 {
+    pub fn value_at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 
@@ -96,7 +96,7 @@
 }
 
 /// How many different sizes there are.
-fn different_sizes(points: &[(f64, f64)]) -> usize {
+fn count_distinct_sizes(points: &[(f64, f64)]) -> usize {
     let mut sizes: Vec<f64> = points.iter().map(|(size, _)| *size).collect();
     sizes.sort_by(f64::total_cmp);
     sizes.dedup();
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -19,7 +19,10 @@
 fn table(arguments: &Arguments) -> Result<String, RecordsError> {
     let points: Vec<Point> = read(&arguments.directory.join("points.csv"))?;
     let targets: Vec<Target> = read(&arguments.directory.join("targets.csv"))?;
-    let rows: Vec<Estimate> = targets.iter().map(|target| Estimate::of(target, &points)).collect();
+    let rows: Vec<Estimate> = targets
+        .iter()
+        .map(|target| Estimate::for_target(target, &points))
+        .collect();
     Ok(markdown(&rows))
 }
 
@@ -29,8 +32,8 @@
             print!("{text}");
             ExitCode::SUCCESS
         }
-        Err(why) => {
-            eprintln!("glenhaven-capacity: {why}");
+        Err(error) => {
+            eprintln!("glenhaven-capacity: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/capacity/src/table.rs
+++ b/crates/capacity/src/table.rs
@@ -4,9 +4,9 @@
 use std::fmt::Write;
 
 /// Said of a row that no mechanism carries.
-pub const MISSING: &str = "missing";
+pub const NO_MECHANISM: &str = "missing";
 /// Said where there is no figure.
-const NONE: &str = "-";
+const NO_FIGURE: &str = "-";
 
 const HEADER: &str = "| role | quantity | by | slope | intercept | std. error | R² | at size | value ± error | limit | headroom | carried by | runs |\n\
                       | --- | --- | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | --- | --- |\n";
@@ -24,23 +24,23 @@
     let target = &row.target;
     let (slope, intercept, error, r_squared) = match &row.line {
         Ok(line) => (
-            short(line.slope),
-            short(line.intercept),
-            short(line.standard_error),
+            format_figure(line.slope),
+            format_figure(line.intercept),
+            format_figure(line.standard_error),
             format!("{:.2}", line.r_squared),
         ),
-        Err(why) => (why.to_string(), NONE.into(), NONE.into(), NONE.into()),
+        Err(error) => (error.to_string(), NO_FIGURE.into(), NO_FIGURE.into(), NO_FIGURE.into()),
     };
     let value = match (row.value(), row.error()) {
-        (Some(value), Some(error)) => format!("{} ± {}", short(value), short(error)),
-        _ => NONE.into(),
+        (Some(value), Some(error)) => format!("{} ± {}", format_figure(value), format_figure(error)),
+        _ => NO_FIGURE.into(),
     };
-    let limit = target.limit.map_or_else(|| NONE.into(), short);
+    let limit = target.limit.map_or_else(|| NO_FIGURE.into(), format_figure);
     let headroom = row
         .headroom()
-        .map_or_else(|| NONE.into(), |share| format!("{:.0}%", share * 100.0));
+        .map_or_else(|| NO_FIGURE.into(), |share| format!("{:.0}%", share * 100.0));
     let mechanism = match target.mechanism.as_str() {
-        "" => MISSING,
+        "" => NO_MECHANISM,
         named => named,
     };
     let runs: Vec<&str> = row.journal.iter().map(String::as_str).collect();
@@ -51,13 +51,13 @@
         target.role,
         target.quantity,
         target.by,
-        short(target.size),
+        format_figure(target.size),
         runs.join(" "),
     );
 }
 
 /// Three significant digits, without an exponent for the sizes that occur here.
-fn short(value: f64) -> String {
+fn format_figure(value: f64) -> String {
     if value == 0.0 {
         return "0".into();
     }
--- a/crates/capacity/tests/fits.rs
+++ b/crates/capacity/tests/fits.rs
@@ -3,7 +3,7 @@
 use glenhaven_capacity::estimate::Estimate;
 use glenhaven_capacity::fit::{FitError, Line};
 use glenhaven_capacity::records::{read, Point, Target};
-use glenhaven_capacity::table::{markdown, MISSING};
+use glenhaven_capacity::table::{markdown, NO_MECHANISM};
 use proptest::prelude::*;
 
 fn target(limit: Option<f64>, mechanism: &str) -> Target {
@@ -57,12 +57,12 @@
 #[test]
 fn headroom_is_what_is_left_of_the_limit() {
     let measured = points(&[(400.0, 14.0), (800.0, 18.0), (1600.0, 26.0), (3300.0, 43.0)]);
-    let row = Estimate::of(&target(Some(86.0), "paged book"), &measured);
+    let row = Estimate::for_target(&target(Some(86.0), "paged book"), &measured);
     assert!((row.value().unwrap() - 43.0).abs() < 1e-9);
     assert!((row.headroom().unwrap() - 0.5).abs() < 1e-9);
-    let over = Estimate::of(&target(Some(21.5), ""), &measured);
+    let over = Estimate::for_target(&target(Some(21.5), ""), &measured);
     assert!((over.headroom().unwrap() + 1.0).abs() < 1e-9);
-    assert_eq!(Estimate::of(&target(None, ""), &measured).headroom(), None);
+    assert_eq!(Estimate::for_target(&target(None, ""), &measured).headroom(), None);
 }
 
 #[test]
@@ -73,7 +73,7 @@
     other.size = 3300.0;
     measured.push(other);
     assert_eq!(
-        Estimate::of(&target(None, ""), &measured).line,
+        Estimate::for_target(&target(None, ""), &measured).line,
         Err(FitError::TooFewSizes(3))
     );
 }
@@ -82,14 +82,14 @@
 fn a_row_without_a_mechanism_says_so() {
     let measured = points(&[(400.0, 1.0), (800.0, 2.0), (1600.0, 4.0), (3300.0, 8.25)]);
     let rows = [
-        Estimate::of(&target(Some(10.0), ""), &measured),
-        Estimate::of(&target(Some(10.0), "relayed reports"), &measured),
+        Estimate::for_target(&target(Some(10.0), ""), &measured),
+        Estimate::for_target(&target(Some(10.0), "relayed reports"), &measured),
     ];
     let text = markdown(&rows);
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 4);
-    assert!(lines[2].contains(MISSING));
-    assert!(lines[3].contains("relayed reports") && !lines[3].contains(MISSING));
+    assert!(lines[2].contains(NO_MECHANISM));
+    assert!(lines[3].contains("relayed reports") && !lines[3].contains(NO_MECHANISM));
 }
 
 /// The files of the repository are whole: every target has its points, every point its run.
@@ -100,7 +100,7 @@
     let targets: Vec<Target> = read(&directory.join("targets.csv")).unwrap();
     assert!(!targets.is_empty());
     for target in &targets {
-        let row = Estimate::of(target, &points);
+        let row = Estimate::for_target(target, &points);
         assert!(row.line.is_ok(), "{target:?}: {:?}", row.line);
     }
     for point in &points {
--- a/crates/compression/src/lib.rs
+++ b/crates/compression/src/lib.rs
@@ -24,13 +24,13 @@
 use miniz_oxide::inflate::decompress_to_vec_with_limit;
 
 /// The level of deflate, for small values that are written every few seconds.
-const LEVEL: u8 = 6;
+const DEFLATE_LEVEL: u8 = 6;
 /// The most bytes that a text may unpack to.
 const MAX_UNPACKED_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a text could not be unpacked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Malformed {
+pub enum UnpackError {
     /// It is not base64.
     Text,
     /// It is not deflate, or larger than any value may be.
@@ -39,38 +39,38 @@
     Records,
 }
 
-impl std::fmt::Display for Malformed {
+impl std::fmt::Display for UnpackError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Malformed::Text => "not base64",
-            Malformed::Compression => "not deflate, or too large",
-            Malformed::Records => "not records of this kind",
+            UnpackError::Text => "not base64",
+            UnpackError::Compression => "not deflate, or too large",
+            UnpackError::Records => "not records of this kind",
         })
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for UnpackError {}
 
-fn text_of<T: Encode>(records: &[T]) -> String {
-    STANDARD_NO_PAD.encode(compress_to_vec(&bitcode::encode(records), LEVEL))
+fn encode_records<T: Encode>(records: &[T]) -> String {
+    STANDARD_NO_PAD.encode(compress_to_vec(&bitcode::encode(records), DEFLATE_LEVEL))
 }
 
 /// Packs the first of these records, as many as fit, into a text of at most `max_bytes`, and returns
 /// the text and their number. Even an empty list takes a few bytes.
 pub fn pack<T: Encode>(records: &[T], max_bytes: usize) -> (String, usize) {
-    let all = text_of(records);
+    let all = encode_records(records);
     if all.len() <= max_bytes {
         return (all, records.len());
     }
     // The length grows with the number of records, except for a few bytes: bisection finds nearly
     // the largest number that fits, and always one that fits.
     let (mut fits, mut over) = (0, records.len());
-    let mut text = text_of::<T>(&[]);
+    let mut text = encode_records::<T>(&[]);
     while over - fits > 1 {
         let middle = fits + (over - fits) / 2;
-        let tried = text_of(&records[..middle]);
-        if tried.len() <= max_bytes {
-            (fits, text) = (middle, tried);
+        let attempt = encode_records(&records[..middle]);
+        if attempt.len() <= max_bytes {
+            (fits, text) = (middle, attempt);
         } else {
             over = middle;
         }
@@ -82,9 +82,9 @@
 ///
 /// # Errors
 ///
-/// [`Malformed`] if the text was not made by [`pack`] from records of this type.
-pub fn unpack<T: DecodeOwned>(text: &str) -> Result<Vec<T>, Malformed> {
-    let packed = STANDARD_NO_PAD.decode(text).map_err(|_| Malformed::Text)?;
-    let bytes = decompress_to_vec_with_limit(&packed, MAX_UNPACKED_BYTES).map_err(|_| Malformed::Compression)?;
-    bitcode::decode(&bytes).map_err(|_| Malformed::Records)
+/// [`UnpackError`] if the text was not made by [`pack`] from records of this type.
+pub fn unpack<T: DecodeOwned>(text: &str) -> Result<Vec<T>, UnpackError> {
+    let packed = STANDARD_NO_PAD.decode(text).map_err(|_| UnpackError::Text)?;
+    let bytes = decompress_to_vec_with_limit(&packed, MAX_UNPACKED_BYTES).map_err(|_| UnpackError::Compression)?;
+    bitcode::decode(&bytes).map_err(|_| UnpackError::Records)
 }
--- a/crates/compression/tests/compression.rs
+++ b/crates/compression/tests/compression.rs
@@ -1,6 +1,6 @@
 //! Texts fit, come back as they were, and nothing malformed does harm.
 
-use glenhaven_compression::{pack, unpack, Malformed};
+use glenhaven_compression::{pack, unpack, UnpackError};
 use proptest::prelude::*;
 
 type Record = (String, u64, Vec<(String, bool)>);
@@ -51,6 +51,6 @@
     let bomb = miniz_oxide::deflate::compress_to_vec(&vec![0u8; 64 << 20], 9);
     let text = base64::engine::general_purpose::STANDARD_NO_PAD.encode(bomb);
     assert!(text.len() < 100_000);
-    assert_eq!(unpack::<Record>(&text), Err(Malformed::Compression));
-    assert_eq!(unpack::<Record>("%"), Err(Malformed::Text));
+    assert_eq!(unpack::<Record>(&text), Err(UnpackError::Compression));
+    assert_eq!(unpack::<Record>("%"), Err(UnpackError::Text));
 }
--- a/crates/store-limits/src/lib.rs
+++ b/crates/store-limits/src/lib.rs
@@ -22,13 +22,13 @@
 #![forbid(unsafe_code)]
 
 /// The size of a transaction, in bytes as JSON.
-const TRANSACTION_BYTES: usize = 64 * 1024;
+const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
 /// Conditions in a transaction for each change in it.
 const CONDITIONS_PER_CHANGE: usize = 4;
 /// The part of the changes a second that all controllers use together. At the limit, the service
 /// would accept job submissions, one change each, and refuse the leader's larger transactions again
 /// and again.
-const USED_PART: f64 = 0.95;
+const USED_SHARE: f64 = 0.95;
 
 /// The limits that apply at some time.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -77,7 +77,7 @@
 
     /// The size of a transaction, in bytes as JSON.
     pub fn txn_bytes(&self) -> usize {
-        TRANSACTION_BYTES
+        MAX_TRANSACTION_BYTES
     }
 
     /// Puts and deletes in a transaction.
@@ -106,7 +106,7 @@
 
     /// The changes a second that all controllers together make.
     pub fn changes_used(&self) -> f64 {
-        self.changes_per_s() * USED_PART
+        self.changes_per_s() * USED_SHARE
     }
 
     /// The size of a value by the present limit, in bytes. Only the size of task ranges in the
