--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,11 +1,11 @@
-//! Ordinary least squares.
+//! Line fitting by ordinary least squares.
 
 use thiserror::Error;
 
-/// Sizes below which no line is drawn: three points would leave one degree of freedom.
+/// Minimum number of different sizes for a line; three would leave a single degree of freedom.
 pub const MIN_SIZES: usize = 4;
 
-/// Why there is no line.
+/// The reason why no line was fitted.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum FitError {
     /// Fewer different sizes than [`MIN_SIZES`].
@@ -16,15 +16,15 @@
     NotFinite,
 }
 
-/// A straight line through measured points.
+/// A straight line fitted to measured points.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// Change of the value for each unit of size.
+    /// Change of the value per unit of size.
     pub slope: f64,
     /// The value at size 0.
     pub intercept: f64,
-    /// Standard error of the regression: the root of the residuals' squares over the degrees
-    /// of freedom, in the unit of the values.
+    /// Standard error of the regression: the square root of the sum of squared residuals divided
+    /// by the degrees of freedom, in the unit of the values.
     pub standard_error: f64,
     /// The largest distance of a point from the line, in the unit of the values.
     pub largest_residual: f64,
@@ -37,7 +37,12 @@
 }
 
 impl Line {
-    /// The line with the least squares through points of (size, value).
+    /// Fits the line with the least sum of squared residuals to points of (size, value).
+    ///
+    /// # Errors
+    ///
+    /// Returns [`FitError`] if a number is not finite or there are fewer than [`MIN_SIZES`]
+    /// different sizes.
     pub fn through(points: &[(f64, f64)]) -> Result<Line, FitError> {
         if points
             .iter()
@@ -82,20 +87,20 @@
         })
     }
 
-    /// The value that the line has at a size.
+    /// Returns the line's value at a size.
     pub fn value_at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 
-    /// Standard error of a single further measurement at a size: it grows with the distance
-    /// from the sizes that were measured.
+    /// Returns the standard error of a single further measurement at a size. The error grows with
+    /// the distance from the mean of the measured sizes.
     pub fn error_at(&self, size: f64) -> f64 {
         let leverage = 1.0 / self.points as f64 + (size - self.mean_size).powi(2) / self.size_spread;
         self.standard_error * (1.0 + leverage).sqrt()
     }
 }
 
-/// How many different sizes there are.
+/// Counts the different sizes.
 fn count_distinct_sizes(points: &[(f64, f64)]) -> usize {
     let mut sizes: Vec<f64> = points.iter().map(|(size, _)| *size).collect();
     sizes.sort_by(f64::total_cmp);
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,5 +1,6 @@
-//! What a quantity comes to at a size that was not measured: a straight line through points
-//! measured at several sizes, with its error, and the headroom below a limit.
+//! Linear extrapolation of measured quantities to a size that was not measured: a straight line
+//! fitted to points measured at several sizes, with its standard error, and the headroom below a
+//! limit.
 //!
 //! ```
 //! use glenhaven_capacity::fit::Line;
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -1,4 +1,4 @@
-//! Prints the capacity table of `docs/CAPACITY.md` from the measured points.
+//! Command that prints the capacity table of `docs/CAPACITY.md` from the measured points.
 
 use clap::Parser;
 use glenhaven_capacity::estimate::Estimate;
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Fits the points measured at several sizes and prints what each quantity comes to.
+/// Fits lines to the points measured at several sizes and prints the capacity table.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
--- a/crates/capacity/src/records.rs
+++ b/crates/capacity/src/records.rs
@@ -1,4 +1,4 @@
-//! The CSV files: measured points, and the rows of the capacity table that are drawn from them.
+//! The CSV files: measured points, and the targets that become rows of the capacity table.
 
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
@@ -7,21 +7,21 @@
 /// One measured value.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// Which part of the system: leader, follower, state service.
+    /// The measured part of the system: leader, follower or state service.
     pub role: String,
-    /// What was measured, with its unit.
+    /// The measured quantity, with its unit.
     pub quantity: String,
-    /// What was varied: workers, starts a second, teams.
+    /// The varied parameter: workers, starts per second or teams.
     pub by: String,
-    /// How much of it there was.
+    /// The value of the varied parameter.
     pub size: f64,
     /// The measured value, in the unit that `quantity` names.
     pub value: f64,
-    /// The journal's entry of the run that gave it.
+    /// The journal entry of the run that gave the value.
     pub journal: String,
 }
 
-/// A row of the capacity table.
+/// A row of the capacity table, to be estimated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Target {
     /// As in [`Point::role`].
@@ -30,29 +30,33 @@
     pub quantity: String,
     /// As in [`Point::by`].
     pub by: String,
-    /// The size at which the value is wanted.
+    /// The size for which the value is estimated.
     pub size: f64,
-    /// What it may not exceed; empty: no limit is stated.
+    /// The limit on the value; empty if no limit is stated.
     pub limit: Option<f64>,
-    /// The mechanism that carries it; empty: there is none.
+    /// The mechanism by which the system supports the size; empty if there is none.
     #[serde(rename = "carrier")]
     pub mechanism: String,
 }
 
-/// Why a file can't be read.
+/// The reason why a file can't be read.
 #[derive(Debug, Error)]
 pub enum RecordsError {
     /// The file can't be opened, or a line of it doesn't parse.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read {}: {source}", path.display())]
     Csv {
         /// The file.
         path: PathBuf,
-        /// What is wrong, with the line.
+        /// The cause, with the line.
         source: csv::Error,
     },
 }
 
-/// Reads the records of a CSV file with a header line.
+/// Reads the records of a CSV file with a header line; lines that begin with `#` are comments.
+///
+/// # Errors
+///
+/// Returns [`RecordsError`] if the file can't be opened or a line doesn't parse.
 pub fn read<T: for<'a> Deserialize<'a>>(path: &Path) -> Result<Vec<T>, RecordsError> {
     let failed = |source| RecordsError::Csv {
         path: path.to_path_buf(),
--- a/crates/capacity/src/table.rs
+++ b/crates/capacity/src/table.rs
@@ -3,15 +3,15 @@
 use crate::estimate::Estimate;
 use std::fmt::Write;
 
-/// Said of a row that no mechanism carries.
+/// Text for a target without a mechanism.
 pub const NO_MECHANISM: &str = "missing";
-/// Said where there is no figure.
+/// Text in place of a figure that is not available.
 const NO_FIGURE: &str = "-";
 
 const HEADER: &str = "| role | quantity | by | slope | intercept | std. error | R² | at size | value ± error | limit | headroom | carried by | runs |\n\
                       | --- | --- | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | --- | --- |\n";
 
-/// The table, one row for each estimate, in their order.
+/// Returns the table as Markdown, with one row for each estimate, in order.
 pub fn markdown(rows: &[Estimate]) -> String {
     let mut text = HEADER.to_string();
     for row in rows {
@@ -56,7 +56,8 @@
     );
 }
 
-/// Three significant digits, without an exponent for the sizes that occur here.
+/// Formats a figure with three significant digits, or as a whole number from 100 on. Only values
+/// below 0.0001 have an exponent.
 fn format_figure(value: f64) -> String {
     if value == 0.0 {
         return "0".into();
--- a/crates/capacity/tests/fits.rs
+++ b/crates/capacity/tests/fits.rs
@@ -1,4 +1,4 @@
-//! Lines through points, and the rows that are made of them.
+//! Tests of line fitting and of the capacity table.
 
 use glenhaven_capacity::estimate::Estimate;
 use glenhaven_capacity::fit::{FitError, Line};
@@ -29,7 +29,7 @@
     values.iter().map(point).collect()
 }
 
-/// Worked out by hand: sizes 1 to 4, values 2, 4, 5, 8.
+/// The expected figures were calculated by hand for sizes 1 to 4 and values 2, 4, 5, 8.
 #[test]
 fn a_line_that_was_worked_out_by_hand() {
     let line = Line::through(&[(1.0, 2.0), (2.0, 4.0), (3.0, 5.0), (4.0, 8.0)]).unwrap();
@@ -92,7 +92,8 @@
     assert!(lines[3].contains("relayed reports") && !lines[3].contains(NO_MECHANISM));
 }
 
-/// The files of the repository are whole: every target has its points, every point its run.
+/// The files of the repository are complete: every target has enough points for a line, and every
+/// point names its run.
 #[test]
 fn the_measured_points_of_the_repository() {
     let directory = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/capacity");
@@ -109,7 +110,7 @@
 }
 
 proptest! {
-    /// Points on a line give that line back, without error.
+    /// A fit to points on a line returns that line, with a standard error of zero.
     #[test]
     fn points_on_a_line(slope in -10.0..10.0f64, intercept in -100.0..100.0f64) {
         let points: Vec<(f64, f64)> = [400.0, 800.0, 1600.0, 3300.0].iter().map(|x| (*x, intercept + slope * x)).collect();
@@ -119,7 +120,7 @@
         prop_assert!(line.standard_error < 1e-6);
     }
 
-    /// No other line has smaller squares.
+    /// No other line has a smaller sum of squared residuals.
     #[test]
     fn no_line_is_closer(values in prop::collection::vec(0.0..100.0f64, 4..12), tilt in -0.5..0.5f64, shift in -5.0..5.0f64) {
         let points: Vec<(f64, f64)> = values.iter().enumerate().map(|(i, v)| (i as f64, *v)).collect();
@@ -131,7 +132,7 @@
         prop_assert!(least <= squares(line.slope + tilt, line.intercept + shift) + 1e-6);
     }
 
-    /// A further measurement is the less certain the further away it is.
+    /// The error of a further measurement grows with the distance from the measured sizes.
     #[test]
     fn error_grows_with_distance(values in prop::collection::vec(0.0..100.0f64, 4..12), far in 20.0..1000.0f64) {
         let points: Vec<(f64, f64)> = values.iter().enumerate().map(|(i, v)| (i as f64, *v)).collect();
--- a/crates/compression/src/lib.rs
+++ b/crates/compression/src/lib.rs
@@ -1,11 +1,11 @@
-//! Packs records into a text of bounded size.
+//! Packing of records into a text of bounded size.
 //!
 //! Some stores accept only text and numbers, in values of a few kilobytes. Records are encoded with
 //! `bitcode`, compressed with deflate and written in base64, which takes a fraction of the space of
 //! maps with text keys. As many records as fit are packed, in their order.
 //!
-//! Text to be unpacked comes from outside: its size is bounded before memory is allocated, and
-//! malformed text is an error, never a panic.
+//! The text to unpack comes from outside: the unpacked size is bounded before memory is allocated,
+//! and malformed text is an error, never a panic.
 //!
 //! ```
 //! use glenhaven_compression::{pack, unpack};
@@ -23,19 +23,19 @@
 use miniz_oxide::deflate::compress_to_vec;
 use miniz_oxide::inflate::decompress_to_vec_with_limit;
 
-/// The level of deflate, for small values that are written every few seconds.
+/// Compression level of deflate, for small values that are written every few seconds.
 const DEFLATE_LEVEL: u8 = 6;
-/// The most bytes that a text may unpack to.
+/// Maximum size of unpacked records, in bytes.
 const MAX_UNPACKED_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why a text could not be unpacked.
+/// The reason why a text could not be unpacked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnpackError {
-    /// It is not base64.
+    /// The text is not base64.
     Text,
-    /// It is not deflate, or larger than any value may be.
+    /// The decoded bytes are not deflate, or unpack to more than the maximum size.
     Compression,
-    /// Its records are not of this kind.
+    /// The unpacked bytes are not records of the expected type.
     Records,
 }
 
@@ -55,15 +55,15 @@
     STANDARD_NO_PAD.encode(compress_to_vec(&bitcode::encode(records), DEFLATE_LEVEL))
 }
 
-/// Packs the first of these records, as many as fit, into a text of at most `max_bytes`, and returns
-/// the text and their number. Even an empty list takes a few bytes.
+/// Packs as many of the first records as fit into a text of at most `max_bytes`; returns the text
+/// and the number of packed records. Even an empty list takes a few bytes.
 pub fn pack<T: Encode>(records: &[T], max_bytes: usize) -> (String, usize) {
     let all = encode_records(records);
     if all.len() <= max_bytes {
         return (all, records.len());
     }
-    // The length grows with the number of records, except for a few bytes: bisection finds nearly
-    // the largest number that fits, and always one that fits.
+    // The length grows with the number of records, except for variations of a few bytes. Bisection
+    // therefore finds a number of records that fits and is close to the largest one.
     let (mut fits, mut over) = (0, records.len());
     let mut text = encode_records::<T>(&[]);
     while over - fits > 1 {
@@ -78,11 +78,11 @@
     (text, fits)
 }
 
-/// The records that were packed into a text.
+/// Unpacks the records of a text.
 ///
 /// # Errors
 ///
-/// [`UnpackError`] if the text was not made by [`pack`] from records of this type.
+/// Returns [`UnpackError`] if the text was not made by [`pack`] from records of this type.
 pub fn unpack<T: DecodeOwned>(text: &str) -> Result<Vec<T>, UnpackError> {
     let packed = STANDARD_NO_PAD.decode(text).map_err(|_| UnpackError::Text)?;
     let bytes = decompress_to_vec_with_limit(&packed, MAX_UNPACKED_BYTES).map_err(|_| UnpackError::Compression)?;
--- a/crates/compression/tests/compression.rs
+++ b/crates/compression/tests/compression.rs
@@ -1,4 +1,4 @@
-//! Texts fit, come back as they were, and nothing malformed does harm.
+//! Packed texts fit their limit and are unpacked unchanged; malformed texts cause no panic.
 
 use glenhaven_compression::{pack, unpack, UnpackError};
 use proptest::prelude::*;
@@ -21,7 +21,7 @@
         let (text, taken) = pack(&records, bytes);
         prop_assert!(text.len() <= bytes);
         prop_assert_eq!(unpack::<Record>(&text).unwrap(), &records[..taken]);
-        // One more would not have fitted, within the few bytes by which deflate varies.
+        // One more record would not have fitted, except for the few bytes by which deflate varies.
         if taken < records.len() {
             let (more, all) = pack(&records[..taken + 1], usize::MAX);
             prop_assert!(all == taken + 1 && more.len() + 64 > bytes);
--- a/crates/store-limits/tests/limits.rs
+++ b/crates/store-limits/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Which of the present and the announced limits apply.
+//! Tests of which limits apply: the present or the announced ones.
 
 use glenhaven_store_limits::{Bounds, Limits};
 
@@ -16,7 +16,7 @@
     assert_eq!(limits.changes_per_s(), 50.0);
 }
 
-/// An announcement that raises a limit is not followed before it applies.
+/// An announced limit that is higher than the present one never applies.
 #[test]
 fn the_smaller_of_both_applies() {
     let announced = Bounds {
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,20 +1,20 @@
-//! Times and spans as whole microseconds.
+//! Points in time and durations as whole microseconds.
 //!
 //! Arithmetic saturates: a time never goes below the start of the clock and never overflows.
 #![forbid(unsafe_code)]
 
 use std::ops::{Add, Sub};
 
-/// A point on the steady clock, or a span of it, in whole microseconds.
+/// A point in time of a monotonic clock, or a duration, in whole microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// The start of the clock, or the empty span.
+    /// The start of the clock, or the zero duration.
     pub const ZERO: Micros = Micros(0);
 
-    /// A span of so many seconds. Anything that is not a positive number gives the empty span, since
-    /// spans come from outside input.
+    /// Converts seconds into a duration. Returns [`Micros::ZERO`] if `seconds` is not a positive
+    /// finite number, because the value may come from outside input.
     pub fn from_secs(seconds: f64) -> Micros {
         if seconds.is_finite() && seconds > 0.0 {
             Micros((seconds * 1e6) as u64)
@@ -23,17 +23,17 @@
         }
     }
 
-    /// A span of so many milliseconds.
+    /// Converts milliseconds into a duration.
     pub const fn from_millis(millis: u64) -> Micros {
         Micros(millis * 1000)
     }
 
-    /// The span in seconds.
+    /// Returns the duration in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// The time since `earlier`; the empty span if `earlier` is later.
+    /// Returns the time since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
