--- a/src/settings.rs
+++ b/src/settings.rs
@@ -348,19 +348,17 @@
                 return Err(format!("{name}.value_kb: {kb} is less than {MIN_VALUE_KB}"));
             }
         }
-        let w = &p.workers;
-        if w.cancel_s <= w.lease_s {
+        let (report_s, lease_s, cancel_s) = (p.workers.report_s, p.workers.lease_s, p.workers.cancel_s);
+        if cancel_s <= lease_s {
             return Err(format!(
-                "params.workers.cancel_s: {} is not above lease_s ({})",
-                w.cancel_s, w.lease_s
+                "params.workers.cancel_s: {cancel_s} is not above lease_s ({lease_s})"
             ));
         }
         // The interval between heartbeats varies by up to a quarter of its period. A shorter lease
         // would expire between two heartbeats.
-        if w.lease_s <= w.report_s * 1.25 {
+        if lease_s <= report_s * 1.25 {
             return Err(format!(
-                "params.workers.lease_s: {} is not above 1.25 times report_s ({})",
-                w.lease_s, w.report_s
+                "params.workers.lease_s: {lease_s} is not above 1.25 times report_s ({report_s})"
             ));
         }
         Ok(settings)
