--- a/src/runtime/agent_client.rs
+++ b/src/runtime/agent_client.rs
@@ -10,8 +10,8 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Maximum number of agents whose connections are kept. When it is reached, all kept connections
-/// are dropped and opened again on demand.
+/// Maximum number of agents whose connections are kept. At this number, all kept connections are
+/// dropped and opened again on demand.
 const MAX_AGENTS: usize = 256;
 /// Maximum number of idle connections that are kept for each agent.
 const CONNECTIONS_PER_AGENT: usize = 1;
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -25,7 +25,7 @@
     NotAnAddress {
         /// The setting's name.
         setting: &'static str,
-        /// Its value.
+        /// The setting's value.
         address: String,
     },
     /// The process can't listen on an address.
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -19,8 +19,8 @@
 
 /// Largest frame, in bytes. A forwarded list of keys takes up to 512 KiB.
 const MAX_FRAME_BYTES: usize = 1024 * 1024;
-/// First pause between attempts to connect. Pauses keep a controller that restarts from being
-/// overloaded.
+/// First pause between attempts to connect. The attempts are spaced so that a controller that comes
+/// back is not overloaded.
 const INITIAL_BACKOFF: Micros = Micros::from_millis(200);
 /// Longest pause between attempts to connect.
 const MAX_BACKOFF: Micros = Micros::from_millis(800);
