--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -1,4 +1,4 @@
-//! Prints the capacity table of `docs/CAPACITY.md` from the measured points.
+//! Command that prints the capacity table of `docs/CAPACITY.md` from the measured points.
 
 use clap::Parser;
 use glenhaven_capacity::estimate::Estimate;
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Fits the points measured at several sizes and prints what each quantity comes to.
+/// Fits lines to the points measured at several sizes and prints the capacity table.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -19,7 +19,10 @@
 fn table(arguments: &Arguments) -> Result<String, RecordsError> {
     let points: Vec<Point> = read(&arguments.directory.join("points.csv"))?;
     let targets: Vec<Target> = read(&arguments.directory.join("targets.csv"))?;
-    let rows: Vec<Estimate> = targets.iter().map(|target| Estimate::of(target, &points)).collect();
+    let rows: Vec<Estimate> = targets
+        .iter()
+        .map(|target| Estimate::for_target(target, &points))
+        .collect();
     Ok(markdown(&rows))
 }
 
@@ -29,8 +32,8 @@
             print!("{text}");
             ExitCode::SUCCESS
         }
-        Err(why) => {
-            eprintln!("glenhaven-capacity: {why}");
+        Err(error) => {
+            eprintln!("glenhaven-capacity: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/capacity/tests/fits.rs
+++ b/crates/capacity/tests/fits.rs
@@ -1,9 +1,9 @@
-//! Lines through points, and the rows that are made of them.
+//! Tests of line fitting and of the capacity table.
 
 use glenhaven_capacity::estimate::Estimate;
 use glenhaven_capacity::fit::{FitError, Line};
 use glenhaven_capacity::records::{read, Point, Target};
-use glenhaven_capacity::table::{markdown, MISSING};
+use glenhaven_capacity::table::{markdown, NO_MECHANISM};
 use proptest::prelude::*;
 
 fn target(limit: Option<f64>, mechanism: &str) -> Target {
@@ -29,7 +29,7 @@
     values.iter().map(point).collect()
 }
 
-/// Worked out by hand: sizes 1 to 4, values 2, 4, 5, 8.
+/// The expected figures were calculated by hand for sizes 1 to 4 and values 2, 4, 5, 8.
 #[test]
 fn a_line_that_was_worked_out_by_hand() {
     let line = Line::through(&[(1.0, 2.0), (2.0, 4.0), (3.0, 5.0), (4.0, 8.0)]).unwrap();
@@ -57,12 +57,12 @@
 #[test]
 fn headroom_is_what_is_left_of_the_limit() {
     let measured = points(&[(400.0, 14.0), (800.0, 18.0), (1600.0, 26.0), (3300.0, 43.0)]);
-    let row = Estimate::of(&target(Some(86.0), "paged book"), &measured);
+    let row = Estimate::for_target(&target(Some(86.0), "paged book"), &measured);
     assert!((row.value().unwrap() - 43.0).abs() < 1e-9);
     assert!((row.headroom().unwrap() - 0.5).abs() < 1e-9);
-    let over = Estimate::of(&target(Some(21.5), ""), &measured);
+    let over = Estimate::for_target(&target(Some(21.5), ""), &measured);
     assert!((over.headroom().unwrap() + 1.0).abs() < 1e-9);
-    assert_eq!(Estimate::of(&target(None, ""), &measured).headroom(), None);
+    assert_eq!(Estimate::for_target(&target(None, ""), &measured).headroom(), None);
 }
 
 #[test]
@@ -73,7 +73,7 @@
     other.size = 3300.0;
     measured.push(other);
     assert_eq!(
-        Estimate::of(&target(None, ""), &measured).line,
+        Estimate::for_target(&target(None, ""), &measured).line,
         Err(FitError::TooFewSizes(3))
     );
 }
@@ -82,17 +82,18 @@
 fn a_row_without_a_mechanism_says_so() {
     let measured = points(&[(400.0, 1.0), (800.0, 2.0), (1600.0, 4.0), (3300.0, 8.25)]);
     let rows = [
-        Estimate::of(&target(Some(10.0), ""), &measured),
-        Estimate::of(&target(Some(10.0), "relayed reports"), &measured),
+        Estimate::for_target(&target(Some(10.0), ""), &measured),
+        Estimate::for_target(&target(Some(10.0), "relayed reports"), &measured),
     ];
     let text = markdown(&rows);
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 4);
-    assert!(lines[2].contains(MISSING));
-    assert!(lines[3].contains("relayed reports") && !lines[3].contains(MISSING));
+    assert!(lines[2].contains(NO_MECHANISM));
+    assert!(lines[3].contains("relayed reports") && !lines[3].contains(NO_MECHANISM));
 }
 
-/// The files of the repository are whole: every target has its points, every point its run.
+/// The files of the repository are complete: every target has enough points for a line, and every
+/// point names its run.
 #[test]
 fn the_measured_points_of_the_repository() {
     let directory = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/capacity");
@@ -100,7 +101,7 @@
     let targets: Vec<Target> = read(&directory.join("targets.csv")).unwrap();
     assert!(!targets.is_empty());
     for target in &targets {
-        let row = Estimate::of(target, &points);
+        let row = Estimate::for_target(target, &points);
         assert!(row.line.is_ok(), "{target:?}: {:?}", row.line);
     }
     for point in &points {
@@ -109,7 +110,7 @@
 }
 
 proptest! {
-    /// Points on a line give that line back, without error.
+    /// A fit to points on a line returns that line, with a standard error of zero.
     #[test]
     fn points_on_a_line(slope in -10.0..10.0f64, intercept in -100.0..100.0f64) {
         let points: Vec<(f64, f64)> = [400.0, 800.0, 1600.0, 3300.0].iter().map(|x| (*x, intercept + slope * x)).collect();
@@ -119,7 +120,7 @@
         prop_assert!(line.standard_error < 1e-6);
     }
 
-    /// No other line has smaller squares.
+    /// No other line has a smaller sum of squared residuals.
     #[test]
     fn no_line_is_closer(values in prop::collection::vec(0.0..100.0f64, 4..12), tilt in -0.5..0.5f64, shift in -5.0..5.0f64) {
         let points: Vec<(f64, f64)> = values.iter().enumerate().map(|(i, v)| (i as f64, *v)).collect();
@@ -131,7 +132,7 @@
         prop_assert!(least <= squares(line.slope + tilt, line.intercept + shift) + 1e-6);
     }
 
-    /// A further measurement is the less certain the further away it is.
+    /// The error of a further measurement grows with the distance from the measured sizes.
     #[test]
     fn error_grows_with_distance(values in prop::collection::vec(0.0..100.0f64, 4..12), far in 20.0..1000.0f64) {
         let points: Vec<(f64, f64)> = values.iter().enumerate().map(|(i, v)| (i as f64, *v)).collect();
--- a/crates/compression/tests/compression.rs
+++ b/crates/compression/tests/compression.rs
@@ -1,6 +1,6 @@
-//! Texts fit, come back as they were, and nothing malformed does harm.
+//! Packed texts fit their limit and are unpacked unchanged; malformed texts cause no panic.
 
-use glenhaven_compression::{pack, unpack, Malformed};
+use glenhaven_compression::{pack, unpack, UnpackError};
 use proptest::prelude::*;
 
 type Record = (String, u64, Vec<(String, bool)>);
@@ -21,7 +21,7 @@
         let (text, taken) = pack(&records, bytes);
         prop_assert!(text.len() <= bytes);
         prop_assert_eq!(unpack::<Record>(&text).unwrap(), &records[..taken]);
-        // One more would not have fitted, within the few bytes by which deflate varies.
+        // One more record would not have fitted, except for the few bytes by which deflate varies.
         if taken < records.len() {
             let (more, all) = pack(&records[..taken + 1], usize::MAX);
             prop_assert!(all == taken + 1 && more.len() + 64 > bytes);
@@ -51,6 +51,6 @@
     let bomb = miniz_oxide::deflate::compress_to_vec(&vec![0u8; 64 << 20], 9);
     let text = base64::engine::general_purpose::STANDARD_NO_PAD.encode(bomb);
     assert!(text.len() < 100_000);
-    assert_eq!(unpack::<Record>(&text), Err(Malformed::Compression));
-    assert_eq!(unpack::<Record>("%"), Err(Malformed::Text));
+    assert_eq!(unpack::<Record>(&text), Err(UnpackError::Compression));
+    assert_eq!(unpack::<Record>("%"), Err(UnpackError::Text));
 }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,7 +1,7 @@
 //! HTTP server for users, agents and the load balancer.
 //!
-//! The runtime gives it a handler. Here requests are limited in size and time, so that slow or
-//! broken clients can't exhaust the process's sockets or memory.
+//! The runtime passes a handler to [`listen`]. Requests are limited in size and time, so that slow
+//! or broken clients can't exhaust the process's sockets or memory.
 
 use async_h1::server::Encoder;
 use async_io::{Async, Timer};
@@ -14,42 +14,42 @@
 use std::time::Duration;
 
 use super::stream::Stream;
-use super::timeout::within;
+use super::timeout::with_timeout;
 use crate::protocol::BODY_LIMIT;
 
-/// A request, reduced to what is looked at.
+/// A request, reduced to the parts that handlers use.
 pub struct Incoming {
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path of its URL, without the query.
+    /// The path of the URL, without the query.
     pub path: String,
-    /// Its body.
+    /// The request's body.
     pub body: Vec<u8>,
 }
 
-/// An answer.
+/// A response to a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outgoing {
-    /// Its HTTP status.
+    /// The HTTP status.
     pub status: u16,
-    /// Its body.
+    /// The response's body.
     pub body: Vec<u8>,
-    /// After how many seconds the client may try again.
+    /// Value of the `retry-after` header, in seconds.
     pub retry_after_s: Option<u32>,
 }
 
-/// A connection without a request for this long is closed, so that half-sent requests and forgotten
-/// clients free their sockets.
-const IDLE_LIMIT: Duration = Duration::from_secs(75);
-/// The body of a request has to be received, and an answer to be sent, within this time.
-const TRANSFER_LIMIT: Duration = Duration::from_secs(5);
+/// A connection without a complete request head for this long is closed, so that half-sent requests
+/// and abandoned connections free their sockets.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
+/// Time limit for receiving a request's body, and for sending a response.
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Reads a whole request, or says with which status it is refused.
+/// Reads a whole request; on failure, returns the HTTP status with which it is refused.
 async fn read(request: Request) -> Result<Incoming, u16> {
     let path = request.url().path().to_string();
     let whole = read_whole(request).await;
     if let Err(status) = whole {
-        tracing::warn!(path, status, "a request can't be read");
+        tracing::warn!(path, status, "failed to read a request");
     }
     whole
 }
@@ -63,7 +63,7 @@
         let mut limited = request.take_body().take(BODY_LIMIT as u64 + 1);
         Some(limited.read_to_end(&mut body).await.map_err(|_| 400u16))
     };
-    within(TRANSFER_LIMIT, whole).await.unwrap_or(Err(408))?;
+    with_timeout(TRANSFER_TIMEOUT, whole).await.unwrap_or(Err(408))?;
     if body.len() > BODY_LIMIT {
         return Err(413);
     }
@@ -74,14 +74,14 @@
     })
 }
 
-/// Whether the client asked to close the connection after the answer.
-fn asks_to_close(request: &Request) -> bool {
+/// Returns whether a request has the header `connection: close`.
+fn has_close_header(request: &Request) -> bool {
     request
         .header("connection")
         .is_some_and(|v| v.last().as_str().eq_ignore_ascii_case("close"))
 }
 
-/// The HTTP response for an answer.
+/// Builds the HTTP response for an answer.
 fn response(answer: Outgoing, closes: bool) -> Response {
     let status = StatusCode::try_from(answer.status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
@@ -105,14 +105,14 @@
     let Ok(stream) = Async::new(stream) else { return };
     let mut stream = Stream::new(stream);
     loop {
-        // Decoded and encoded one by one: async-h1's own loop would start the timers, and the
-        // thread, of a second reactor.
+        // Requests are decoded and encoded one by one here, because async-h1's own loop would start
+        // the timers, and the thread, of a second reactor.
         let next = async { async_h1::server::decode(stream.clone()).await.ok().flatten() };
-        let Some((request, rest)) = within(IDLE_LIMIT, next).await else {
+        let Some((request, rest)) = with_timeout(IDLE_TIMEOUT, next).await else {
             return;
         };
         let method = request.method();
-        let is_last = asks_to_close(&request);
+        let is_last = has_close_header(&request);
         let (answer, is_refused) = match read(request).await {
             Ok(incoming) => (handler(incoming).await, false),
             Err(status) => (
@@ -126,19 +126,20 @@
         let closes = is_refused || is_last;
         let mut encoder = Encoder::new(response(answer, closes), method);
         let write = async { io::copy(&mut encoder, &mut stream).await.ok() };
-        if within(TRANSFER_LIMIT, write).await.is_none() || closes {
+        if with_timeout(TRANSFER_TIMEOUT, write).await.is_none() || closes {
             return;
         }
         drop(rest);
     }
 }
 
-/// Accepts connections for ever, up to `limit` at a time; `spawn` runs each on the caller's executor.
+/// Accepts connections, up to `max_connections` at a time; `spawn` runs each on the caller's
+/// executor. Returns only on failure.
 ///
 /// # Errors
 ///
-/// If the address can't be listened on.
-pub async fn listen<H, F, S>(address: SocketAddr, limit: usize, handler: H, spawn: S) -> std::io::Result<()>
+/// Returns the system's error if the address can't be listened on.
+pub async fn listen<H, F, S>(address: SocketAddr, max_connections: usize, handler: H, spawn: S) -> std::io::Result<()>
 where
     H: Fn(Incoming) -> F + Clone + 'static,
     F: Future<Output = Outgoing> + 'static,
@@ -148,12 +149,12 @@
     let open = Rc::new(Cell::new(0usize));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of sockets, most likely; existing connections go on.
+            // The process is probably out of sockets; existing connections continue.
             Timer::after(Duration::from_millis(50)).await;
             continue;
         };
-        if open.get() >= limit {
-            // Closed at once, so that the other side can try another controller.
+        if open.get() >= max_connections {
+            // Closed at once, so that the client can try another controller.
             drop(stream);
             continue;
         }
