--- a/crates/emulator/src/soak/child.rs
+++ b/crates/emulator/src/soak/child.rs
@@ -1,4 +1,4 @@
-//! Plays a plan in a process of its own: its sockets and memory end with it.
+//! Runs a plan in a child process, so that its sockets and memory are released when the plan ends.
 
 use super::outcome::Outcome;
 use super::SoakArgs;
@@ -9,13 +9,18 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
+/// Interval at which the child's status is polled.
 const LOOK: Duration = Duration::from_millis(50);
-/// An interrupted child has so long to end its controllers.
+/// Time for an interrupted child to stop its controllers before it is killed.
 const GRACE: Duration = Duration::from_secs(5);
-/// The status of a child that was interrupted.
+/// Exit status of an interrupted child.
 const INTERRUPTED: i32 = 130;
 
-/// Plays the plan in a directory: its outcome.
+/// Runs the plan file in `dir` in a child process and returns its outcome.
+///
+/// # Errors
+///
+/// Fails if the child can't be started, was interrupted, or could not run the plan.
 pub(super) fn play(
     args: &SoakArgs,
     program: &Path,
@@ -37,11 +42,14 @@
     match status.code() {
         Some(0 | 1) => read_outcome(&dir.join("outcome.json")),
         Some(INTERRUPTED) => Err(EmulatorError::Interrupted),
-        _ => Err(EmulatorError::Machine(format!("{} could not be played", dir.display()))),
+        _ => Err(EmulatorError::Machine(format!(
+            "{}: the plan could not be run",
+            dir.display()
+        ))),
     }
 }
 
-/// Waits for a child, and passes an interrupt on.
+/// Waits for the child to exit, and forwards an interrupt to it.
 fn wait(mut child: Child, interrupted: &AtomicBool) -> Result<ExitStatus, EmulatorError> {
     let failed = |e: std::io::Error| EmulatorError::Machine(e.to_string());
     let mut interrupt_sent_at: Option<Instant> = None;
--- a/crates/emulator/src/soak/draw.rs
+++ b/crates/emulator/src/soak/draw.rs
@@ -1,4 +1,5 @@
-//! Draws the plan of a seed. The same seed gives the same plan on every machine.
+//! Draws the plan of a seed. The same seed gives the same plan on every machine, so the order of the
+//! random draws must not change.
 
 use super::plan::{Fault, Plan, PlannedFault, Users};
 use crate::experiment::{Controllers, Experiment, Load, Services, Teams, Workers};
@@ -6,31 +7,35 @@
 use fastrand::Rng;
 use glenhaven::protocol::users::{Priority, Shape};
 
-/// One seed in so many has hundreds of workers.
+/// One seed in this many has hundreds of workers.
 const LARGE_EVERY: u64 = 10;
-/// One seed in so many stays calm for long enough to tell whether anything is left waiting.
+/// One seed in this many runs without faults at the end for long enough to detect stranded jobs.
 const LONG_CALM_EVERY: u64 = 10;
+/// Time without faults at the end of a plan, in seconds.
 const CALM_S: f64 = 20.0;
+/// The same time for the plans in which stranded jobs are checked.
 pub(super) const LONG_CALM_S: f64 = 110.0;
+/// Cores and GPUs of each worker.
 const CORES: f64 = 16.0;
 const GPUS: f64 = 4.0;
-/// A service of four replicas with two cores each, and some other work, fit into a limit.
+/// Smallest limit of a team, in cores. A service of four replicas with two cores each fits into it
+/// together with some other jobs.
 const LEAST_LIMIT: f64 = 16.0;
-/// Troubles begin after this.
+/// Time before the first fault can begin, in seconds.
 const SETTLED_S: f64 = 6.0;
-/// A trouble follows the one before it after so long, on average.
+/// Approximate mean time between the starts of consecutive faults, in seconds.
 const FAULT_EVERY_S: f64 = 3.5;
-/// Starts a second that the load asks for on each ten machines.
+/// Task starts per second that the load requires for every ten workers.
 const STARTS_ON_TEN: f64 = 2.5;
 
-/// Sizes that are not left to the seed.
+/// Sizes given by the options instead of the seed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Fixed {
     pub duration_s: f64,
     pub workers: Option<usize>,
 }
 
-/// The plan of a seed.
+/// Draws the plan of a seed.
 pub(super) fn draw(seed: u64, fixed: Fixed, network: u8) -> Plan {
     let mut rng = Rng::with_seed(seed);
     let experiment = draw_experiment(seed, fixed, network, &mut rng);
@@ -50,8 +55,8 @@
     }
 }
 
+/// Draws a number between `least` and `most`, rounded to two decimals to keep plan files readable.
 fn range(rng: &mut Rng, least: f64, most: f64) -> f64 {
-    // Rounded, so that plans can be read.
     ((least + (most - least) * rng.f64()) * 100.0).round() / 100.0
 }
 
@@ -103,7 +108,7 @@
             boot_s: range(rng, 0.5, 4.0),
             ramp_s: 2.0,
         },
-        // The load asks for about a third of all cores, so that most teams are at their limits.
+        // The load requires about a third of all cores, so most teams are at their limits.
         teams: Teams {
             count: teams,
             cpus: (cores * 0.08 / teams as f64).round(),
@@ -172,14 +177,14 @@
         let long = rng.u8(0..4) == 0;
         let most_s = if long { lease_s * 1.4 } else { lease_s * 0.5 };
         faults.push(draw_planned(experiment, at_s, most_s, rng));
-        // Some meet another one at the same moment.
+        // Sometimes a second fault begins at the same time.
         if rng.u8(0..3) == 0 {
             faults.push(draw_planned(experiment, at_s, lease_s, rng));
         }
     }
 }
 
-/// A trouble that begins at this time and lasts so long at most.
+/// Draws a fault that begins at `at_s` and lasts `most_s` at most.
 fn draw_planned(experiment: &Experiment, at_s: f64, most_s: f64, rng: &mut Rng) -> PlannedFault {
     PlannedFault {
         at_s: (at_s * 100.0).round() / 100.0,
@@ -214,7 +219,7 @@
     }
 }
 
-/// A controller, most often the one that leads.
+/// Draws a controller: the leader in two of three cases.
 fn draw_node(experiment: &Experiment, rng: &mut Rng) -> Party {
     match rng.u8(0..3) {
         0 => Party::Node(rng.usize(0..experiment.controllers.count)),
@@ -234,7 +239,8 @@
         _ => Route::between(node, other),
     };
     let fault = draw_fault(experiment.workers.lease_s, rng);
-    // Requests can be refused, held up or copied; answers can only be late or lost.
+    // Only these faults apply to responses; refusing, losing the response, late execution and copies
+    // apply to requests.
     let backwards = rng.u8(0..4) == 0
         && matches!(
             fault,
--- a/crates/emulator/src/soak/inject.rs
+++ b/crates/emulator/src/soak/inject.rs
@@ -1,4 +1,4 @@
-//! Lets troubles happen when their time has come.
+//! Injects the faults of a plan at their scheduled times.
 
 use super::plan::{Fault, PlannedFault};
 use crate::cluster::EmulatedCluster;
@@ -8,14 +8,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How soon it is seen that another controller leads.
+/// Interval at which the state service's term is polled.
 const LOOK: Duration = Duration::from_millis(20);
 
-/// Lets one trouble happen, and ends it.
+/// Waits until the fault's time, starts the fault, and ends it. Link faults and hangs are started
+/// with their end time, so this function doesn't wait for their end.
 pub(super) async fn inject(cluster: Arc<EmulatedCluster>, planned: PlannedFault) {
     let now = Duration::from_micros(cluster.now());
     Timer::after(seconds(planned.at_s).saturating_sub(now)).await;
-    cluster.note(|| format!("TROUBLE {planned:?}"));
+    cluster.note(|| format!("fault begins: {planned:?}"));
     let lasts = seconds(planned.for_s);
     match planned.fault {
         Fault::Kill { who } => {
@@ -29,10 +30,10 @@
         Fault::Pause { who } => {
             if let Some(node) = resolve(&cluster, who) {
                 cluster.processes().pause(node, true);
-                cluster.note(|| format!("node-{node} stands still"));
+                cluster.note(|| format!("node-{node} is paused"));
                 Timer::after(lasts).await;
                 cluster.processes().pause(node, false);
-                cluster.note(|| format!("node-{node} goes on"));
+                cluster.note(|| format!("node-{node} resumes"));
             }
         }
         Fault::Link { route, hosts, fault } => {
@@ -59,7 +60,7 @@
     }
 }
 
-/// The controller that is meant; none if nobody leads.
+/// Returns the number of the controller; `None` if there is no leader.
 fn resolve(cluster: &EmulatedCluster, who: Party) -> Option<usize> {
     match who {
         Party::Node(node) => Some(node),
@@ -68,6 +69,7 @@
     }
 }
 
+/// Replaces the leader by the controller that leads now; `None` if there is no leader.
 fn party(cluster: &EmulatedCluster, party: Party) -> Option<Party> {
     match party {
         Party::Leader => cluster.leader().map(Party::Node),
@@ -75,6 +77,7 @@
     }
 }
 
+/// Kills a controller and restarts it after `down`.
 async fn kill(cluster: &EmulatedCluster, node: usize, down: Duration) {
     cluster.processes().kill(node);
     cluster.note(|| format!("node-{node} is killed"));
@@ -85,7 +88,7 @@
     }
 }
 
-/// Leader after leader is killed, each some time after it took over.
+/// Kills the leader of each new term, `every` after the new term is seen.
 async fn kill_leaders(cluster: &Arc<EmulatedCluster>, every: Duration, down: Duration, lasts: Duration) {
     let ends = Instant::now() + lasts;
     let mut last_term = 0;
@@ -107,6 +110,7 @@
     }
 }
 
+/// Makes `count` machines hang.
 fn hang(cluster: &EmulatedCluster, count: usize, lasts: Duration) {
     let mut fleet = cluster.fleet();
     let until = cluster.now() + lasts.as_micros() as u64;
@@ -117,6 +121,7 @@
     }
 }
 
+/// Marks `count` open jobs for cancellation by their users.
 fn cancel(cluster: &EmulatedCluster, count: usize) {
     let mut fleet = cluster.fleet();
     let open = fleet
--- a/crates/emulator/src/soak/mod.rs
+++ b/crates/emulator/src/soak/mod.rs
@@ -1,4 +1,7 @@
-//! Soaks: randomized troubles around real controllers, a plan for each seed.
+//! The `soak` subcommand: runs real controllers under randomized faults, one plan for each seed.
+//!
+//! This module owns the options, prepares the plan of each seed and runs several plans at once.
+//! The same seed and options always give the same plan.
 
 mod child;
 mod draw;
@@ -18,53 +21,53 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Mutex;
 
-/// What was broken in one plan is printed up to so many lines.
+/// Failures of one plan that are printed; the rest are counted only.
 const MOST_COMPLAINTS: usize = 12;
 
-/// Set by an interrupt.
+/// Whether the process has received an interrupt signal.
 static INTERRUPTED: AtomicBool = AtomicBool::new(false);
 
-/// What is played.
+/// Options of the `soak` subcommand.
 #[derive(Args)]
 pub(crate) struct SoakArgs {
-    /// Seeds, from the first up to and without the last.
+    /// Range of seeds; the end is excluded.
     #[arg(long, value_name = "A..B", value_parser = seeds, default_value = "1..2", conflicts_with = "plan")]
     seeds: Seeds,
-    /// A plan (TOML) that is played instead of seeds.
+    /// Plan file (TOML) to run instead of seeds.
     #[arg(long, value_name = "FILE")]
     plan: Option<PathBuf>,
-    /// Plans that are played at once.
+    /// Number of plans that run at the same time.
     #[arg(long, value_name = "N", default_value_t = 1, value_parser = clap::value_parser!(u8).range(1..=64))]
     parallel: u8,
-    /// How long users and troubles go on, in seconds.
+    /// How long jobs are submitted and faults injected, in seconds.
     #[arg(long, value_name = "S", default_value_t = 45.0)]
     duration: f64,
-    /// Workers; drawn by the seed if not given.
+    /// Number of workers; drawn from the seed if not given.
     #[arg(long, value_name = "N")]
     workers: Option<usize>,
-    /// The glenhaven program.
+    /// Path of the glenhaven program.
     #[arg(long, value_name = "BINARY")]
     controllers: PathBuf,
-    /// Where plans, outcomes and logs go.
+    /// Directory for plans, outcomes and logs.
     #[arg(long, value_name = "DIR", default_value = "target/soak")]
     report: PathBuf,
-    /// Addresses are 127.N.x.y, and 127.N+1.x.y and so on for plans that are played at once.
+    /// Second byte of the addresses, 127.N.x.y; plans run at the same time use 127.N+1.x.y and so on.
     #[arg(long, value_name = "N", default_value_t = 150)]
     network: u8,
-    /// The plans are printed, and nothing is played.
+    /// Prints the plans without running them.
     #[arg(long)]
     dry_run: bool,
-    /// Logs of plans that hold are kept too.
+    /// Keeps the logs and the history of plans without failures too.
     #[arg(long)]
     keep: bool,
 }
 
-/// A range of seeds.
+/// A non-empty range of seeds.
 #[derive(Clone, Debug)]
 pub(crate) struct Seeds(std::ops::Range<u64>);
 
 fn seeds(text: &str) -> Result<Seeds, String> {
-    let (from, to) = text.split_once("..").ok_or("not like 1..50")?;
+    let (from, to) = text.split_once("..").ok_or("not a range such as 1..50")?;
     let number = |text: &str| text.parse::<u64>().map_err(|e| format!("{text}: {e}"));
     let range = number(from)?..number(to)?;
     if range.is_empty() {
@@ -73,7 +76,9 @@
     Ok(Seeds(range))
 }
 
-/// Plays all that was asked for: the outcomes, one for each plan.
+/// Runs the requested plans and returns one outcome for each, sorted by seed.
+///
+/// A dry run prints the plans and returns no outcomes. The first error stops the remaining seeds.
 pub(crate) fn run(args: &SoakArgs) -> Result<Vec<Outcome>, EmulatorError> {
     if args.dry_run {
         return print_plans(args);
@@ -116,7 +121,7 @@
     }
 }
 
-/// Prints what would be played.
+/// Prints the plans that would be run, as TOML.
 fn print_plans(args: &SoakArgs) -> Result<Vec<Outcome>, EmulatorError> {
     if let Some(file) = &args.plan {
         println!("{}", Plan::load(file)?.text()?);
@@ -128,6 +133,7 @@
     Ok(vec![])
 }
 
+/// Writes the plan of a seed and runs it in a child process.
 fn play_seed(args: &SoakArgs, seed: u64, slot: u8, program: &Path) -> Result<Outcome, EmulatorError> {
     let plan = plan_of(args, seed, slot)?;
     let dir = directory(args, &plan)?;
@@ -135,7 +141,7 @@
     child::play(args, program, &dir, &INTERRUPTED)
 }
 
-/// The directory of a plan's files.
+/// Creates the directory of a plan's files and returns its path.
 fn directory(args: &SoakArgs, plan: &Plan) -> Result<PathBuf, EmulatorError> {
     let dir = args.report.join(&plan.experiment.name);
     match std::fs::create_dir_all(&dir) {
@@ -144,7 +150,9 @@
     }
 }
 
-/// The plan of a seed, with the addresses of one of the plans that are played at once.
+/// Returns the plan of a seed.
+///
+/// `slot` numbers the plans that run at the same time; each slot has an address range of its own.
 fn plan_of(args: &SoakArgs, seed: u64, slot: u8) -> Result<Plan, EmulatorError> {
     let fixed = Fixed {
         duration_s: args.duration,
@@ -158,7 +166,7 @@
     Ok(plan)
 }
 
-/// Plays a plan in this process.
+/// Runs a plan in this process and prints its outcome.
 fn play(args: &SoakArgs, plan: &Plan, program: &Path) -> Result<Outcome, EmulatorError> {
     let dir = directory(args, plan)?;
     let outcome = run::run(plan, program, &dir, &INTERRUPTED)?;
--- a/crates/emulator/src/soak/outcome.rs
+++ b/crates/emulator/src/soak/outcome.rs
@@ -1,12 +1,12 @@
-//! What came of one plan.
+//! The outcome of one plan, as stored in `outcome.json`.
 
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// Error lines of controllers that are kept.
+/// Error lines of the controllers' logs that are kept.
 const MOST_ERRORS: usize = 20;
 
-/// What came of one plan.
+/// The outcome of one plan.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Outcome {
     pub seed: u64,
@@ -14,33 +14,37 @@
     pub controllers: usize,
     #[serde(rename = "troubles")]
     pub faults: usize,
-    /// Rules of the protocol, and invariants beyond them, that were broken.
+    /// Violations of protocol rules and of other invariants.
     pub broken: Vec<String>,
-    /// What should never have been asked of the state service or the cloud.
+    /// Invalid requests that the state service or the cloud received.
     pub problems: Vec<String>,
     /// Error lines in the logs of the controllers.
     pub errors: Vec<String>,
+    /// Numbers of the controllers that exited without being killed.
     pub ended_by_themselves: Vec<usize>,
-    /// Accepted jobs for which some controller did not answer within 75 s after the troubles.
+    /// Accepted jobs for which some controller gave no answer within 75 s after the faults.
     #[serde(rename = "unknown_after_troubles")]
     pub unknown_after_faults: Vec<String>,
-    /// Jobs left waiting beside room for a machine; not looked at unless it was calm for long.
+    /// Stranded jobs: left waiting although a machine had capacity. `None` if the plan's time without
+    /// faults was too short to detect them.
     pub stranded: Option<Vec<String>>,
     pub starts: u64,
     pub jobs: usize,
     pub accepted: usize,
+    /// Last leader term.
     pub terms: u64,
+    /// Controller processes started, restarts included.
     #[serde(rename = "lives")]
     pub process_starts: usize,
-    /// The part of the machines' time that was lost to leases.
+    /// Tasks killed because their worker's lease expired.
     pub lease_kills: usize,
     pub starts_after_cancellation: u64,
-    /// The longest time in which the emulator itself did nothing, in milliseconds.
+    /// Largest delay of a timer in the emulator itself, in milliseconds.
     pub emulator_behind_ms: u64,
 }
 
 impl Outcome {
-    /// Whether nothing was broken.
+    /// Returns whether there was no failure and at least one task was started.
     pub(crate) fn holds(&self) -> bool {
         self.broken.is_empty()
             && self.problems.is_empty()
@@ -51,7 +55,7 @@
             && self.starts > 0
     }
 
-    /// The outcome in one line.
+    /// Summarizes the outcome in one line.
     pub(crate) fn line(&self) -> String {
         format!(
             "seed {}: {}; {} controllers, {} workers, {} faults, {} terms, {} process starts; {} starts, {} of {} jobs accepted; {} killed by a lease; emulator behind {} ms",
@@ -70,7 +74,7 @@
         )
     }
 
-    /// What was broken, a line each.
+    /// Returns one line for each failure.
     pub(crate) fn complaints(&self) -> Vec<String> {
         let mut complaints = self.broken.clone();
         complaints.extend(self.problems.iter().map(|p| format!("problem: {p}")));
@@ -93,7 +97,7 @@
     }
 }
 
-/// Error lines in the controllers' logs.
+/// Collects error lines and panics from the controllers' logs in `dir`.
 pub(super) fn error_lines(dir: &Path) -> Vec<String> {
     let mut found = vec![];
     for entry in std::fs::read_dir(dir).into_iter().flatten().flatten() {
--- a/crates/emulator/src/soak/plan.rs
+++ b/crates/emulator/src/soak/plan.rs
@@ -1,4 +1,7 @@
-//! The plan of one soak: an experiment, and troubles with their times.
+//! The plan of one soak: an experiment and a schedule of faults, stored as TOML.
+//!
+//! Field and variant names are the keys and values of plan files. In these files and in error texts
+//! the faults are listed under `troubles`.
 
 use crate::errors::EmulatorError;
 use crate::experiment::{read_toml, wrong, Experiment};
@@ -6,31 +9,31 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// A plan, as it is written and read (TOML).
+/// A plan, as stored in a plan file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Plan {
-    /// How long everything goes on without troubles before the last questions.
+    /// Time without faults at the end, in seconds. It includes the audit of accepted jobs.
     pub calm_s: f64,
-    /// How users behave beside what the loads say.
+    /// User behaviour that the loads don't describe.
     pub users: Users,
     pub experiment: Experiment,
     #[serde(rename = "troubles", default)]
     pub faults: Vec<PlannedFault>,
 }
 
-/// How users behave.
+/// How users poll and cancel their jobs.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Users {
-    /// This share asks all controllers, and repeats the submission, within milliseconds after
-    /// an acceptance, an end or a cancellation.
+    /// Share of the users that query all controllers and repeat the submission within
+    /// milliseconds after each change of the job's phase.
     pub close_questions: f64,
-    /// Of the jobs that are cancelled, this share is at about the time at which their tasks end.
+    /// Share of the cancelled jobs that are cancelled at about the time at which their tasks end.
     pub cancelled_at_end: f64,
 }
 
-/// A trouble with its time.
+/// A fault with its start and duration, in seconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct PlannedFault {
     pub at_s: f64,
@@ -39,41 +42,44 @@
     pub fault: Fault,
 }
 
-/// What goes wrong.
+/// A kind of fault.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub(super) enum Fault {
-    /// A controller is killed; it is started again at the end of the trouble.
+    /// A controller is killed, and restarted at the end of the fault.
     Kill { who: Party },
-    /// Leader after leader is killed; each is started again after a while.
+    /// Each leader is killed `every_s` after the start of its term, and restarted after `down_s`.
     KillLeaders { every_s: f64, down_s: f64 },
-    /// A controller stands still.
+    /// A controller process is suspended.
     Pause { who: Party },
-    /// A link fails in one direction, for a share of the machines.
+    /// A link fails in one direction; `hosts` is the share of the machines that are affected.
     Link { route: Route, hosts: f64, fault: LinkFault },
-    /// The state service refuses everybody.
+    /// The state service refuses all requests.
     Outage,
-    /// So many machines hang.
+    /// `count` machines hang.
     Hang { count: usize },
-    /// So many machines die.
+    /// `count` machines die.
     MachineDeaths { count: usize },
-    /// Users cancel so many open jobs at once.
+    /// Users cancel `count` open jobs at once.
     Cancel { count: usize },
 }
 
 impl Plan {
-    /// Reads and checks a plan.
+    /// Reads and validates a plan file.
     pub(super) fn load(path: &Path) -> Result<Plan, EmulatorError> {
         let plan: Plan = read_toml(path)?;
         plan.check().map_err(|message| wrong(path, message))?;
         Ok(plan)
     }
 
-    /// Whether the numbers make sense together.
+    /// Validates the experiment, the times, and the controllers that faults refer to.
     pub(super) fn check(&self) -> Result<(), String> {
         self.experiment.check()?;
         if !(self.calm_s.is_finite() && self.calm_s >= 0.0) {
-            return Err(format!("calm_s: {} is not a time", self.calm_s));
+            return Err(format!(
+                "calm_s: {} is not a finite, non-negative number of seconds",
+                self.calm_s
+            ));
         }
         let nodes = self.experiment.controllers.count;
         let known = |party: &Party| !matches!(party, Party::Node(n) if *n >= nodes);
@@ -84,17 +90,19 @@
                 _ => vec![],
             };
             if let Some(party) = parties.iter().find(|party| !known(party)) {
-                return Err(format!("troubles: there is no {party:?}"));
+                return Err(format!("troubles: no such controller: {party:?}"));
             }
             let times = [planned.at_s, planned.for_s];
             if times.iter().any(|time| !time.is_finite() || *time < 0.0) {
-                return Err(format!("troubles: {times:?} are not times"));
+                return Err(format!(
+                    "troubles: at_s and for_s must be finite and not negative: {times:?}"
+                ));
             }
         }
         Ok(())
     }
 
-    /// The plan as it is written.
+    /// Serializes the plan as TOML.
     pub(super) fn text(&self) -> Result<String, EmulatorError> {
         toml::to_string(self).map_err(|e| EmulatorError::Machine(e.to_string()))
     }
--- a/crates/emulator/src/soak/run.rs
+++ b/crates/emulator/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! Plays one plan from its beginning to its outcome.
+//! Runs one plan: starts the cluster, injects the faults, audits the jobs and writes the outcome.
 
 use super::draw;
 use super::inject::inject;
@@ -20,21 +20,23 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How soon an interrupt ends a play, and how often processes are looked at.
+/// Interval at which interrupts and the controller processes are polled.
 const LOOK: Duration = Duration::from_millis(100);
-/// The emulator sleeps so long; what it sleeps longer it is behind.
+/// Sleep with which the emulator's lag is measured: the lag is the time overslept.
 const NAP: Duration = Duration::from_millis(50);
+/// Interval of the checks for stranded jobs.
 const ONCE_A_SECOND: Duration = Duration::from_secs(1);
-/// A controller has to answer about each accepted job within this.
+/// Time within which each controller must answer about each accepted job after the faults.
 const KNOWN: Duration = Duration::from_secs(75);
-/// Accepted jobs about which each controller is asked at the end.
+/// Largest number of accepted jobs in the audit at the end.
 const AUDITED: usize = 200;
-/// Questions at the end that are on their way at once.
+/// Audit requests that are in flight at the same time.
 const AT_ONCE: usize = 16;
-/// A user who cancels does it within this time.
+/// Longest time from submission to cancellation, in seconds.
 const CANCELS_WITHIN_S: f64 = 8.0;
 
-/// Plays a plan; its files go into a directory. `interrupted` ends it.
+/// Runs a plan, writes its files into `dir`, and returns its outcome. Stops with an error when
+/// `interrupted` is set.
 pub(super) fn run(
     plan: &Plan,
     program: &Path,
@@ -75,6 +77,7 @@
     })
 }
 
+/// Waits until the run is interrupted or stopped by an error, and returns the reason.
 async fn stopped(cluster: &EmulatedCluster, interrupted: &AtomicBool) -> Result<Outcome, EmulatorError> {
     loop {
         Timer::after(LOOK).await;
@@ -87,6 +90,7 @@
     }
 }
 
+/// Runs the cluster through the faults, the audit and the time without faults.
 async fn play(cluster: Arc<EmulatedCluster>, plan: Plan, services: Services) -> Result<Outcome, EmulatorError> {
     serve(&cluster, services);
     forward::start(&cluster)?;
@@ -133,6 +137,7 @@
     ))
 }
 
+/// Builds the outcome; the error lines of the controllers are added when they have ended.
 fn outcome(
     cluster: &EmulatedCluster,
     plan: &Plan,
@@ -167,7 +172,8 @@
     }
 }
 
-/// Notes how far the emulator itself falls behind, for ever.
+/// Measures the emulator's own lag until the task is dropped; `behind` keeps the largest value in
+/// milliseconds.
 async fn measure(behind: Arc<AtomicU64>) {
     loop {
         let began = Instant::now();
@@ -177,7 +183,8 @@
     }
 }
 
-/// Looks at the controllers until the time is over: those that ended by themselves.
+/// Checks the rules and the controller processes for the duration `lasts`. Returns the controllers
+/// that exited without being killed.
 async fn watch(cluster: &EmulatedCluster, lasts: Duration) -> Vec<usize> {
     let ends = Instant::now() + lasts;
     let mut ended = vec![];
@@ -190,7 +197,7 @@
     ended
 }
 
-/// Looks once a second for jobs that are left waiting, for ever.
+/// Checks for stranded jobs once a second until the task is dropped.
 async fn check_stranded_periodically(cluster: Arc<EmulatedCluster>) {
     loop {
         Timer::after(ONCE_A_SECOND).await;
@@ -202,7 +209,7 @@
     }
 }
 
-/// Submits the jobs of one kind until their time is over.
+/// Submits the jobs of one load until its end.
 async fn submit(cluster: Arc<EmulatedCluster>, load: Load, numbers: Arc<Numbers>, users: super::plan::Users) {
     let until = load.until_s.unwrap_or(cluster.experiment.duration_s);
     let mut at = load.from_s;
@@ -229,8 +236,8 @@
     }
 }
 
-/// Asks every controller about accepted jobs until each has answered, or 75 s have passed since
-/// the troubles: those that some controller did not answer for.
+/// Polls every controller about accepted jobs until each has answered, or until 75 s have passed.
+/// Returns the jobs with the controllers that gave no answer.
 async fn audit(cluster: &Arc<EmulatedCluster>) -> Vec<String> {
     let accepted: Vec<String> = {
         let fleet = cluster.fleet();
--- a/crates/emulator/src/soak/stranded.rs
+++ b/crates/emulator/src/soak/stranded.rs
@@ -1,15 +1,15 @@
-//! Jobs that are left waiting, once all troubles are over, while a machine that fits has room and
-//! their team is under its limit, all the time.
+//! Detects stranded jobs. A job is stranded if none of its tasks is on a machine for too long after
+//! the last fault, although a machine had capacity and its team was below its limit all that time.
 
 use crate::fleet::Fleet;
 use glenhaven_fakes::user::{job_of, User};
 use glenhaven_fakes::SEC;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a job may wait like this.
+/// How long a job may wait under these conditions, in microseconds.
 const MOST: u64 = 90 * SEC;
 
-/// Since when jobs have waited like this, and those that did for too long.
+/// Tracks waiting jobs that could start, and collects those that waited for too long.
 #[derive(Default)]
 pub(crate) struct Stranded {
     since: BTreeMap<String, u64>,
@@ -17,7 +17,7 @@
 }
 
 impl Stranded {
-    /// Looks at all jobs; to be called about once a second.
+    /// Checks all jobs. Must be called about once a second.
     pub(crate) fn check(&mut self, now: u64, fleet: &Fleet) {
         let waiting = could_begin(fleet);
         self.since.retain(|job, _| waiting.contains(job));
@@ -29,13 +29,13 @@
         }
     }
 
-    /// Jobs that waited for too long.
+    /// Returns the IDs of the jobs that waited for too long.
     pub(crate) fn found(self) -> Vec<String> {
         self.found.into_iter().collect()
     }
 }
 
-/// Jobs of which no task is on a machine, though one could begin.
+/// Returns the open jobs that have no task on a machine although one could start.
 fn could_begin(fleet: &Fleet) -> BTreeSet<String> {
     let machines = fleet.workers.values().filter(|worker| !worker.dead);
     let live: BTreeSet<&str> = machines.flat_map(|worker| worker.live()).map(job_of).collect();
--- a/crates/emulator/src/soak/users.rs
+++ b/crates/emulator/src/soak/users.rs
@@ -1,6 +1,8 @@
-//! Users of a soak: each submits a job at any controller, asks about it at all of them, repeats
-//! its submission, and may cancel it. Every answer is compared with what the state service held
-//! when the question was sent.
+//! Emulated users of a soak. Each submits one job and polls it at random controllers, may repeat the
+//! submission, and may cancel the job.
+//!
+//! Each response is checked against the job's record in the state service, as stored when the
+//! request was sent and when the response arrived.
 
 use super::plan;
 use crate::cluster::{EmulatedCluster, Side};
@@ -16,23 +18,23 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Pauses between a user's questions, and after a request that was not answered.
+/// Pauses after an accepted request, and after one that was refused or not answered.
 const ASKS: Duration = Duration::from_millis(900);
 const RETRY: Duration = Duration::from_millis(400);
-/// Questions at all controllers follow an answer after these times.
+/// Delays of the additional requests to all controllers that follow a change of phase.
 const CLOSE: [Duration; 3] = [Duration::ZERO, Duration::from_millis(4), Duration::from_millis(40)];
 
 /// When a user cancels its job.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Cancels {
     Never,
-    /// So long after its submission.
+    /// This long after the first submission.
     After(Duration),
     /// At about the time at which its tasks end.
     AtEnd,
 }
 
-/// Lives the life of a user, until its job is over or the experiment is.
+/// Runs one user until its job has reached a final phase or the run ends.
 pub(super) async fn live(cluster: Arc<EmulatedCluster>, user: User, cancels: Cancels, users: plan::Users) {
     let job = user.spec.id.clone();
     let run = Duration::from_micros(user.run);
@@ -65,7 +67,7 @@
     }
 }
 
-/// What a user asks next.
+/// Returns the next request of a user.
 fn next_question(cluster: &EmulatedCluster, job: &str, cancel_at: Option<Instant>) -> Asked {
     let mut fleet = cluster.fleet();
     let now = cluster.now();
@@ -86,12 +88,13 @@
     }
 }
 
+/// Sends a request to a random controller.
 async fn ask_somewhere(cluster: &Arc<EmulatedCluster>, job: &str, asked: Asked) -> Option<Phase> {
     let node = cluster.fleet().rng.usize(0..cluster.nodes.len());
     ask(cluster, job, node, asked).await
 }
 
-/// Asks all controllers at once, again and again within milliseconds, and submits the job anew.
+/// Sends polls and repeated submissions to all controllers within milliseconds, in the background.
 fn ask_closely(cluster: &Arc<EmulatedCluster>, job: &str) {
     for node in 0..cluster.nodes.len() {
         for after in CLOSE {
@@ -111,7 +114,7 @@
     }
 }
 
-/// One question with its answer: the phase that it says.
+/// Sends one request and returns the phase in its response, if there is an accepted one in time.
 pub(super) async fn ask(cluster: &Arc<EmulatedCluster>, job: &str, node: usize, asked: Asked) -> Option<Phase> {
     let spec = cluster.fleet().users.get(job)?.spec.clone();
     let before = StoredJob::of(&cluster.store(), job);
@@ -131,7 +134,7 @@
     take(cluster, job, asked, before, &response, node)
 }
 
-/// Takes in an answer, and judges it.
+/// Checks a response, records violations, and returns the phase it reports.
 fn take(
     cluster: &EmulatedCluster,
     job: &str,
