--- a/crates/emulator/src/soak/child.rs
+++ b/crates/emulator/src/soak/child.rs
@@ -10,25 +10,25 @@
 use std::time::{Duration, Instant};
 
 /// Interval at which the child's status is polled.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time for an interrupted child to stop its controllers before it is killed.
-const GRACE: Duration = Duration::from_secs(5);
+const INTERRUPT_GRACE: Duration = Duration::from_secs(5);
 /// Exit status of an interrupted child.
-const INTERRUPTED: i32 = 130;
+const INTERRUPTED_STATUS: i32 = 130;
 
 /// Runs the plan file in `dir` in a child process and returns its outcome.
 ///
 /// # Errors
 ///
 /// Fails if the child can't be started, was interrupted, or could not run the plan.
-pub(super) fn play(
+pub(super) fn run(
     args: &SoakArgs,
     program: &Path,
     dir: &Path,
     interrupted: &AtomicBool,
 ) -> Result<Outcome, EmulatorError> {
-    let itself = std::env::current_exe().map_err(|e| EmulatorError::Machine(e.to_string()))?;
-    let mut command = Command::new(&itself);
+    let emulator = std::env::current_exe().map_err(|e| EmulatorError::Machine(e.to_string()))?;
+    let mut command = Command::new(&emulator);
     command.arg("soak").arg("--plan").arg(dir.join("plan.toml"));
     command.arg("--controllers").arg(program);
     command.arg("--report").arg(&args.report);
@@ -37,11 +37,11 @@
     }
     let child = command
         .spawn()
-        .map_err(|source| EmulatorError::Start { path: itself, source })?;
+        .map_err(|source| EmulatorError::Start { path: emulator, source })?;
     let status = wait(child, interrupted)?;
     match status.code() {
         Some(0 | 1) => read_outcome(&dir.join("outcome.json")),
-        Some(INTERRUPTED) => Err(EmulatorError::Interrupted),
+        Some(INTERRUPTED_STATUS) => Err(EmulatorError::Interrupted),
         _ => Err(EmulatorError::Machine(format!(
             "{}: the plan could not be run",
             dir.display()
@@ -65,13 +65,13 @@
                         kill_process(pid, Signal::INT).ok();
                     }
                 }
-                Some(at) if at.elapsed() > GRACE => {
+                Some(at) if at.elapsed() > INTERRUPT_GRACE => {
                     child.kill().ok();
                 }
                 Some(_) => {}
             }
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
--- a/crates/emulator/src/soak/inject.rs
+++ b/crates/emulator/src/soak/inject.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// Interval at which the state service's term is polled.
-const LOOK: Duration = Duration::from_millis(20);
+const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Waits until the fault's time, starts the fault, and ends it. Link faults and hangs are started
 /// with their end time, so this function doesn't wait for their end.
@@ -20,7 +20,7 @@
     let lasts = seconds(planned.for_s);
     match planned.fault {
         Fault::Kill { who } => {
-            if let Some(node) = resolve(&cluster, who) {
+            if let Some(node) = resolve_node(&cluster, who) {
                 kill(&cluster, node, lasts).await;
             }
         }
@@ -28,7 +28,7 @@
             kill_leaders(&cluster, seconds(every_s), seconds(down_s), lasts).await
         }
         Fault::Pause { who } => {
-            if let Some(node) = resolve(&cluster, who) {
+            if let Some(node) = resolve_node(&cluster, who) {
                 cluster.processes().pause(node, true);
                 cluster.note(|| format!("node-{node} is paused"));
                 Timer::after(lasts).await;
@@ -37,7 +37,7 @@
             }
         }
         Fault::Link { route, hosts, fault } => {
-            if let (Some(from), Some(to)) = (party(&cluster, route.from), party(&cluster, route.to)) {
+            if let (Some(from), Some(to)) = (resolve_party(&cluster, route.from), resolve_party(&cluster, route.to)) {
                 cluster.faults.begin(Route::between(from, to), hosts, fault, lasts);
             }
         }
@@ -61,7 +61,7 @@
 }
 
 /// Returns the number of the controller; `None` if there is no leader.
-fn resolve(cluster: &EmulatedCluster, who: Party) -> Option<usize> {
+fn resolve_node(cluster: &EmulatedCluster, who: Party) -> Option<usize> {
     match who {
         Party::Node(node) => Some(node),
         Party::Leader => cluster.leader(),
@@ -70,7 +70,7 @@
 }
 
 /// Replaces the leader by the controller that leads now; `None` if there is no leader.
-fn party(cluster: &EmulatedCluster, party: Party) -> Option<Party> {
+fn resolve_party(cluster: &EmulatedCluster, party: Party) -> Option<Party> {
     match party {
         Party::Leader => cluster.leader().map(Party::Node),
         other => Some(other),
@@ -95,7 +95,7 @@
     while Instant::now() < ends {
         let term = cluster.store().term();
         if term == last_term {
-            Timer::after(LOOK).await;
+            Timer::after(LEADER_POLL_INTERVAL).await;
             continue;
         }
         last_term = term;
--- a/crates/emulator/src/soak/mod.rs
+++ b/crates/emulator/src/soak/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::errors::EmulatorError;
 use clap::Args;
-use draw::{draw, Fixed};
+use draw::{draw, FixedSizes};
 use outcome::Outcome;
 use plan::Plan;
 use std::path::{Path, PathBuf};
@@ -22,7 +22,7 @@
 use std::sync::Mutex;
 
 /// Failures of one plan that are printed; the rest are counted only.
-const MOST_COMPLAINTS: usize = 12;
+const MAX_PRINTED_FAILURES: usize = 12;
 
 /// Whether the process has received an interrupt signal.
 static INTERRUPTED: AtomicBool = AtomicBool::new(false);
@@ -31,7 +31,7 @@
 #[derive(Args)]
 pub(crate) struct SoakArgs {
     /// Range of seeds; the end is excluded.
-    #[arg(long, value_name = "A..B", value_parser = seeds, default_value = "1..2", conflicts_with = "plan")]
+    #[arg(long, value_name = "A..B", value_parser = parse_seeds, default_value = "1..2", conflicts_with = "plan")]
     seeds: Seeds,
     /// Plan file (TOML) to run instead of seeds.
     #[arg(long, value_name = "FILE")]
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Seeds(std::ops::Range<u64>);
 
-fn seeds(text: &str) -> Result<Seeds, String> {
+fn parse_seeds(text: &str) -> Result<Seeds, String> {
     let (from, to) = text.split_once("..").ok_or("not a range such as 1..50")?;
     let number = |text: &str| text.parse::<u64>().map_err(|e| format!("{text}: {e}"));
     let range = number(from)?..number(to)?;
@@ -90,7 +90,7 @@
     ctrlc::set_handler(interrupt).map_err(|e| EmulatorError::Machine(e.to_string()))?;
     if let Some(file) = &args.plan {
         let plan = Plan::load(file)?;
-        return Ok(vec![play(args, &plan, &program)?]);
+        return Ok(vec![run_in_process(args, &plan, &program)?]);
     }
     let seeds = Mutex::new(args.seeds.0.clone());
     let outcomes = Mutex::new(vec![]);
@@ -103,7 +103,7 @@
                     let Some(seed) = seeds.lock().ok().and_then(|mut seeds| seeds.next()) else {
                         return;
                     };
-                    match play_seed(args, seed, slot, program) {
+                    match run_seed(args, seed, slot, program) {
                         Ok(outcome) => outcomes.lock().map(|mut all| all.push(outcome)).unwrap_or(()),
                         Err(error) => failed.lock().map(|mut failed| *failed = Some(error)).unwrap_or(()),
                     }
@@ -124,21 +124,21 @@
 /// Prints the plans that would be run, as TOML.
 fn print_plans(args: &SoakArgs) -> Result<Vec<Outcome>, EmulatorError> {
     if let Some(file) = &args.plan {
-        println!("{}", Plan::load(file)?.text()?);
+        println!("{}", Plan::load(file)?.to_toml()?);
         return Ok(vec![]);
     }
     for seed in args.seeds.0.clone() {
-        println!("{}", plan_of(args, seed, 0)?.text()?);
+        println!("{}", plan_for_seed(args, seed, 0)?.to_toml()?);
     }
     Ok(vec![])
 }
 
 /// Writes the plan of a seed and runs it in a child process.
-fn play_seed(args: &SoakArgs, seed: u64, slot: u8, program: &Path) -> Result<Outcome, EmulatorError> {
-    let plan = plan_of(args, seed, slot)?;
+fn run_seed(args: &SoakArgs, seed: u64, slot: u8, program: &Path) -> Result<Outcome, EmulatorError> {
+    let plan = plan_for_seed(args, seed, slot)?;
     let dir = directory(args, &plan)?;
-    run::write(&dir.join("plan.toml"), &plan.text()?)?;
-    child::play(args, program, &dir, &INTERRUPTED)
+    run::write(&dir.join("plan.toml"), &plan.to_toml()?)?;
+    child::run(args, program, &dir, &INTERRUPTED)
 }
 
 /// Creates the directory of a plan's files and returns its path.
@@ -153,12 +153,12 @@
 /// Returns the plan of a seed.
 ///
 /// `slot` numbers the plans that run at the same time; each slot has an address range of its own.
-fn plan_of(args: &SoakArgs, seed: u64, slot: u8) -> Result<Plan, EmulatorError> {
-    let fixed = Fixed {
+fn plan_for_seed(args: &SoakArgs, seed: u64, slot: u8) -> Result<Plan, EmulatorError> {
+    let sizes = FixedSizes {
         duration_s: args.duration,
         workers: args.workers,
     };
-    let plan = draw(seed, fixed, args.network.saturating_add(slot));
+    let plan = draw(seed, sizes, args.network.saturating_add(slot));
     plan.check().map_err(|message| EmulatorError::Experiment {
         path: format!("seed {seed}").into(),
         message,
@@ -167,18 +167,18 @@
 }
 
 /// Runs a plan in this process and prints its outcome.
-fn play(args: &SoakArgs, plan: &Plan, program: &Path) -> Result<Outcome, EmulatorError> {
+fn run_in_process(args: &SoakArgs, plan: &Plan, program: &Path) -> Result<Outcome, EmulatorError> {
     let dir = directory(args, plan)?;
     let outcome = run::run(plan, program, &dir, &INTERRUPTED)?;
     println!("{}", outcome.line());
-    let complaints = outcome.complaints();
-    for complaint in complaints.iter().take(MOST_COMPLAINTS) {
-        println!("  {complaint}");
+    let failures = outcome.failures();
+    for failure in failures.iter().take(MAX_PRINTED_FAILURES) {
+        println!("  {failure}");
     }
-    if complaints.len() > MOST_COMPLAINTS {
+    if failures.len() > MAX_PRINTED_FAILURES {
         println!(
             "  and {} more, in {}",
-            complaints.len() - MOST_COMPLAINTS,
+            failures.len() - MAX_PRINTED_FAILURES,
             dir.display()
         );
     }
--- a/crates/emulator/src/soak/outcome.rs
+++ b/crates/emulator/src/soak/outcome.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 /// Error lines of the controllers' logs that are kept.
-const MOST_ERRORS: usize = 20;
+const MAX_ERROR_LINES: usize = 20;
 
 /// The outcome of one plan.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -75,25 +75,25 @@
     }
 
     /// Returns one line for each failure.
-    pub(crate) fn complaints(&self) -> Vec<String> {
-        let mut complaints = self.broken.clone();
-        complaints.extend(self.problems.iter().map(|p| format!("problem: {p}")));
-        complaints.extend(self.errors.iter().map(|e| format!("error line: {e}")));
-        complaints.extend(
+    pub(crate) fn failures(&self) -> Vec<String> {
+        let mut failures = self.broken.clone();
+        failures.extend(self.problems.iter().map(|p| format!("problem: {p}")));
+        failures.extend(self.errors.iter().map(|e| format!("error line: {e}")));
+        failures.extend(
             self.ended_by_themselves
                 .iter()
                 .map(|n| format!("node-{n} ended by itself")),
         );
-        complaints.extend(
+        failures.extend(
             self.unknown_after_faults
                 .iter()
                 .map(|job| format!("not known after the faults: {job}")),
         );
-        complaints.extend(self.stranded.iter().flatten().map(|job| format!("left waiting: {job}")));
+        failures.extend(self.stranded.iter().flatten().map(|job| format!("left waiting: {job}")));
         if self.starts == 0 {
-            complaints.push("nothing_ran".into());
+            failures.push("nothing_ran".into());
         }
-        complaints
+        failures
     }
 }
 
@@ -112,6 +112,6 @@
             .filter(|line| line.contains(" ERROR ") || line.contains("panicked"));
         found.extend(errors.map(|line| format!("{name}: {line}")));
     }
-    found.truncate(MOST_ERRORS);
+    found.truncate(MAX_ERROR_LINES);
     found
 }
--- a/crates/emulator/src/soak/plan.rs
+++ b/crates/emulator/src/soak/plan.rs
@@ -103,7 +103,7 @@
     }
 
     /// Serializes the plan as TOML.
-    pub(super) fn text(&self) -> Result<String, EmulatorError> {
+    pub(super) fn to_toml(&self) -> Result<String, EmulatorError> {
         toml::to_string(self).map_err(|e| EmulatorError::Machine(e.to_string()))
     }
 }
--- a/crates/emulator/src/soak/run.rs
+++ b/crates/emulator/src/soak/run.rs
@@ -4,7 +4,7 @@
 use super::inject::inject;
 use super::outcome::{error_lines, Outcome};
 use super::plan::Plan;
-use super::users::{ask, live, Cancels};
+use super::users::{ask, run_user, CancelTiming};
 use crate::cluster::EmulatedCluster;
 use crate::controllers::Controllers;
 use crate::errors::EmulatorError;
@@ -21,19 +21,19 @@
 use std::time::{Duration, Instant};
 
 /// Interval at which interrupts and the controller processes are polled.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Sleep with which the emulator's lag is measured: the lag is the time overslept.
-const NAP: Duration = Duration::from_millis(50);
+const LAG_PROBE_SLEEP: Duration = Duration::from_millis(50);
 /// Interval of the checks for stranded jobs.
-const ONCE_A_SECOND: Duration = Duration::from_secs(1);
+const STRANDED_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Time within which each controller must answer about each accepted job after the faults.
-const KNOWN: Duration = Duration::from_secs(75);
+const AUDIT_TIMEOUT: Duration = Duration::from_secs(75);
 /// Largest number of accepted jobs in the audit at the end.
-const AUDITED: usize = 200;
+const MAX_AUDITED_JOBS: usize = 200;
 /// Audit requests that are in flight at the same time.
-const AT_ONCE: usize = 16;
+const MAX_REQUESTS_IN_FLIGHT: usize = 16;
 /// Longest time from submission to cancellation, in seconds.
-const CANCELS_WITHIN_S: f64 = 8.0;
+const MAX_CANCEL_DELAY_S: f64 = 8.0;
 
 /// Runs a plan, writes its files into `dir`, and returns its outcome. Stops with an error when
 /// `interrupted` is set.
@@ -49,13 +49,13 @@
     let logs = dir.join("controllers");
     std::fs::remove_dir_all(&logs).ok();
     let controllers = Controllers::prepare(&experiment, program, &logs)?;
-    write(&dir.join("plan.toml"), &plan.text()?)?;
+    write(&dir.join("plan.toml"), &plan.to_toml()?)?;
     let cluster = Arc::new(EmulatedCluster::new(experiment, controllers));
     cluster.fleet().history.switch_on();
     let _children = EndChildren(cluster.clone());
-    let played = play(cluster.clone(), plan.clone(), services);
-    let stopped = stopped(&cluster, interrupted);
-    let mut outcome = async_io::block_on(cluster.executor.run(played.or(stopped)))?;
+    let run = run_cluster(cluster.clone(), plan.clone(), services);
+    let stopped = wait_for_stop(&cluster, interrupted);
+    let mut outcome = async_io::block_on(cluster.executor.run(run.or(stopped)))?;
     cluster.processes().kill_all();
     outcome.errors = error_lines(&logs);
     let history = dir.join("history.log");
@@ -78,9 +78,9 @@
 }
 
 /// Waits until the run is interrupted or stopped by an error, and returns the reason.
-async fn stopped(cluster: &EmulatedCluster, interrupted: &AtomicBool) -> Result<Outcome, EmulatorError> {
+async fn wait_for_stop(cluster: &EmulatedCluster, interrupted: &AtomicBool) -> Result<Outcome, EmulatorError> {
     loop {
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
         if interrupted.load(Ordering::Relaxed) {
             return Err(EmulatorError::Interrupted);
         }
@@ -91,7 +91,7 @@
 }
 
 /// Runs the cluster through the faults, the audit and the time without faults.
-async fn play(cluster: Arc<EmulatedCluster>, plan: Plan, services: Services) -> Result<Outcome, EmulatorError> {
+async fn run_cluster(cluster: Arc<EmulatedCluster>, plan: Plan, services: Services) -> Result<Outcome, EmulatorError> {
     serve(&cluster, services);
     forward::start(&cluster)?;
     for node in 0..cluster.nodes.len() {
@@ -99,7 +99,7 @@
     }
     create_machines(&cluster);
     let behind = Arc::new(AtomicU64::new(0));
-    cluster.executor.spawn(measure(behind.clone())).detach();
+    cluster.executor.spawn(measure_lag(behind.clone())).detach();
     let numbers = Arc::new(Numbers::default());
     for load in plan.experiment.load.clone() {
         cluster
@@ -120,11 +120,11 @@
     cluster.faults.end();
     let calm_since = cluster.now();
     cluster.note(|| "all faults are over".into());
-    let stranding = cluster.executor.spawn(check_stranded_periodically(cluster.clone()));
+    let stranded_check = cluster.executor.spawn(check_stranded_periodically(cluster.clone()));
     let unknown_after_faults = audit(&cluster).await;
     let audited = Duration::from_micros(cluster.now() - calm_since);
     ended.extend(watch(&cluster, seconds(plan.calm_s).saturating_sub(audited)).await);
-    drop(stranding);
+    drop(stranded_check);
     let stranded = std::mem::take(&mut cluster.fleet().stranded).found();
     let stranded = (plan.calm_s >= draw::LONG_CALM_S).then_some(stranded);
     Ok(outcome(
@@ -174,11 +174,11 @@
 
 /// Measures the emulator's own lag until the task is dropped; `behind` keeps the largest value in
 /// milliseconds.
-async fn measure(behind: Arc<AtomicU64>) {
+async fn measure_lag(behind: Arc<AtomicU64>) {
     loop {
         let began = Instant::now();
-        Timer::after(NAP).await;
-        let late = began.elapsed().saturating_sub(NAP).as_millis() as u64;
+        Timer::after(LAG_PROBE_SLEEP).await;
+        let late = began.elapsed().saturating_sub(LAG_PROBE_SLEEP).as_millis() as u64;
         behind.fetch_max(late, Ordering::Relaxed);
     }
 }
@@ -189,7 +189,7 @@
     let ends = Instant::now() + lasts;
     let mut ended = vec![];
     while Instant::now() < ends {
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
         let now = cluster.now();
         cluster.fleet().check_rules(now);
         ended.extend(cluster.processes().ended());
@@ -200,7 +200,7 @@
 /// Checks for stranded jobs once a second until the task is dropped.
 async fn check_stranded_periodically(cluster: Arc<EmulatedCluster>) {
     loop {
-        Timer::after(ONCE_A_SECOND).await;
+        Timer::after(STRANDED_CHECK_INTERVAL).await;
         let now = cluster.now();
         let mut fleet = cluster.fleet();
         let mut stranded = std::mem::take(&mut fleet.stranded);
@@ -217,20 +217,20 @@
         let now = Duration::from_micros(cluster.now());
         Timer::after(seconds(at).saturating_sub(now)).await;
         let spec = spec(&cluster, &load, numbers.next());
-        let (run_s, cancels, pause) = {
+        let (run_s, cancel_timing, pause) = {
             let rng = &mut cluster.fleet().rng;
-            let cancels = match (rng.f64() < load.cancelled, rng.f64() < users.cancelled_at_end) {
-                (false, _) => Cancels::Never,
-                (true, true) if load.run_s > 0.0 => Cancels::AtEnd,
-                (true, _) => Cancels::After(seconds(CANCELS_WITHIN_S * rng.f64())),
+            let cancel_timing = match (rng.f64() < load.cancelled, rng.f64() < users.cancelled_at_end) {
+                (false, _) => CancelTiming::Never,
+                (true, true) if load.run_s > 0.0 => CancelTiming::AtEnd,
+                (true, _) => CancelTiming::After(seconds(MAX_CANCEL_DELAY_S * rng.f64())),
             };
             let pause = load.every_s * (0.5 + rng.f64());
-            (load.run_s * (0.5 + rng.f64()), cancels, pause)
+            (load.run_s * (0.5 + rng.f64()), cancel_timing, pause)
         };
         let user = User::new(spec, run_s, false);
         cluster
             .executor
-            .spawn(live(cluster.clone(), user, cancels, users))
+            .spawn(run_user(cluster.clone(), user, cancel_timing, users))
             .detach();
         at += pause;
     }
@@ -244,16 +244,16 @@
         let known = fleet.users.iter().filter(|(_, user)| user.accepted.is_some());
         known.map(|(id, _)| id.clone()).collect()
     };
-    let step = accepted.len().div_ceil(AUDITED).max(1);
+    let step = accepted.len().div_ceil(MAX_AUDITED_JOBS).max(1);
     let jobs: Vec<String> = accepted.into_iter().step_by(step).collect();
-    let ends = Instant::now() + KNOWN;
-    let mut questions: Vec<(usize, String)> = (0..cluster.nodes.len())
+    let ends = Instant::now() + AUDIT_TIMEOUT;
+    let mut pending: Vec<(usize, String)> = (0..cluster.nodes.len())
         .flat_map(|node| jobs.iter().map(move |job| (node, job.clone())))
         .collect();
-    while !questions.is_empty() && Instant::now() < ends {
+    while !pending.is_empty() && Instant::now() < ends {
         let mut left = vec![];
-        for some in questions.chunks(AT_ONCE) {
-            let asked: Vec<_> = some
+        for batch in pending.chunks(MAX_REQUESTS_IN_FLIGHT) {
+            let asked: Vec<_> = batch
                 .iter()
                 .cloned()
                 .map(|(node, job)| {
@@ -265,13 +265,13 @@
                     })
                 })
                 .collect();
-            for question in asked {
-                left.extend(question.await);
+            for request in asked {
+                left.extend(request.await);
             }
         }
-        questions = left;
+        pending = left;
     }
-    questions
+    pending
         .into_iter()
         .map(|(node, job)| format!("{job} at node-{node}"))
         .collect()
--- a/crates/emulator/src/soak/stranded.rs
+++ b/crates/emulator/src/soak/stranded.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a job may wait under these conditions, in microseconds.
-const MOST: u64 = 90 * SEC;
+const MAX_WAIT_US: u64 = 90 * SEC;
 
 /// Tracks waiting jobs that could start, and collects those that waited for too long.
 #[derive(Default)]
@@ -19,11 +19,11 @@
 impl Stranded {
     /// Checks all jobs. Must be called about once a second.
     pub(crate) fn check(&mut self, now: u64, fleet: &Fleet) {
-        let waiting = could_begin(fleet);
+        let waiting = startable_jobs(fleet);
         self.since.retain(|job, _| waiting.contains(job));
         for job in waiting {
             let since = *self.since.entry(job.clone()).or_insert(now);
-            if now - since > MOST {
+            if now - since > MAX_WAIT_US {
                 self.found.insert(job);
             }
         }
@@ -36,12 +36,12 @@
 }
 
 /// Returns the open jobs that have no task on a machine although one could start.
-fn could_begin(fleet: &Fleet) -> BTreeSet<String> {
+fn startable_jobs(fleet: &Fleet) -> BTreeSet<String> {
     let machines = fleet.workers.values().filter(|worker| !worker.dead);
     let live: BTreeSet<&str> = machines.flat_map(|worker| worker.live()).map(job_of).collect();
     let open = |user: &&User| {
-        let over = user.done.is_some() || user.cancelled.is_some() || user.wants_abort;
-        user.accepted.is_some() && !over && !live.contains(user.spec.id.as_str())
+        let closed = user.done.is_some() || user.cancelled.is_some() || user.wants_abort;
+        user.accepted.is_some() && !closed && !live.contains(user.spec.id.as_str())
     };
     let has_capacity = |user: &&User| {
         let in_zone = |zone: &String| user.spec.zone.as_ref().is_none_or(|only| only == zone);
--- a/crates/emulator/src/soak/users.rs
+++ b/crates/emulator/src/soak/users.rs
@@ -19,14 +19,14 @@
 use std::time::{Duration, Instant};
 
 /// Pauses after an accepted request, and after one that was refused or not answered.
-const ASKS: Duration = Duration::from_millis(900);
-const RETRY: Duration = Duration::from_millis(400);
+const POLL_INTERVAL: Duration = Duration::from_millis(900);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Delays of the additional requests to all controllers that follow a change of phase.
-const CLOSE: [Duration; 3] = [Duration::ZERO, Duration::from_millis(4), Duration::from_millis(40)];
+const FOLLOW_UP_DELAYS: [Duration; 3] = [Duration::ZERO, Duration::from_millis(4), Duration::from_millis(40)];
 
 /// When a user cancels its job.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Cancels {
+pub(super) enum CancelTiming {
     Never,
     /// This long after the first submission.
     After(Duration),
@@ -35,40 +35,45 @@
 }
 
 /// Runs one user until its job has reached a final phase or the run ends.
-pub(super) async fn live(cluster: Arc<EmulatedCluster>, user: User, cancels: Cancels, users: plan::Users) {
+pub(super) async fn run_user(
+    cluster: Arc<EmulatedCluster>,
+    user: User,
+    cancel_timing: CancelTiming,
+    users: plan::Users,
+) {
     let job = user.spec.id.clone();
     let run = Duration::from_micros(user.run);
     cluster.fleet().users.insert(job.clone(), user);
-    let close = cluster.fleet().rng.f64() < users.close_questions;
+    let follows_up = cluster.fleet().rng.f64() < users.close_questions;
     let began = Instant::now();
-    let mut cancel_at = match cancels {
-        Cancels::Never | Cancels::AtEnd => None,
-        Cancels::After(after) => Some(began + after),
+    let mut cancel_at = match cancel_timing {
+        CancelTiming::Never | CancelTiming::AtEnd => None,
+        CancelTiming::After(after) => Some(began + after),
     };
-    let mut told = None;
+    let mut last_phase = None;
     loop {
-        let asked = next_question(&cluster, &job, cancel_at);
-        let answer = ask_somewhere(&cluster, &job, asked).await;
+        let asked = next_request(&cluster, &job, cancel_at);
+        let answer = ask_any_controller(&cluster, &job, asked).await;
         if let Some(phase) = answer {
-            if close && told != Some(phase) {
-                ask_closely(&cluster, &job);
+            if follows_up && last_phase != Some(phase) {
+                ask_all_controllers(&cluster, &job);
             }
-            told = Some(phase);
+            last_phase = Some(phase);
             if phase.is_final() {
                 return;
             }
-            if matches!(cancels, Cancels::AtEnd) && phase == Phase::Running && cancel_at.is_none() {
+            if matches!(cancel_timing, CancelTiming::AtEnd) && phase == Phase::Running && cancel_at.is_none() {
                 cancel_at = Some(Instant::now() + run);
             }
         }
-        let pause = if answer.is_some() { ASKS } else { RETRY };
+        let pause = if answer.is_some() { POLL_INTERVAL } else { RETRY_DELAY };
         let left = cancel_at.map_or(pause, |at| at.saturating_duration_since(Instant::now()));
         Timer::after(if left.is_zero() { pause } else { pause.min(left) }).await;
     }
 }
 
 /// Returns the next request of a user.
-fn next_question(cluster: &EmulatedCluster, job: &str, cancel_at: Option<Instant>) -> Asked {
+fn next_request(cluster: &EmulatedCluster, job: &str, cancel_at: Option<Instant>) -> Asked {
     let mut fleet = cluster.fleet();
     let now = cluster.now();
     let Some(user) = fleet.users.get_mut(job) else {
@@ -89,18 +94,18 @@
 }
 
 /// Sends a request to a random controller.
-async fn ask_somewhere(cluster: &Arc<EmulatedCluster>, job: &str, asked: Asked) -> Option<Phase> {
+async fn ask_any_controller(cluster: &Arc<EmulatedCluster>, job: &str, asked: Asked) -> Option<Phase> {
     let node = cluster.fleet().rng.usize(0..cluster.nodes.len());
     ask(cluster, job, node, asked).await
 }
 
 /// Sends polls and repeated submissions to all controllers within milliseconds, in the background.
-fn ask_closely(cluster: &Arc<EmulatedCluster>, job: &str) {
+fn ask_all_controllers(cluster: &Arc<EmulatedCluster>, job: &str) {
     for node in 0..cluster.nodes.len() {
-        for after in CLOSE {
+        for after in FOLLOW_UP_DELAYS {
             let (cluster, job) = (cluster.clone(), job.to_string());
             let executor = cluster.clone();
-            let question = async move {
+            let follow_up = async move {
                 Timer::after(after).await;
                 let asked = if cluster.fleet().rng.bool() {
                     Asked::Poll
@@ -109,7 +114,7 @@
                 };
                 ask(&cluster, &job, node, asked).await;
             };
-            executor.executor.spawn(question).detach();
+            executor.executor.spawn(follow_up).detach();
         }
     }
 }
@@ -119,23 +124,23 @@
     let spec = cluster.fleet().users.get(job)?.spec.clone();
     let before = StoredJob::of(&cluster.store(), job);
     let request = request(asked, &spec);
-    let there = Route::between(Party::Users, Party::Node(node));
+    let route = Route::between(Party::Users, Party::Node(node));
     let exchange = async {
-        cluster.faults.passes(&there, "").await;
-        if cluster.faults.delivery(&there, "") != Delivery::Deliver {
+        cluster.faults.passes(&route, "").await;
+        if cluster.faults.delivery(&route, "") != Delivery::Deliver {
             return None;
         }
         let answer = exchange(cluster, None, node, Side::Users, &request).await;
-        cluster.faults.passes(&there.back(), "").await;
+        cluster.faults.passes(&route.back(), "").await;
         answer
     };
     let answer = within(Duration::from_micros(asked.limit()), exchange).await;
     let (_, response) = answer?;
-    take(cluster, job, asked, before, &response, node)
+    check_answer(cluster, job, asked, before, &response, node)
 }
 
 /// Checks a response, records violations, and returns the phase it reports.
-fn take(
+fn check_answer(
     cluster: &EmulatedCluster,
     job: &str,
     asked: Asked,
