--- a/crates/emulator/src/balancer.rs
+++ b/crates/emulator/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The load balancer's view of the controllers.
+//! An emulated load balancer: probes the controllers and chooses a healthy one for new connections.
 
 use crate::cluster::{EmulatedCluster, Side};
 use crate::machines::{exchange, within};
@@ -8,12 +8,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a controller is probed, and how long its answer is waited for.
+/// Pause between probes, and time limit of a probe.
 const PROBE: Duration = Duration::from_secs(1);
-/// So many probes in a row decide.
+/// Number of consecutive probes with the same result that change a controller's health.
 const IN_A_ROW: i32 = 2;
 
-/// Probes one controller, for ever.
+/// Probes one controller until the experiment ends.
 pub(crate) async fn probe(cluster: Arc<EmulatedCluster>, node: usize) {
     let request = Request {
         method: "GET".into(),
@@ -21,7 +21,8 @@
         body: vec![],
     };
     let mut connection = None;
-    // Good probes in a row; bad ones, if negative. One that was never healthy needs one.
+    // Consecutive successful probes, or failed ones if negative. A controller becomes healthy at
+    // once if its first probe succeeds.
     let mut row = IN_A_ROW - 1;
     loop {
         let reused = connection.take();
@@ -39,7 +40,7 @@
     }
 }
 
-/// A healthy controller for a new connection.
+/// Returns a random healthy controller for a new connection.
 pub(crate) fn choose(cluster: &EmulatedCluster, rng: &mut fastrand::Rng) -> Option<usize> {
     let healthy = |n: &usize| cluster.nodes[*n].healthy.load(Ordering::Relaxed);
     let healthy: Vec<usize> = (0..cluster.nodes.len()).filter(healthy).collect();
--- a/crates/emulator/src/cloud_service.rs
+++ b/crates/emulator/src/cloud_service.rs
@@ -1,4 +1,4 @@
-//! The cloud behind sockets.
+//! The emulated cloud: executes the controllers' HTTP requests on the simulated cloud.
 
 use crate::cluster::EmulatedCluster;
 use crate::machines;
@@ -9,7 +9,7 @@
 use glenhaven_fakes::wire;
 use std::sync::Arc;
 
-/// Machines in one page of the list.
+/// Machines per page of the machine list.
 pub(crate) const PAGE: usize = 500;
 
 /// Answers one request.
@@ -40,6 +40,7 @@
     }
 }
 
+/// Rents machines, unless the zone is out or the simulated cloud answers otherwise.
 fn execute_rent(cluster: &Arc<EmulatedCluster>, rent: ProvisionRequest) -> CloudResponse {
     let mut fleet = cluster.fleet();
     if fleet.zones_out.contains(&rent.zone) {
--- a/crates/emulator/src/cluster.rs
+++ b/crates/emulator/src/cluster.rs
@@ -1,4 +1,5 @@
-//! What all parts of a running experiment share.
+//! State shared by all parts of a running experiment: addresses, traffic counters, the state
+//! service, the fleet and the controller processes.
 
 use crate::controllers::Controllers;
 use crate::errors::EmulatorError;
@@ -14,32 +15,32 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// Ports, each at an address of its own.
+/// Ports of the services; each service has its own address.
 const PUBLIC_PORT: u16 = 8080;
 const PEER_PORT: u16 = 8081;
 const STATE_PORT: u16 = 2379;
 const CLOUD_PORT: u16 = 8443;
 const MACHINE_PORT: u16 = 9000;
-/// The third part of the addresses of the controllers, of the state service and of the
-/// cloud, and the first one of the machines'.
+/// Third byte of the addresses of the controllers, the state service and the cloud.
 const CONTROLLERS: u8 = 0;
 const STATE: u8 = 1;
 const CLOUD: u8 = 2;
-/// Of the forwarders, this and one more for each controller that sends through them.
+/// Third byte of the forwarders of the first controller; each further controller has the next one.
 const FORWARDERS: usize = 3;
+/// Third byte of the first machines' addresses.
 const MACHINES: u64 = 16;
-/// Machines that share the third part of their addresses.
+/// Machines with the same third byte.
 const MACHINES_IN_A_NET: u64 = 250;
 
-/// The addresses of an experiment, all on loopback. The state service and the cloud have
-/// an address for each controller, so that bytes are counted for each.
+/// The loopback addresses of an experiment. The state service and the cloud have one address for
+/// each controller, so that traffic can be counted per controller.
 #[derive(Clone, Copy)]
 pub(crate) struct Addresses {
     network: u8,
 }
 
 impl Addresses {
-    /// The addresses 127.`network`.x.y.
+    /// Returns the addresses 127.`network`.x.y.
     pub(crate) fn new(network: u8) -> Addresses {
         Addresses { network }
     }
@@ -49,40 +50,40 @@
         SocketAddr::from((Ipv4Addr::new(127, self.network, third, fourth), port))
     }
 
-    /// Where a controller serves users and workers.
+    /// Address at which a controller serves users and workers.
     pub(crate) fn public(self, node: usize) -> SocketAddr {
         self.at(CONTROLLERS, node, PUBLIC_PORT)
     }
 
-    /// Where a controller listens to the others.
+    /// Address at which a controller listens for other controllers.
     pub(crate) fn peer(self, node: usize) -> SocketAddr {
         self.at(CONTROLLERS, node, PEER_PORT)
     }
 
-    /// Where a controller finds another one whose links go through the emulator.
+    /// Address of the forwarder from one controller to another.
     pub(crate) fn forwarder(self, from: usize, to: usize) -> SocketAddr {
         let third = u8::try_from(FORWARDERS + from).unwrap_or(u8::MAX);
         self.at(third, to, PEER_PORT)
     }
 
-    /// Where a controller finds the state service.
+    /// Address of the state service for a controller.
     pub(crate) fn state(self, node: usize) -> SocketAddr {
         self.at(STATE, node, STATE_PORT)
     }
 
-    /// Where a controller finds the cloud.
+    /// Address of the cloud for a controller.
     pub(crate) fn cloud(self, node: usize) -> SocketAddr {
         self.at(CLOUD, node, CLOUD_PORT)
     }
 
-    /// Where a machine takes direct commands.
+    /// Address at which a machine accepts direct commands.
     pub(crate) fn machine(self, number: u64) -> SocketAddr {
         let third = u8::try_from(MACHINES + number / MACHINES_IN_A_NET).unwrap_or(u8::MAX);
         self.at(third, (number % MACHINES_IN_A_NET) as usize, MACHINE_PORT)
     }
 }
 
-/// Who exchanges bytes with a controller.
+/// The counterpart in an exchange with a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Side {
     Workers,
@@ -91,18 +92,18 @@
     Cloud,
 }
 
-/// Bytes that a controller has exchanged with one side.
+/// Bytes that a controller has exchanged with one counterpart.
 #[derive(Default)]
 struct Counter {
     received: AtomicU64,
     sent: AtomicU64,
 }
 
-/// A controller as the others see it.
+/// A controller's name, zone, health and traffic.
 pub(crate) struct Node {
     pub name: String,
     pub zone: String,
-    /// Whether the load balancer sends users to it.
+    /// Whether the load balancer sends users to this controller.
     pub healthy: AtomicBool,
     counters: [Counter; 4],
 }
@@ -117,14 +118,14 @@
         }
     }
 
-    /// Bytes that this program has read from a controller and written to it.
+    /// Adds the bytes that the emulator has read from the controller and written to it.
     pub(crate) fn count(&self, side: Side, traffic: Traffic) {
         let counter = &self.counters[side as usize];
         counter.sent.fetch_add(traffic.read, Ordering::Relaxed);
         counter.received.fetch_add(traffic.written, Ordering::Relaxed);
     }
 
-    /// Bytes that the controller has received from one side and sent to it.
+    /// Returns the bytes that the controller has received from one side and sent to it.
     pub(crate) fn bytes(&self, side: Side) -> (u64, u64) {
         let counter = &self.counters[side as usize];
         let read = |n: &AtomicU64| n.load(Ordering::Relaxed);
@@ -141,9 +142,9 @@
     pub controllers: Mutex<Controllers>,
     store: Mutex<Store>,
     fleet: Mutex<Fleet>,
-    /// Which links fail just now.
+    /// Link faults in effect.
     pub faults: Faults,
-    /// The state service has changed.
+    /// Notified when the state service's data change.
     pub store_changed: Event,
     began: Instant,
     stopped: Mutex<Option<EmulatorError>>,
@@ -154,7 +155,7 @@
 }
 
 impl EmulatedCluster {
-    /// An experiment that has not begun.
+    /// Creates an experiment; no process or machine is started.
     pub(crate) fn new(experiment: Experiment, controllers: Controllers) -> EmulatedCluster {
         let services = &experiment.services;
         let mut store = Store::new(
@@ -181,50 +182,50 @@
         }
     }
 
-    /// Microseconds since the beginning.
+    /// Returns the time since the beginning of the experiment, in microseconds.
     pub(crate) fn now(&self) -> u64 {
         self.began.elapsed().as_micros() as u64
     }
 
-    /// The state service.
+    /// Locks the state service.
     pub(crate) fn store(&self) -> MutexGuard<'_, Store> {
         lock(&self.store)
     }
 
-    /// Machines, jobs and the rules.
+    /// Locks the machines, jobs and rules.
     pub(crate) fn fleet(&self) -> MutexGuard<'_, Fleet> {
         lock(&self.fleet)
     }
 
-    /// The processes under test.
+    /// Locks the controller processes.
     pub(crate) fn processes(&self) -> MutexGuard<'_, Controllers> {
         lock(&self.controllers)
     }
 
-    /// The controller that leads by what the state service says.
+    /// Returns the number of the leader recorded in the state service.
     pub(crate) fn leader(&self) -> Option<usize> {
         let leader = self.store().leader()?;
         self.nodes.iter().position(|node| node.name == leader)
     }
 
-    /// Something happens that the history keeps.
+    /// Records an event in the history.
     pub(crate) fn note(&self, event: impl FnOnce() -> String) {
         let now = self.now();
         self.fleet().history.note(now, event);
     }
 
-    /// Ends the experiment before its time.
+    /// Requests the end of the experiment. Only the first reason is kept.
     pub(crate) fn stop(&self, why: EmulatorError) {
         lock(&self.stopped).get_or_insert(why);
     }
 
-    /// Why it is to end, once.
+    /// Takes the reason of a requested end.
     pub(crate) fn take_stop(&self) -> Option<EmulatorError> {
         lock(&self.stopped).take()
     }
 }
 
-/// A controller's name.
+/// Returns a controller's name.
 pub(crate) fn node_name(node: usize) -> String {
     format!("node-{node}")
 }
--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -1,4 +1,4 @@
-//! The controller processes: their settings, their lives and their ends.
+//! The controller processes: writes their settings files, starts, suspends and kills them.
 
 use crate::cluster::{node_name, Addresses};
 use crate::errors::EmulatorError;
@@ -9,10 +9,11 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// What each controller is told that it may take.
+/// CPU and memory limits in each controller's settings.
 const CPU: f64 = 1.0;
 const MEMORY_MB: f64 = 512.0;
 
+/// The settings file of a controller. Field names of this and the following tables are its keys.
 #[derive(Serialize)]
 struct SettingsFile {
     node: String,
@@ -86,6 +87,7 @@
     sockets: u32,
 }
 
+/// Builds the settings file of a controller.
 fn settings(experiment: &Experiment, node: usize, operator_file: &Path) -> SettingsFile {
     let addresses = Addresses::new(experiment.network);
     let (workers, services) = (&experiment.workers, &experiment.services);
@@ -144,18 +146,18 @@
     }
 }
 
-/// The controller processes of an experiment. They end with this value.
+/// The controller processes of an experiment. All are killed when this value is dropped.
 pub(crate) struct Controllers {
     program: PathBuf,
     dir: PathBuf,
     log_level: String,
     children: Vec<Option<Child>>,
-    /// Processes started so far.
+    /// Number of processes started so far.
     pub process_starts: usize,
 }
 
 impl Controllers {
-    /// Writes the settings files into a directory; no process runs yet.
+    /// Writes the settings files into a directory. No process is started.
     pub(crate) fn prepare(experiment: &Experiment, program: &Path, dir: &Path) -> Result<Controllers, EmulatorError> {
         let write = |path: &Path, text: &str| {
             std::fs::write(path, text).map_err(|source| EmulatorError::Unwritable {
@@ -195,12 +197,12 @@
         })
     }
 
-    /// Where settings and logs are.
+    /// Returns the directory of settings and logs.
     pub(crate) fn dir(&self) -> &Path {
         &self.dir
     }
 
-    /// Starts a controller, unless it runs.
+    /// Starts a controller unless it is running. Its log is appended to the log of earlier starts.
     pub(crate) fn start(&mut self, node: usize) -> Result<(), EmulatorError> {
         if self.children[node].is_some() {
             return Ok(());
@@ -232,7 +234,7 @@
         Ok(())
     }
 
-    /// Kills a controller; whether it ran.
+    /// Kills a controller. Returns whether it was running.
     pub(crate) fn kill(&mut self, node: usize) -> bool {
         let Some(mut child) = self.children[node].take() else {
             return false;
@@ -242,7 +244,7 @@
         true
     }
 
-    /// Lets a controller stand still, or go on.
+    /// Suspends or resumes a controller process.
     pub(crate) fn pause(&mut self, node: usize, paused: bool) {
         let signal = if paused { Signal::STOP } else { Signal::CONT };
         let pid = self.children[node]
@@ -253,7 +255,7 @@
         }
     }
 
-    /// The processes that run: number and process id.
+    /// Returns the running controllers with their process IDs.
     pub(crate) fn running(&self) -> Vec<(usize, u32)> {
         let children = self.children.iter().enumerate();
         children
@@ -261,7 +263,7 @@
             .collect()
     }
 
-    /// Controllers that have ended by themselves since the last look.
+    /// Returns the controllers that have exited without being killed since the last call.
     pub(crate) fn ended(&mut self) -> Vec<usize> {
         let mut ended = vec![];
         for (node, slot) in self.children.iter_mut().enumerate() {
@@ -276,7 +278,7 @@
         ended
     }
 
-    /// Kills all of them.
+    /// Kills all controllers.
     pub(crate) fn kill_all(&mut self) {
         for node in 0..self.children.len() {
             self.kill(node);
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -1,4 +1,4 @@
-//! What an experiment file says.
+//! The settings of an experiment file. Field and variant names are its keys and values.
 
 use crate::errors::EmulatorError;
 use glenhaven::protocol::users::{Priority, Shape};
@@ -6,18 +6,18 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// An experiment.
+/// An experiment file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Experiment {
     pub name: String,
     #[serde(default = "one")]
     pub seed: u64,
-    /// How long users and troubles go on.
+    /// How long jobs are submitted and faults injected.
     pub duration_s: f64,
     /// All addresses are 127.`network`.x.y.
     pub network: u8,
-    /// Whether each written page of the book is compared with all others.
+    /// Whether the state service compares each written page of records with all others.
     #[serde(default = "yes")]
     pub audit_records: bool,
     pub controllers: Controllers,
@@ -30,25 +30,26 @@
     pub inject: Vec<Injection>,
 }
 
-/// The controllers: how many, and what each may use.
+/// The number of controllers and their settings.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Controllers {
     pub count: usize,
-    /// Zones of controllers and machines, in turn.
+    /// Zones, assigned to controllers and machines in turn.
     pub zones: Vec<String>,
     pub sockets: u32,
     #[serde(default = "info")]
     pub log_level: String,
-    /// How long a machine is idle before it is returned. So long by default that machines stay.
+    /// Idle time after which a machine is returned. With the default, all machines are kept.
     #[serde(default = "longest_idle")]
     pub idle_s: f64,
-    /// Whether links between controllers go through the emulator, so that they can fail.
+    /// Whether links between controllers go through forwarders in the emulator, which can inject
+    /// faults.
     #[serde(default)]
     pub forwarded: bool,
 }
 
-/// The state service's and the cloud's limits.
+/// Limits of the state service and the cloud.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Services {
@@ -60,7 +61,7 @@
     pub list_lag_s: f64,
 }
 
-/// Machines, all of one type, and their workers.
+/// Machines of one type, and their workers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Workers {
@@ -73,26 +74,27 @@
     pub lease_s: f64,
     pub cancel_s: f64,
     pub boot_s: f64,
-    /// The first machines come up one after the other in this time.
+    /// Time over which the boots of the initial machines are spread.
     pub ramp_s: f64,
 }
 
-/// Teams, all with the same guarantee and limit.
+/// Teams with the same guarantee and limit.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Teams {
     pub count: usize,
     pub cpus: f64,
-    /// 0: no limit.
+    /// Limit of cores; 0 means no limit.
     pub cpus_max: f64,
-    /// The same of GPUs.
+    /// Guarantee of GPUs.
     #[serde(default)]
     pub gpus: f64,
+    /// Limit of GPUs; 0 means no limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// Jobs that come again and again, each for the next team.
+/// Jobs of one class that are submitted repeatedly, for each team in turn.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Load {
@@ -101,36 +103,36 @@
     pub shape: Shape,
     pub tasks: u32,
     pub cpus: f64,
-    /// How long each task runs.
+    /// Run time of each task.
     #[serde(default)]
     pub run_s: f64,
     pub from_s: f64,
-    /// No job comes after this; the end of the experiment if not given.
+    /// Time after which no job is submitted; the end of the experiment if not given.
     pub until_s: Option<f64>,
-    /// Jobs come so often, each a little earlier or later.
+    /// Mean interval between submissions, which vary at random.
     pub every_s: f64,
-    /// A user cancels so large a share of the jobs.
+    /// Share of the jobs that their users cancel.
     #[serde(default)]
     pub cancelled: f64,
     #[serde(default)]
     pub gpus: f64,
-    /// How long a stopped task saves; 0: it loses its work.
+    /// Time that a stopped task takes to save its work; with 0 its work is lost.
     #[serde(default)]
     pub save_s: f64,
     #[serde(default)]
     pub image_gb: Option<f64>,
-    /// The only zone that it may run in.
+    /// The only zone in which the jobs may run.
     #[serde(default)]
     pub zone: Option<String>,
-    /// All tasks of a job in one zone.
+    /// Whether all tasks of a job must run in one zone.
     #[serde(default)]
     pub one_zone: bool,
-    /// At most half of them in one.
+    /// Whether at most half of the tasks may run in one zone.
     #[serde(default)]
     pub spread: bool,
 }
 
-/// What happens at a moment.
+/// An injected failure with its time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Injection {
     pub at_s: f64,
@@ -138,31 +140,31 @@
     pub what: InjectionKind,
 }
 
-/// What is done to machines and controllers.
+/// A kind of injected failure.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub(crate) enum InjectionKind {
-    /// So many machines die.
+    /// `count` machines die.
     MachineDeaths { count: usize },
-    /// So many machines die, and others come up in their places.
+    /// `count` machines die and are replaced by new ones.
     Replacements { count: usize },
     /// A share of a zone's machines dies at once.
     Rack { zone: String, share: f64 },
-    /// All machines and controllers of a zone die; after some seconds its controllers
-    /// come back, and machines can be rented there again.
+    /// All machines and controllers of a zone die. After `lasts_s` the controllers are restarted
+    /// and machines can be rented there again.
     Zone { zone: String, lasts_s: f64 },
-    /// A controller is killed, and started again after some seconds.
+    /// A controller is killed, and restarted after `lasts_s`.
     ControllerKill { who: Who, lasts_s: f64 },
-    /// Every controller is killed and started again, one after the other.
+    /// Each controller in turn is killed and restarted at once, `pause_s` apart.
     ControllerRoll { pause_s: f64 },
 }
 
-/// A controller.
+/// The controller that is killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Who {
     Leader,
-    /// Some controller that does not lead.
+    /// The first running controller that doesn't lead.
     Follower,
 }
 
@@ -182,19 +184,19 @@
     "info".into()
 }
 
-/// The largest numbers that addresses are there for.
+/// Largest numbers for which there are addresses.
 const MOST_CONTROLLERS: usize = 100;
 const MOST_WORKERS: usize = 20_000;
 
 impl Experiment {
-    /// Reads and checks an experiment file.
+    /// Reads and validates an experiment file.
     pub(crate) fn load(path: &Path) -> Result<Experiment, EmulatorError> {
         let experiment: Experiment = read_toml(path)?;
         experiment.check().map_err(|message| wrong(path, message))?;
         Ok(experiment)
     }
 
-    /// Whether the numbers make sense together.
+    /// Validates the numbers and the zones that injections refer to.
     pub(crate) fn check(&self) -> Result<(), String> {
         let within = |name: &str, value: usize, most: usize| match (1..=most).contains(&value) {
             true => Ok(()),
@@ -230,18 +232,18 @@
         Ok(())
     }
 
-    /// How long users and troubles go on.
+    /// Returns how long jobs are submitted and faults injected.
     pub(crate) fn duration(&self) -> Duration {
         seconds(self.duration_s)
     }
 
-    /// The zone of a controller or machine with this number.
+    /// Returns the zone of the controller or machine with this number.
     pub(crate) fn zone_of(&self, number: usize) -> &str {
         &self.controllers.zones[number % self.controllers.zones.len()]
     }
 }
 
-/// Reads a file that says what is played.
+/// Reads an experiment or plan file.
 pub(crate) fn read_toml<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, EmulatorError> {
     let text = std::fs::read_to_string(path).map_err(|source| EmulatorError::Unreadable {
         path: path.to_path_buf(),
@@ -250,7 +252,7 @@
     toml::from_str(&text).map_err(|e| wrong(path, e.to_string().trim().replace('\n', " ")))
 }
 
-/// What is wrong with such a file.
+/// Creates the error of an invalid experiment or plan file.
 pub(crate) fn wrong(path: &Path, message: String) -> EmulatorError {
     EmulatorError::Experiment {
         path: path.to_path_buf(),
@@ -258,7 +260,7 @@
     }
 }
 
-/// A duration that an experiment file names; nothing for what is none.
+/// Converts seconds to a duration; a value that is not a valid duration becomes zero.
 pub(crate) fn seconds(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -1,7 +1,7 @@
-//! Links that fail: which messages are held back, refused, executed late, or lose their answer.
+//! Link faults: which messages are held back, refused, executed late, or lose their response.
 //!
-//! A link has a direction. A fault on it may concern some of the machines only; which ones is
-//! decided by their names, so that it is the same ones for as long as the fault lasts.
+//! A link has a direction. A fault may affect only a share of the machines. A hash of their names
+//! selects the share, so the same machines are affected as long as the fault lasts.
 
 use async_io::Timer;
 use event_listener::Event;
@@ -16,12 +16,12 @@
 pub(crate) enum Party {
     /// A controller, by its number.
     Node(usize),
-    /// The controller that leads when the trouble begins.
+    /// The controller that leads when the fault begins.
     Leader,
     State,
     Cloud,
     Workers,
-    /// Whoever sends commands straight to machines.
+    /// Any sender of direct commands to machines.
     Direct,
     Users,
 }
@@ -34,38 +34,38 @@
 }
 
 impl Route {
-    /// The link from one to the other.
+    /// Returns the link from one party to another.
     pub(crate) fn between(from: Party, to: Party) -> Route {
         Route { from, to }
     }
 
-    /// The same link in the other direction.
+    /// Returns the link in the opposite direction.
     pub(crate) fn back(self) -> Route {
         Route::between(self.to, self.from)
     }
 }
 
-/// What is wrong with a link.
+/// A kind of link fault.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case")]
 pub(crate) enum LinkFault {
-    /// Nothing passes; what was sent is delivered, in order, when the fault is over.
+    /// All messages are held back, and delivered in order when the fault is over.
     Cut,
-    /// Everything takes so much longer.
+    /// Each message is delayed by a random time up to `delay_ms`.
     Slow { delay_ms: u64 },
     /// This share of the requests is refused.
     Refuses { share: f64 },
-    /// On this share of the messages the connection is closed instead.
+    /// Instead of this share of the messages, the connection is closed.
     Resets { share: f64 },
-    /// This share of the requests is executed, and the answer is lost.
+    /// This share of the requests is executed, and the response is lost.
     LosesAnswers { share: f64 },
-    /// This share of the requests is executed late, and never answered.
+    /// This share of the requests is executed after a random delay, without a response.
     Late { share: f64, least_s: f64, most_s: f64 },
-    /// Of this share of the messages a copy arrives again later.
+    /// A copy of this share of the messages arrives after a random delay.
     Copies { share: f64, least_s: f64, most_s: f64 },
 }
 
-/// What becomes of one message.
+/// The treatment of one message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Delivery {
     Deliver,
@@ -75,22 +75,23 @@
     Late(Duration),
 }
 
-/// A fault with its link and its end.
+/// A fault in effect on a link, with its end.
 struct Active {
     route: Route,
-    /// The share of the machines that are concerned.
+    /// Share of the machines that are affected.
     hosts: f64,
     fault: LinkFault,
     until: Instant,
 }
 
 impl Active {
+    /// Returns whether the fault affects a message; an empty `host` matches any share.
     fn concerns(&self, route: &Route, host: &str) -> bool {
         self.route == *route && Instant::now() < self.until && (host.is_empty() || place(host) < self.hosts)
     }
 }
 
-/// A number from 0 to 1 that belongs to a name (FNV-1a).
+/// Maps a name to a number from 0 to 1 by its FNV-1a hash.
 fn place(name: &str) -> f64 {
     let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
@@ -103,14 +104,14 @@
     rng: fastrand::Rng,
 }
 
-/// The faults of an experiment.
+/// The active link faults of an experiment.
 pub(crate) struct Faults {
     state: Mutex<State>,
     changed: Event,
 }
 
 impl Faults {
-    /// No faults yet.
+    /// Creates an empty set of faults; `seed` determines the random choices.
     pub(crate) fn new(seed: u64) -> Faults {
         let state = State {
             active: vec![],
@@ -126,7 +127,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A fault begins.
+    /// Starts a fault on a link for a share of the machines.
     pub(crate) fn begin(&self, route: Route, hosts: f64, fault: LinkFault, lasts: Duration) {
         let until = Instant::now() + lasts;
         let mut state = self.state();
@@ -141,25 +142,25 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// All faults are over.
+    /// Ends all faults.
     pub(crate) fn end(&self) {
         self.state().active.clear();
         self.changed.notify(usize::MAX);
     }
 
-    /// Until when messages are held back.
+    /// Returns the end of the last cut that affects a message, if there is one.
     fn held_until(&self, route: &Route, host: &str) -> Option<Instant> {
         let state = self.state();
         let cuts = state.active.iter().filter(|active| active.fault == LinkFault::Cut);
         cuts.filter(|cut| cut.concerns(route, host)).map(|cut| cut.until).max()
     }
 
-    /// Whether messages are held back.
+    /// Returns whether a cut holds back messages.
     pub(crate) fn is_held(&self, route: &Route, host: &str) -> bool {
         self.held_until(route, host).is_some()
     }
 
-    /// Waits until a message gets through.
+    /// Waits for the delay of a message and for the end of all cuts on its link.
     pub(crate) async fn passes(&self, route: &Route, host: &str) {
         let delay = self.delay(route, host);
         if !delay.is_zero() {
@@ -177,6 +178,7 @@
         }
     }
 
+    /// Draws the delay of a message.
     fn delay(&self, route: &Route, host: &str) -> Duration {
         let mut state = self.state();
         let State { active, rng } = &mut *state;
@@ -188,7 +190,7 @@
         Duration::from_micros((most as f64 * 1000.0 * rng.f64()) as u64)
     }
 
-    /// What becomes of a message that got through.
+    /// Decides the treatment of a message that has passed delays and cuts.
     pub(crate) fn delivery(&self, route: &Route, host: &str) -> Delivery {
         let mut state = self.state();
         let State { active, rng } = &mut *state;
@@ -207,7 +209,7 @@
         Delivery::Deliver
     }
 
-    /// How long after a message its copy arrives, if there is one.
+    /// Returns the delay of a message's copy, if it is copied.
     pub(crate) fn copies(&self, route: &Route, host: &str) -> Option<Duration> {
         let mut state = self.state();
         let State { active, rng } = &mut *state;
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Machines and jobs of an experiment, and the rules that are checked on them.
+//! Machines and jobs of an experiment, and the rules checked on them.
 
 use crate::experiment::Experiment;
 use crate::history::History;
@@ -13,29 +13,29 @@
 use glenhaven_fakes::SEC;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The one machine type.
+/// Name of the only machine type.
 pub(crate) const MACHINE_TYPE: &str = "m";
-/// What a machine costs an hour for each core, ordinary and spot.
+/// Hourly price per core, on demand and spot.
 const PRICE: f64 = 0.06;
 const SPOT_PRICE: f64 = 0.02;
 const CACHE_GB: f64 = 100.0;
 const FETCH_GB_PER_S: f64 = 1.0;
 
-/// A machine's tasks in this program: dropped, they end; poked, they look again.
+/// Handle of a machine's async tasks: dropping it ends them, a message on `poke` wakes the worker.
 pub(crate) struct Link {
     pub poke: Sender<()>,
-    /// Closed when the machine is gone.
+    /// Closes the termination channel when dropped.
     pub _alive: Sender<()>,
 }
 
-/// The first answer that a worker took with a new token.
+/// The first response with a new fencing token that a worker accepted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FirstOfTerm {
     pub fence: u64,
     pub at: u64,
 }
 
-/// Machines, jobs and the rules.
+/// Machines, jobs, results and rules of an experiment.
 pub(crate) struct Fleet {
     pub cloud: Cloud,
     pub workers: BTreeMap<String, Worker>,
@@ -44,17 +44,17 @@
     pub results: BTreeSet<String>,
     pub rules: Rules,
     pub rng: fastrand::Rng,
-    /// Zones in which no machine can be rented just now.
+    /// Zones in which no machine can be rented at present.
     pub zones_out: BTreeSet<String>,
     pub terms: Vec<FirstOfTerm>,
-    /// What happened last, for the report of a break.
+    /// Recent events, written out by soaks to diagnose failures.
     pub history: History,
-    /// Jobs that are left waiting, in a soak.
+    /// Stranded jobs; checked in soaks only.
     pub stranded: Stranded,
     next_request: u64,
 }
 
-/// The machine type of an experiment.
+/// Returns the machine type of an experiment.
 pub(crate) fn machine_type(experiment: &Experiment) -> MachineType {
     let workers = &experiment.workers;
     let zones: BTreeSet<String> = experiment.controllers.zones.iter().cloned().collect();
@@ -72,7 +72,7 @@
     }
 }
 
-/// The teams of an experiment.
+/// Returns the teams of an experiment.
 pub(crate) fn teams(experiment: &Experiment) -> Vec<Team> {
     let team = |n: usize| Team {
         name: format!("team-{n:03}"),
@@ -85,7 +85,7 @@
 }
 
 impl Fleet {
-    /// No machine and no job yet.
+    /// Creates a fleet without machines and jobs.
     pub(crate) fn new(experiment: &Experiment) -> Fleet {
         let kind = machine_type(experiment);
         let in_a_zone = experiment.workers.count.div_ceil(kind.zones.len().max(1)) as u32;
@@ -108,13 +108,13 @@
         }
     }
 
-    /// A new number of a request.
+    /// Returns the next request number.
     pub(crate) fn request_number(&mut self) -> u64 {
         self.next_request += 1;
         self.next_request
     }
 
-    /// The machine and everything on it is gone.
+    /// Terminates a machine with everything on it.
     pub(crate) fn machine_dies(&mut self, now: u64, name: &str) {
         self.history.note(now, || format!("{name} is gone"));
         self.cloud.terminate(now, name);
@@ -124,7 +124,7 @@
         self.links.remove(name);
     }
 
-    /// Machines that are up, of one zone or of all, in any order.
+    /// Returns the machines that are up, in one zone or in all, in random order.
     pub(crate) fn up(&mut self, zone: Option<&str>) -> Vec<String> {
         let here = |w: &&Worker| w.up && zone.is_none_or(|z| w.zone == z);
         let mut names: Vec<String> = self.workers.values().filter(here).map(|w| w.name.clone()).collect();
@@ -132,7 +132,7 @@
         names
     }
 
-    /// A worker took an answer with this token.
+    /// Records that a worker accepted a response with this fencing token.
     pub(crate) fn saw_fence(&mut self, now: u64, fence: u64) {
         if self.terms.last().is_none_or(|last| fence > last.fence) {
             self.history.note(now, || format!("the first worker has token {fence}"));
@@ -140,7 +140,7 @@
         }
     }
 
-    /// A worker has executed orders: what they began is looked at.
+    /// Checks the commands that a worker has executed, and records them.
     pub(crate) fn orders_executed(&mut self, now: u64, machine: &str, fence: u64, executed: &Executed) {
         self.rules.stops += executed.stops;
         for (task, attempt) in &executed.taken {
@@ -161,12 +161,12 @@
         }
     }
 
-    /// What holds at every moment is looked at.
+    /// Checks the rules that must hold at any time.
     pub(crate) fn check_rules(&mut self, now: u64) {
         self.rules.check(now, &self.workers, &self.users);
     }
 
-    /// Tasks that run, machines that are up, and jobs that are neither done nor cancelled.
+    /// Counts running tasks, machines that are up, and jobs that are neither done nor cancelled.
     pub(crate) fn counts(&self) -> Counts {
         let up = || self.workers.values().filter(|w| w.up);
         let open = |u: &&User| u.accepted.is_some() && u.done.is_none() && u.cancelled.is_none();
@@ -179,12 +179,12 @@
     }
 }
 
-/// What is there at a moment.
+/// Numbers of machines, tasks and jobs at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Counts {
     pub machines: usize,
     pub running: usize,
     pub open_jobs: usize,
-    /// Starts since the beginning.
+    /// Task starts since the beginning of the experiment.
     pub starts: u64,
 }
--- a/crates/emulator/src/forward.rs
+++ b/crates/emulator/src/forward.rs
@@ -1,5 +1,4 @@
-//! Forwarders of the links between controllers: they copy bytes, in order, as far as the link's
-//! faults let them.
+//! Forwarders of the links between controllers. They copy bytes in order, subject to link faults.
 
 use crate::cluster::EmulatedCluster;
 use crate::errors::EmulatorError;
@@ -10,10 +9,10 @@
 use std::net::TcpStream;
 use std::sync::Arc;
 
-/// Bytes that are copied at once.
+/// Largest number of bytes copied at once.
 const CHUNK: usize = 16 * 1024;
 
-/// Forwards every link from one controller to another, until the experiment ends.
+/// Starts the forwarders of all links between controllers.
 pub(crate) fn start(cluster: &Arc<EmulatedCluster>) -> Result<(), EmulatorError> {
     let nodes = cluster.nodes.len();
     for from in 0..nodes {
@@ -35,6 +34,7 @@
     Ok(())
 }
 
+/// Forwards one connection in both directions until either ends.
 async fn forward_one(cluster: Arc<EmulatedCluster>, near: Async<TcpStream>, there: Route, to: usize) {
     let Ok(far) = Async::<TcpStream>::connect(cluster.addresses.peer(to)).await else {
         return;
@@ -56,7 +56,7 @@
         };
         cluster.faults.passes(&route, "").await;
         if cluster.faults.delivery(&route, "") == Delivery::Reset {
-            // Half of what was sent arrives.
+            // The receiver gets only half of the chunk.
             to.write_all(&chunk[..n / 2]).await.ok();
             return;
         }
--- a/crates/emulator/src/history.rs
+++ b/crates/emulator/src/history.rs
@@ -1,13 +1,13 @@
-//! What happened last in an experiment, kept for the report of a break.
+//! The most recent events of an experiment, kept to diagnose failures.
 
 use std::collections::VecDeque;
 use std::io::Write;
 use std::path::Path;
 
-/// Events that are kept.
+/// Largest number of events kept; older ones are dropped.
 const KEPT: usize = 200_000;
 
-/// The last events, each with the microseconds since the beginning.
+/// The most recent events, each with its time in microseconds since the beginning.
 #[derive(Default)]
 pub(crate) struct History {
     on: bool,
@@ -15,12 +15,12 @@
 }
 
 impl History {
-    /// From now on events are kept.
+    /// Starts keeping events; before this call they are discarded.
     pub(crate) fn switch_on(&mut self) {
         self.on = true;
     }
 
-    /// Something happens.
+    /// Records an event. The text is only built if events are kept.
     pub(crate) fn note(&mut self, now: u64, event: impl FnOnce() -> String) {
         if !self.on {
             return;
@@ -31,7 +31,7 @@
         self.events.push_back((now, event()));
     }
 
-    /// Writes the events into a file, one a line.
+    /// Writes the events to a file, one per line with its time in seconds.
     pub(crate) fn write(&self, path: &Path) -> std::io::Result<()> {
         let mut file = std::io::BufWriter::new(std::fs::File::create(path)?);
         for (at, event) in &self.events {
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -1,4 +1,4 @@
-//! Jobs that come again and again.
+//! Submits the jobs of an experiment's loads.
 
 use crate::cluster::EmulatedCluster;
 use crate::experiment::{seconds, Load};
@@ -11,26 +11,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a task takes of its machine beside cores, and its image.
+/// Memory of each task, and the size of its image if the load doesn't set one.
 const MEMORY_GB: f64 = 1.0;
 const IMAGE_GB: f64 = 0.2;
-/// Jobs come so much earlier or later than their time, as a part of the pause.
+/// Largest relative deviation of the interval between submissions.
 const VARIES: f64 = 0.25;
-/// A user who cancels does it within this time.
+/// Longest time from submission to cancellation, in seconds.
 const ABORTS_WITHIN_S: f64 = 10.0;
 
-/// Numbers of jobs.
+/// The source of job numbers, shared by all loads.
 #[derive(Default)]
 pub(crate) struct Numbers(AtomicU64);
 
 impl Numbers {
-    /// The next number.
+    /// Returns the next number; the first is 1.
     pub(crate) fn next(&self) -> u64 {
         self.0.fetch_add(1, Ordering::Relaxed) + 1
     }
 }
 
-/// Submits the jobs of one kind until their time is over.
+/// Submits the jobs of one load until its end.
 pub(crate) async fn submit(cluster: Arc<EmulatedCluster>, load: Load, numbers: Arc<Numbers>) {
     let until = load.until_s.unwrap_or(cluster.experiment.duration_s);
     let mut at = load.from_s;
@@ -54,7 +54,7 @@
     }
 }
 
-/// The job with this number.
+/// Builds the spec of the job with this number; teams take turns.
 pub(crate) fn spec(cluster: &EmulatedCluster, load: &Load, number: u64) -> JobSpec {
     let teams = teams(&cluster.experiment);
     let team = &teams[number as usize % teams.len()];
--- a/crates/emulator/src/machines.rs
+++ b/crates/emulator/src/machines.rs
@@ -1,4 +1,5 @@
-//! Machines: each a worker that reports to a controller and takes direct commands.
+//! Emulated machines. Each runs a worker that sends reports to a controller and accepts direct
+//! commands.
 
 use crate::cluster::{EmulatedCluster, Side};
 use crate::faults::{Delivery, Party, Route};
@@ -16,21 +17,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a worker waits for the answer to a report.
+/// Time that a worker waits for the response to a report.
 const ANSWER: Duration = Duration::from_secs(4);
-/// Boot times are these parts of the machine type's.
+/// Range of the boot times, as factors of the machine type's boot time.
 const SHORTEST_BOOT: f64 = 0.6;
 const LONGEST_BOOT: f64 = 1.5;
-/// Pauses between reports vary by so large a part.
+/// Largest relative deviation of the interval between reports.
 const REPORTS_VARY: f64 = 0.25;
 
-/// How long a machine boots.
+/// Draws the boot time of a machine.
 pub(crate) fn boot_time(cluster: &EmulatedCluster, fleet: &mut Fleet) -> Duration {
     let part = SHORTEST_BOOT + (LONGEST_BOOT - SHORTEST_BOOT) * fleet.rng.f64();
     Duration::from_secs_f64(cluster.experiment.workers.boot_s * part)
 }
 
-/// Creates a machine that comes up after a while: its name.
+/// Creates a machine that is up after the time `boot`, and returns its name.
 pub(crate) fn create(
     cluster: &Arc<EmulatedCluster>,
     fleet: &mut Fleet,
@@ -63,19 +64,19 @@
     name
 }
 
-/// Waits until the machine is gone.
+/// Waits until the machine is terminated: its channel is closed then.
 async fn closed(terminated: Receiver<()>) {
     while terminated.recv().await.is_ok() {}
 }
 
-/// One machine.
+/// One emulated machine.
 #[derive(Clone)]
 struct Machine {
     cluster: Arc<EmulatedCluster>,
     name: String,
 }
 
-/// A report to be sent.
+/// A report to send, with its request number and the controller that receives it.
 struct Outgoing {
     rid: u64,
     node: usize,
@@ -83,6 +84,7 @@
 }
 
 impl Machine {
+    /// Boots the machine and runs its worker.
     async fn live(self, number: u64, boot: Duration, poked: Receiver<()>, terminated: Receiver<()>) {
         Timer::after(boot).await;
         let listener = match server::listen(self.cluster.addresses.machine(number)) {
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Does what the worker does by itself, whenever it is time.
+    /// Advances the worker whenever something is due or the machine is woken. Queues its reports.
     async fn work(self, heartbeats: Sender<Outgoing>, poked: Receiver<()>) {
         while let Some((due, pause)) = self.step() {
             if let Some(outgoing) = due {
@@ -122,8 +124,8 @@
         }
     }
 
-    /// One look at tasks, lease and report: the report that is due, and how long nothing
-    /// else happens; nothing if the machine is gone.
+    /// Advances the lease, the tasks and the report schedule. Returns the report that is due, if
+    /// any, and the time until the next step; `None` if the machine is not up.
     fn step(&self) -> Option<(Option<Outgoing>, Duration)> {
         let settings = &self.cluster.experiment.workers;
         let lease = (settings.lease_s * SEC as f64) as u64;
@@ -139,7 +141,7 @@
             let incarnation = worker.incarnation();
             fleet
                 .history
-                .note(now, || format!("{} begins session {incarnation}", self.name));
+                .note(now, || format!("{} starts incarnation {incarnation}", self.name));
         }
         fleet.rules.lease_kills += expired.unwrap_or(0);
         let progress = worker.run_tasks(now, &fleet.users, &mut fleet.results);
@@ -162,7 +164,7 @@
         Some((due, Duration::from_micros(pause)))
     }
 
-    /// Sends reports and takes in their answers.
+    /// Sends the queued reports and handles their responses.
     async fn heartbeat(self, queue: Receiver<Outgoing>) {
         let mut connection: Option<(usize, Connection)> = None;
         while let Ok(outgoing) = queue.recv().await {
@@ -183,8 +185,8 @@
         }
     }
 
-    /// Sends a report over a link that may fail, and takes its answer. A report that is held
-    /// back arrives later, though nobody waits for the answer any more.
+    /// Sends a report over a link that may fail, and returns its response. A report that is held
+    /// back is delivered later, but its response is discarded.
     async fn exchange_report(
         &self,
         reused: Option<Connection>,
@@ -214,7 +216,7 @@
         }
     }
 
-    /// A copy of a report may arrive again much later, at any controller.
+    /// If the link copies this report, sends the copy to a random controller after a delay.
     fn copy_later(&self, node: usize, request: &Request) {
         let there = Route::between(Party::Workers, Party::Node(node));
         let Some(after) = self.cluster.faults.copies(&there, &self.name) else {
@@ -229,7 +231,7 @@
         self.cluster.executor.spawn(copy).detach();
     }
 
-    /// What came of a report.
+    /// Handles the response to a report; `None` means that there was none in time.
     fn answered(&self, rid: u64, answer: Option<Response>) {
         let nodes = self.cluster.nodes.len();
         let mut fleet = self.cluster.fleet();
@@ -238,7 +240,7 @@
         let Some(worker) = fleet.workers.get_mut(&self.name).filter(|w| w.up) else {
             return;
         };
-        // A machine that hangs reads its answer when it goes on, too late.
+        // A machine that hangs reads the response only after the hang, which is too late.
         let answer = answer.filter(|_| now >= worker.hangs_until);
         let Some((_, sent, incarnation)) = worker.flying.filter(|flying| flying.0 == rid) else {
             return;
@@ -260,7 +262,7 @@
         poke(fleet, &self.name);
     }
 
-    /// Takes commands sent straight to the machine.
+    /// Accepts connections with direct commands.
     async fn take_direct_commands(self, listener: Async<TcpListener>, terminated: Receiver<()>) {
         while let Ok((stream, _)) = listener.accept().await {
             let connection = Connection::new(stream);
@@ -269,6 +271,7 @@
         }
     }
 
+    /// Serves direct commands on one connection, subject to link faults.
     async fn serve_direct(self, mut connection: Connection) {
         let there = Route::between(Party::Direct, Party::Workers);
         while let Ok(Some(request)) = connection.read_request().await {
@@ -295,7 +298,7 @@
         }
     }
 
-    /// Waits until the machine hangs no longer.
+    /// Waits until the machine no longer hangs.
     async fn goes_on(&self) {
         loop {
             let now = self.cluster.now();
@@ -312,7 +315,7 @@
         }
     }
 
-    /// Answers a request that came straight to the machine; nothing if it is gone.
+    /// Answers a direct request; `None` if the machine is not up.
     fn direct(&self, request: &Request) -> Option<Response> {
         let mut fleet = self.cluster.fleet();
         let fleet = &mut *fleet;
@@ -340,12 +343,13 @@
     }
 }
 
-/// What the answer to a report says.
+/// The response to a report.
 enum Answer {
+    /// Commands for the worker.
     HeartbeatResponse(HeartbeatResponse),
-    /// To report to the controller of this name.
+    /// The worker must report to the controller of this name.
     Redirect(String),
-    /// Nothing that helps.
+    /// No response, or one that can't be used.
     None,
 }
 
@@ -362,13 +366,14 @@
     }
 }
 
+/// Wakes a machine's worker, so that it checks for due work.
 fn poke(fleet: &Fleet, name: &str) {
     if let Some(link) = fleet.links.get(name) {
         link.poke.try_send(()).ok();
     }
 }
 
-/// Waits for something so long at most.
+/// Limits the time of an operation; `None` if it takes longer than `limit`.
 pub(crate) async fn within<T>(limit: Duration, work: impl std::future::Future<Output = Option<T>>) -> Option<T> {
     let late = async {
         Timer::after(limit).await;
@@ -377,8 +382,8 @@
     future::or(work, late).await
 }
 
-/// Makes a call to a controller, over this connection if there is one: the answer, and
-/// the connection if it can be used again.
+/// Sends a request to a controller, over the connection `reused` if there is one. Returns the
+/// response, and the connection if it can be reused.
 pub(crate) async fn exchange(
     cluster: &EmulatedCluster,
     reused: Option<Connection>,
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,4 +1,5 @@
-//! `glenhaven-emulator`: experiments with real controllers among emulated hosts.
+//! `glenhaven-emulator`: runs real controllers against emulated workers, users, cloud and state
+//! service.
 #![forbid(unsafe_code)]
 
 mod balancer;
@@ -28,8 +29,8 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Experiments with real controllers among emulated workers, users, cloud and state
-/// service, all on loopback. Logs go to standard error.
+/// Runs real controllers with emulated workers, users, cloud and state service, all on loopback.
+/// Logs go to standard error.
 #[derive(Parser)]
 #[command(version)]
 struct Args {
@@ -39,26 +40,26 @@
 
 #[derive(Subcommand)]
 enum Subcommands {
-    /// Runs one experiment and writes its report. Ends with 0 if every rule held, 1 if one
-    /// was broken or a controller ended by itself, 2 if the experiment could not be run
-    /// and 130 if it was interrupted.
+    /// Runs one experiment and writes its report. Exits with 0 if all rules held, 1 if a rule was
+    /// broken or a controller exited by itself, 2 if the experiment could not be run and 130 if it
+    /// was interrupted.
     Scale {
-        /// What is run (TOML).
+        /// Experiment file (TOML).
         #[arg(value_name = "EXPERIMENT.toml")]
         experiment: PathBuf,
-        /// The glenhaven program.
+        /// Path of the glenhaven program.
         #[arg(long, value_name = "PATH")]
         controllers: PathBuf,
-        /// Where the report is written; target/lab/NAME if not given.
+        /// Directory of the report; target/lab/NAME if not given.
         #[arg(long, value_name = "DIR")]
         report: Option<PathBuf>,
     },
-    /// Plays plans of randomized troubles, one for each seed. Ends with 0 if everything held, 1 if
-    /// something was broken, 2 if a plan could not be played and 130 if it was interrupted.
+    /// Runs plans of randomized faults, one for each seed. Exits with 0 if every plan held, 1 if
+    /// one failed, 2 if a plan could not be run and 130 if it was interrupted.
     Soak(soak::SoakArgs),
 }
 
-/// The exit status of an experiment in which a rule was broken.
+/// Exit status if a rule was broken or a plan failed.
 const RULES_BROKEN: u8 = 1;
 
 fn main() -> ExitCode {
--- a/crates/emulator/src/plots.rs
+++ b/crates/emulator/src/plots.rs
@@ -10,18 +10,18 @@
 const SIZE: (u32, u32) = (900, 500);
 const MARGIN: u32 = 12;
 const LABELS: u32 = 56;
-/// Above the largest value there is so much more room.
+/// Length of an axis relative to the largest value.
 const ROOM: f64 = 1.05;
-/// The best quantile that is drawn: the last one has no place on a logarithmic axis.
+/// Largest quantile drawn: quantile 1 can't be shown on a logarithmic axis.
 const BEST_QUANTILE: f64 = 0.99999;
 
-/// A line with its name.
+/// A named line.
 struct Line {
     name: String,
     points: Vec<(f64, f64)>,
 }
 
-/// A plot.
+/// A plot with its axis labels.
 struct Plot<'a> {
     title: &'a str,
     x: &'a str,
@@ -29,7 +29,7 @@
     lines: Vec<Line>,
 }
 
-/// One line for each controller.
+/// Returns one line for each controller.
 fn by_node(samples: &[Sample], value: fn(&Sample) -> f64) -> Vec<Line> {
     let nodes: BTreeSet<usize> = samples.iter().map(|s| s.node).collect();
     let line = |node: usize| Line {
@@ -43,6 +43,7 @@
     nodes.into_iter().map(line).collect()
 }
 
+/// Returns a line of a value that is the same for all controllers.
 fn of_all(samples: &[Sample], name: &str, value: fn(&Sample) -> f64) -> Line {
     let points: BTreeMap<u64, f64> = samples.iter().map(|s| (s.at_s.round() as u64, value(s))).collect();
     Line {
@@ -51,7 +52,7 @@
     }
 }
 
-/// The times at each quantile, by the number of nines.
+/// Returns lines of the times over the quantiles, on an axis of the number of nines.
 fn curves(times: &BTreeMap<&'static str, Times>) -> Vec<Line> {
     let nines = |quantile: f64| -(1.0 - quantile.min(BEST_QUANTILE)).log10();
     let line = |(name, times): (&&'static str, &Times)| Line {
@@ -119,6 +120,7 @@
     Ok(())
 }
 
+/// Draws one plot into a file.
 fn draw_one(path: &Path, plot: &Plot) -> Result<(), Box<dyn std::error::Error>> {
     let points = || plot.lines.iter().flat_map(|line| &line.points);
     let largest = |of: fn(&(f64, f64)) -> f64| points().map(of).fold(0.0, f64::max).max(1e-3) * ROOM;
--- a/crates/emulator/src/preflight.rs
+++ b/crates/emulator/src/preflight.rs
@@ -1,4 +1,4 @@
-//! What is looked at before anything is started.
+//! Checks of the host before an experiment starts.
 
 use crate::cluster::Addresses;
 use crate::errors::EmulatorError;
@@ -6,24 +6,25 @@
 use procfs::Current;
 use std::path::Path;
 
-/// What the emulator takes of a machine's memory at most, as a part.
+/// The emulator and the controllers together may use the host's memory divided by this number.
 const MEMORY_PART: u64 = 2;
-/// Memory that a controller and a worker are reckoned to take.
+/// Estimated memory of a controller and of a worker.
 const CONTROLLER_MB: u64 = 100;
 const WORKER_KB: u64 = 128;
-/// File descriptors for each worker: its listener, its report and a direct command.
+/// File descriptors reserved for each worker: its listener, its report and a direct command.
 const FILES_A_WORKER: u64 = 4;
-/// File descriptors beside those of workers: users, state service, cloud and logs.
+/// File descriptors reserved for users, state service, cloud and logs.
 const FILES: u64 = 1000;
 const LEAST_CORES: u64 = 2;
 const KB_A_MB: u64 = 1024;
 
-/// The memory that all processes together may take, in megabytes.
+/// Returns the memory that all processes together may use, in megabytes.
 pub(crate) fn memory_limit_mb() -> Result<u64, EmulatorError> {
     let memory = procfs::Meminfo::current().map_err(|e| EmulatorError::Machine(e.to_string()))?;
     Ok(memory.mem_total / (KB_A_MB * KB_A_MB) / MEMORY_PART)
 }
 
+/// Returns an error if `found` is less than `needed`.
 fn enough(what: &'static str, needed: u64, found: u64) -> Result<(), EmulatorError> {
     match found >= needed {
         true => Ok(()),
@@ -31,7 +32,8 @@
     }
 }
 
-/// Whether this machine can run the experiment, as far as that can be told before.
+/// Checks that the program exists, the host has enough cores, memory and file descriptors, and the
+/// controllers' ports are free.
 pub(crate) fn check(experiment: &Experiment, program: &Path) -> Result<(), EmulatorError> {
     if !program.is_file() {
         return Err(EmulatorError::NoProgram {
@@ -47,7 +49,7 @@
     ports_are_free(experiment)
 }
 
-/// How many files this process may open.
+/// Returns the number of files that this process may open.
 fn open_files() -> Result<u64, EmulatorError> {
     let failed = |e: procfs::ProcError| EmulatorError::Machine(e.to_string());
     let limits = procfs::process::Process::myself()
@@ -59,7 +61,7 @@
     })
 }
 
-/// Whether the controllers will be able to listen.
+/// Checks that the controllers' ports are free.
 fn ports_are_free(experiment: &Experiment) -> Result<(), EmulatorError> {
     let addresses = Addresses::new(experiment.network);
     for node in 0..experiment.controllers.count {
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,4 +1,4 @@
-//! What an experiment has shown.
+//! The report of an experiment: `report.json`, `samples.csv` and the summary.
 
 use crate::cluster::EmulatedCluster;
 use crate::errors::EmulatorError;
@@ -15,25 +15,25 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-/// Decimal digits that histograms keep.
+/// Significant decimal digits of histogram values.
 const DIGITS: u8 = 3;
-/// Samples count from so long after the first machines are up, in seconds.
+/// Time after the boots of the initial machines from which samples count, in seconds.
 const SETTLED_S: f64 = 5.0;
-/// How long questions about an accepted job may go unanswered, in seconds.
+/// Longest time for which requests about an accepted job may remain unanswered, in seconds.
 const SILENCE_S: u64 = 75;
 
-/// A controller that ended by itself.
+/// A controller that exited without being killed.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Ended {
     pub node: usize,
     pub at_s: f64,
 }
 
-/// What was seen while an experiment ran.
+/// Data collected while an experiment ran.
 pub(crate) struct Observed {
     pub samples: Vec<Sample>,
     pub ended: Vec<Ended>,
-    /// Answers in the audit at the end; nothing if it took too long.
+    /// Number of answers in the audit at the end; `None` if the audit took too long.
     pub audited: Option<usize>,
     pub lost: Vec<LostLeader>,
 }
@@ -46,11 +46,11 @@
     pub p90_ms: f64,
     pub p99_ms: f64,
     pub max_ms: f64,
-    /// Quantiles and their times, for plots.
+    /// Pairs of a quantile and its time in milliseconds, for plots.
     pub curve: Vec<(f64, f64)>,
 }
 
-/// What controllers in one role took.
+/// Resource use of the controllers in one role.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct Role {
     pub samples: usize,
@@ -58,14 +58,14 @@
     pub cpu_max: f64,
     pub memory_mb_max: f64,
     pub sockets_max: usize,
-    /// Bytes a second, received and sent, without those between controllers.
+    /// Bytes per second received and sent, without traffic between controllers.
     pub received_mean: f64,
     pub sent_mean: f64,
     pub workers_received_mean: f64,
     pub workers_sent_mean: f64,
 }
 
-/// How jobs fared.
+/// Numbers of jobs by outcome, and of their tasks.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct Jobs {
     pub submitted: usize,
@@ -77,7 +77,7 @@
     pub tasks_never_started: u64,
 }
 
-/// What an experiment has shown.
+/// The results of an experiment.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Report {
     pub name: String,
@@ -85,7 +85,7 @@
     pub seconds: f64,
     /// Rules of the protocol that were broken.
     pub broken: Vec<String>,
-    /// What should never have been asked of the state service or the cloud.
+    /// Invalid requests that the state service or the cloud received.
     pub problems: Vec<String>,
     pub controllers_ended: Vec<Ended>,
     pub longest_silence_s: u64,
@@ -109,7 +109,8 @@
 }
 
 impl Report {
-    /// Whether every rule held and every controller ran on.
+    /// Returns whether all rules held, no controller exited by itself, requests about jobs and the
+    /// audit were answered in time, and at least one task was started.
     pub(crate) fn holds(&self) -> bool {
         self.broken.is_empty()
             && self.problems.is_empty()
@@ -119,7 +120,7 @@
             && self.starts > 0
     }
 
-    /// The report in a few lines.
+    /// Summarizes the report in a few lines.
     pub(crate) fn summary(&self) -> String {
         let mut text = format!(
             "{}: {} in {:.0} s; {} starts, {:.1} a second; {} of {} jobs accepted, {} done\n",
@@ -155,18 +156,18 @@
         if self.longest_silence_s > SILENCE_S {
             let _ = writeln!(
                 text,
-                "no question about a job was answered for {} s",
+                "requests about a job were not answered for {} s",
                 self.longest_silence_s
             );
         }
         if self.audited_answers.is_none() {
-            text.push_str("the audit at the end was not over in time\n");
+            text.push_str("the audit at the end did not finish in time\n");
         }
         text
     }
 }
 
-/// A histogram of microseconds.
+/// Builds a histogram of times in microseconds.
 fn histogram(times: impl Iterator<Item = u64>) -> Option<Histogram<u64>> {
     let mut histogram = Histogram::<u64>::new(DIGITS).ok()?;
     for time in times {
@@ -175,6 +176,7 @@
     Some(histogram)
 }
 
+/// Summarizes times in microseconds; `None` if there are none.
 fn times(values: impl Iterator<Item = u64>) -> Option<Times> {
     let histogram = histogram(values).filter(|h| !h.is_empty())?;
     let ms = |micros: u64| micros as f64 / 1e3;
@@ -191,7 +193,7 @@
     })
 }
 
-/// What one role took; samples before `settled` don't count.
+/// Summarizes the samples of one role, without samples before `settled`.
 fn role(samples: &[Sample], leads: bool, settled: f64) -> Role {
     let of_role = || samples.iter().filter(|s| s.leads == leads && s.at_s >= settled);
     let count = of_role().count();
@@ -209,6 +211,7 @@
     }
 }
 
+/// Counts jobs and tasks by outcome.
 fn jobs(users: &BTreeMap<String, User>, first_start: &BTreeMap<String, u64>) -> Jobs {
     let count = |which: fn(&User) -> bool| users.values().filter(|u| which(u)).count();
     let wanted = users.values().filter(|u| u.accepted.is_some() && !u.wants_abort);
@@ -226,7 +229,7 @@
     }
 }
 
-/// How long each started task waited since its user first asked.
+/// Returns the time from the first submission to the start of each started task, in microseconds.
 fn waits(users: &BTreeMap<String, User>, first_start: &BTreeMap<String, u64>, urgent: bool) -> Vec<u64> {
     let wait = |(task, at): (&String, &u64)| {
         let user = users.get(job_of(task))?;
@@ -237,7 +240,7 @@
     first_start.iter().filter_map(wait).collect()
 }
 
-/// Puts together what was seen.
+/// Builds the report of an experiment.
 pub(crate) fn build(cluster: &EmulatedCluster, observed: &Observed) -> Report {
     let silence = users::longest_silence(cluster);
     let fleet = cluster.fleet();
@@ -248,7 +251,7 @@
     let late: Vec<&Sample> = samples.iter().filter(|s| s.at_s >= settled).collect();
     let mean = |value: fn(&Sample) -> f64| late.iter().map(|s| value(s)).sum::<f64>() / late.len().max(1) as f64;
     let accepted = fleet.users.values().filter_map(|u| Some(u.accepted? - u.first_asked?));
-    // From the kill to the first answer that a worker takes from the next leader.
+    // Time from the kill of a leader to the first response of a later leader that a worker accepts.
     let takeovers = observed.lost.iter().filter_map(|lost| {
         let next = fleet.terms.iter().find(|term| term.fence > lost.fence)?;
         Some(next.at.saturating_sub(lost.at))
@@ -289,7 +292,7 @@
     }
 }
 
-/// Writes a report: `report.json`, `samples.csv` and plots.
+/// Writes `report.json`, `samples.csv` and the plots into `dir`.
 pub(crate) fn write(report: &Report, dir: &Path) -> Result<(), EmulatorError> {
     let write = |name: &str, text: String| {
         let path = dir.join(name);
@@ -301,6 +304,7 @@
     plots::draw(dir, &report.samples, &report.times)
 }
 
+/// Formats samples as CSV.
 fn csv(samples: &[Sample]) -> String {
     let mut text = String::from(
         "at_s,node,leads,cpu,memory_kb,sockets,workers_in,workers_out,users_in,users_out,\
--- a/crates/emulator/src/samples.rs
+++ b/crates/emulator/src/samples.rs
@@ -1,4 +1,4 @@
-//! What the controller processes take, once a second.
+//! Samples of the controller processes' resource use and traffic.
 
 use crate::cluster::{EmulatedCluster, Side};
 use crate::errors::EmulatorError;
@@ -8,19 +8,19 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// One controller in one second.
+/// Resource use and traffic of one controller since its previous sample.
 #[derive(Clone, Debug, serde::Serialize)]
 pub(crate) struct Sample {
-    /// Seconds since the beginning.
+    /// Seconds since the beginning of the experiment.
     pub at_s: f64,
     pub node: usize,
-    /// Whether it leads by what the state service says.
+    /// Whether the state service records this controller as leader.
     pub leads: bool,
-    /// Processor time as a part of one core.
+    /// Processor time as a fraction of one core.
     pub cpu: f64,
     pub memory_kb: u64,
     pub sockets: usize,
-    /// Bytes a second from and to workers, users, the state service and the cloud.
+    /// Bytes per second from and to workers, users, the state service and the cloud.
     pub workers_in: f64,
     pub workers_out: f64,
     pub users_in: f64,
@@ -29,14 +29,15 @@
     pub state_out: f64,
     pub cloud_in: f64,
     pub cloud_out: f64,
-    /// Starts a second, tasks that run, machines that are up and open jobs, of all.
+    /// Task starts per second, running tasks, machines that are up and open jobs of the whole
+    /// cluster.
     pub starts: f64,
     pub running: usize,
     pub machines: usize,
     pub open_jobs: usize,
 }
 
-/// What a process had taken when it was looked at.
+/// Cumulative use of a process at the previous sample.
 struct Seen {
     pid: u32,
     at: Instant,
@@ -46,7 +47,7 @@
 
 const SIDES: [Side; 4] = [Side::Workers, Side::Users, Side::State, Side::Cloud];
 
-/// Looks at processes, and keeps what it has seen.
+/// Takes samples of the controller processes and keeps them.
 #[derive(Default)]
 pub(crate) struct Sampler {
     seen: BTreeMap<usize, Seen>,
@@ -54,13 +55,14 @@
     pub samples: Vec<Sample>,
 }
 
-/// What a process has.
+/// Resources that a process has used or holds.
 struct Usage {
     ticks: u64,
     memory_kb: u64,
     sockets: usize,
 }
 
+/// Reads a process's resource use; `None` if it can't be read.
 fn usage(pid: u32) -> Option<Usage> {
     let process = Process::new(i32::try_from(pid).ok()?).ok()?;
     let stat = process.stat().ok()?;
@@ -73,13 +75,17 @@
     })
 }
 
-/// The memory that this process takes, in kilobytes.
+/// Returns the emulator's own resident memory, in kilobytes.
 fn own_memory_kb() -> u64 {
     usage(std::process::id()).map_or(0, |usage| usage.memory_kb)
 }
 
 impl Sampler {
-    /// Looks at all controllers; an error if all processes together take too much memory.
+    /// Samples all controllers and returns the counts of the fleet.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the emulator and the controllers together use more memory than `limit_mb`.
     pub(crate) fn sample(&mut self, cluster: &EmulatedCluster, limit_mb: u64) -> Result<Counts, EmulatorError> {
         let now = Instant::now();
         let counts = cluster.fleet().counts();
--- a/crates/emulator/src/scale.rs
+++ b/crates/emulator/src/scale.rs
@@ -1,4 +1,4 @@
-//! Runs one experiment from its beginning to its report.
+//! The `scale` subcommand: runs one experiment and writes its report.
 
 use crate::cluster::{EmulatedCluster, Side};
 use crate::controllers::Controllers;
@@ -17,34 +17,35 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Threads beside the main one; the controllers need the other cores.
+/// Executor threads in addition to the main thread. The controllers need the other cores.
 const THREADS: usize = 1;
-/// A controller has to be ready by then.
+/// Time within which at least one controller must become healthy.
 const READY: Duration = Duration::from_secs(30);
-/// How soon an interrupt ends the experiment.
+/// Interval at which a request to stop is polled.
 const STOP: Duration = Duration::from_millis(100);
+/// Interval of samples and of checks of the controller processes.
 const LOOK: Duration = Duration::from_secs(1);
-/// How often it is said how far the experiment is, in looks.
+/// Samples between two progress log lines.
 const PROGRESS: u64 = 5;
-/// Limits of teams and cancelled tasks are looked at so often, and less often by so much
-/// for each worker, since a look takes longer then.
+/// Interval of the rule checks, and its increase for each worker: a check takes longer with more
+/// workers.
 const RULES: Duration = Duration::from_millis(20);
 const RULES_A_WORKER: Duration = Duration::from_micros(100);
-/// Jobs about which each controller is asked at the end, and how long that may take.
+/// Largest number of accepted jobs in the audit at the end, and the audit's time limit.
 const AUDITED: usize = 300;
 const AUDIT: Duration = Duration::from_secs(30);
 
-/// Where the report goes if nothing else is said.
+/// Directory of the reports if the option isn't given.
 const REPORTS: &str = "target/lab";
 
-/// Listeners of the state service and of the cloud, one for each controller.
+/// Listeners of the emulated state service and cloud, one for each controller.
 pub(crate) struct Services {
     state: Vec<Async<TcpListener>>,
     cloud: Vec<Async<TcpListener>>,
 }
 
 impl Services {
-    /// Listens for all controllers.
+    /// Binds the listeners for all controllers.
     pub(crate) fn listen(experiment: &Experiment) -> Result<Services, EmulatorError> {
         let addresses = crate::cluster::Addresses::new(experiment.network);
         let nodes = 0..experiment.controllers.count;
@@ -60,7 +61,7 @@
     }
 }
 
-/// Kills the controllers when the experiment is left, in whatever way.
+/// Kills the controllers when the experiment ends, also on an error or a panic.
 pub(crate) struct EndChildren(pub Arc<EmulatedCluster>);
 
 impl Drop for EndChildren {
@@ -69,7 +70,11 @@
     }
 }
 
-/// Runs an experiment and writes its report.
+/// Runs an experiment and writes its report into `dir`, or into a default directory.
+///
+/// # Errors
+///
+/// Fails if the experiment is not valid, can't be started, or is stopped before its end.
 pub(crate) fn run(file: &Path, program: &Path, dir: Option<PathBuf>) -> Result<Report, EmulatorError> {
     let experiment = Experiment::load(file)?;
     preflight::check(&experiment, program)?;
@@ -109,13 +114,14 @@
     Ok(report)
 }
 
+/// Stops the experiment on an interrupt or termination signal.
 fn stop_on_signals(cluster: &Arc<EmulatedCluster>) -> Result<(), EmulatorError> {
     let cluster = cluster.clone();
     let stop = move || cluster.stop(EmulatorError::Interrupted);
     ctrlc::set_handler(stop).map_err(|e| EmulatorError::Machine(e.to_string()))
 }
 
-/// A panic in any thread ends the experiment, after it was said as always.
+/// Stops the experiment when any thread panics. The previous panic hook still prints the panic.
 fn stop_on_panics(cluster: &Arc<EmulatedCluster>) {
     let cluster = cluster.clone();
     let say = std::panic::take_hook();
@@ -125,7 +131,7 @@
     }));
 }
 
-/// Waits until the experiment is to end before its time.
+/// Waits until the experiment is stopped early, and returns the reason.
 async fn stopped(cluster: &EmulatedCluster) -> Result<Observed, EmulatorError> {
     loop {
         Timer::after(STOP).await;
@@ -135,7 +141,7 @@
     }
 }
 
-/// Plays the experiment to its end.
+/// Runs the experiment and the audit at its end.
 async fn play(cluster: Arc<EmulatedCluster>, services: Services) -> Result<Observed, EmulatorError> {
     serve(&cluster, services);
     for node in 0..cluster.nodes.len() {
@@ -175,7 +181,7 @@
     })
 }
 
-/// Serves the state service and the cloud.
+/// Starts serving the state service and the cloud.
 pub(crate) fn serve(cluster: &Arc<EmulatedCluster>, services: Services) {
     for (node, listener) in services.state.into_iter().enumerate() {
         let serve = server::serve(cluster.clone(), listener, node, Side::State, state_service::handle);
@@ -191,7 +197,7 @@
         .detach();
 }
 
-/// Creates the machines that are there from the beginning.
+/// Creates the initial machines; their boots are spread over the ramp time.
 pub(crate) fn create_machines(cluster: &Arc<EmulatedCluster>) {
     let workers = &cluster.experiment.workers;
     let mut fleet = cluster.fleet();
@@ -202,7 +208,7 @@
     }
 }
 
-/// Looks at what holds at every moment, for ever.
+/// Checks the rules periodically until the experiment ends.
 async fn check_rules_periodically(cluster: Arc<EmulatedCluster>) {
     let pause = RULES + RULES_A_WORKER * cluster.experiment.workers.count as u32;
     loop {
@@ -212,7 +218,8 @@
     }
 }
 
-/// Looks at the controllers once a second until the experiment is over.
+/// Samples the controllers once a second until the end of the experiment. Returns the samples and
+/// the controllers that exited without being killed.
 async fn watch(cluster: &EmulatedCluster) -> Result<(Sampler, Vec<Ended>), EmulatorError> {
     let limit_mb = preflight::memory_limit_mb()?;
     let (began, ends) = (Instant::now(), Instant::now() + cluster.experiment.duration());
@@ -223,7 +230,7 @@
         Timer::after(LOOK.min(ends.saturating_duration_since(Instant::now()))).await;
         let counts = sampler.sample(cluster, limit_mb)?;
         for node in cluster.processes().ended() {
-            tracing::error!(node, "a controller ended by itself");
+            tracing::error!(node, "controller process exited unexpectedly");
             ended.push(Ended {
                 node,
                 at_s: cluster.now() as f64 / 1e6,
@@ -246,7 +253,7 @@
                 open_jobs = counts.open_jobs,
                 starts = counts.starts,
                 broken = cluster.fleet().rules.broken.len(),
-                "progress"
+                "experiment progress"
             );
         }
     }
--- a/crates/emulator/src/scheduled_failures.rs
+++ b/crates/emulator/src/scheduled_failures.rs
@@ -1,4 +1,4 @@
-//! What is done to machines and controllers at given moments.
+//! Failures of machines and controllers that are injected at scheduled times.
 
 use crate::cluster::EmulatedCluster;
 use crate::experiment::{seconds, Injection, InjectionKind, Who};
@@ -7,11 +7,12 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// When leading controllers were killed, with the highest token that workers had seen.
+/// The leaders that were killed.
 #[derive(Default)]
 pub(crate) struct LostLeaders(Mutex<Vec<LostLeader>>);
 
-/// The loss of a leading controller.
+/// The kill of a leader: its time in microseconds, and the highest fencing token that workers had
+/// accepted by then.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LostLeader {
     pub at: u64,
@@ -23,17 +24,17 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner).push(lost);
     }
 
-    /// All of them.
+    /// Returns all killed leaders so far.
     pub(crate) fn all(&self) -> Vec<LostLeader> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// Does one thing when its time has come.
+/// Waits until an injection's time and injects it.
 pub(crate) async fn inject(cluster: Arc<EmulatedCluster>, injection: Injection, lost: Arc<LostLeaders>) {
     let now = Duration::from_micros(cluster.now());
     Timer::after(seconds(injection.at_s).saturating_sub(now)).await;
-    tracing::info!(what = ?injection.what, "injection");
+    tracing::info!(what = ?injection.what, "injecting a failure");
     match injection.what {
         InjectionKind::MachineDeaths { count } => die(&cluster, None, count, false),
         InjectionKind::Replacements { count } => die(&cluster, None, count, true),
@@ -59,7 +60,7 @@
     }
 }
 
-/// Machines die; others come up in their places if they are replaced.
+/// Terminates up to `count` machines, and creates new ones in the same zones if `replaced` is set.
 fn die(cluster: &Arc<EmulatedCluster>, zone: Option<&str>, count: usize, replaced: bool) {
     let mut fleet = cluster.fleet();
     let now = cluster.now();
@@ -73,6 +74,7 @@
     }
 }
 
+/// Kills all controllers and machines of a zone, and restarts the controllers after `lasts`.
 async fn zone_out(cluster: &Arc<EmulatedCluster>, zone: &str, lasts: Duration, lost: &LostLeaders) {
     let here = |node: &usize| cluster.nodes[*node].zone == zone;
     let nodes: Vec<usize> = (0..cluster.nodes.len()).filter(here).collect();
@@ -88,6 +90,7 @@
     }
 }
 
+/// Chooses a running controller by its role.
 fn choose(cluster: &EmulatedCluster, who: Who) -> Option<usize> {
     let leader = cluster.leader();
     match who {
@@ -100,6 +103,7 @@
     }
 }
 
+/// Kills a controller, and records the loss if it was the leader.
 fn kill(cluster: &EmulatedCluster, node: usize, lost: &LostLeaders) {
     let leads = cluster.leader() == Some(node);
     let at = cluster.now();
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP requests of controllers.
+//! Serves the controllers' HTTP requests to the state service and the cloud, with link faults.
 
 use crate::cluster::{EmulatedCluster, Side};
 use crate::errors::EmulatorError;
@@ -11,10 +11,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a connection stays open on which an answer was lost.
+/// Time for which a connection stays open after a response was lost.
 const SILENCE: Duration = Duration::from_secs(8);
 
-/// Listens on an address.
+/// Binds a listener to an address.
 pub(crate) fn listen(addr: SocketAddr) -> Result<Async<TcpListener>, EmulatorError> {
     Async::<TcpListener>::bind(addr).map_err(|source| match source.kind() {
         std::io::ErrorKind::AddrInUse => EmulatorError::PortInUse { addr },
@@ -22,8 +22,8 @@
     })
 }
 
-/// Serves a controller on a listener of its own until the program ends; a handler that
-/// gives no answer closes the connection.
+/// Serves one controller on its listener. The connection is closed if the handler returns no
+/// response.
 pub(crate) async fn serve<H, F>(
     cluster: Arc<EmulatedCluster>,
     listener: Async<TcpListener>,
@@ -44,6 +44,7 @@
     }
 }
 
+/// Serves the requests on one connection.
 async fn serve_one<H, F>(cluster: Arc<EmulatedCluster>, mut connection: Connection, node: usize, side: Side, handler: H)
 where
     H: Fn(Arc<EmulatedCluster>, usize, Request) -> F,
--- a/crates/emulator/src/soak/draw.rs
+++ b/crates/emulator/src/soak/draw.rs
@@ -1,5 +1,5 @@
-//! Draws the plan of a seed. The same seed gives the same plan on every machine, so the order of the
-//! random draws must not change.
+//! Draws the plan of a seed. The same seed gives the same plan on every machine; it depends on the
+//! order of the random draws.
 
 use super::plan::{Fault, Plan, PlannedFault, Users};
 use crate::experiment::{Controllers, Experiment, Load, Services, Teams, Workers};
@@ -243,8 +243,8 @@
         _ => Route::between(node, other),
     };
     let fault = draw_link_fault(experiment.workers.lease_s, rng);
-    // Only these faults apply to responses; refusing, losing the response, late execution and copies
-    // apply to requests.
+    // Only these faults apply to responses. The other ones concern requests: they are refused,
+    // executed late or copied, or their response is lost.
     let reversed = rng.u8(0..4) == 0
         && matches!(
             fault,
--- a/crates/emulator/src/soak/users.rs
+++ b/crates/emulator/src/soak/users.rs
@@ -1,5 +1,5 @@
-//! Emulated users of a soak. Each submits one job and polls it at random controllers, may repeat the
-//! submission, and may cancel the job.
+//! Emulated users of a soak. Each submits one job and polls it at random controllers, may repeat
+//! the submission, and may cancel the job.
 //!
 //! Each response is checked against the job's record in the state service, as stored when the
 //! request was sent and when the response arrived.
--- a/crates/emulator/src/state_service.rs
+++ b/crates/emulator/src/state_service.rs
@@ -1,4 +1,4 @@
-//! The state service behind sockets.
+//! The emulated state service: executes the controllers' HTTP requests on the simulated store.
 
 use crate::cluster::EmulatedCluster;
 use async_io::Timer;
@@ -9,13 +9,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Rows in one page of a list.
+/// Rows per page of a list.
 pub(crate) const PAGE: usize = 1000;
-/// Changes that watches can go back to.
+/// Number of past changes available to watches.
 const KEPT_CHANGES: usize = 10_000;
-/// The longest time that a watch waits.
+/// Longest time that a watch waits.
 const LONGEST_WAIT: Duration = Duration::from_secs(60);
-/// How often leases are looked at.
+/// Interval of the checks for expired leases.
 const EXPIRY: Duration = Duration::from_millis(50);
 
 /// Answers one request.
@@ -32,7 +32,7 @@
     wire::state_response(&request, &answer)
 }
 
-/// Executes a request, unless it is a watch that the limits allow.
+/// Executes a request. Returns `None` for a watch that the rate limits allow.
 fn execute(cluster: &EmulatedCluster, request: &StoreRequest) -> Option<StoreResponse> {
     let writes = match request {
         StoreRequest::Transaction(txn) => txn.changes.len() as f64,
@@ -56,7 +56,7 @@
     Some(answer)
 }
 
-/// Waits until a key has changed or the time is over.
+/// Waits until a key with this prefix changes after revision `after`, or the wait is over.
 async fn watch(cluster: &EmulatedCluster, prefix: &str, after: u64, wait_ms: u64) -> StoreResponse {
     let ends = Instant::now() + Duration::from_millis(wait_ms).min(LONGEST_WAIT);
     loop {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Ends leases whose time is over, for ever.
+/// Removes expired leases periodically until the experiment ends.
 pub(crate) async fn expire_leases(cluster: Arc<EmulatedCluster>) {
     loop {
         Timer::after(EXPIRY).await;
--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -1,4 +1,5 @@
-//! Users: each submits one job and asks about it until it is over.
+//! Emulated users of the `scale` subcommand. Each submits one job and polls it until it is done,
+//! cancelled or refused.
 
 use crate::balancer;
 use crate::cluster::{EmulatedCluster, Side};
@@ -14,10 +15,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A refused or unanswered request is repeated after this.
+/// Delay before a request is retried that got no response or status 503.
 const RETRY: Duration = Duration::from_secs(1);
 
-/// A request of a user.
+/// Builds a user's HTTP request.
 pub(crate) fn request(asked: Asked, spec: &JobSpec) -> Request {
     let (method, path, body) = match asked {
         Asked::Submit => ("POST", "/v2/runs".to_string(), to_cbor(spec)),
@@ -31,11 +32,11 @@
     }
 }
 
-/// A connection to a controller.
+/// A reusable connection and the number of its controller.
 type ReusedConnection = Option<(usize, Connection)>;
 
-/// Submits a job and asks about it until it is over; after `abort_after` its user
-/// cancels it.
+/// Submits a job and polls it until it is done, cancelled or refused. The user cancels it after
+/// `abort_after`.
 pub(crate) async fn live(cluster: Arc<EmulatedCluster>, user: User, abort_after: Option<Duration>) {
     let spec = user.spec.clone();
     cluster.fleet().users.insert(spec.id.clone(), user);
@@ -75,7 +76,7 @@
     }
 }
 
-/// Sends one request and waits for its answer.
+/// Sends one request and waits for its response; `None` if there is no controller or no response.
 async fn ask(
     cluster: &EmulatedCluster,
     reused: &mut ReusedConnection,
@@ -93,7 +94,7 @@
     Some(response)
 }
 
-/// Takes in what came of a request: whether the job is over for its user.
+/// Records the result of a request. Returns whether the user has no further requests.
 fn take(cluster: &EmulatedCluster, job: &str, asked: Asked, answer: Option<Response>) -> bool {
     let mut fleet = cluster.fleet();
     let fleet = &mut *fleet;
@@ -125,9 +126,8 @@
     user.is_none_or(|u| u.done.is_some() || u.cancelled.is_some() || u.refused.is_some())
 }
 
-/// Asks every healthy controller, all at once, about jobs that were accepted, once all is
-/// over: none may be forgotten, and none may have gone back. How many questions were
-/// answered.
+/// Polls all healthy controllers in parallel about accepted jobs at the end of the experiment: no
+/// job may be unknown or have returned to an earlier phase. Returns the number of responses.
 pub(crate) async fn audit(cluster: &Arc<EmulatedCluster>, most: usize) -> usize {
     let accepted: Vec<JobSpec> = {
         let fleet = cluster.fleet();
@@ -148,7 +148,7 @@
     answered
 }
 
-/// Asks one controller about these jobs: how many questions were answered.
+/// Polls one controller about these jobs and returns the number of responses.
 async fn audit_one(cluster: Arc<EmulatedCluster>, node: usize, asked: Arc<Vec<JobSpec>>) -> usize {
     let mut reused: ReusedConnection = None;
     let mut answered = 0;
@@ -162,7 +162,7 @@
     answered
 }
 
-/// The longest time in which no question about an accepted job was answered.
+/// Returns the longest time without an answer about an accepted job, in seconds.
 pub(crate) fn longest_silence(cluster: &EmulatedCluster) -> u64 {
     let fleet = cluster.fleet();
     let known = fleet.users.values().filter(|u| u.accepted.is_some());
