--- a/crates/emulator/tests/common/mod.rs
+++ b/crates/emulator/tests/common/mod.rs
@@ -1,9 +1,10 @@
-//! What tests of the program share.
+//! Helpers shared by the tests of the program.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// The glenhaven program beside this test's own, built with it in the workspace.
+/// Returns the path of the glenhaven program in this test's target directory. Builds the program if
+/// it doesn't exist.
 pub(crate) fn controllers() -> PathBuf {
     let cluster = Path::new(env!("CARGO_BIN_EXE_glenhaven-emulator"));
     let program = cluster.with_file_name("glenhaven");
@@ -13,7 +14,7 @@
     program
 }
 
-/// Builds glenhaven in the profile of this test; `cargo test --workspace` has done it.
+/// Builds glenhaven in the profile of this test. `cargo test --workspace` builds it already.
 fn build_controllers(cluster: &Path) {
     let mut cargo = Command::new(env!("CARGO"));
     cargo.current_dir(root()).args(["build", "--locked", "-p", "glenhaven"]);
@@ -27,7 +28,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// An address range that other runs of these tests are not likely to use.
+/// Returns the second byte of an address range that other runs of these tests are unlikely to use.
 pub(crate) fn network(test: u32) -> u8 {
     let number = (std::process::id() * 5 + test) % 100;
     100 + u8::try_from(number).unwrap()
@@ -37,12 +38,12 @@
     String::from_utf8_lossy(bytes).to_string()
 }
 
-/// All that a program said.
+/// Returns the standard output and standard error of a program.
 pub(crate) fn said(output: &Output) -> String {
     text(&output.stdout) + &text(&output.stderr)
 }
 
-/// Whether a process runs with this file among its arguments.
+/// Returns whether a controller runs with a settings file in this directory.
 pub(crate) fn runs_with(dir: &Path) -> bool {
     let marker = dir.to_string_lossy().to_string();
     let processes = std::fs::read_dir("/proc").unwrap().flatten();
@@ -54,7 +55,7 @@
         })
 }
 
-/// A new directory for one test.
+/// Creates a directory for one test.
 pub(crate) fn new_directory(program: &str, test: &str) -> PathBuf {
     let name = format!("glenhaven-{program}-{test}-{}", std::process::id());
     let path = std::env::temp_dir().join(name);
--- a/crates/emulator/tests/small_run.rs
+++ b/crates/emulator/tests/small_run.rs
@@ -1,5 +1,5 @@
-//! The program as it is called: a small experiment to its end, and what stops one before
-//! it has begun.
+//! Runs the `scale` subcommand: a complete small experiment, and the errors that stop an experiment
+//! before it starts.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A directory for one test, away at its end.
+/// A directory for one test, removed when dropped.
 struct Dir(PathBuf);
 
 impl Dir {
@@ -17,7 +17,7 @@
         Dir(new_directory("lab", name))
     }
 
-    /// The small experiment with addresses of this test's own.
+    /// Writes the small experiment with an address range of this test's own, and returns its path.
     fn experiment(&self, network: u8) -> PathBuf {
         let small = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/small.toml");
         let text = std::fs::read_to_string(small).unwrap();
@@ -105,7 +105,7 @@
     assert!(!dir.report().exists(), "something was left behind");
 }
 
-/// File descriptors that a shell leaves to the program: too few for any experiment.
+/// Limit of file descriptors that the shell sets for the program: too low for any experiment.
 const FEW_FILES: u32 = 100;
 
 #[test]
--- a/crates/emulator/tests/soak.rs
+++ b/crates/emulator/tests/soak.rs
@@ -1,4 +1,5 @@
-//! The soak as it is called: plans of seeds, a short fixed set of them to its end, and what stops one.
+//! Runs the `soak` subcommand: the plans of seeds, a short soak of a fixed set of seeds, and the
+//! errors and interrupts that stop a soak.
 
 mod common;
 
@@ -8,13 +9,13 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Seeds that are played in every run of the tests: among them those in which attempts were
-/// started again after they had been forgotten.
+/// Seeds that are run in every test run. They include seeds in which attempts were started again
+/// after workers had forgotten them.
 const SEEDS: &str = "1..5";
 const PARALLEL: &str = "4";
 const DURATION_S: &str = "45";
 
-/// A directory for one test, away at its end.
+/// A directory for one test, removed when dropped.
 struct Dir(PathBuf);
 
 impl Dir {
@@ -37,7 +38,7 @@
     }
 }
 
-/// The plans of some seeds, as text.
+/// Returns the plans of a range of seeds, as text.
 fn plans(seeds: &str) -> String {
     let dir = Dir::new("plans");
     let mut soak = dir.soak(150, Path::new("none"));
