--- a/crates/emulator/src/balancer.rs
+++ b/crates/emulator/src/balancer.rs
@@ -1,7 +1,7 @@
 //! An emulated load balancer: probes the controllers and chooses a healthy one for new connections.
 
 use crate::cluster::{EmulatedCluster, Side};
-use crate::machines::{exchange, within};
+use crate::machines::{exchange, with_timeout};
 use async_io::Timer;
 use glenhaven_fakes::http::Request;
 use std::sync::atomic::Ordering;
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 /// Pause between probes, and time limit of a probe.
-const PROBE: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of consecutive probes with the same result that change a controller's health.
-const IN_A_ROW: i32 = 2;
+const DECISIVE_PROBES: i32 = 2;
 
 /// Probes one controller until the experiment ends.
 pub(crate) async fn probe(cluster: Arc<EmulatedCluster>, node: usize) {
@@ -23,20 +23,20 @@
     let mut connection = None;
     // Consecutive successful probes, or failed ones if negative. A controller becomes healthy at
     // once if its first probe succeeds.
-    let mut row = IN_A_ROW - 1;
+    let mut streak = DECISIVE_PROBES - 1;
     loop {
         let reused = connection.take();
-        let answer = within(PROBE, exchange(&cluster, reused, node, Side::Users, &request)).await;
+        let answer = with_timeout(PROBE_INTERVAL, exchange(&cluster, reused, node, Side::Users, &request)).await;
         let good = answer.as_ref().is_some_and(|(_, response)| response.status == 200);
         connection = answer.and_then(|(reused, _)| reused);
-        row = match good {
-            true => row.max(0) + 1,
-            false => row.min(0) - 1,
+        streak = match good {
+            true => streak.max(0) + 1,
+            false => streak.min(0) - 1,
         };
-        if row.abs() >= IN_A_ROW {
+        if streak.abs() >= DECISIVE_PROBES {
             cluster.nodes[node].healthy.store(good, Ordering::Relaxed);
         }
-        Timer::after(PROBE).await;
+        Timer::after(PROBE_INTERVAL).await;
     }
 }
 
--- a/crates/emulator/src/cloud_service.rs
+++ b/crates/emulator/src/cloud_service.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 /// Machines per page of the machine list.
-pub(crate) const PAGE: usize = 500;
+pub(crate) const PAGE_SIZE: usize = 500;
 
 /// Answers one request.
 pub(crate) async fn handle(cluster: Arc<EmulatedCluster>, _node: usize, request: Request) -> Option<Response> {
@@ -32,7 +32,7 @@
         }
         CloudRequest::Release(hosts) => {
             for name in &hosts.machines {
-                fleet.machine_dies(now, name);
+                fleet.terminate_machine(now, name);
             }
             CloudResponse::Released
         }
--- a/crates/emulator/src/cluster.rs
+++ b/crates/emulator/src/cluster.rs
@@ -22,15 +22,15 @@
 const CLOUD_PORT: u16 = 8443;
 const MACHINE_PORT: u16 = 9000;
 /// Third byte of the addresses of the controllers, the state service and the cloud.
-const CONTROLLERS: u8 = 0;
-const STATE: u8 = 1;
-const CLOUD: u8 = 2;
+const CONTROLLER_SUBNET: u8 = 0;
+const STATE_SUBNET: u8 = 1;
+const CLOUD_SUBNET: u8 = 2;
 /// Third byte of the forwarders of the first controller; each further controller has the next one.
-const FORWARDERS: usize = 3;
+const FIRST_FORWARDER_SUBNET: usize = 3;
 /// Third byte of the first machines' addresses.
-const MACHINES: u64 = 16;
+const FIRST_MACHINE_SUBNET: u64 = 16;
 /// Machines with the same third byte.
-const MACHINES_IN_A_NET: u64 = 250;
+const MACHINES_PER_SUBNET: u64 = 250;
 
 /// The loopback addresses of an experiment. The state service and the cloud have one address for
 /// each controller, so that traffic can be counted per controller.
@@ -52,34 +52,34 @@
 
     /// Address at which a controller serves users and workers.
     pub(crate) fn public(self, node: usize) -> SocketAddr {
-        self.at(CONTROLLERS, node, PUBLIC_PORT)
+        self.at(CONTROLLER_SUBNET, node, PUBLIC_PORT)
     }
 
     /// Address at which a controller listens for other controllers.
     pub(crate) fn peer(self, node: usize) -> SocketAddr {
-        self.at(CONTROLLERS, node, PEER_PORT)
+        self.at(CONTROLLER_SUBNET, node, PEER_PORT)
     }
 
     /// Address of the forwarder from one controller to another.
     pub(crate) fn forwarder(self, from: usize, to: usize) -> SocketAddr {
-        let third = u8::try_from(FORWARDERS + from).unwrap_or(u8::MAX);
+        let third = u8::try_from(FIRST_FORWARDER_SUBNET + from).unwrap_or(u8::MAX);
         self.at(third, to, PEER_PORT)
     }
 
     /// Address of the state service for a controller.
     pub(crate) fn state(self, node: usize) -> SocketAddr {
-        self.at(STATE, node, STATE_PORT)
+        self.at(STATE_SUBNET, node, STATE_PORT)
     }
 
     /// Address of the cloud for a controller.
     pub(crate) fn cloud(self, node: usize) -> SocketAddr {
-        self.at(CLOUD, node, CLOUD_PORT)
+        self.at(CLOUD_SUBNET, node, CLOUD_PORT)
     }
 
     /// Address at which a machine accepts direct commands.
     pub(crate) fn machine(self, number: u64) -> SocketAddr {
-        let third = u8::try_from(MACHINES + number / MACHINES_IN_A_NET).unwrap_or(u8::MAX);
-        self.at(third, (number % MACHINES_IN_A_NET) as usize, MACHINE_PORT)
+        let third = u8::try_from(FIRST_MACHINE_SUBNET + number / MACHINES_PER_SUBNET).unwrap_or(u8::MAX);
+        self.at(third, (number % MACHINES_PER_SUBNET) as usize, MACHINE_PORT)
     }
 }
 
@@ -94,7 +94,7 @@
 
 /// Bytes that a controller has exchanged with one counterpart.
 #[derive(Default)]
-struct Counter {
+struct TrafficCounter {
     received: AtomicU64,
     sent: AtomicU64,
 }
@@ -105,7 +105,7 @@
     pub zone: String,
     /// Whether the load balancer sends users to this controller.
     pub healthy: AtomicBool,
-    counters: [Counter; 4],
+    counters: [TrafficCounter; 4],
 }
 
 impl Node {
@@ -147,7 +147,7 @@
     /// Notified when the state service's data change.
     pub store_changed: Event,
     began: Instant,
-    stopped: Mutex<Option<EmulatorError>>,
+    stop_reason: Mutex<Option<EmulatorError>>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -164,7 +164,7 @@
             services.txn_ops,
             services.value_kb,
         );
-        store.page = crate::state_service::PAGE;
+        store.page = crate::state_service::PAGE_SIZE;
         store.audits = experiment.audit_records;
         let node = |n: usize| Node::new(node_name(n), experiment.zone_of(n).to_string());
         EmulatedCluster {
@@ -177,7 +177,7 @@
             faults: Faults::new(experiment.seed),
             store_changed: Event::new(),
             began: Instant::now(),
-            stopped: Mutex::new(None),
+            stop_reason: Mutex::new(None),
             experiment,
         }
     }
@@ -216,12 +216,12 @@
 
     /// Requests the end of the experiment. Only the first reason is kept.
     pub(crate) fn stop(&self, why: EmulatorError) {
-        lock(&self.stopped).get_or_insert(why);
+        lock(&self.stop_reason).get_or_insert(why);
     }
 
     /// Takes the reason of a requested end.
     pub(crate) fn take_stop(&self) -> Option<EmulatorError> {
-        lock(&self.stopped).take()
+        lock(&self.stop_reason).take()
     }
 }
 
--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -181,7 +181,7 @@
         for node in 0..experiment.controllers.count {
             let path = dir.join(format!("{}.toml", node_name(node)));
             let text = toml::to_string(&settings(experiment, node, &operator_file)).map_err(|e| {
-                EmulatorError::Experiment {
+                EmulatorError::InvalidFile {
                     path: path.clone(),
                     message: e.to_string(),
                 }
--- a/crates/emulator/src/errors.rs
+++ b/crates/emulator/src/errors.rs
@@ -9,7 +9,7 @@
     #[error("{path}: cannot read the file: {source}")]
     Unreadable { path: PathBuf, source: std::io::Error },
     #[error("{path}: {message}")]
-    Experiment { path: PathBuf, message: String },
+    InvalidFile { path: PathBuf, message: String },
     #[error("{path}: no such program")]
     NoProgram { path: PathBuf },
     #[error("{path}: cannot write the file: {source}")]
@@ -19,7 +19,7 @@
     #[error("{addr}: cannot listen on the address: {source}")]
     Listen { addr: SocketAddr, source: std::io::Error },
     #[error("the machine is too small: {what}: {needed} needed, {found} available")]
-    TooSmall {
+    HostTooSmall {
         what: &'static str,
         needed: u64,
         found: u64,
@@ -29,13 +29,13 @@
     #[error("no controller was ready within {seconds} s; see {logs}")]
     NeverReady { seconds: u64, logs: PathBuf },
     #[error("the processes use {used_mb} MB of memory; the limit is {limit_mb} MB")]
-    Memory { used_mb: u64, limit_mb: u64 },
+    MemoryExceeded { used_mb: u64, limit_mb: u64 },
     #[error("the emulator panicked: {0}")]
     Panicked(String),
     #[error("interrupted")]
     Interrupted,
     #[error("{0}")]
-    Machine(String),
+    Other(String),
     #[error("{path}: cannot draw the plot: {message}")]
     Plot { path: PathBuf, message: String },
 }
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -11,14 +11,14 @@
 #[serde(deny_unknown_fields)]
 pub(crate) struct Experiment {
     pub name: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_seed")]
     pub seed: u64,
     /// How long jobs are submitted and faults injected.
     pub duration_s: f64,
     /// All addresses are 127.`network`.x.y.
     pub network: u8,
     /// Whether the state service compares each written page of records with all others.
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     pub audit_records: bool,
     pub controllers: Controllers,
     pub services: Services,
@@ -38,10 +38,10 @@
     /// Zones, assigned to controllers and machines in turn.
     pub zones: Vec<String>,
     pub sockets: u32,
-    #[serde(default = "info")]
+    #[serde(default = "default_log_level")]
     pub log_level: String,
     /// Idle time after which a machine is returned. With the default, all machines are kept.
-    #[serde(default = "longest_idle")]
+    #[serde(default = "default_idle_s")]
     pub idle_s: f64,
     /// Whether links between controllers go through forwarders in the emulator, which can inject
     /// faults.
@@ -168,44 +168,44 @@
     Follower,
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
-fn longest_idle() -> f64 {
+fn default_idle_s() -> f64 {
     3600.0
 }
 
-fn info() -> String {
+fn default_log_level() -> String {
     "info".into()
 }
 
 /// Largest numbers for which there are addresses.
-const MOST_CONTROLLERS: usize = 100;
-const MOST_WORKERS: usize = 20_000;
+const MAX_CONTROLLERS: usize = 100;
+const MAX_WORKERS: usize = 20_000;
 
 impl Experiment {
     /// Reads and validates an experiment file.
     pub(crate) fn load(path: &Path) -> Result<Experiment, EmulatorError> {
         let experiment: Experiment = read_toml(path)?;
-        experiment.check().map_err(|message| wrong(path, message))?;
+        experiment.validate().map_err(|message| invalid_file(path, message))?;
         Ok(experiment)
     }
 
     /// Validates the numbers and the zones that injections refer to.
-    pub(crate) fn check(&self) -> Result<(), String> {
-        let within = |name: &str, value: usize, most: usize| match (1..=most).contains(&value) {
+    pub(crate) fn validate(&self) -> Result<(), String> {
+        let within = |name: &str, value: usize, max: usize| match (1..=max).contains(&value) {
             true => Ok(()),
-            false => Err(format!("{name}: {value} is not between 1 and {most}")),
+            false => Err(format!("{name}: {value} is not between 1 and {max}")),
         };
-        within("controllers.count", self.controllers.count, MOST_CONTROLLERS)?;
-        within("workers.count", self.workers.count, MOST_WORKERS)?;
-        within("teams.count", self.teams.count, MOST_WORKERS)?;
-        within("controllers.zones", self.controllers.zones.len(), MOST_CONTROLLERS)?;
+        within("controllers.count", self.controllers.count, MAX_CONTROLLERS)?;
+        within("workers.count", self.workers.count, MAX_WORKERS)?;
+        within("teams.count", self.teams.count, MAX_WORKERS)?;
+        within("controllers.zones", self.controllers.zones.len(), MAX_CONTROLLERS)?;
         let positive = |name: &str, value: f64| match value.is_finite() && value > 0.0 {
             true => Ok(()),
             false => Err(format!("{name}: {value} is not a positive number")),
@@ -249,12 +249,12 @@
         path: path.to_path_buf(),
         source,
     })?;
-    toml::from_str(&text).map_err(|e| wrong(path, e.to_string().trim().replace('\n', " ")))
+    toml::from_str(&text).map_err(|e| invalid_file(path, e.to_string().trim().replace('\n', " ")))
 }
 
 /// Creates the error of an invalid experiment or plan file.
-pub(crate) fn wrong(path: &Path, message: String) -> EmulatorError {
-    EmulatorError::Experiment {
+pub(crate) fn invalid_file(path: &Path, message: String) -> EmulatorError {
+    EmulatorError::InvalidFile {
         path: path.to_path_buf(),
         message,
     }
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -76,7 +76,7 @@
 }
 
 /// A fault in effect on a link, with its end.
-struct Active {
+struct ActiveFault {
     route: Route,
     /// Share of the machines that are affected.
     hosts: f64,
@@ -84,36 +84,36 @@
     until: Instant,
 }
 
-impl Active {
+impl ActiveFault {
     /// Returns whether the fault affects a message; an empty `host` matches any share.
-    fn concerns(&self, route: &Route, host: &str) -> bool {
-        self.route == *route && Instant::now() < self.until && (host.is_empty() || place(host) < self.hosts)
+    fn affects(&self, route: &Route, host: &str) -> bool {
+        self.route == *route && Instant::now() < self.until && (host.is_empty() || name_fraction(host) < self.hosts)
     }
 }
 
 /// Maps a name to a number from 0 to 1 by its FNV-1a hash.
-fn place(name: &str) -> f64 {
+fn name_fraction(name: &str) -> f64 {
     let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
     });
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
 
-struct State {
-    active: Vec<Active>,
+struct FaultState {
+    active: Vec<ActiveFault>,
     rng: fastrand::Rng,
 }
 
 /// The active link faults of an experiment.
 pub(crate) struct Faults {
-    state: Mutex<State>,
+    state: Mutex<FaultState>,
     changed: Event,
 }
 
 impl Faults {
     /// Creates an empty set of faults; `seed` determines the random choices.
     pub(crate) fn new(seed: u64) -> Faults {
-        let state = State {
+        let state = FaultState {
             active: vec![],
             rng: fastrand::Rng::with_seed(seed),
         };
@@ -123,16 +123,16 @@
         }
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, FaultState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Starts a fault on a link for a share of the machines.
-    pub(crate) fn begin(&self, route: Route, hosts: f64, fault: LinkFault, lasts: Duration) {
+    pub(crate) fn start(&self, route: Route, hosts: f64, fault: LinkFault, lasts: Duration) {
         let until = Instant::now() + lasts;
         let mut state = self.state();
         state.active.retain(|active| Instant::now() < active.until);
-        state.active.push(Active {
+        state.active.push(ActiveFault {
             route,
             hosts,
             fault,
@@ -143,7 +143,7 @@
     }
 
     /// Ends all faults.
-    pub(crate) fn end(&self) {
+    pub(crate) fn clear(&self) {
         self.state().active.clear();
         self.changed.notify(usize::MAX);
     }
@@ -152,7 +152,7 @@
     fn held_until(&self, route: &Route, host: &str) -> Option<Instant> {
         let state = self.state();
         let cuts = state.active.iter().filter(|active| active.fault == LinkFault::Cut);
-        cuts.filter(|cut| cut.concerns(route, host)).map(|cut| cut.until).max()
+        cuts.filter(|cut| cut.affects(route, host)).map(|cut| cut.until).max()
     }
 
     /// Returns whether a cut holds back messages.
@@ -161,7 +161,7 @@
     }
 
     /// Waits for the delay of a message and for the end of all cuts on its link.
-    pub(crate) async fn passes(&self, route: &Route, host: &str) {
+    pub(crate) async fn wait_to_pass(&self, route: &Route, host: &str) {
         let delay = self.delay(route, host);
         if !delay.is_zero() {
             Timer::after(delay).await;
@@ -171,19 +171,19 @@
             let Some(until) = self.held_until(route, host) else {
                 return;
             };
-            let over = async {
+            let end = async {
                 Timer::at(until).await;
             };
-            changed.or(over).await;
+            changed.or(end).await;
         }
     }
 
     /// Draws the delay of a message.
     fn delay(&self, route: &Route, host: &str) -> Duration {
         let mut state = self.state();
-        let State { active, rng } = &mut *state;
+        let FaultState { active, rng } = &mut *state;
         let slow = active.iter().filter_map(|active| match active.fault {
-            LinkFault::Slow { delay_ms } if active.concerns(route, host) => Some(delay_ms),
+            LinkFault::Slow { delay_ms } if active.affects(route, host) => Some(delay_ms),
             _ => None,
         });
         let most = slow.max().unwrap_or(0);
@@ -193,8 +193,8 @@
     /// Decides the treatment of a message that has passed delays and cuts.
     pub(crate) fn delivery(&self, route: &Route, host: &str) -> Delivery {
         let mut state = self.state();
-        let State { active, rng } = &mut *state;
-        for active in active.iter().filter(|active| active.concerns(route, host)) {
+        let FaultState { active, rng } = &mut *state;
+        for active in active.iter().filter(|active| active.affects(route, host)) {
             let (share, delivery) = match active.fault {
                 LinkFault::Refuses { share } => (share, Delivery::Refuse),
                 LinkFault::Resets { share } => (share, Delivery::Reset),
@@ -210,11 +210,11 @@
     }
 
     /// Returns the delay of a message's copy, if it is copied.
-    pub(crate) fn copies(&self, route: &Route, host: &str) -> Option<Duration> {
+    pub(crate) fn copy_delay(&self, route: &Route, host: &str) -> Option<Duration> {
         let mut state = self.state();
-        let State { active, rng } = &mut *state;
-        let mut concerned = active.iter().filter(|active| active.concerns(route, host));
-        concerned.find_map(|active| match active.fault {
+        let FaultState { active, rng } = &mut *state;
+        let mut affecting = active.iter().filter(|active| active.affects(route, host));
+        affecting.find_map(|active| match active.fault {
             LinkFault::Copies { share, least_s, most_s } if rng.f64() < share => Some(between(rng, least_s, most_s)),
             _ => None,
         })
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -16,22 +16,22 @@
 /// Name of the only machine type.
 pub(crate) const MACHINE_TYPE: &str = "m";
 /// Hourly price per core, on demand and spot.
-const PRICE: f64 = 0.06;
-const SPOT_PRICE: f64 = 0.02;
+const PRICE_PER_CORE: f64 = 0.06;
+const SPOT_PRICE_PER_CORE: f64 = 0.02;
 const CACHE_GB: f64 = 100.0;
 const FETCH_GB_PER_S: f64 = 1.0;
 
-/// Handle of a machine's async tasks: dropping it ends them, a message on `poke` wakes the worker.
-pub(crate) struct Link {
-    pub poke: Sender<()>,
+/// Handle of a machine's async tasks: dropping it ends them, a message on `wake` wakes the worker.
+pub(crate) struct MachineHandle {
+    pub wake: Sender<()>,
     /// Closes the termination channel when dropped.
     pub _alive: Sender<()>,
 }
 
 /// The first response with a new fencing token that a worker accepted.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FirstOfTerm {
-    pub fence: u64,
+pub(crate) struct TermStart {
+    pub fencing_token: u64,
     pub at: u64,
 }
 
@@ -39,14 +39,14 @@
 pub(crate) struct Fleet {
     pub cloud: Cloud,
     pub workers: BTreeMap<String, Worker>,
-    pub links: BTreeMap<String, Link>,
+    pub handles: BTreeMap<String, MachineHandle>,
     pub users: BTreeMap<String, User>,
     pub results: BTreeSet<String>,
     pub rules: Rules,
     pub rng: fastrand::Rng,
     /// Zones in which no machine can be rented at present.
     pub zones_out: BTreeSet<String>,
-    pub terms: Vec<FirstOfTerm>,
+    pub terms: Vec<TermStart>,
     /// Recent events, written out by soaks to diagnose failures.
     pub history: History,
     /// Stranded jobs; checked in soaks only.
@@ -65,8 +65,8 @@
         memory: workers.memory_gb,
         cache_gb: CACHE_GB,
         fetch_gb_per_s: FETCH_GB_PER_S,
-        price: workers.cpus * PRICE,
-        spot_price: workers.cpus * SPOT_PRICE,
+        price: workers.cpus * PRICE_PER_CORE,
+        spot_price: workers.cpus * SPOT_PRICE_PER_CORE,
         boot_s: workers.boot_s,
         zones: zones.into_iter().collect(),
     }
@@ -91,11 +91,11 @@
         let in_a_zone = experiment.workers.count.div_ceil(kind.zones.len().max(1)) as u32;
         let lag = (experiment.services.list_lag_s * SEC as f64) as u64;
         let mut cloud = Cloud::new(vec![kind], in_a_zone, 0, lag);
-        cloud.page = crate::cloud_service::PAGE;
+        cloud.page = crate::cloud_service::PAGE_SIZE;
         Fleet {
             cloud,
             workers: BTreeMap::new(),
-            links: BTreeMap::new(),
+            handles: BTreeMap::new(),
             users: BTreeMap::new(),
             results: BTreeSet::new(),
             rules: Rules::new(&teams(experiment), experiment.workers.cancel_s),
@@ -115,13 +115,13 @@
     }
 
     /// Terminates a machine with everything on it.
-    pub(crate) fn machine_dies(&mut self, now: u64, name: &str) {
+    pub(crate) fn terminate_machine(&mut self, now: u64, name: &str) {
         self.history.note(now, || format!("{name} is gone"));
         self.cloud.terminate(now, name);
         if let Some(worker) = self.workers.get_mut(name) {
             worker.dies();
         }
-        self.links.remove(name);
+        self.handles.remove(name);
     }
 
     /// Returns the machines that are up, in one zone or in all, in random order.
@@ -133,25 +133,26 @@
     }
 
     /// Records that a worker accepted a response with this fencing token.
-    pub(crate) fn saw_fence(&mut self, now: u64, fence: u64) {
-        if self.terms.last().is_none_or(|last| fence > last.fence) {
-            self.history.note(now, || format!("the first worker has token {fence}"));
-            self.terms.push(FirstOfTerm { fence, at: now });
+    pub(crate) fn record_fencing_token(&mut self, now: u64, fencing_token: u64) {
+        if self.terms.last().is_none_or(|last| fencing_token > last.fencing_token) {
+            self.history
+                .note(now, || format!("the first worker has token {fencing_token}"));
+            self.terms.push(TermStart { fencing_token, at: now });
         }
     }
 
     /// Checks the commands that a worker has executed, and records them.
-    pub(crate) fn orders_executed(&mut self, now: u64, machine: &str, fence: u64, executed: &Executed) {
+    pub(crate) fn record_executed(&mut self, now: u64, machine: &str, fencing_token: u64, executed: &Executed) {
         self.rules.stops += executed.stops;
         for (task, attempt) in &executed.taken {
             self.history.note(now, || {
-                format!("{machine} takes {task} attempt {attempt} token {fence}")
+                format!("{machine} takes {task} attempt {attempt} token {fencing_token}")
             });
             self.rules.start_taken(now, task, &self.workers, &self.users);
         }
         for (task, attempt) in &executed.forgotten {
             self.history.note(now, || {
-                format!("{machine} forgets {task} attempt {attempt} token {fence}")
+                format!("{machine} forgets {task} attempt {attempt} token {fencing_token}")
             });
         }
         for (task, attempt) in &executed.taken_again {
--- a/crates/emulator/src/forward.rs
+++ b/crates/emulator/src/forward.rs
@@ -18,13 +18,13 @@
     for from in 0..nodes {
         for to in (0..nodes).filter(|to| *to != from) {
             let listener = server::listen(cluster.addresses.forwarder(from, to))?;
-            let there = Route::between(Party::Node(from), Party::Node(to));
+            let route = Route::between(Party::Node(from), Party::Node(to));
             let (cluster, executor) = (cluster.clone(), cluster.clone());
             let forward = async move {
                 while let Ok((stream, _)) = listener.accept().await {
                     cluster
                         .executor
-                        .spawn(forward_one(cluster.clone(), stream, there, to))
+                        .spawn(forward_connection(cluster.clone(), stream, route, to))
                         .detach();
                 }
             };
@@ -35,15 +35,15 @@
 }
 
 /// Forwards one connection in both directions until either ends.
-async fn forward_one(cluster: Arc<EmulatedCluster>, near: Async<TcpStream>, there: Route, to: usize) {
+async fn forward_connection(cluster: Arc<EmulatedCluster>, near: Async<TcpStream>, route: Route, to: usize) {
     let Ok(far) = Async::<TcpStream>::connect(cluster.addresses.peer(to)).await else {
         return;
     };
     near.get_ref().set_nodelay(true).ok();
     far.get_ref().set_nodelay(true).ok();
-    let forth = copy(&cluster, &near, &far, there);
-    let back = copy(&cluster, &far, &near, there.back());
-    forth.or(back).await;
+    let forward = copy(&cluster, &near, &far, route);
+    let back = copy(&cluster, &far, &near, route.back());
+    forward.or(back).await;
 }
 
 /// Copies one direction until one side closes, or a fault resets the connection.
@@ -54,7 +54,7 @@
         let Ok(n @ 1..) = from.read(&mut chunk).await else {
             return;
         };
-        cluster.faults.passes(&route, "").await;
+        cluster.faults.wait_to_pass(&route, "").await;
         if cluster.faults.delivery(&route, "") == Delivery::Reset {
             // The receiver gets only half of the chunk.
             to.write_all(&chunk[..n / 2]).await.ok();
--- a/crates/emulator/src/history.rs
+++ b/crates/emulator/src/history.rs
@@ -5,27 +5,27 @@
 use std::path::Path;
 
 /// Largest number of events kept; older ones are dropped.
-const KEPT: usize = 200_000;
+const MAX_EVENTS: usize = 200_000;
 
 /// The most recent events, each with its time in microseconds since the beginning.
 #[derive(Default)]
 pub(crate) struct History {
-    on: bool,
+    enabled: bool,
     events: VecDeque<(u64, String)>,
 }
 
 impl History {
     /// Starts keeping events; before this call they are discarded.
-    pub(crate) fn switch_on(&mut self) {
-        self.on = true;
+    pub(crate) fn enable(&mut self) {
+        self.enabled = true;
     }
 
     /// Records an event. The text is only built if events are kept.
     pub(crate) fn note(&mut self, now: u64, event: impl FnOnce() -> String) {
-        if !self.on {
+        if !self.enabled {
             return;
         }
-        if self.events.len() == KEPT {
+        if self.events.len() == MAX_EVENTS {
             self.events.pop_front();
         }
         self.events.push_back((now, event()));
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -15,15 +15,15 @@
 const MEMORY_GB: f64 = 1.0;
 const IMAGE_GB: f64 = 0.2;
 /// Largest relative deviation of the interval between submissions.
-const VARIES: f64 = 0.25;
+const INTERVAL_JITTER: f64 = 0.25;
 /// Longest time from submission to cancellation, in seconds.
-const ABORTS_WITHIN_S: f64 = 10.0;
+const MAX_CANCEL_DELAY_S: f64 = 10.0;
 
 /// The source of job numbers, shared by all loads.
 #[derive(Default)]
-pub(crate) struct Numbers(AtomicU64);
+pub(crate) struct JobNumbers(AtomicU64);
 
-impl Numbers {
+impl JobNumbers {
     /// Returns the next number; the first is 1.
     pub(crate) fn next(&self) -> u64 {
         self.0.fetch_add(1, Ordering::Relaxed) + 1
@@ -31,7 +31,7 @@
 }
 
 /// Submits the jobs of one load until its end.
-pub(crate) async fn submit(cluster: Arc<EmulatedCluster>, load: Load, numbers: Arc<Numbers>) {
+pub(crate) async fn submit(cluster: Arc<EmulatedCluster>, load: Load, numbers: Arc<JobNumbers>) {
     let until = load.until_s.unwrap_or(cluster.experiment.duration_s);
     let mut at = load.from_s;
     while at < until {
@@ -40,15 +40,18 @@
         let number = numbers.next();
         let spec = spec(&cluster, &load, number);
         let user = User::new(spec, load.run_s, false);
-        let (abort_after, pause) = {
+        let (cancel_after, pause) = {
             let rng = &mut cluster.fleet().rng;
-            let aborts = rng.f64() < load.cancelled;
-            let abort_after = aborts.then(|| seconds(ABORTS_WITHIN_S * rng.f64()));
-            (abort_after, load.every_s * (1.0 - VARIES + 2.0 * VARIES * rng.f64()))
+            let is_cancelled = rng.f64() < load.cancelled;
+            let cancel_after = is_cancelled.then(|| seconds(MAX_CANCEL_DELAY_S * rng.f64()));
+            (
+                cancel_after,
+                load.every_s * (1.0 - INTERVAL_JITTER + 2.0 * INTERVAL_JITTER * rng.f64()),
+            )
         };
         cluster
             .executor
-            .spawn(users::live(cluster.clone(), user, abort_after))
+            .spawn(users::run_user(cluster.clone(), user, cancel_after))
             .detach();
         at += pause;
     }
--- a/crates/emulator/src/machines.rs
+++ b/crates/emulator/src/machines.rs
@@ -3,7 +3,7 @@
 
 use crate::cluster::{EmulatedCluster, Side};
 use crate::faults::{Delivery, Party, Route};
-use crate::fleet::{Fleet, Link, MACHINE_TYPE};
+use crate::fleet::{Fleet, MachineHandle, MACHINE_TYPE};
 use crate::server;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
@@ -18,17 +18,17 @@
 use std::time::Duration;
 
 /// Time that a worker waits for the response to a report.
-const ANSWER: Duration = Duration::from_secs(4);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Range of the boot times, as factors of the machine type's boot time.
-const SHORTEST_BOOT: f64 = 0.6;
-const LONGEST_BOOT: f64 = 1.5;
+const MIN_BOOT_FACTOR: f64 = 0.6;
+const MAX_BOOT_FACTOR: f64 = 1.5;
 /// Largest relative deviation of the interval between reports.
-const REPORTS_VARY: f64 = 0.25;
+const REPORT_JITTER: f64 = 0.25;
 
 /// Draws the boot time of a machine.
 pub(crate) fn boot_time(cluster: &EmulatedCluster, fleet: &mut Fleet) -> Duration {
-    let part = SHORTEST_BOOT + (LONGEST_BOOT - SHORTEST_BOOT) * fleet.rng.f64();
-    Duration::from_secs_f64(cluster.experiment.workers.boot_s * part)
+    let factor = MIN_BOOT_FACTOR + (MAX_BOOT_FACTOR - MIN_BOOT_FACTOR) * fleet.rng.f64();
+    Duration::from_secs_f64(cluster.experiment.workers.boot_s * factor)
 }
 
 /// Creates a machine that is up after the time `boot`, and returns its name.
@@ -45,10 +45,12 @@
     };
     let addr = cluster.addresses.machine(number);
     let worker = Worker::new(&name, &addr.to_string(), &kind, zone, spot);
-    let (poke, poked) = async_channel::bounded(1);
+    let (wake, wake_requests) = async_channel::bounded(1);
     let (alive, terminated) = async_channel::bounded(1);
     fleet.workers.insert(name.clone(), worker);
-    fleet.links.insert(name.clone(), Link { poke, _alive: alive });
+    fleet
+        .handles
+        .insert(name.clone(), MachineHandle { wake, _alive: alive });
     let machine = Machine {
         cluster: cluster.clone(),
         name: name.clone(),
@@ -57,15 +59,15 @@
         .executor
         .spawn(async move {
             let ends = terminated.clone();
-            let run = machine.live(number, boot, poked, terminated);
-            run.or(closed(ends)).await;
+            let run = machine.run(number, boot, wake_requests, terminated);
+            run.or(wait_terminated(ends)).await;
         })
         .detach();
     name
 }
 
 /// Waits until the machine is terminated: its channel is closed then.
-async fn closed(terminated: Receiver<()>) {
+async fn wait_terminated(terminated: Receiver<()>) {
     while terminated.recv().await.is_ok() {}
 }
 
@@ -85,7 +87,7 @@
 
 impl Machine {
     /// Boots the machine and runs its worker.
-    async fn live(self, number: u64, boot: Duration, poked: Receiver<()>, terminated: Receiver<()>) {
+    async fn run(self, number: u64, boot: Duration, wake_requests: Receiver<()>, terminated: Receiver<()>) {
         Timer::after(boot).await;
         let listener = match server::listen(self.cluster.addresses.machine(number)) {
             Ok(listener) => listener,
@@ -93,9 +95,9 @@
         };
         self.finish_boot();
         let (heartbeats, queue) = async_channel::bounded(1);
-        let work = self.clone().work(heartbeats, poked);
+        let work = self.clone().work(heartbeats, wake_requests);
         let heartbeat = self.clone().heartbeat(queue);
-        let direct = self.take_direct_commands(listener, terminated);
+        let direct = self.accept_direct_commands(listener, terminated);
         work.or(heartbeat).or(direct).await;
     }
 
@@ -109,13 +111,13 @@
     }
 
     /// Advances the worker whenever something is due or the machine is woken. Queues its reports.
-    async fn work(self, heartbeats: Sender<Outgoing>, poked: Receiver<()>) {
+    async fn work(self, heartbeats: Sender<Outgoing>, wake_requests: Receiver<()>) {
         while let Some((due, pause)) = self.step() {
             if let Some(outgoing) = due {
                 heartbeats.send(outgoing).await.ok();
             }
             let woken = async {
-                poked.recv().await.ok();
+                wake_requests.recv().await.ok();
             };
             let time = async {
                 Timer::after(pause).await;
@@ -149,8 +151,8 @@
         let node = worker.node;
         let due = worker.due_report(now);
         if due.is_some() {
-            let part = 1.0 - REPORTS_VARY + 2.0 * REPORTS_VARY * fleet.rng.f64();
-            worker.report_next(now + (settings.report_s * part * SEC as f64) as u64);
+            let factor = 1.0 - REPORT_JITTER + 2.0 * REPORT_JITTER * fleet.rng.f64();
+            worker.report_next(now + (settings.report_s * factor * SEC as f64) as u64);
         }
         let pause = worker.wakes_at(now, lease).saturating_sub(now);
         for (task, attempt) in &progress.started {
@@ -176,12 +178,12 @@
                 body: to_cbor(&outgoing.heartbeat),
             };
             self.copy_later(node, &request);
-            let answered = within(ANSWER, self.exchange_report(reused, node, &request)).await;
+            let answered = with_timeout(RESPONSE_TIMEOUT, self.exchange_report(reused, node, &request)).await;
             let answer = answered.map(|(reused, response)| {
                 connection = reused.map(|c| (node, c));
                 response
             });
-            self.answered(outgoing.rid, answer);
+            self.handle_response(outgoing.rid, answer);
         }
     }
 
@@ -193,24 +195,28 @@
         node: usize,
         request: &Request,
     ) -> Option<(Option<Connection>, Response)> {
-        let there = Route::between(Party::Workers, Party::Node(node));
+        let route = Route::between(Party::Workers, Party::Node(node));
         let faults = &self.cluster.faults;
-        if faults.is_held(&there, &self.name) {
+        if faults.is_held(&route, &self.name) {
             let (machine, request) = (self.clone(), request.clone());
             let late = async move {
-                machine.cluster.faults.passes(&there, &machine.name).await;
-                within(ANSWER, exchange(&machine.cluster, None, node, Side::Workers, &request)).await;
+                machine.cluster.faults.wait_to_pass(&route, &machine.name).await;
+                with_timeout(
+                    RESPONSE_TIMEOUT,
+                    exchange(&machine.cluster, None, node, Side::Workers, &request),
+                )
+                .await;
             };
             self.cluster.executor.spawn(late).detach();
             return std::future::pending().await;
         }
-        faults.passes(&there, &self.name).await;
-        if faults.delivery(&there, &self.name) == Delivery::Reset {
+        faults.wait_to_pass(&route, &self.name).await;
+        if faults.delivery(&route, &self.name) == Delivery::Reset {
             return None;
         }
         let answer = exchange(&self.cluster, reused, node, Side::Workers, request).await;
-        faults.passes(&there.back(), &self.name).await;
-        match faults.delivery(&there.back(), &self.name) {
+        faults.wait_to_pass(&route.back(), &self.name).await;
+        match faults.delivery(&route.back(), &self.name) {
             Delivery::Deliver => answer,
             _ => None,
         }
@@ -218,21 +224,21 @@
 
     /// If the link copies this report, sends the copy to a random controller after a delay.
     fn copy_later(&self, node: usize, request: &Request) {
-        let there = Route::between(Party::Workers, Party::Node(node));
-        let Some(after) = self.cluster.faults.copies(&there, &self.name) else {
+        let route = Route::between(Party::Workers, Party::Node(node));
+        let Some(after) = self.cluster.faults.copy_delay(&route, &self.name) else {
             return;
         };
         let (cluster, request) = (self.cluster.clone(), request.clone());
         let to = cluster.fleet().rng.usize(0..cluster.nodes.len());
         let copy = async move {
             Timer::after(after).await;
-            within(ANSWER, exchange(&cluster, None, to, Side::Workers, &request)).await;
+            with_timeout(RESPONSE_TIMEOUT, exchange(&cluster, None, to, Side::Workers, &request)).await;
         };
         self.cluster.executor.spawn(copy).detach();
     }
 
     /// Handles the response to a report; `None` means that there was none in time.
-    fn answered(&self, rid: u64, answer: Option<Response>) {
+    fn handle_response(&self, rid: u64, answer: Option<Response>) {
         let nodes = self.cluster.nodes.len();
         let mut fleet = self.cluster.fleet();
         let fleet = &mut *fleet;
@@ -247,36 +253,39 @@
         };
         worker.flying = None;
         match read_answer(answer) {
-            Answer::HeartbeatResponse(commands) if worker.accepts(commands.fencing_token, incarnation) => {
+            Answer::Commands(commands) if worker.accepts(commands.fencing_token, incarnation) => {
                 let executed = worker.take_orders(now, sent, &commands, &fleet.users);
-                fleet.saw_fence(now, commands.fencing_token);
-                fleet.orders_executed(now, &self.name, commands.fencing_token, &executed);
+                fleet.record_fencing_token(now, commands.fencing_token);
+                fleet.record_executed(now, &self.name, commands.fencing_token, &executed);
             }
-            Answer::HeartbeatResponse(_) => {}
+            Answer::Commands(_) => {}
             Answer::Redirect(to) => {
                 let to = self.cluster.nodes.iter().position(|node| node.name == to);
                 worker.redirected(now, to, nodes);
             }
             Answer::None => worker.tries_next(now, nodes),
         }
-        poke(fleet, &self.name);
+        wake(fleet, &self.name);
     }
 
     /// Accepts connections with direct commands.
-    async fn take_direct_commands(self, listener: Async<TcpListener>, terminated: Receiver<()>) {
+    async fn accept_direct_commands(self, listener: Async<TcpListener>, terminated: Receiver<()>) {
         while let Ok((stream, _)) = listener.accept().await {
             let connection = Connection::new(stream);
-            let serve = self.clone().serve_direct(connection).or(closed(terminated.clone()));
+            let serve = self
+                .clone()
+                .serve_direct(connection)
+                .or(wait_terminated(terminated.clone()));
             self.cluster.executor.spawn(serve).detach();
         }
     }
 
     /// Serves direct commands on one connection, subject to link faults.
     async fn serve_direct(self, mut connection: Connection) {
-        let there = Route::between(Party::Direct, Party::Workers);
+        let route = Route::between(Party::Direct, Party::Workers);
         while let Ok(Some(request)) = connection.read_request().await {
-            self.cluster.faults.passes(&there, &self.name).await;
-            let delivery = self.cluster.faults.delivery(&there, &self.name);
+            self.cluster.faults.wait_to_pass(&route, &self.name).await;
+            let delivery = self.cluster.faults.delivery(&route, &self.name);
             match delivery {
                 Delivery::Reset | Delivery::Refuse => return,
                 Delivery::Late(after) => {
@@ -284,11 +293,13 @@
                 }
                 Delivery::Deliver | Delivery::LoseAnswer => {}
             }
-            self.goes_on().await;
-            let Some(response) = self.direct(&request) else { return };
-            self.cluster.faults.passes(&there.back(), &self.name).await;
+            self.wait_until_responsive().await;
+            let Some(response) = self.handle_direct(&request) else {
+                return;
+            };
+            self.cluster.faults.wait_to_pass(&route.back(), &self.name).await;
             if delivery != Delivery::Deliver
-                || self.cluster.faults.delivery(&there.back(), &self.name) != Delivery::Deliver
+                || self.cluster.faults.delivery(&route.back(), &self.name) != Delivery::Deliver
             {
                 return;
             }
@@ -299,7 +310,7 @@
     }
 
     /// Waits until the machine no longer hangs.
-    async fn goes_on(&self) {
+    async fn wait_until_responsive(&self) {
         loop {
             let now = self.cluster.now();
             let until = self
@@ -316,7 +327,7 @@
     }
 
     /// Answers a direct request; `None` if the machine is not up.
-    fn direct(&self, request: &Request) -> Option<Response> {
+    fn handle_direct(&self, request: &Request) -> Option<Response> {
         let mut fleet = self.cluster.fleet();
         let fleet = &mut *fleet;
         let now = self.cluster.now();
@@ -329,7 +340,7 @@
                 };
                 match worker.take_direct(now, &body, &fleet.users) {
                     Some(executed) => {
-                        fleet.orders_executed(now, &self.name, body.fencing_token, &executed);
+                        fleet.record_executed(now, &self.name, body.fencing_token, &executed);
                         200
                     }
                     None => 409,
@@ -338,7 +349,7 @@
             _ => return Some(Response::new(404, vec![])),
         };
         let heartbeat = fleet.workers.get_mut(&self.name)?.heartbeat(now);
-        poke(fleet, &self.name);
+        wake(fleet, &self.name);
         Some(Response::new(status, to_cbor(&heartbeat)))
     }
 }
@@ -346,7 +357,7 @@
 /// The response to a report.
 enum Answer {
     /// Commands for the worker.
-    HeartbeatResponse(HeartbeatResponse),
+    Commands(HeartbeatResponse),
     /// The worker must report to the controller of this name.
     Redirect(String),
     /// No response, or one that can't be used.
@@ -356,7 +367,7 @@
 fn read_answer(answer: Option<Response>) -> Answer {
     let Some(answer) = answer else { return Answer::None };
     match answer.status {
-        200 => from_cbor(&answer.body).map_or(Answer::None, Answer::HeartbeatResponse),
+        200 => from_cbor(&answer.body).map_or(Answer::None, Answer::Commands),
         421 => {
             let elsewhere: Option<Redirect> = from_cbor(&answer.body).ok();
             let to = elsewhere.and_then(|e| e.report_to);
@@ -367,14 +378,14 @@
 }
 
 /// Wakes a machine's worker, so that it checks for due work.
-fn poke(fleet: &Fleet, name: &str) {
-    if let Some(link) = fleet.links.get(name) {
-        link.poke.try_send(()).ok();
+fn wake(fleet: &Fleet, name: &str) {
+    if let Some(handle) = fleet.handles.get(name) {
+        handle.wake.try_send(()).ok();
     }
 }
 
 /// Limits the time of an operation; `None` if it takes longer than `limit`.
-pub(crate) async fn within<T>(limit: Duration, work: impl std::future::Future<Output = Option<T>>) -> Option<T> {
+pub(crate) async fn with_timeout<T>(limit: Duration, work: impl std::future::Future<Output = Option<T>>) -> Option<T> {
     let late = async {
         Timer::after(limit).await;
         None
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -68,7 +68,7 @@
         .with_ansi(false)
         .with_writer(std::io::stderr)
         .init();
-    let ended = match Args::parse().command {
+    let result = match Args::parse().command {
         Subcommands::Scale {
             experiment,
             controllers,
@@ -85,7 +85,7 @@
             failed == 0
         }),
     };
-    match ended {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(RULES_BROKEN),
         Err(error) => {
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -16,15 +16,15 @@
 use std::path::Path;
 
 /// Significant decimal digits of histogram values.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 /// Time after the boots of the initial machines from which samples count, in seconds.
-const SETTLED_S: f64 = 5.0;
+const SETTLING_TIME_S: f64 = 5.0;
 /// Longest time for which requests about an accepted job may remain unanswered, in seconds.
-const SILENCE_S: u64 = 75;
+const MAX_SILENCE_S: u64 = 75;
 
 /// A controller that exited without being killed.
 #[derive(Clone, Debug, Serialize)]
-pub(crate) struct Ended {
+pub(crate) struct ControllerExit {
     pub node: usize,
     pub at_s: f64,
 }
@@ -32,7 +32,7 @@
 /// Data collected while an experiment ran.
 pub(crate) struct Observed {
     pub samples: Vec<Sample>,
-    pub ended: Vec<Ended>,
+    pub ended: Vec<ControllerExit>,
     /// Number of answers in the audit at the end; `None` if the audit took too long.
     pub audited: Option<usize>,
     pub lost: Vec<LostLeader>,
@@ -87,7 +87,7 @@
     pub broken: Vec<String>,
     /// Invalid requests that the state service or the cloud received.
     pub problems: Vec<String>,
-    pub controllers_ended: Vec<Ended>,
+    pub controllers_ended: Vec<ControllerExit>,
     pub longest_silence_s: u64,
     pub audited_answers: Option<usize>,
     pub starts: u64,
@@ -115,7 +115,7 @@
         self.broken.is_empty()
             && self.problems.is_empty()
             && self.controllers_ended.is_empty()
-            && self.longest_silence_s <= SILENCE_S
+            && self.longest_silence_s <= MAX_SILENCE_S
             && self.audited_answers.is_some()
             && self.starts > 0
     }
@@ -147,13 +147,13 @@
                 times.count, times.p50_ms, times.p99_ms, times.max_ms
             );
         }
-        for wrong in self.broken.iter().chain(&self.problems) {
-            let _ = writeln!(text, "broken: {wrong}");
+        for violation in self.broken.iter().chain(&self.problems) {
+            let _ = writeln!(text, "broken: {violation}");
         }
         for ended in &self.controllers_ended {
             let _ = writeln!(text, "controller {} ended by itself at {:.1} s", ended.node, ended.at_s);
         }
-        if self.longest_silence_s > SILENCE_S {
+        if self.longest_silence_s > MAX_SILENCE_S {
             let _ = writeln!(
                 text,
                 "requests about a job were not answered for {} s",
@@ -169,7 +169,7 @@
 
 /// Builds a histogram of times in microseconds.
 fn histogram(times: impl Iterator<Item = u64>) -> Option<Histogram<u64>> {
-    let mut histogram = Histogram::<u64>::new(DIGITS).ok()?;
+    let mut histogram = Histogram::<u64>::new(SIGNIFICANT_DIGITS).ok()?;
     for time in times {
         histogram.record(time).ok()?;
     }
@@ -230,7 +230,7 @@
 }
 
 /// Returns the time from the first submission to the start of each started task, in microseconds.
-fn waits(users: &BTreeMap<String, User>, first_start: &BTreeMap<String, u64>, urgent: bool) -> Vec<u64> {
+fn wait_times(users: &BTreeMap<String, User>, first_start: &BTreeMap<String, u64>, urgent: bool) -> Vec<u64> {
     let wait = |(task, at): (&String, &u64)| {
         let user = users.get(job_of(task))?;
         let is_urgent = user.spec.priority == Priority::High;
@@ -246,21 +246,26 @@
     let fleet = cluster.fleet();
     let store = cluster.store();
     let experiment = &cluster.experiment;
-    let settled = experiment.workers.ramp_s + SETTLED_S;
+    let settled = experiment.workers.ramp_s + SETTLING_TIME_S;
     let samples = &observed.samples;
-    let late: Vec<&Sample> = samples.iter().filter(|s| s.at_s >= settled).collect();
-    let mean = |value: fn(&Sample) -> f64| late.iter().map(|s| value(s)).sum::<f64>() / late.len().max(1) as f64;
+    let settled_samples: Vec<&Sample> = samples.iter().filter(|s| s.at_s >= settled).collect();
+    let mean = |value: fn(&Sample) -> f64| {
+        settled_samples.iter().map(|s| value(s)).sum::<f64>() / settled_samples.len().max(1) as f64
+    };
     let accepted = fleet.users.values().filter_map(|u| Some(u.accepted? - u.first_asked?));
     // Time from the kill of a leader to the first response of a later leader that a worker accepts.
     let takeovers = observed.lost.iter().filter_map(|lost| {
-        let next = fleet.terms.iter().find(|term| term.fence > lost.fence)?;
+        let next = fleet
+            .terms
+            .iter()
+            .find(|term| term.fencing_token > lost.fencing_token)?;
         Some(next.at.saturating_sub(lost.at))
     });
     let first = &fleet.rules.first_start;
     let all = [
         ("submit", times(accepted)),
-        ("start_urgent", times(waits(&fleet.users, first, true).into_iter())),
-        ("start_other", times(waits(&fleet.users, first, false).into_iter())),
+        ("start_urgent", times(wait_times(&fleet.users, first, true).into_iter())),
+        ("start_other", times(wait_times(&fleet.users, first, false).into_iter())),
         ("takeover", times(takeovers)),
     ];
     let seconds = cluster.now() as f64 / 1e6;
@@ -298,7 +303,7 @@
         let path = dir.join(name);
         std::fs::write(&path, text).map_err(|source| EmulatorError::Unwritable { path, source })
     };
-    let json = serde_json::to_string_pretty(report).map_err(|e| EmulatorError::Machine(e.to_string()))?;
+    let json = serde_json::to_string_pretty(report).map_err(|e| EmulatorError::Other(e.to_string()))?;
     write("report.json", json)?;
     write("samples.csv", csv(&report.samples))?;
     plots::draw(dir, &report.samples, &report.times)
--- a/crates/emulator/src/samples.rs
+++ b/crates/emulator/src/samples.rs
@@ -38,7 +38,7 @@
 }
 
 /// Cumulative use of a process at the previous sample.
-struct Seen {
+struct UsageRecord {
     pid: u32,
     at: Instant,
     ticks: u64,
@@ -50,7 +50,7 @@
 /// Takes samples of the controller processes and keeps them.
 #[derive(Default)]
 pub(crate) struct Sampler {
-    seen: BTreeMap<usize, Seen>,
+    seen: BTreeMap<usize, UsageRecord>,
     last: Option<(Instant, Counts)>,
     pub samples: Vec<Sample>,
 }
@@ -99,7 +99,7 @@
             let Some(usage) = usage(pid) else { continue };
             memory_kb += usage.memory_kb;
             let bytes = SIDES.map(|side| cluster.nodes[node].bytes(side));
-            let seen = Seen {
+            let seen = UsageRecord {
                 pid,
                 at: now,
                 ticks: usage.ticks,
@@ -138,7 +138,7 @@
         }
         let used_mb = memory_kb / 1024;
         match used_mb > limit_mb {
-            true => Err(EmulatorError::Memory { used_mb, limit_mb }),
+            true => Err(EmulatorError::MemoryExceeded { used_mb, limit_mb }),
             false => Ok(counts),
         }
     }
--- a/crates/emulator/src/scale.rs
+++ b/crates/emulator/src/scale.rs
@@ -4,8 +4,8 @@
 use crate::controllers::Controllers;
 use crate::errors::EmulatorError;
 use crate::experiment::{seconds, Experiment};
-use crate::load::{submit, Numbers};
-use crate::report::{self, Ended, Observed, Report};
+use crate::load::{submit, JobNumbers};
+use crate::report::{self, ControllerExit, Observed, Report};
 use crate::samples::Sampler;
 use crate::scheduled_failures::{inject, LostLeaders};
 use crate::{balancer, cloud_service, machines, preflight, server, state_service, users};
@@ -18,25 +18,25 @@
 use std::time::{Duration, Instant};
 
 /// Executor threads in addition to the main thread. The controllers need the other cores.
-const THREADS: usize = 1;
+const EXTRA_THREADS: usize = 1;
 /// Time within which at least one controller must become healthy.
-const READY: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Interval at which a request to stop is polled.
-const STOP: Duration = Duration::from_millis(100);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval of samples and of checks of the controller processes.
-const LOOK: Duration = Duration::from_secs(1);
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 /// Samples between two progress log lines.
-const PROGRESS: u64 = 5;
+const SAMPLES_PER_PROGRESS_LINE: u64 = 5;
 /// Interval of the rule checks, and its increase for each worker: a check takes longer with more
 /// workers.
-const RULES: Duration = Duration::from_millis(20);
-const RULES_A_WORKER: Duration = Duration::from_micros(100);
+const RULE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+const RULE_CHECK_INTERVAL_PER_WORKER: Duration = Duration::from_micros(100);
 /// Largest number of accepted jobs in the audit at the end, and the audit's time limit.
-const AUDITED: usize = 300;
-const AUDIT: Duration = Duration::from_secs(30);
+const MAX_AUDITED_JOBS: usize = 300;
+const AUDIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Directory of the reports if the option isn't given.
-const REPORTS: &str = "target/lab";
+const DEFAULT_REPORT_DIR: &str = "target/lab";
 
 /// Listeners of the emulated state service and cloud, one for each controller.
 pub(crate) struct Services {
@@ -62,9 +62,9 @@
 }
 
 /// Kills the controllers when the experiment ends, also on an error or a panic.
-pub(crate) struct EndChildren(pub Arc<EmulatedCluster>);
+pub(crate) struct KillOnDrop(pub Arc<EmulatedCluster>);
 
-impl Drop for EndChildren {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         self.0.processes().kill_all();
     }
@@ -83,29 +83,29 @@
         path: program.to_path_buf(),
         source,
     })?;
-    let dir = dir.unwrap_or_else(|| Path::new(REPORTS).join(&experiment.name));
+    let dir = dir.unwrap_or_else(|| Path::new(DEFAULT_REPORT_DIR).join(&experiment.name));
     let controllers = Controllers::prepare(&experiment, &program, &dir.join("controllers"))?;
     let cluster = Arc::new(EmulatedCluster::new(experiment, controllers));
-    let _children = EndChildren(cluster.clone());
+    let _kill_on_drop = KillOnDrop(cluster.clone());
     stop_on_signals(&cluster)?;
     stop_on_panics(&cluster);
-    let (over, ended) = async_channel::bounded::<()>(1);
+    let (finish, finished) = async_channel::bounded::<()>(1);
     let mut threads = vec![];
-    for _ in 0..THREADS {
-        let (cluster, ended) = (cluster.clone(), ended.clone());
+    for _ in 0..EXTRA_THREADS {
+        let (cluster, finished) = (cluster.clone(), finished.clone());
         threads.push(std::thread::spawn(move || {
             async_io::block_on(cluster.executor.run(async {
-                ended.recv().await.ok();
+                finished.recv().await.ok();
             }));
         }));
     }
     let observed = async_io::block_on(
         cluster
             .executor
-            .run(play(cluster.clone(), services).or(stopped(&cluster))),
+            .run(run_cluster(cluster.clone(), services).or(wait_for_stop(&cluster))),
     );
     cluster.processes().kill_all();
-    drop(over);
+    drop(finish);
     for thread in threads {
         thread.join().ok();
     }
@@ -118,23 +118,23 @@
 fn stop_on_signals(cluster: &Arc<EmulatedCluster>) -> Result<(), EmulatorError> {
     let cluster = cluster.clone();
     let stop = move || cluster.stop(EmulatorError::Interrupted);
-    ctrlc::set_handler(stop).map_err(|e| EmulatorError::Machine(e.to_string()))
+    ctrlc::set_handler(stop).map_err(|e| EmulatorError::Other(e.to_string()))
 }
 
 /// Stops the experiment when any thread panics. The previous panic hook still prints the panic.
 fn stop_on_panics(cluster: &Arc<EmulatedCluster>) {
     let cluster = cluster.clone();
-    let say = std::panic::take_hook();
+    let previous_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
-        say(panic);
+        previous_hook(panic);
         cluster.stop(EmulatorError::Panicked(panic.to_string()));
     }));
 }
 
 /// Waits until the experiment is stopped early, and returns the reason.
-async fn stopped(cluster: &EmulatedCluster) -> Result<Observed, EmulatorError> {
+async fn wait_for_stop(cluster: &EmulatedCluster) -> Result<Observed, EmulatorError> {
     loop {
-        Timer::after(STOP).await;
+        Timer::after(STOP_POLL_INTERVAL).await;
         if let Some(why) = cluster.take_stop() {
             return Err(why);
         }
@@ -142,7 +142,7 @@
 }
 
 /// Runs the experiment and the audit at its end.
-async fn play(cluster: Arc<EmulatedCluster>, services: Services) -> Result<Observed, EmulatorError> {
+async fn run_cluster(cluster: Arc<EmulatedCluster>, services: Services) -> Result<Observed, EmulatorError> {
     serve(&cluster, services);
     for node in 0..cluster.nodes.len() {
         cluster.processes().start(node)?;
@@ -153,7 +153,7 @@
         .executor
         .spawn(check_rules_periodically(cluster.clone()))
         .detach();
-    let numbers = Arc::new(Numbers::default());
+    let numbers = Arc::new(JobNumbers::default());
     for load in cluster.experiment.load.clone() {
         cluster
             .executor
@@ -169,10 +169,10 @@
     }
     let (sampler, ended) = watch(&cluster).await?;
     let late = async {
-        Timer::after(AUDIT).await;
+        Timer::after(AUDIT_TIMEOUT).await;
         None
     };
-    let audit = async { Some(users::audit(&cluster, AUDITED).await) };
+    let audit = async { Some(users::audit(&cluster, MAX_AUDITED_JOBS).await) };
     Ok(Observed {
         samples: sampler.samples,
         ended,
@@ -210,7 +210,7 @@
 
 /// Checks the rules periodically until the experiment ends.
 async fn check_rules_periodically(cluster: Arc<EmulatedCluster>) {
-    let pause = RULES + RULES_A_WORKER * cluster.experiment.workers.count as u32;
+    let pause = RULE_CHECK_INTERVAL + RULE_CHECK_INTERVAL_PER_WORKER * cluster.experiment.workers.count as u32;
     loop {
         Timer::after(pause).await;
         let now = cluster.now();
@@ -220,31 +220,31 @@
 
 /// Samples the controllers once a second until the end of the experiment. Returns the samples and
 /// the controllers that exited without being killed.
-async fn watch(cluster: &EmulatedCluster) -> Result<(Sampler, Vec<Ended>), EmulatorError> {
+async fn watch(cluster: &EmulatedCluster) -> Result<(Sampler, Vec<ControllerExit>), EmulatorError> {
     let limit_mb = preflight::memory_limit_mb()?;
     let (began, ends) = (Instant::now(), Instant::now() + cluster.experiment.duration());
     let (mut sampler, mut ended) = (Sampler::default(), vec![]);
     let mut samples = 0;
     let mut was_ready = false;
     while Instant::now() < ends {
-        Timer::after(LOOK.min(ends.saturating_duration_since(Instant::now()))).await;
+        Timer::after(SAMPLE_INTERVAL.min(ends.saturating_duration_since(Instant::now()))).await;
         let counts = sampler.sample(cluster, limit_mb)?;
         for node in cluster.processes().ended() {
             tracing::error!(node, "controller process exited unexpectedly");
-            ended.push(Ended {
+            ended.push(ControllerExit {
                 node,
                 at_s: cluster.now() as f64 / 1e6,
             });
         }
         was_ready |= cluster.nodes.iter().any(|node| node.healthy.load(Ordering::Relaxed));
-        if !was_ready && began.elapsed() > READY {
+        if !was_ready && began.elapsed() > READY_TIMEOUT {
             return Err(EmulatorError::NeverReady {
-                seconds: READY.as_secs(),
+                seconds: READY_TIMEOUT.as_secs(),
                 logs: cluster.processes().dir().to_path_buf(),
             });
         }
         samples += 1;
-        if samples % PROGRESS == 0 {
+        if samples % SAMPLES_PER_PROGRESS_LINE == 0 {
             tracing::info!(
                 at_s = began.elapsed().as_secs(),
                 of_s = cluster.experiment.duration().as_secs(),
--- a/crates/emulator/src/scheduled_failures.rs
+++ b/crates/emulator/src/scheduled_failures.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LostLeader {
     pub at: u64,
-    pub fence: u64,
+    pub fencing_token: u64,
 }
 
 impl LostLeaders {
@@ -36,15 +36,15 @@
     Timer::after(seconds(injection.at_s).saturating_sub(now)).await;
     tracing::info!(what = ?injection.what, "injecting a failure");
     match injection.what {
-        InjectionKind::MachineDeaths { count } => die(&cluster, None, count, false),
-        InjectionKind::Replacements { count } => die(&cluster, None, count, true),
+        InjectionKind::MachineDeaths { count } => terminate_machines(&cluster, None, count, false),
+        InjectionKind::Replacements { count } => terminate_machines(&cluster, None, count, true),
         InjectionKind::Rack { zone, share } => {
             let all = cluster.fleet().up(Some(&zone)).len();
-            die(&cluster, Some(&zone), (all as f64 * share).round() as usize, false);
+            terminate_machines(&cluster, Some(&zone), (all as f64 * share).round() as usize, false);
         }
-        InjectionKind::Zone { zone, lasts_s } => zone_out(&cluster, &zone, seconds(lasts_s), &lost).await,
+        InjectionKind::Zone { zone, lasts_s } => fail_zone(&cluster, &zone, seconds(lasts_s), &lost).await,
         InjectionKind::ControllerKill { who, lasts_s } => {
-            if let Some(node) = choose(&cluster, who) {
+            if let Some(node) = choose_node(&cluster, who) {
                 kill(&cluster, node, &lost);
                 Timer::after(seconds(lasts_s)).await;
                 start(&cluster, node);
@@ -61,12 +61,12 @@
 }
 
 /// Terminates up to `count` machines, and creates new ones in the same zones if `replaced` is set.
-fn die(cluster: &Arc<EmulatedCluster>, zone: Option<&str>, count: usize, replaced: bool) {
+fn terminate_machines(cluster: &Arc<EmulatedCluster>, zone: Option<&str>, count: usize, replaced: bool) {
     let mut fleet = cluster.fleet();
     let now = cluster.now();
     for name in fleet.up(zone).into_iter().take(count) {
         let zone = fleet.workers.get(&name).map(|w| w.zone.clone());
-        fleet.machine_dies(now, &name);
+        fleet.terminate_machine(now, &name);
         if let Some(zone) = zone.filter(|_| replaced) {
             let boot = machines::boot_time(cluster, &mut fleet);
             machines::create(cluster, &mut fleet, &zone, false, boot);
@@ -75,14 +75,14 @@
 }
 
 /// Kills all controllers and machines of a zone, and restarts the controllers after `lasts`.
-async fn zone_out(cluster: &Arc<EmulatedCluster>, zone: &str, lasts: Duration, lost: &LostLeaders) {
+async fn fail_zone(cluster: &Arc<EmulatedCluster>, zone: &str, lasts: Duration, lost: &LostLeaders) {
     let here = |node: &usize| cluster.nodes[*node].zone == zone;
     let nodes: Vec<usize> = (0..cluster.nodes.len()).filter(here).collect();
     cluster.fleet().zones_out.insert(zone.into());
     for node in &nodes {
         kill(cluster, *node, lost);
     }
-    die(cluster, Some(zone), usize::MAX, false);
+    terminate_machines(cluster, Some(zone), usize::MAX, false);
     Timer::after(lasts).await;
     cluster.fleet().zones_out.remove(zone);
     for node in nodes {
@@ -91,7 +91,7 @@
 }
 
 /// Chooses a running controller by its role.
-fn choose(cluster: &EmulatedCluster, who: Who) -> Option<usize> {
+fn choose_node(cluster: &EmulatedCluster, who: Who) -> Option<usize> {
     let leader = cluster.leader();
     match who {
         Who::Leader => leader,
@@ -108,8 +108,8 @@
     let leads = cluster.leader() == Some(node);
     let at = cluster.now();
     if cluster.processes().kill(node) && leads {
-        let fence = cluster.fleet().terms.last().map_or(0, |term| term.fence);
-        lost.push(LostLeader { at, fence });
+        let fencing_token = cluster.fleet().terms.last().map_or(0, |term| term.fencing_token);
+        lost.push(LostLeader { at, fencing_token });
     }
 }
 
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Time for which a connection stays open after a response was lost.
-const SILENCE: Duration = Duration::from_secs(8);
+const LOST_RESPONSE_DELAY: Duration = Duration::from_secs(8);
 
 /// Binds a listener to an address.
 pub(crate) fn listen(addr: SocketAddr) -> Result<Async<TcpListener>, EmulatorError> {
@@ -39,14 +39,19 @@
         let connection = Connection::new(stream);
         cluster
             .executor
-            .spawn(serve_one(shared, connection, node, side, handler))
+            .spawn(serve_connection(shared, connection, node, side, handler))
             .detach();
     }
 }
 
 /// Serves the requests on one connection.
-async fn serve_one<H, F>(cluster: Arc<EmulatedCluster>, mut connection: Connection, node: usize, side: Side, handler: H)
-where
+async fn serve_connection<H, F>(
+    cluster: Arc<EmulatedCluster>,
+    mut connection: Connection,
+    node: usize,
+    side: Side,
+    handler: H,
+) where
     H: Fn(Arc<EmulatedCluster>, usize, Request) -> F,
     F: Future<Output = Option<Response>>,
 {
@@ -55,10 +60,10 @@
     } else {
         Party::State
     };
-    let there = Route::between(Party::Node(node), service);
+    let route = Route::between(Party::Node(node), service);
     while let Ok(Some(request)) = connection.read_request().await {
-        cluster.faults.passes(&there, "").await;
-        let delivery = cluster.faults.delivery(&there, "");
+        cluster.faults.wait_to_pass(&route, "").await;
+        let delivery = cluster.faults.delivery(&route, "");
         let response = match delivery {
             Delivery::Reset => return,
             Delivery::Refuse => Some(refusal()),
@@ -71,11 +76,11 @@
         };
         let Some(response) = response else { return };
         if delivery == Delivery::LoseAnswer {
-            Timer::after(SILENCE).await;
+            Timer::after(LOST_RESPONSE_DELAY).await;
             return;
         }
-        cluster.faults.passes(&there.back(), "").await;
-        if cluster.faults.delivery(&there.back(), "") == Delivery::Reset {
+        cluster.faults.wait_to_pass(&route.back(), "").await;
+        if cluster.faults.delivery(&route.back(), "") == Delivery::Reset {
             return;
         }
         let written = connection.write_response(&response).await;
--- a/crates/emulator/src/soak/child.rs
+++ b/crates/emulator/src/soak/child.rs
@@ -27,7 +27,7 @@
     dir: &Path,
     interrupted: &AtomicBool,
 ) -> Result<Outcome, EmulatorError> {
-    let emulator = std::env::current_exe().map_err(|e| EmulatorError::Machine(e.to_string()))?;
+    let emulator = std::env::current_exe().map_err(|e| EmulatorError::Other(e.to_string()))?;
     let mut command = Command::new(&emulator);
     command.arg("soak").arg("--plan").arg(dir.join("plan.toml"));
     command.arg("--controllers").arg(program);
@@ -42,7 +42,7 @@
     match status.code() {
         Some(0 | 1) => read_outcome(&dir.join("outcome.json")),
         Some(INTERRUPTED_STATUS) => Err(EmulatorError::Interrupted),
-        _ => Err(EmulatorError::Machine(format!(
+        _ => Err(EmulatorError::Other(format!(
             "{}: the plan could not be run",
             dir.display()
         ))),
@@ -51,7 +51,7 @@
 
 /// Waits for the child to exit, and forwards an interrupt to it.
 fn wait(mut child: Child, interrupted: &AtomicBool) -> Result<ExitStatus, EmulatorError> {
-    let failed = |e: std::io::Error| EmulatorError::Machine(e.to_string());
+    let failed = |e: std::io::Error| EmulatorError::Other(e.to_string());
     let mut interrupt_sent_at: Option<Instant> = None;
     loop {
         if let Some(status) = child.try_wait().map_err(failed)? {
@@ -80,5 +80,5 @@
         path: path.to_path_buf(),
         source,
     })?;
-    serde_json::from_str(&text).map_err(|e| EmulatorError::Machine(format!("{}: {e}", path.display())))
+    serde_json::from_str(&text).map_err(|e| EmulatorError::Other(format!("{}: {e}", path.display())))
 }
--- a/crates/emulator/src/soak/inject.rs
+++ b/crates/emulator/src/soak/inject.rs
@@ -38,7 +38,7 @@
         }
         Fault::Link { route, hosts, fault } => {
             if let (Some(from), Some(to)) = (resolve_party(&cluster, route.from), resolve_party(&cluster, route.to)) {
-                cluster.faults.begin(Route::between(from, to), hosts, fault, lasts);
+                cluster.faults.start(Route::between(from, to), hosts, fault, lasts);
             }
         }
         Fault::Outage => {
@@ -53,7 +53,7 @@
             let mut fleet = cluster.fleet();
             let now = cluster.now();
             for name in fleet.up(None).into_iter().take(count) {
-                fleet.machine_dies(now, &name);
+                fleet.terminate_machine(now, &name);
             }
         }
         Fault::Cancel { count } => cancel(&cluster, count),
--- a/crates/emulator/src/soak/mod.rs
+++ b/crates/emulator/src/soak/mod.rs
@@ -87,7 +87,7 @@
         path: args.controllers.clone(),
     })?;
     let interrupt = || INTERRUPTED.store(true, Ordering::Relaxed);
-    ctrlc::set_handler(interrupt).map_err(|e| EmulatorError::Machine(e.to_string()))?;
+    ctrlc::set_handler(interrupt).map_err(|e| EmulatorError::Other(e.to_string()))?;
     if let Some(file) = &args.plan {
         let plan = Plan::load(file)?;
         return Ok(vec![run_in_process(args, &plan, &program)?]);
@@ -159,7 +159,7 @@
         workers: args.workers,
     };
     let plan = draw(seed, sizes, args.network.saturating_add(slot));
-    plan.check().map_err(|message| EmulatorError::Experiment {
+    plan.validate().map_err(|message| EmulatorError::InvalidFile {
         path: format!("seed {seed}").into(),
         message,
     })?;
--- a/crates/emulator/src/soak/plan.rs
+++ b/crates/emulator/src/soak/plan.rs
@@ -4,7 +4,7 @@
 //! the faults are listed under `troubles`.
 
 use crate::errors::EmulatorError;
-use crate::experiment::{read_toml, wrong, Experiment};
+use crate::experiment::{invalid_file, read_toml, Experiment};
 use crate::faults::{LinkFault, Party, Route};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
@@ -68,13 +68,13 @@
     /// Reads and validates a plan file.
     pub(super) fn load(path: &Path) -> Result<Plan, EmulatorError> {
         let plan: Plan = read_toml(path)?;
-        plan.check().map_err(|message| wrong(path, message))?;
+        plan.validate().map_err(|message| invalid_file(path, message))?;
         Ok(plan)
     }
 
     /// Validates the experiment, the times, and the controllers that faults refer to.
-    pub(super) fn check(&self) -> Result<(), String> {
-        self.experiment.check()?;
+    pub(super) fn validate(&self) -> Result<(), String> {
+        self.experiment.validate()?;
         if !(self.calm_s.is_finite() && self.calm_s >= 0.0) {
             return Err(format!(
                 "calm_s: {} is not a finite, non-negative number of seconds",
@@ -104,6 +104,6 @@
 
     /// Serializes the plan as TOML.
     pub(super) fn to_toml(&self) -> Result<String, EmulatorError> {
-        toml::to_string(self).map_err(|e| EmulatorError::Machine(e.to_string()))
+        toml::to_string(self).map_err(|e| EmulatorError::Other(e.to_string()))
     }
 }
--- a/crates/emulator/src/soak/run.rs
+++ b/crates/emulator/src/soak/run.rs
@@ -9,8 +9,8 @@
 use crate::controllers::Controllers;
 use crate::errors::EmulatorError;
 use crate::experiment::{seconds, Load};
-use crate::load::{spec, Numbers};
-use crate::scale::{create_machines, serve, EndChildren, Services};
+use crate::load::{spec, JobNumbers};
+use crate::scale::{create_machines, serve, KillOnDrop, Services};
 use crate::{forward, preflight};
 use async_io::Timer;
 use futures_lite::FutureExt;
@@ -51,8 +51,8 @@
     let controllers = Controllers::prepare(&experiment, program, &logs)?;
     write(&dir.join("plan.toml"), &plan.to_toml()?)?;
     let cluster = Arc::new(EmulatedCluster::new(experiment, controllers));
-    cluster.fleet().history.switch_on();
-    let _children = EndChildren(cluster.clone());
+    cluster.fleet().history.enable();
+    let _kill_on_drop = KillOnDrop(cluster.clone());
     let run = run_cluster(cluster.clone(), plan.clone(), services);
     let stopped = wait_for_stop(&cluster, interrupted);
     let mut outcome = async_io::block_on(cluster.executor.run(run.or(stopped)))?;
@@ -64,7 +64,7 @@
         .history
         .write(&history)
         .map_err(|source| EmulatorError::Unwritable { path: history, source })?;
-    let json = serde_json::to_string_pretty(&outcome).map_err(|e| EmulatorError::Machine(e.to_string()))?;
+    let json = serde_json::to_string_pretty(&outcome).map_err(|e| EmulatorError::Other(e.to_string()))?;
     write(&dir.join("outcome.json"), &json)?;
     Ok(outcome)
 }
@@ -100,7 +100,7 @@
     create_machines(&cluster);
     let behind = Arc::new(AtomicU64::new(0));
     cluster.executor.spawn(measure_lag(behind.clone())).detach();
-    let numbers = Arc::new(Numbers::default());
+    let numbers = Arc::new(JobNumbers::default());
     for load in plan.experiment.load.clone() {
         cluster
             .executor
@@ -117,7 +117,7 @@
     for fault in faults {
         fault.await;
     }
-    cluster.faults.end();
+    cluster.faults.clear();
     let calm_since = cluster.now();
     cluster.note(|| "all faults are over".into());
     let stranded_check = cluster.executor.spawn(check_stranded_periodically(cluster.clone()));
@@ -210,7 +210,7 @@
 }
 
 /// Submits the jobs of one load until its end.
-async fn submit(cluster: Arc<EmulatedCluster>, load: Load, numbers: Arc<Numbers>, users: super::plan::Users) {
+async fn submit(cluster: Arc<EmulatedCluster>, load: Load, numbers: Arc<JobNumbers>, users: super::plan::Users) {
     let until = load.until_s.unwrap_or(cluster.experiment.duration_s);
     let mut at = load.from_s;
     while at < until {
--- a/crates/emulator/src/soak/users.rs
+++ b/crates/emulator/src/soak/users.rs
@@ -7,7 +7,7 @@
 use super::plan;
 use crate::cluster::{EmulatedCluster, Side};
 use crate::faults::{Delivery, Party, Route};
-use crate::machines::{exchange, within};
+use crate::machines::{exchange, with_timeout};
 use crate::users::request;
 use async_io::Timer;
 use glenhaven::protocol::from_cbor;
@@ -126,15 +126,15 @@
     let request = request(asked, &spec);
     let route = Route::between(Party::Users, Party::Node(node));
     let exchange = async {
-        cluster.faults.passes(&route, "").await;
+        cluster.faults.wait_to_pass(&route, "").await;
         if cluster.faults.delivery(&route, "") != Delivery::Deliver {
             return None;
         }
         let answer = exchange(cluster, None, node, Side::Users, &request).await;
-        cluster.faults.passes(&route.back(), "").await;
+        cluster.faults.wait_to_pass(&route.back(), "").await;
         answer
     };
-    let answer = within(Duration::from_micros(asked.limit()), exchange).await;
+    let answer = with_timeout(Duration::from_micros(asked.limit()), exchange).await;
     let (_, response) = answer?;
     check_answer(cluster, job, asked, before, &response, node)
 }
--- a/crates/emulator/src/state_service.rs
+++ b/crates/emulator/src/state_service.rs
@@ -10,13 +10,13 @@
 use std::time::{Duration, Instant};
 
 /// Rows per page of a list.
-pub(crate) const PAGE: usize = 1000;
+pub(crate) const PAGE_SIZE: usize = 1000;
 /// Number of past changes available to watches.
 const KEPT_CHANGES: usize = 10_000;
 /// Longest time that a watch waits.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 /// Interval of the checks for expired leases.
-const EXPIRY: Duration = Duration::from_millis(50);
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Answers one request.
 pub(crate) async fn handle(cluster: Arc<EmulatedCluster>, _node: usize, request: Request) -> Option<Response> {
@@ -58,7 +58,7 @@
 
 /// Waits until a key with this prefix changes after revision `after`, or the wait is over.
 async fn watch(cluster: &EmulatedCluster, prefix: &str, after: u64, wait_ms: u64) -> StoreResponse {
-    let ends = Instant::now() + Duration::from_millis(wait_ms).min(LONGEST_WAIT);
+    let ends = Instant::now() + Duration::from_millis(wait_ms).min(MAX_WATCH_WAIT);
     loop {
         let changed = cluster.store_changed.listen();
         {
@@ -80,7 +80,7 @@
 /// Removes expired leases periodically until the experiment ends.
 pub(crate) async fn expire_leases(cluster: Arc<EmulatedCluster>) {
     loop {
-        Timer::after(EXPIRY).await;
+        Timer::after(EXPIRY_CHECK_INTERVAL).await;
         let mut store = cluster.store();
         let before = store.revision;
         store.expire(cluster.now());
--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -3,7 +3,7 @@
 
 use crate::balancer;
 use crate::cluster::{EmulatedCluster, Side};
-use crate::machines::{exchange, within};
+use crate::machines::{exchange, with_timeout};
 use async_io::Timer;
 use glenhaven::protocol::to_cbor;
 use glenhaven::protocol::users::JobSpec;
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// Delay before a request is retried that got no response or status 503.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Builds a user's HTTP request.
 pub(crate) fn request(asked: Asked, spec: &JobSpec) -> Request {
@@ -36,14 +36,14 @@
 type ReusedConnection = Option<(usize, Connection)>;
 
 /// Submits a job and polls it until it is done, cancelled or refused. The user cancels it after
-/// `abort_after`.
-pub(crate) async fn live(cluster: Arc<EmulatedCluster>, user: User, abort_after: Option<Duration>) {
+/// `cancel_after`.
+pub(crate) async fn run_user(cluster: Arc<EmulatedCluster>, user: User, cancel_after: Option<Duration>) {
     let spec = user.spec.clone();
     cluster.fleet().users.insert(spec.id.clone(), user);
-    let aborts_at = abort_after.map(|after| cluster.now() + after.as_micros() as u64);
+    let cancels_at = cancel_after.map(|after| cluster.now() + after.as_micros() as u64);
     let mut reused: ReusedConnection = None;
     loop {
-        if aborts_at.is_some_and(|at| cluster.now() >= at) {
+        if cancels_at.is_some_and(|at| cluster.now() >= at) {
             if let Some(user) = cluster.fleet().users.get_mut(&spec.id) {
                 user.wants_abort = true;
             }
@@ -61,15 +61,15 @@
         let Some(asked) = asked else { return };
         let answer = ask(&cluster, &mut reused, node, asked, &spec).await;
         let retry = answer.as_ref().is_none_or(|response| response.status == 503);
-        if take(&cluster, &spec.id, asked, answer) {
+        if handle_response(&cluster, &spec.id, asked, answer) {
             return;
         }
         let pause = match retry {
-            true => RETRY,
+            true => RETRY_DELAY,
             false => Duration::from_micros(asked.pause()),
         };
-        let until_abort = aborts_at.map(|at| Duration::from_micros(at.saturating_sub(cluster.now())));
-        let pause = until_abort
+        let until_cancel = cancels_at.map(|at| Duration::from_micros(at.saturating_sub(cluster.now())));
+        let pause = until_cancel
             .filter(|left| !left.is_zero())
             .map_or(pause, |left| pause.min(left));
         Timer::after(pause).await;
@@ -89,13 +89,13 @@
     let request = request(asked, spec);
     let limit = Duration::from_micros(asked.limit());
     let exchange = exchange(cluster, connection, node, Side::Users, &request);
-    let (connection, response) = within(limit, exchange).await?;
+    let (connection, response) = with_timeout(limit, exchange).await?;
     *reused = connection.map(|connection| (node, connection));
     Some(response)
 }
 
 /// Records the result of a request. Returns whether the user has no further requests.
-fn take(cluster: &EmulatedCluster, job: &str, asked: Asked, answer: Option<Response>) -> bool {
+fn handle_response(cluster: &EmulatedCluster, job: &str, asked: Asked, answer: Option<Response>) -> bool {
     let mut fleet = cluster.fleet();
     let fleet = &mut *fleet;
     let now = cluster.now();
@@ -106,14 +106,20 @@
                 body: response.body,
                 retry_after_s: response.retry_after_s,
             };
-            let it = Answered {
+            let exchange_result = Answered {
                 now,
                 left: now,
                 calm: 0,
                 asked,
                 answer: &answer,
             };
-            answered(&mut fleet.users, &fleet.results, &mut fleet.rules, job, &it);
+            answered(
+                &mut fleet.users,
+                &fleet.results,
+                &mut fleet.rules,
+                job,
+                &exchange_result,
+            );
         }
         None => {
             if let Some(user) = fleet.users.get_mut(job) {
@@ -128,18 +134,22 @@
 
 /// Polls all healthy controllers in parallel about accepted jobs at the end of the experiment: no
 /// job may be unknown or have returned to an earlier phase. Returns the number of responses.
-pub(crate) async fn audit(cluster: &Arc<EmulatedCluster>, most: usize) -> usize {
+pub(crate) async fn audit(cluster: &Arc<EmulatedCluster>, max_jobs: usize) -> usize {
     let accepted: Vec<JobSpec> = {
         let fleet = cluster.fleet();
         let known = fleet.users.values().filter(|u| u.accepted.is_some());
         known.map(|u| u.spec.clone()).collect()
     };
-    let step = accepted.len().div_ceil(most.max(1)).max(1);
+    let step = accepted.len().div_ceil(max_jobs.max(1)).max(1);
     let asked: Arc<Vec<JobSpec>> = Arc::new(accepted.into_iter().step_by(step).collect());
     let healthy = |node: &usize| cluster.nodes[*node].healthy.load(Ordering::Relaxed);
     let audits: Vec<_> = (0..cluster.nodes.len())
         .filter(healthy)
-        .map(|node| cluster.executor.spawn(audit_one(cluster.clone(), node, asked.clone())))
+        .map(|node| {
+            cluster
+                .executor
+                .spawn(audit_controller(cluster.clone(), node, asked.clone()))
+        })
         .collect();
     let mut answered = 0;
     for audit in audits {
@@ -149,14 +159,14 @@
 }
 
 /// Polls one controller about these jobs and returns the number of responses.
-async fn audit_one(cluster: Arc<EmulatedCluster>, node: usize, asked: Arc<Vec<JobSpec>>) -> usize {
+async fn audit_controller(cluster: Arc<EmulatedCluster>, node: usize, asked: Arc<Vec<JobSpec>>) -> usize {
     let mut reused: ReusedConnection = None;
     let mut answered = 0;
     for spec in asked.iter() {
         let answer = ask(&cluster, &mut reused, Some(node), Asked::Poll, spec).await;
         if answer.is_some() {
             answered += 1;
-            take(&cluster, &spec.id, Asked::Poll, answer);
+            handle_response(&cluster, &spec.id, Asked::Poll, answer);
         }
     }
     answered
--- a/crates/emulator/tests/common/mod.rs
+++ b/crates/emulator/tests/common/mod.rs
@@ -6,25 +6,27 @@
 /// Returns the path of the glenhaven program in this test's target directory. Builds the program if
 /// it doesn't exist.
 pub(crate) fn controllers() -> PathBuf {
-    let cluster = Path::new(env!("CARGO_BIN_EXE_glenhaven-emulator"));
-    let program = cluster.with_file_name("glenhaven");
+    let emulator = Path::new(env!("CARGO_BIN_EXE_glenhaven-emulator"));
+    let program = emulator.with_file_name("glenhaven");
     if !program.exists() {
-        build_controllers(cluster);
+        build_controllers(emulator);
     }
     program
 }
 
 /// Builds glenhaven in the profile of this test. `cargo test --workspace` builds it already.
-fn build_controllers(cluster: &Path) {
+fn build_controllers(emulator: &Path) {
     let mut cargo = Command::new(env!("CARGO"));
-    cargo.current_dir(root()).args(["build", "--locked", "-p", "glenhaven"]);
-    if cluster.parent().is_some_and(|dir| dir.ends_with("release")) {
+    cargo
+        .current_dir(workspace_root())
+        .args(["build", "--locked", "-p", "glenhaven"]);
+    if emulator.parent().is_some_and(|dir| dir.ends_with("release")) {
         cargo.arg("--release");
     }
     assert!(cargo.status().is_ok_and(|status| status.success()));
 }
 
-fn root() -> PathBuf {
+fn workspace_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
@@ -39,12 +41,12 @@
 }
 
 /// Returns the standard output and standard error of a program.
-pub(crate) fn said(output: &Output) -> String {
+pub(crate) fn output_text(output: &Output) -> String {
     text(&output.stdout) + &text(&output.stderr)
 }
 
 /// Returns whether a controller runs with a settings file in this directory.
-pub(crate) fn runs_with(dir: &Path) -> bool {
+pub(crate) fn controller_runs_in(dir: &Path) -> bool {
     let marker = dir.to_string_lossy().to_string();
     let processes = std::fs::read_dir("/proc").unwrap().flatten();
     processes
--- a/crates/emulator/tests/small_run.rs
+++ b/crates/emulator/tests/small_run.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{controllers, network, new_directory, runs_with, said};
+use common::{controller_runs_in, controllers, network, new_directory, output_text};
 use std::net::{Ipv4Addr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -51,13 +51,13 @@
     let dir = Dir::new("small");
     let experiment = dir.experiment(network(0));
     let output = dir.command(&experiment, &controllers()).output().unwrap();
-    assert!(output.status.success(), "{}", said(&output));
+    assert!(output.status.success(), "{}", output_text(&output));
     let report = std::fs::read_to_string(dir.report().join("report.json")).unwrap();
     let report: serde_json::Value = serde_json::from_str(&report).unwrap();
     assert_eq!(report["broken"], serde_json::json!([]));
     let number = |value: &serde_json::Value| value.as_f64().unwrap_or(0.0);
-    assert!(number(&report["jobs"]["done"]) >= 20.0, "{}", said(&output));
-    assert!(number(&report["starts"]) >= 200.0, "{}", said(&output));
+    assert!(number(&report["jobs"]["done"]) >= 20.0, "{}", output_text(&output));
+    assert!(number(&report["starts"]) >= 200.0, "{}", output_text(&output));
     for time in ["submit", "start_urgent", "start_other", "takeover"] {
         assert!(number(&report["times"][time]["count"]) >= 1.0, "no times of {time}");
     }
@@ -69,7 +69,7 @@
         let plot = std::fs::read_to_string(dir.report().join(format!("{plot}.svg"))).unwrap();
         assert!(plot.contains("polyline"));
     }
-    assert!(!runs_with(&dir.0), "a controller was left behind");
+    assert!(!controller_runs_in(&dir.0), "a controller was left behind");
 }
 
 #[test]
@@ -80,11 +80,19 @@
     let missing = dir.0.join("no-such-program");
     let output = dir.command(&experiment, &missing).output().unwrap();
     assert_eq!(output.status.code(), Some(2));
-    assert!(said(&output).contains("no such program"), "{}", said(&output));
+    assert!(
+        output_text(&output).contains("no such program"),
+        "{}",
+        output_text(&output)
+    );
     let _taken = TcpListener::bind((Ipv4Addr::new(127, network, 0, 2), 8080)).unwrap();
     let output = dir.command(&experiment, &controllers()).output().unwrap();
     assert_eq!(output.status.code(), Some(2));
-    assert!(said(&output).contains("the port is in use"), "{}", said(&output));
+    assert!(
+        output_text(&output).contains("the port is in use"),
+        "{}",
+        output_text(&output)
+    );
     assert!(!dir.report().exists(), "something was left behind");
 }
 
@@ -96,8 +104,8 @@
     let run = |text: String| {
         std::fs::write(&experiment, text).unwrap();
         let output = dir.command(&experiment, &controllers()).output().unwrap();
-        assert_eq!(output.status.code(), Some(2), "{}", said(&output));
-        said(&output)
+        assert_eq!(output.status.code(), Some(2), "{}", output_text(&output));
+        output_text(&output)
     };
     assert!(run(good.replace("count = 60", "count = 0")).contains("workers.count"));
     assert!(run(good.replace("duration_s", "duration")).contains("duration"));
@@ -125,9 +133,9 @@
         .unwrap();
     assert_eq!(output.status.code(), Some(2));
     assert!(
-        said(&output).contains("the machine is too small: open files"),
+        output_text(&output).contains("the machine is too small: open files"),
         "{}",
-        said(&output)
+        output_text(&output)
     );
     assert!(!dir.report().exists(), "something was left behind");
 }
@@ -136,22 +144,22 @@
 fn an_interrupted_experiment_leaves_no_process() {
     let dir = Dir::new("interrupted");
     let experiment = dir.experiment(network(4));
-    let mut cluster = dir
+    let mut emulator = dir
         .command(&experiment, &controllers())
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let until = |what: &str, holds: &dyn Fn() -> bool| {
+    let wait_until = |what: &str, holds: &dyn Fn() -> bool| {
         let began = Instant::now();
         while !holds() {
             assert!(began.elapsed() < Duration::from_secs(15), "{what}");
             std::thread::sleep(Duration::from_millis(50));
         }
     };
-    until("no controller was started", &|| runs_with(&dir.0));
-    let interrupted = Command::new("kill").arg("-INT").arg(cluster.id().to_string()).status();
+    wait_until("no controller was started", &|| controller_runs_in(&dir.0));
+    let interrupted = Command::new("kill").arg("-INT").arg(emulator.id().to_string()).status();
     assert!(interrupted.is_ok_and(|status| status.success()));
-    let status = cluster.wait().unwrap();
+    let status = emulator.wait().unwrap();
     assert_eq!(status.code(), Some(130));
-    assert!(!runs_with(&dir.0), "a controller was left behind");
+    assert!(!controller_runs_in(&dir.0), "a controller was left behind");
 }
--- a/crates/emulator/tests/soak.rs
+++ b/crates/emulator/tests/soak.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{controllers, network, new_directory, runs_with, said};
+use common::{controller_runs_in, controllers, network, new_directory, output_text};
 use std::net::{Ipv4Addr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -43,7 +43,7 @@
     let dir = Dir::new("plans");
     let mut soak = dir.soak(150, Path::new("none"));
     let output = soak.args(["--dry-run", "--seeds", seeds]).output().unwrap();
-    assert!(output.status.success(), "{}", said(&output));
+    assert!(output.status.success(), "{}", output_text(&output));
     String::from_utf8(output.stdout).unwrap()
 }
 
@@ -77,7 +77,7 @@
     std::fs::write(&file, &plan).unwrap();
     let mut soak = dir.soak(150, Path::new("none"));
     let output = soak.arg("--dry-run").arg("--plan").arg(&file).output().unwrap();
-    assert!(output.status.success(), "{}", said(&output));
+    assert!(output.status.success(), "{}", output_text(&output));
     assert_eq!(String::from_utf8(output.stdout).unwrap(), plan);
 }
 
@@ -87,9 +87,13 @@
     let mut soak = dir.soak(network(10), &controllers());
     soak.args(["--seeds", SEEDS, "--parallel", PARALLEL, "--duration", DURATION_S]);
     let output = soak.output().unwrap();
-    assert!(output.status.success(), "{}", said(&output));
-    assert!(said(&output).contains("4 of 4 plans held"), "{}", said(&output));
-    assert!(!runs_with(&dir.0), "a controller was left behind");
+    assert!(output.status.success(), "{}", output_text(&output));
+    assert!(
+        output_text(&output).contains("4 of 4 plans held"),
+        "{}",
+        output_text(&output)
+    );
+    assert!(!controller_runs_in(&dir.0), "a controller was left behind");
 }
 
 #[test]
@@ -97,8 +101,8 @@
     let dir = Dir::new("refused");
     let refused = |command: &mut Command, why: &str| {
         let output = command.output().unwrap();
-        assert_eq!(output.status.code(), Some(2), "{}", said(&output));
-        assert!(said(&output).contains(why), "{}", said(&output));
+        assert_eq!(output.status.code(), Some(2), "{}", output_text(&output));
+        assert!(output_text(&output).contains(why), "{}", output_text(&output));
     };
     let network = network(20);
     refused(&mut dir.soak(network, Path::new("none/such")), "no such program");
@@ -128,12 +132,12 @@
     command.args(["--seeds", "1..3", "--parallel", "2"]);
     let mut soak = command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
     let began = Instant::now();
-    while !runs_with(&dir.0) {
+    while !controller_runs_in(&dir.0) {
         assert!(began.elapsed() < Duration::from_secs(15), "no controller was started");
         std::thread::sleep(Duration::from_millis(50));
     }
     let interrupted = Command::new("kill").arg("-INT").arg(soak.id().to_string()).status();
     assert!(interrupted.is_ok_and(|status| status.success()));
     assert_eq!(soak.wait().unwrap().code(), Some(130));
-    assert!(!runs_with(&dir.0), "a controller was left behind");
+    assert!(!controller_runs_in(&dir.0), "a controller was left behind");
 }
