--- a/crates/emulator/src/soak/draw.rs
+++ b/crates/emulator/src/soak/draw.rs
@@ -20,7 +20,7 @@
 const GPUS_PER_WORKER: f64 = 4.0;
 /// Smallest limit of a team, in cores. A service of four replicas with two cores each fits into it
 /// together with some other jobs.
-const MIN_LIMIT_CORES: f64 = 16.0;
+const MIN_LIMIT: f64 = 16.0;
 /// Time before the first fault can begin, in seconds.
 const FIRST_FAULT_AFTER_S: f64 = 6.0;
 /// Approximate mean time between the starts of consecutive faults, in seconds.
@@ -112,9 +112,7 @@
         teams: Teams {
             count: teams,
             cpus: (cores * 0.08 / teams as f64).round(),
-            cpus_max: (cores * uniform(rng, 0.1, 0.35) / teams as f64)
-                .round()
-                .max(MIN_LIMIT_CORES),
+            cpus_max: (cores * uniform(rng, 0.1, 0.35) / teams as f64).round().max(MIN_LIMIT),
             gpus: 0.0,
             gpus_max: (workers as f64 * GPUS_PER_WORKER * uniform(rng, 0.05, 0.2) / teams as f64)
                 .round()
