--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -11,7 +11,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Memory of each task, and the size of its image if the load doesn't set one.
+/// Memory of each task, and the size of its image if the load doesn't set one. Jobs of high and
+/// production priority have images of size 0 then.
 const MEMORY_GB: f64 = 1.0;
 const IMAGE_GB: f64 = 0.2;
 /// Largest relative deviation of the interval between submissions.
