--- a/crates/emulator/src/cloud_service.rs
+++ b/crates/emulator/src/cloud_service.rs
@@ -1,4 +1,4 @@
-//! The cloud behind sockets.
+//! The emulated cloud: executes the controllers' HTTP requests on the simulated cloud.
 
 use crate::cluster::EmulatedCluster;
 use crate::machines;
@@ -9,8 +9,8 @@
 use glenhaven_fakes::wire;
 use std::sync::Arc;
 
-/// Machines in one page of the list.
-pub(crate) const PAGE: usize = 500;
+/// Machines per page of the machine list.
+pub(crate) const PAGE_SIZE: usize = 500;
 
 /// Answers one request.
 pub(crate) async fn handle(cluster: Arc<EmulatedCluster>, _node: usize, request: Request) -> Option<Response> {
@@ -32,7 +32,7 @@
         }
         CloudRequest::Release(hosts) => {
             for name in &hosts.machines {
-                fleet.machine_dies(now, name);
+                fleet.terminate_machine(now, name);
             }
             CloudResponse::Released
         }
@@ -40,6 +40,7 @@
     }
 }
 
+/// Rents machines, unless the zone is out or the simulated cloud answers otherwise.
 fn execute_rent(cluster: &Arc<EmulatedCluster>, rent: ProvisionRequest) -> CloudResponse {
     let mut fleet = cluster.fleet();
     if fleet.zones_out.contains(&rent.zone) {
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Machines and jobs of an experiment, and the rules that are checked on them.
+//! Machines and jobs of an experiment, and the rules checked on them.
 
 use crate::experiment::Experiment;
 use crate::history::History;
@@ -13,48 +13,48 @@
 use glenhaven_fakes::SEC;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The one machine type.
+/// Name of the only machine type.
 pub(crate) const MACHINE_TYPE: &str = "m";
-/// What a machine costs an hour for each core, ordinary and spot.
-const PRICE: f64 = 0.06;
-const SPOT_PRICE: f64 = 0.02;
+/// Hourly price per core, on demand and spot.
+const PRICE_PER_CORE: f64 = 0.06;
+const SPOT_PRICE_PER_CORE: f64 = 0.02;
 const CACHE_GB: f64 = 100.0;
 const FETCH_GB_PER_S: f64 = 1.0;
 
-/// A machine's tasks in this program: dropped, they end; poked, they look again.
-pub(crate) struct Link {
-    pub poke: Sender<()>,
-    /// Closed when the machine is gone.
+/// Handle of a machine's async tasks: dropping it ends them, a message on `wake` wakes the worker.
+pub(crate) struct MachineHandle {
+    pub wake: Sender<()>,
+    /// Closes the termination channel when dropped.
     pub _alive: Sender<()>,
 }
 
-/// The first answer that a worker took with a new token.
+/// The first response with a new fencing token that a worker accepted.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FirstOfTerm {
-    pub fence: u64,
+pub(crate) struct TermStart {
+    pub fencing_token: u64,
     pub at: u64,
 }
 
-/// Machines, jobs and the rules.
+/// Machines, jobs, results and rules of an experiment.
 pub(crate) struct Fleet {
     pub cloud: Cloud,
     pub workers: BTreeMap<String, Worker>,
-    pub links: BTreeMap<String, Link>,
+    pub handles: BTreeMap<String, MachineHandle>,
     pub users: BTreeMap<String, User>,
     pub results: BTreeSet<String>,
     pub rules: Rules,
     pub rng: fastrand::Rng,
-    /// Zones in which no machine can be rented just now.
+    /// Zones in which no machine can be rented at present.
     pub zones_out: BTreeSet<String>,
-    pub terms: Vec<FirstOfTerm>,
-    /// What happened last, for the report of a break.
+    pub terms: Vec<TermStart>,
+    /// Recent events, written out by soaks to diagnose failures.
     pub history: History,
-    /// Jobs that are left waiting, in a soak.
+    /// Stranded jobs; checked in soaks only.
     pub stranded: Stranded,
     next_request: u64,
 }
 
-/// The machine type of an experiment.
+/// Returns the machine type of an experiment.
 pub(crate) fn machine_type(experiment: &Experiment) -> MachineType {
     let workers = &experiment.workers;
     let zones: BTreeSet<String> = experiment.controllers.zones.iter().cloned().collect();
@@ -65,14 +65,14 @@
         memory: workers.memory_gb,
         cache_gb: CACHE_GB,
         fetch_gb_per_s: FETCH_GB_PER_S,
-        price: workers.cpus * PRICE,
-        spot_price: workers.cpus * SPOT_PRICE,
+        price: workers.cpus * PRICE_PER_CORE,
+        spot_price: workers.cpus * SPOT_PRICE_PER_CORE,
         boot_s: workers.boot_s,
         zones: zones.into_iter().collect(),
     }
 }
 
-/// The teams of an experiment.
+/// Returns the teams of an experiment.
 pub(crate) fn teams(experiment: &Experiment) -> Vec<Team> {
     let team = |n: usize| Team {
         name: format!("team-{n:03}"),
@@ -85,17 +85,17 @@
 }
 
 impl Fleet {
-    /// No machine and no job yet.
+    /// Creates a fleet without machines and jobs.
     pub(crate) fn new(experiment: &Experiment) -> Fleet {
         let kind = machine_type(experiment);
         let in_a_zone = experiment.workers.count.div_ceil(kind.zones.len().max(1)) as u32;
         let lag = (experiment.services.list_lag_s * SEC as f64) as u64;
         let mut cloud = Cloud::new(vec![kind], in_a_zone, 0, lag);
-        cloud.page = crate::cloud_service::PAGE;
+        cloud.page = crate::cloud_service::PAGE_SIZE;
         Fleet {
             cloud,
             workers: BTreeMap::new(),
-            links: BTreeMap::new(),
+            handles: BTreeMap::new(),
             users: BTreeMap::new(),
             results: BTreeSet::new(),
             rules: Rules::new(&teams(experiment), experiment.workers.cancel_s),
@@ -108,23 +108,23 @@
         }
     }
 
-    /// A new number of a request.
+    /// Returns the next request number.
     pub(crate) fn request_number(&mut self) -> u64 {
         self.next_request += 1;
         self.next_request
     }
 
-    /// The machine and everything on it is gone.
-    pub(crate) fn machine_dies(&mut self, now: u64, name: &str) {
+    /// Terminates a machine with everything on it.
+    pub(crate) fn terminate_machine(&mut self, now: u64, name: &str) {
         self.history.note(now, || format!("{name} is gone"));
         self.cloud.terminate(now, name);
         if let Some(worker) = self.workers.get_mut(name) {
             worker.dies();
         }
-        self.links.remove(name);
+        self.handles.remove(name);
     }
 
-    /// Machines that are up, of one zone or of all, in any order.
+    /// Returns the machines that are up, in one zone or in all, in random order.
     pub(crate) fn up(&mut self, zone: Option<&str>) -> Vec<String> {
         let here = |w: &&Worker| w.up && zone.is_none_or(|z| w.zone == z);
         let mut names: Vec<String> = self.workers.values().filter(here).map(|w| w.name.clone()).collect();
@@ -132,26 +132,27 @@
         names
     }
 
-    /// A worker took an answer with this token.
-    pub(crate) fn saw_fence(&mut self, now: u64, fence: u64) {
-        if self.terms.last().is_none_or(|last| fence > last.fence) {
-            self.history.note(now, || format!("the first worker has token {fence}"));
-            self.terms.push(FirstOfTerm { fence, at: now });
+    /// Records that a worker accepted a response with this fencing token.
+    pub(crate) fn record_fencing_token(&mut self, now: u64, fencing_token: u64) {
+        if self.terms.last().is_none_or(|last| fencing_token > last.fencing_token) {
+            self.history
+                .note(now, || format!("the first worker has token {fencing_token}"));
+            self.terms.push(TermStart { fencing_token, at: now });
         }
     }
 
-    /// A worker has executed orders: what they began is looked at.
-    pub(crate) fn orders_executed(&mut self, now: u64, machine: &str, fence: u64, executed: &Executed) {
+    /// Checks the commands that a worker has executed, and records them.
+    pub(crate) fn record_executed(&mut self, now: u64, machine: &str, fencing_token: u64, executed: &Executed) {
         self.rules.stops += executed.stops;
         for (task, attempt) in &executed.taken {
             self.history.note(now, || {
-                format!("{machine} takes {task} attempt {attempt} token {fence}")
+                format!("{machine} takes {task} attempt {attempt} token {fencing_token}")
             });
             self.rules.start_taken(now, task, &self.workers, &self.users);
         }
         for (task, attempt) in &executed.forgotten {
             self.history.note(now, || {
-                format!("{machine} forgets {task} attempt {attempt} token {fence}")
+                format!("{machine} forgets {task} attempt {attempt} token {fencing_token}")
             });
         }
         for (task, attempt) in &executed.taken_again {
@@ -161,12 +162,12 @@
         }
     }
 
-    /// What holds at every moment is looked at.
+    /// Checks the rules that must hold at any time.
     pub(crate) fn check_rules(&mut self, now: u64) {
         self.rules.check(now, &self.workers, &self.users);
     }
 
-    /// Tasks that run, machines that are up, and jobs that are neither done nor cancelled.
+    /// Counts running tasks, machines that are up, and jobs that are neither done nor cancelled.
     pub(crate) fn counts(&self) -> Counts {
         let up = || self.workers.values().filter(|w| w.up);
         let open = |u: &&User| u.accepted.is_some() && u.done.is_none() && u.cancelled.is_none();
@@ -179,12 +180,12 @@
     }
 }
 
-/// What is there at a moment.
+/// Numbers of machines, tasks and jobs at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Counts {
     pub machines: usize,
     pub running: usize,
     pub open_jobs: usize,
-    /// Starts since the beginning.
+    /// Task starts since the beginning of the experiment.
     pub starts: u64,
 }
--- a/crates/emulator/src/forward.rs
+++ b/crates/emulator/src/forward.rs
@@ -1,5 +1,4 @@
-//! Forwarders of the links between controllers: they copy bytes, in order, as far as the link's
-//! faults let them.
+//! Forwarders of the links between controllers. They copy bytes in order, subject to link faults.
 
 use crate::cluster::EmulatedCluster;
 use crate::errors::EmulatorError;
@@ -10,22 +9,22 @@
 use std::net::TcpStream;
 use std::sync::Arc;
 
-/// Bytes that are copied at once.
+/// Largest number of bytes copied at once.
 const CHUNK: usize = 16 * 1024;
 
-/// Forwards every link from one controller to another, until the experiment ends.
+/// Starts the forwarders of all links between controllers.
 pub(crate) fn start(cluster: &Arc<EmulatedCluster>) -> Result<(), EmulatorError> {
     let nodes = cluster.nodes.len();
     for from in 0..nodes {
         for to in (0..nodes).filter(|to| *to != from) {
             let listener = server::listen(cluster.addresses.forwarder(from, to))?;
-            let there = Route::between(Party::Node(from), Party::Node(to));
+            let route = Route::between(Party::Node(from), Party::Node(to));
             let (cluster, executor) = (cluster.clone(), cluster.clone());
             let forward = async move {
                 while let Ok((stream, _)) = listener.accept().await {
                     cluster
                         .executor
-                        .spawn(forward_one(cluster.clone(), stream, there, to))
+                        .spawn(forward_connection(cluster.clone(), stream, route, to))
                         .detach();
                 }
             };
@@ -35,15 +34,16 @@
     Ok(())
 }
 
-async fn forward_one(cluster: Arc<EmulatedCluster>, near: Async<TcpStream>, there: Route, to: usize) {
+/// Forwards one connection in both directions until either ends.
+async fn forward_connection(cluster: Arc<EmulatedCluster>, near: Async<TcpStream>, route: Route, to: usize) {
     let Ok(far) = Async::<TcpStream>::connect(cluster.addresses.peer(to)).await else {
         return;
     };
     near.get_ref().set_nodelay(true).ok();
     far.get_ref().set_nodelay(true).ok();
-    let forth = copy(&cluster, &near, &far, there);
-    let back = copy(&cluster, &far, &near, there.back());
-    forth.or(back).await;
+    let forward = copy(&cluster, &near, &far, route);
+    let back = copy(&cluster, &far, &near, route.back());
+    forward.or(back).await;
 }
 
 /// Copies one direction until one side closes, or a fault resets the connection.
@@ -54,9 +54,9 @@
         let Ok(n @ 1..) = from.read(&mut chunk).await else {
             return;
         };
-        cluster.faults.passes(&route, "").await;
+        cluster.faults.wait_to_pass(&route, "").await;
         if cluster.faults.delivery(&route, "") == Delivery::Reset {
-            // Half of what was sent arrives.
+            // The receiver gets only half of the chunk.
             to.write_all(&chunk[..n / 2]).await.ok();
             return;
         }
--- a/crates/emulator/src/soak/child.rs
+++ b/crates/emulator/src/soak/child.rs
@@ -1,4 +1,4 @@
-//! Plays a plan in a process of its own: its sockets and memory end with it.
+//! Runs a plan in a child process, so that its sockets and memory are released when the plan ends.
 
 use super::outcome::Outcome;
 use super::SoakArgs;
@@ -9,21 +9,26 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-const LOOK: Duration = Duration::from_millis(50);
-/// An interrupted child has so long to end its controllers.
-const GRACE: Duration = Duration::from_secs(5);
-/// The status of a child that was interrupted.
-const INTERRUPTED: i32 = 130;
+/// Interval at which the child's status is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for an interrupted child to stop its controllers before it is killed.
+const INTERRUPT_GRACE: Duration = Duration::from_secs(5);
+/// Exit status of an interrupted child.
+const INTERRUPTED_STATUS: i32 = 130;
 
-/// Plays the plan in a directory: its outcome.
-pub(super) fn play(
+/// Runs the plan file in `dir` in a child process and returns its outcome.
+///
+/// # Errors
+///
+/// Fails if the child can't be started, was interrupted, or could not run the plan.
+pub(super) fn run(
     args: &SoakArgs,
     program: &Path,
     dir: &Path,
     interrupted: &AtomicBool,
 ) -> Result<Outcome, EmulatorError> {
-    let itself = std::env::current_exe().map_err(|e| EmulatorError::Machine(e.to_string()))?;
-    let mut command = Command::new(&itself);
+    let emulator = std::env::current_exe().map_err(|e| EmulatorError::Other(e.to_string()))?;
+    let mut command = Command::new(&emulator);
     command.arg("soak").arg("--plan").arg(dir.join("plan.toml"));
     command.arg("--controllers").arg(program);
     command.arg("--report").arg(&args.report);
@@ -32,18 +37,21 @@
     }
     let child = command
         .spawn()
-        .map_err(|source| EmulatorError::Start { path: itself, source })?;
+        .map_err(|source| EmulatorError::Start { path: emulator, source })?;
     let status = wait(child, interrupted)?;
     match status.code() {
         Some(0 | 1) => read_outcome(&dir.join("outcome.json")),
-        Some(INTERRUPTED) => Err(EmulatorError::Interrupted),
-        _ => Err(EmulatorError::Machine(format!("{} could not be played", dir.display()))),
+        Some(INTERRUPTED_STATUS) => Err(EmulatorError::Interrupted),
+        _ => Err(EmulatorError::Other(format!(
+            "{}: the plan could not be run",
+            dir.display()
+        ))),
     }
 }
 
-/// Waits for a child, and passes an interrupt on.
+/// Waits for the child to exit, and forwards an interrupt to it.
 fn wait(mut child: Child, interrupted: &AtomicBool) -> Result<ExitStatus, EmulatorError> {
-    let failed = |e: std::io::Error| EmulatorError::Machine(e.to_string());
+    let failed = |e: std::io::Error| EmulatorError::Other(e.to_string());
     let mut interrupt_sent_at: Option<Instant> = None;
     loop {
         if let Some(status) = child.try_wait().map_err(failed)? {
@@ -57,13 +65,13 @@
                         kill_process(pid, Signal::INT).ok();
                     }
                 }
-                Some(at) if at.elapsed() > GRACE => {
+                Some(at) if at.elapsed() > INTERRUPT_GRACE => {
                     child.kill().ok();
                 }
                 Some(_) => {}
             }
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -72,5 +80,5 @@
         path: path.to_path_buf(),
         source,
     })?;
-    serde_json::from_str(&text).map_err(|e| EmulatorError::Machine(format!("{}: {e}", path.display())))
+    serde_json::from_str(&text).map_err(|e| EmulatorError::Other(format!("{}: {e}", path.display())))
 }
--- a/crates/emulator/src/soak/inject.rs
+++ b/crates/emulator/src/soak/inject.rs
@@ -1,4 +1,4 @@
-//! Lets troubles happen when their time has come.
+//! Injects the faults of a plan at their scheduled times.
 
 use super::plan::{Fault, PlannedFault};
 use crate::cluster::EmulatedCluster;
@@ -8,18 +8,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How soon it is seen that another controller leads.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which the state service's term is polled.
+const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Lets one trouble happen, and ends it.
+/// Waits until the fault's time, starts the fault, and ends it. Link faults and hangs are started
+/// with their end time, so this function doesn't wait for their end.
 pub(super) async fn inject(cluster: Arc<EmulatedCluster>, planned: PlannedFault) {
     let now = Duration::from_micros(cluster.now());
     Timer::after(seconds(planned.at_s).saturating_sub(now)).await;
-    cluster.note(|| format!("TROUBLE {planned:?}"));
+    cluster.note(|| format!("fault begins: {planned:?}"));
     let lasts = seconds(planned.for_s);
     match planned.fault {
         Fault::Kill { who } => {
-            if let Some(node) = resolve(&cluster, who) {
+            if let Some(node) = resolve_node(&cluster, who) {
                 kill(&cluster, node, lasts).await;
             }
         }
@@ -27,17 +28,17 @@
             kill_leaders(&cluster, seconds(every_s), seconds(down_s), lasts).await
         }
         Fault::Pause { who } => {
-            if let Some(node) = resolve(&cluster, who) {
+            if let Some(node) = resolve_node(&cluster, who) {
                 cluster.processes().pause(node, true);
-                cluster.note(|| format!("node-{node} stands still"));
+                cluster.note(|| format!("node-{node} is paused"));
                 Timer::after(lasts).await;
                 cluster.processes().pause(node, false);
-                cluster.note(|| format!("node-{node} goes on"));
+                cluster.note(|| format!("node-{node} resumes"));
             }
         }
         Fault::Link { route, hosts, fault } => {
-            if let (Some(from), Some(to)) = (party(&cluster, route.from), party(&cluster, route.to)) {
-                cluster.faults.begin(Route::between(from, to), hosts, fault, lasts);
+            if let (Some(from), Some(to)) = (resolve_party(&cluster, route.from), resolve_party(&cluster, route.to)) {
+                cluster.faults.start(Route::between(from, to), hosts, fault, lasts);
             }
         }
         Fault::Outage => {
@@ -52,15 +53,15 @@
             let mut fleet = cluster.fleet();
             let now = cluster.now();
             for name in fleet.up(None).into_iter().take(count) {
-                fleet.machine_dies(now, &name);
+                fleet.terminate_machine(now, &name);
             }
         }
         Fault::Cancel { count } => cancel(&cluster, count),
     }
 }
 
-/// The controller that is meant; none if nobody leads.
-fn resolve(cluster: &EmulatedCluster, who: Party) -> Option<usize> {
+/// Returns the number of the controller; `None` if there is no leader.
+fn resolve_node(cluster: &EmulatedCluster, who: Party) -> Option<usize> {
     match who {
         Party::Node(node) => Some(node),
         Party::Leader => cluster.leader(),
@@ -68,13 +69,15 @@
     }
 }
 
-fn party(cluster: &EmulatedCluster, party: Party) -> Option<Party> {
+/// Replaces the leader by the controller that leads now; `None` if there is no leader.
+fn resolve_party(cluster: &EmulatedCluster, party: Party) -> Option<Party> {
     match party {
         Party::Leader => cluster.leader().map(Party::Node),
         other => Some(other),
     }
 }
 
+/// Kills a controller and restarts it after `down`.
 async fn kill(cluster: &EmulatedCluster, node: usize, down: Duration) {
     cluster.processes().kill(node);
     cluster.note(|| format!("node-{node} is killed"));
@@ -85,14 +88,14 @@
     }
 }
 
-/// Leader after leader is killed, each some time after it took over.
+/// Kills the leader of each new term, `every` after the new term is seen.
 async fn kill_leaders(cluster: &Arc<EmulatedCluster>, every: Duration, down: Duration, lasts: Duration) {
     let ends = Instant::now() + lasts;
     let mut last_term = 0;
     while Instant::now() < ends {
         let term = cluster.store().term();
         if term == last_term {
-            Timer::after(LOOK).await;
+            Timer::after(LEADER_POLL_INTERVAL).await;
             continue;
         }
         last_term = term;
@@ -107,6 +110,7 @@
     }
 }
 
+/// Makes `count` machines hang.
 fn hang(cluster: &EmulatedCluster, count: usize, lasts: Duration) {
     let mut fleet = cluster.fleet();
     let until = cluster.now() + lasts.as_micros() as u64;
@@ -117,6 +121,7 @@
     }
 }
 
+/// Marks `count` open jobs for cancellation by their users.
 fn cancel(cluster: &EmulatedCluster, count: usize) {
     let mut fleet = cluster.fleet();
     let open = fleet
--- a/crates/emulator/src/soak/users.rs
+++ b/crates/emulator/src/soak/users.rs
@@ -1,11 +1,13 @@
-//! Users of a soak: each submits a job at any controller, asks about it at all of them, repeats
-//! its submission, and may cancel it. Every answer is compared with what the state service held
-//! when the question was sent.
+//! Emulated users of a soak. Each submits one job and polls it at random controllers, may repeat
+//! the submission, and may cancel the job.
+//!
+//! Each response is checked against the job's record in the state service, as stored when the
+//! request was sent and when the response arrived.
 
 use super::plan;
 use crate::cluster::{EmulatedCluster, Side};
 use crate::faults::{Delivery, Party, Route};
-use crate::machines::{exchange, within};
+use crate::machines::{exchange, with_timeout};
 use crate::users::request;
 use async_io::Timer;
 use glenhaven::protocol::from_cbor;
@@ -16,57 +18,62 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Pauses between a user's questions, and after a request that was not answered.
-const ASKS: Duration = Duration::from_millis(900);
-const RETRY: Duration = Duration::from_millis(400);
-/// Questions at all controllers follow an answer after these times.
-const CLOSE: [Duration; 3] = [Duration::ZERO, Duration::from_millis(4), Duration::from_millis(40)];
+/// Pauses after an accepted request, and after one that was refused or not answered.
+const POLL_INTERVAL: Duration = Duration::from_millis(900);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Delays of the additional requests to all controllers that follow a change of phase.
+const FOLLOW_UP_DELAYS: [Duration; 3] = [Duration::ZERO, Duration::from_millis(4), Duration::from_millis(40)];
 
 /// When a user cancels its job.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Cancels {
+pub(super) enum CancelTiming {
     Never,
-    /// So long after its submission.
+    /// This long after the first submission.
     After(Duration),
     /// At about the time at which its tasks end.
     AtEnd,
 }
 
-/// Lives the life of a user, until its job is over or the experiment is.
-pub(super) async fn live(cluster: Arc<EmulatedCluster>, user: User, cancels: Cancels, users: plan::Users) {
+/// Runs one user until its job has reached a final phase or the run ends.
+pub(super) async fn run_user(
+    cluster: Arc<EmulatedCluster>,
+    user: User,
+    cancel_timing: CancelTiming,
+    users: plan::Users,
+) {
     let job = user.spec.id.clone();
     let run = Duration::from_micros(user.run);
     cluster.fleet().users.insert(job.clone(), user);
-    let close = cluster.fleet().rng.f64() < users.close_questions;
+    let follows_up = cluster.fleet().rng.f64() < users.close_questions;
     let began = Instant::now();
-    let mut cancel_at = match cancels {
-        Cancels::Never | Cancels::AtEnd => None,
-        Cancels::After(after) => Some(began + after),
+    let mut cancel_at = match cancel_timing {
+        CancelTiming::Never | CancelTiming::AtEnd => None,
+        CancelTiming::After(after) => Some(began + after),
     };
-    let mut told = None;
+    let mut last_phase = None;
     loop {
-        let asked = next_question(&cluster, &job, cancel_at);
-        let answer = ask_somewhere(&cluster, &job, asked).await;
+        let asked = next_request(&cluster, &job, cancel_at);
+        let answer = ask_any_controller(&cluster, &job, asked).await;
         if let Some(phase) = answer {
-            if close && told != Some(phase) {
-                ask_closely(&cluster, &job);
+            if follows_up && last_phase != Some(phase) {
+                ask_all_controllers(&cluster, &job);
             }
-            told = Some(phase);
+            last_phase = Some(phase);
             if phase.is_final() {
                 return;
             }
-            if matches!(cancels, Cancels::AtEnd) && phase == Phase::Running && cancel_at.is_none() {
+            if matches!(cancel_timing, CancelTiming::AtEnd) && phase == Phase::Running && cancel_at.is_none() {
                 cancel_at = Some(Instant::now() + run);
             }
         }
-        let pause = if answer.is_some() { ASKS } else { RETRY };
+        let pause = if answer.is_some() { POLL_INTERVAL } else { RETRY_DELAY };
         let left = cancel_at.map_or(pause, |at| at.saturating_duration_since(Instant::now()));
         Timer::after(if left.is_zero() { pause } else { pause.min(left) }).await;
     }
 }
 
-/// What a user asks next.
-fn next_question(cluster: &EmulatedCluster, job: &str, cancel_at: Option<Instant>) -> Asked {
+/// Returns the next request of a user.
+fn next_request(cluster: &EmulatedCluster, job: &str, cancel_at: Option<Instant>) -> Asked {
     let mut fleet = cluster.fleet();
     let now = cluster.now();
     let Some(user) = fleet.users.get_mut(job) else {
@@ -86,18 +93,19 @@
     }
 }
 
-async fn ask_somewhere(cluster: &Arc<EmulatedCluster>, job: &str, asked: Asked) -> Option<Phase> {
+/// Sends a request to a random controller.
+async fn ask_any_controller(cluster: &Arc<EmulatedCluster>, job: &str, asked: Asked) -> Option<Phase> {
     let node = cluster.fleet().rng.usize(0..cluster.nodes.len());
     ask(cluster, job, node, asked).await
 }
 
-/// Asks all controllers at once, again and again within milliseconds, and submits the job anew.
-fn ask_closely(cluster: &Arc<EmulatedCluster>, job: &str) {
+/// Sends polls and repeated submissions to all controllers within milliseconds, in the background.
+fn ask_all_controllers(cluster: &Arc<EmulatedCluster>, job: &str) {
     for node in 0..cluster.nodes.len() {
-        for after in CLOSE {
+        for after in FOLLOW_UP_DELAYS {
             let (cluster, job) = (cluster.clone(), job.to_string());
             let executor = cluster.clone();
-            let question = async move {
+            let follow_up = async move {
                 Timer::after(after).await;
                 let asked = if cluster.fleet().rng.bool() {
                     Asked::Poll
@@ -106,33 +114,33 @@
                 };
                 ask(&cluster, &job, node, asked).await;
             };
-            executor.executor.spawn(question).detach();
+            executor.executor.spawn(follow_up).detach();
         }
     }
 }
 
-/// One question with its answer: the phase that it says.
+/// Sends one request and returns the phase in its response, if there is an accepted one in time.
 pub(super) async fn ask(cluster: &Arc<EmulatedCluster>, job: &str, node: usize, asked: Asked) -> Option<Phase> {
     let spec = cluster.fleet().users.get(job)?.spec.clone();
     let before = StoredJob::of(&cluster.store(), job);
     let request = request(asked, &spec);
-    let there = Route::between(Party::Users, Party::Node(node));
+    let route = Route::between(Party::Users, Party::Node(node));
     let exchange = async {
-        cluster.faults.passes(&there, "").await;
-        if cluster.faults.delivery(&there, "") != Delivery::Deliver {
+        cluster.faults.wait_to_pass(&route, "").await;
+        if cluster.faults.delivery(&route, "") != Delivery::Deliver {
             return None;
         }
         let answer = exchange(cluster, None, node, Side::Users, &request).await;
-        cluster.faults.passes(&there.back(), "").await;
+        cluster.faults.wait_to_pass(&route.back(), "").await;
         answer
     };
-    let answer = within(Duration::from_micros(asked.limit()), exchange).await;
+    let answer = with_timeout(Duration::from_micros(asked.limit()), exchange).await;
     let (_, response) = answer?;
-    take(cluster, job, asked, before, &response, node)
+    check_answer(cluster, job, asked, before, &response, node)
 }
 
-/// Takes in an answer, and judges it.
-fn take(
+/// Checks a response, records violations, and returns the phase it reports.
+fn check_answer(
     cluster: &EmulatedCluster,
     job: &str,
     asked: Asked,
