--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,6 +1,6 @@
-//! Plays every file in `tests/scenarios/`. Each is checked for what it expects
-//! and for every rule of the protocol.
-// A test is one story from beginning to end.
+//! Simulates every scenario file in `tests/scenarios/` and checks its expectations and every rule
+//! of the protocol.
+// A test runs one long sequence of steps, which is easier to read in one function.
 #![allow(clippy::too_many_lines)]
 
 mod sim;
@@ -9,9 +9,11 @@
 use sim::{World, SEC};
 use std::collections::BTreeMap;
 
-/// How long questions about an accepted job may go unanswered once all troubles are over.
+/// Longest time in seconds without an answered query about an accepted job, once all faults are
+/// over.
 const FORGOTTEN_S: u64 = 75;
 
+/// Returns the broken rules and unmet expectations of a simulated scenario.
 fn check(world: &World) -> Vec<String> {
     let mut wrong: Vec<String> = world.rules.broken.clone();
     wrong.extend(sim::fairness::below_half(world));
@@ -84,13 +86,18 @@
     wrong
 }
 
-/// Lists the scenarios that fail for a fault that is known and not mended yet: a line each, with
-/// the file's name, the cause and the issue, separated by colons.
+/// File that lists the scenarios that fail because of a known, unfixed fault. Each line has the
+/// scenario's file name, the cause and the issue, separated by colons.
 const KNOWN_RED: &str = "KNOWN-RED.txt";
-/// No more may be listed.
+/// Highest number of scenarios in [`KNOWN_RED`].
 const MOST_KNOWN_RED: usize = 3;
 
-/// The scenarios that are known to fail, and why. Without the file there are none.
+/// Returns the scenarios that are known to fail, with the cause. The result is empty if the file
+/// does not exist.
+///
+/// # Panics
+///
+/// Panics if a line has no cause, if too many scenarios are listed, or if one does not exist.
 fn known_red() -> BTreeMap<String, String> {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/KNOWN-RED.txt");
     let text = std::fs::read_to_string(path).unwrap_or_default();
@@ -108,7 +115,8 @@
     listed
 }
 
-/// Plays one scenario with several seeds; luck must not decide about rules.
+/// Simulates one scenario with several seeds, three unless `SEEDS` is set, and returns what is
+/// wrong. No rule may hold by the choice of the seed alone.
 fn play(text: &str) -> Vec<String> {
     let mut wrong = vec![];
     let seeds = std::env::var("SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(3);
@@ -172,7 +180,7 @@
     assert!(failed.is_empty(), "\n{}", failed.join("\n"));
 }
 
-/// The checks themselves must be able to fail.
+/// Verifies that the checks fail for an unmet expectation and for rules broken on purpose.
 #[test]
 fn the_checks_can_fail() {
     let late = "until 60\nat 1 submit run-000001 run=100\nexpect done run-000001 by 50";
@@ -180,7 +188,8 @@
     let mut world = World::new(Script::parse("until 60\nat 1 submit run-000001 service pieces=2").unwrap());
     world.play();
     assert!(check(&world).is_empty());
-    // A second copy of a running task, a team over its limit, a phase taken back.
+    // A second copy of a running task, a task of a cancelled job, and a job that is reported done
+    // although it is not.
     let task = "run-000001/0";
     let machine = world
         .workers
--- a/tests/sim/fault_combinations.rs
+++ b/tests/sim/fault_combinations.rs
@@ -1,11 +1,12 @@
-//! Meetings of troubles: worlds with long and short tasks, services, chains, a team at its
-//! limit and jobs that are cancelled all along, in which two or three troubles drawn by a seed
-//! meet. Every rule is checked, and that work goes on once they are over.
+//! Random combinations of faults. Each seed generates a workload of long and short tasks, services,
+//! chains, a team at its limit and jobs that are cancelled throughout, and two or three faults that
+//! overlap. Every rule is checked, and that work continues after the last fault.
 //!
-//! `MEETINGS=n` plays n of them instead of the few that always are, `MEETINGS_FROM=seed` begins
-//! elsewhere, `MEETINGS_THREADS=n` plays so many at once; each is printed as it is played. `PLANTED=`
-//! and part of a name looks for such faults only. What breaks a rule is printed as a scenario to be
-//! saved as a file.
+//! `MEETINGS=n` simulates n seeds instead of the default number and prints each result,
+//! `MEETINGS_FROM=seed` sets the first seed, and `MEETINGS_THREADS=n` the number of threads.
+//! `MEETINGS_PLANTED=n` sets the highest number of seeds per injected fault, and `PLANTED=text`
+//! selects the injected faults whose names contain the text. A seed that breaks a rule is printed
+//! as a scenario, which can be saved as a file.
 
 use super::fault_injection::{Fault, ALL};
 use super::one_way_faults;
@@ -15,8 +16,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// Kinds of troubles; `{d}`: how long, `{s}`: a few seconds, `{m}`: a number of machines,
-/// `{n}`: a controller, `{q}`: a moment, `{h}`: a share. Several lines are one trouble.
+/// Templates of faults. `{d}` is a duration, `{s}` a few seconds, `{m}` a number of machines, `{n}`
+/// a controller, `{q}` a short time and `{h}` a share. Several lines form one fault; `later=`
+/// delays a line by this many seconds.
 const KINDS: [&str; 36] = [
     "crash leader for {q}",
     "crash all for {q}",
@@ -55,8 +57,9 @@
     "odd-requests for {d}",
     "close-looks for {d}",
 ];
-/// What worlds differ in: ordinary ones; teams that are all at their limits; one-task jobs that
-/// come four a second for two minutes, of which a quarter are cancelled.
+/// First lines of the workloads: an ordinary workload, twice as likely as each other one; teams
+/// that are all at their limits; four one-task jobs a second for two minutes, a quarter of them
+/// cancelled.
 const WORLDS: [&str; 4] = [
     "team blue\n",
     "team blue\n",
@@ -68,21 +71,22 @@
      at 31.5 abort run-000708 every=3 step=12 times=40\n",
 ];
 
-/// What is written, by the beginnings of keys: acceptances, ends of jobs, the book and rentals,
-/// terms, releases and limits, machines kept for a leader that can't hear them.
+/// Prefixes of the keys that are written: acceptances, ends of jobs, the log and rentals, terms,
+/// releases and limits, machines kept for a leader that can't receive their reports.
 const WRITES: [&str; 6] = ["job/@", "job/run", "open/", "term", "term-", "care/"];
 
-/// The first trouble begins here, the others within so much of it.
+/// Earliest time of the first fault, in seconds.
 const BEGINS: u64 = 60;
+/// End of the simulation, in seconds.
 const UNTIL: u64 = 290;
 
-/// Odd seeds draw from all worlds and kinds, even ones from the ordinary world and `KINDS`, so
-/// that rare meetings of these stay as frequent.
+/// Returns whether a seed draws from all workloads and faults. Even seeds draw only from the
+/// ordinary workload and `KINDS`, so that rare combinations of these stay as frequent.
 fn is_grown(seed: u64) -> bool {
     seed % 2 == 1
 }
 
-/// The world of this seed, as a scenario.
+/// Returns the scenario of this seed.
 pub(super) fn text(seed: u64) -> String {
     let mut rng = fastrand::Rng::with_seed(seed);
     let first = BEGINS as f64 + rng.f64() * 10.0;
@@ -97,8 +101,8 @@
     t
 }
 
-/// Answers lag while users look closely. It is drawn apart, so that what else a seed draws stays
-/// as it is.
+/// Adds slow replies while users query all controllers. The random numbers come from a generator of
+/// their own, so that the seed's other draws do not change.
 fn lag(t: &mut String, first: f64, rng: &mut fastrand::Rng) {
     let kind = one_way_faults::LAGGING[rng.usize(0..one_way_faults::LAGGING.len())];
     let node = rng.u32(0..5).to_string();
@@ -107,7 +111,7 @@
     }
 }
 
-/// The same without its troubles, the first of which begins at this second.
+/// Returns the scenario of this seed without its faults. The first fault begins at second `first`.
 fn world(seed: u64, first: f64, rng: &mut fastrand::Rng) -> String {
     let mut t = format!("# Meeting {seed}.\nseed {seed}\nuntil {UNTIL}\nnodes a b a b a\n");
     t.push_str("state-next writes=50 value_kb=8 ops=16\n");
@@ -122,10 +126,10 @@
          at 1 submit run-000002 service pieces=4 apart\n\
          at 1 submit run-000003 service pieces=3 together team=red\n",
     );
-    // Long tasks, cancelled before, while and after the troubles meet.
+    // Long tasks, cancelled before, during and after the overlap of the faults.
     for n in 0..14 {
         let (pieces, save) = (rng.u32(1..4), if rng.bool() { 4 } else { 0 });
-        // Most before the troubles begin.
+        // Most are submitted before the faults begin.
         let most = if n % 3 == 0 { 100 } else { 30 };
         let at = 20 + rng.u64(0..most);
         let place = ["", "apart", "together"][rng.usize(0..3)];
@@ -141,21 +145,22 @@
         };
         writeln!(t, "at {abort:.2} abort run-0001{n:02}").unwrap();
     }
-    // Many that are cancelled in the moments in which the first trouble becomes two: what one
-    // controller has confirmed is known to no other for some tenths of a second.
+    // Many jobs that are cancelled while the second line of the first fault begins: for some tenths
+    // of a second, no other controller has the cancellations that one controller confirmed.
     t.push_str("at 25 submit run-000600 copies=16 run=400 spot\n");
     for n in 0..16 {
         let abort = first + 0.5 + rng.f64() * 1.2;
         writeln!(t, "at {abort:.2} abort run-0006{n:02}").unwrap();
     }
-    // Services that are cancelled a moment after they were submitted.
+    // Services that are cancelled 0.05 to 3.05 s after their submission.
     for n in 0..6 {
         let at = (BEGINS as f64) - 4.0 + rng.f64() * 30.0;
         writeln!(t, "at {at:.2} submit run-0002{n:02} service pieces=2").unwrap();
         let abort = at + 0.05 + rng.f64() * 3.0;
         writeln!(t, "at {abort:.2} abort run-0002{n:02}").unwrap();
     }
-    // Jobs of two or three tasks that end far apart: their team may run so many at once.
+    // Jobs of two or three tasks whose ends are far apart, because the team's limit lets few tasks
+    // run at once.
     for n in 0..8 {
         let (at, run) = (22 + rng.u64(0..60), 5 + rng.u64(0..25));
         let pieces = rng.u32(2..4);
@@ -172,23 +177,23 @@
             writeln!(t, "at {} abort run-0004{n}1", at + rng.u64(1..30)).unwrap();
         }
     }
-    // Small ones all along.
+    // Small jobs throughout the simulation.
     t.push_str("at 24 submit run-000500 every=6 times=30 pieces=2 run=3 estimate=3\n");
-    // Of some of them the end and the cancellation meet.
+    // Cancellations of some of them at about the time of their end.
     for _ in 0..8 {
         let n = rng.u64(0..20);
         let abort = (24 + n * 6) as f64 + 2.5 + rng.f64() * 2.5;
         writeln!(t, "at {abort:.2} abort run-0005{n:02}").unwrap();
     }
-    // The other worlds have crowds of their own, with the same numbers.
+    // The other workloads have many jobs of their own, with the same numbers.
     if WORLDS[kind] == WORLDS[0] {
         crowd(&mut t, &mut fastrand::Rng::with_seed(seed));
     }
     t
 }
 
-/// Of some worlds: a team that has more work than its limit all along, and four jobs of one
-/// task a second, a quarter of them cancelled.
+/// Adds to some workloads a team that always has more work than its limit, and to some four
+/// one-task jobs a second, a quarter of them cancelled.
 fn crowd(t: &mut String, rng: &mut fastrand::Rng) {
     if rng.bool() {
         t.push_str("team green max=8\nat 30 submit run-000700 copies=24 run=12 cores=2 team=green\n");
@@ -202,7 +207,7 @@
     }
 }
 
-/// Lines of so many troubles.
+/// Returns the lines of `count` faults, each with its time.
 fn troubles(seed: u64, first: f64, rng: &mut fastrand::Rng, count: usize) -> Vec<String> {
     let mut lines = vec![];
     let mut out = false;
@@ -215,8 +220,8 @@
         };
         let kinds = [&KINDS[..], added].concat();
         let mut kind = kinds[rng.usize(0..kinds.len())];
-        // Two long outages would be one in which nobody is answered for as long as a job
-        // takes to be forgotten.
+        // Two long outages could leave a user without an answer for longer than the limit of the
+        // `forgotten` check.
         if out && kind.contains("state-out") {
             kind = "kill {m}";
         }
@@ -243,8 +248,8 @@
     lines
 }
 
-/// Transactions of each kind come late, alone and beside ends of controllers that are back at
-/// once, so that an earlier life's writes meet those of the next.
+/// Returns scenarios with late transactions of each kind, alone and with controllers that end and
+/// restart at once, so that the writes of a process arrive among those of its successor.
 fn late_writes() -> Vec<String> {
     let ends = [
         "",
@@ -281,14 +286,14 @@
     assert!(told.is_empty(), "\n{}", told.join("\n"));
 }
 
-/// What is wrong with the play of this text.
+/// Simulates a scenario and returns what is wrong.
 fn play(text: &str, planted: Option<Fault>) -> Vec<String> {
     let mut world = World::new(Script::parse(text).unwrap());
     world.planted = planted;
     world.play();
     let mut wrong = crate::check(&world);
     if planted.is_none() {
-        // What was not cancelled is done long after the last trouble.
+        // Small jobs that were not cancelled are done long after the last fault.
         for (id, user) in &world.users {
             let small = ("run-000500".."run-000600").contains(&id.as_str()) || id.as_str() >= "run-000700";
             if small && !user.wants_abort && user.done.is_none() {
@@ -299,7 +304,7 @@
     wrong
 }
 
-/// The count that an environment variable names, or this.
+/// Returns the number in an environment variable, or `otherwise`.
 fn number(name: &str, otherwise: u64) -> u64 {
     std::env::var(name)
         .ok()
@@ -307,8 +312,9 @@
         .unwrap_or(otherwise)
 }
 
-/// Plays these seeds on as many threads as there are cores; what was wrong with each. `until`
-/// says whether what was found is enough.
+/// Simulates `count` seeds from `from` on, on as many threads as there are cores or as the
+/// environment says, and returns the seeds that fail with what is wrong. The search ends once
+/// `enough` were found.
 fn search(from: u64, count: u64, planted: Option<Fault>, enough: usize) -> Vec<(u64, Vec<String>)> {
     let next = AtomicU64::new(from);
     let found = Mutex::new(vec![]);
@@ -324,7 +330,7 @@
                 }
                 let text = text(seed);
                 let mut wrong = play(&text, planted);
-                // A planted fault is found where the same play without it holds.
+                // A seed finds an injected fault only if the simulation without the fault passes.
                 if planted.is_some() && !wrong.is_empty() && !play(&text, None).is_empty() {
                     wrong.clear();
                 }
@@ -332,7 +338,7 @@
                     let verdict = if wrong.is_empty() { "held" } else { "BROKEN" };
                     println!("meeting {seed}: {verdict}");
                 }
-                // What breaks a rule without the fault shows nothing of it.
+                // A failure that also occurs without the fault does not show the fault.
                 let own = planted.is_none() || wrong.is_empty() || play(&text, None).is_empty();
                 if !wrong.is_empty() && own {
                     found.lock().unwrap().push((seed, wrong));
@@ -356,7 +362,8 @@
     assert!(told.is_empty(), "\n{}", told.join("\n"));
 }
 
-/// The search finds each of these within so many seeds. `PLANTED` names one alone.
+/// Verifies that the search finds every injected fault within `MEETINGS_PLANTED` seeds. `PLANTED`
+/// selects faults by a part of their names.
 #[test]
 fn injected_faults_are_found() {
     let most = number("MEETINGS_PLANTED", 500);
--- a/tests/sim/fault_injection.rs
+++ b/tests/sim/fault_injection.rs
@@ -1,6 +1,6 @@
-//! Faults that the runner plants between a controller and the world, one for a guard each,
-//! to show that the search for meetings finds them. The controllers' own code is what it is
-//! in the daemon: nothing there can be switched.
+//! Faults that the simulation injects between a controller and its environment, one for each
+//! safeguard, to show that the search for fault combinations finds them. The controllers run
+//! the unchanged code of the daemon, which has no switches for these faults.
 
 use super::{Origin, ScheduledEvent, World, SEC};
 use glenhaven::coordination::{CloudRequest, CloudResponse, Effect, Event, UserRequest};
@@ -13,45 +13,47 @@
 use glenhaven_fakes::user::job_of;
 use std::collections::BTreeMap;
 
+/// An injected fault: the safeguard that is disabled, described by what happens without it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Fault {
-    /// A report that may not be answered is answered all the same, with the highest fence.
+    /// Reports that the controller may not confirm are confirmed with the highest fencing token.
     RenewsUnproven,
-    /// The word of one controller is taken for that of all.
+    /// The attestation of one controller counts as that of all controllers.
     OneVouchesForAll,
-    /// Answers stop nothing.
+    /// Commands to stop tasks are removed.
     StopsNothing,
-    /// Starts are recorded whatever the job's own key says.
+    /// Starts are recorded without a condition on the job's own key.
     StartsWhateverTheKey,
-    /// The book is written whoever leads.
+    /// The log is written without a condition on the leader's term.
     WritesWhoeverLeads,
-    /// Pages are written over whatever their version.
+    /// Pages are overwritten without a condition on their version.
     WritesOverPages,
-    /// A cancellation is written over whatever the job's own key says.
+    /// Cancellations are written without a condition on the job's own key.
     CancelsWhateverTheKey,
-    /// A report of an earlier session is taken for one of a later session.
+    /// A report of an earlier session counts as one of a later session.
     TakesEarlierSessions,
-    /// A task that exited is forgotten at once, whatever is on its way.
+    /// Machines forget a task at once, also while messages about the task are in flight.
     ForgetsAtOnce,
-    /// What the cloud has not confirmed is taken for gone.
+    /// A machine counts as released before the cloud has confirmed the release.
     TakesReleaseForGranted,
-    /// A job that can't be decided now is called unknown.
+    /// A job about which no answer is possible now is reported as unknown.
     ForgetsInDoubt,
-    /// A task that a cancelled job's stop is for is started once more.
+    /// A task of a cancelled job is started again instead of stopped.
     StartsCancelled,
-    /// What can't run or lacks a field is accepted.
+    /// Submissions that can't run or lack a field are accepted.
     AcceptsAnything,
-    /// A node repeats for a second what it said of a job.
+    /// A controller repeats its last answer about a job for a second.
     AnswersFromCache,
-    /// Some jobs' starts are never sent.
+    /// The starts of some jobs are never sent.
     StartsNotAll,
-    /// A start that was decided under one term is sent once more under the next.
+    /// Starts that were sent under one term are sent again under the next.
     KeepsStarts,
-    /// A submission that comes while another of its job waits at the same node gets that one's
-    /// answer.
+    /// A submission that arrives while another submission of the same job waits at the same
+    /// controller gets the answer to the earlier one.
     JoinsSubmissions,
 }
 
+/// All injected faults.
 pub(crate) const ALL: [Fault; 17] = [
     Fault::RenewsUnproven,
     Fault::OneVouchesForAll,
@@ -72,21 +74,21 @@
     Fault::JoinsSubmissions,
 ];
 
-/// How long a node repeats itself.
+/// Time for which [`Fault::AnswersFromCache`] repeats an answer, in microseconds.
 const CACHED: u64 = SEC;
 
-/// Starts last sent straight to each address, and the token under which they left.
+/// Starts pushed to each address under the last fencing token, with the token.
 pub(crate) type Kept = BTreeMap<String, (u64, Vec<AgentCommand>)>;
 
-/// The submission of a job that each life of a node has yet to answer, and those that get the
-/// same answer.
+/// The unanswered submission of each job at each life of a controller, with the later submissions
+/// that get the same answer.
 pub(crate) type Joined = BTreeMap<(usize, u64, String), (u64, Vec<u64>)>;
 
-/// What each node last said of a job, and when.
+/// The answer about each job that each controller repeats, and the time since which it does.
 pub(crate) type Cache = BTreeMap<(usize, String), (u64, Outgoing)>;
 
 impl World {
-    /// A copy of an earlier session's report, made to look like a later one's.
+    /// Gives a report of an earlier session the number of a later one.
     pub(crate) fn plant_copy(&mut self, heartbeat: &mut Heartbeat) {
         if self.planted != Some(Fault::TakesEarlierSessions) {
             return;
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Starts too many, or too few.
+    /// Replaces stops of cancelled tasks by starts, or removes the starts of some jobs.
     fn plant_starts(&self, fault: Fault, commands: &mut Vec<AgentCommand>) {
         if fault == Fault::StartsNotAll {
             commands.retain(|o| !matches!(o, AgentCommand::Start { task, .. } if job_of(task).ends_with('7')));
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Adds the starts that left for this address under an earlier term.
+    /// Adds the starts that were pushed to this address under an earlier term.
     fn plant_kept(&mut self, addr: &str, body: &mut PushedCommands) {
         let starts = body.commands.iter().filter(|o| matches!(o, AgentCommand::Start { .. }));
         let starts: Vec<AgentCommand> = starts.cloned().collect();
@@ -128,7 +130,8 @@
         kept.1.extend(starts);
     }
 
-    /// Keeps submissions from a node that has one of the same job to answer.
+    /// Withholds submissions from a controller that has an unanswered submission of the same job.
+    /// Returns the remaining events.
     pub(crate) fn plant_joins(&mut self, n: usize, batch: Vec<Event>) -> Vec<Event> {
         if self.planted != Some(Fault::JoinsSubmissions) {
             return batch;
@@ -158,7 +161,7 @@
         taken
     }
 
-    /// The answers to the submissions that wait for the one that this is the answer to.
+    /// Returns the answers to the withheld submissions that get the answer of this submission.
     fn plant_joined(&mut self, answered: u64, answer: &Outgoing) -> Vec<Effect> {
         let found = self.planted_joined.iter().find(|(_, (id, _))| *id == answered);
         let Some(key) = found.map(|(key, _)| key.clone()) else {
@@ -172,7 +175,7 @@
         joined.into_iter().flatten().map(reply).collect()
     }
 
-    /// Answers a question beside those that users ask in turn.
+    /// Changes the answer to a query of the users who query all controllers at once.
     fn plant_look(&mut self, n: usize, number: u64, fault: Fault, answer: &mut Outgoing) {
         let Some(job) = self.one_way_faults.job_of(number).map(str::to_string) else {
             return;
@@ -197,7 +200,7 @@
         }
     }
 
-    /// What a controller with the planted fault would do instead.
+    /// Returns the effects that a controller with the injected fault would have instead.
     pub(crate) fn plant(&mut self, n: usize, effects: Vec<Effect>) -> Vec<Effect> {
         let Some(fault) = self.planted else { return effects };
         let mut out = vec![];
@@ -253,7 +256,7 @@
                             round, term, cancelled, ..
                         },
                 } if fault == Fault::OneVouchesForAll => {
-                    // Its word is repeated in the name of every other.
+                    // The attestation is repeated in the name of every other controller.
                     for other in 0..self.nodes.len() {
                         let node = self.nodes[other].settings.node.clone();
                         if other != n && node != *to {
@@ -288,7 +291,7 @@
     }
 }
 
-/// Takes those conditions away that guard against this fault.
+/// Removes the conditions of a transaction that protect against this fault.
 fn strip(fault: Fault, txn: &mut Transaction) {
     use glenhaven::storage::keys;
     let puts = |prefix: &str| {
--- a/tests/sim/links.rs
+++ b/tests/sim/links.rs
@@ -1,6 +1,6 @@
-//! Single directed links between hosts, and what cuts them. A request goes one way and
-//! its answer the other: with only the way back cut, requests are carried out and
-//! nobody hears of it.
+//! Directed links between hosts and the faults that cut them. A request and its reply use
+//! opposite directions: if only the direction of the reply is cut, requests are executed
+//! and the sender receives no reply.
 
 use super::{ScheduledEvent, World, MS};
 use glenhaven::coordination::Event;
@@ -10,13 +10,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum End {
     Node(usize),
-    /// The node that leads when the cut begins, and all others.
+    /// The controller that leads when the cut begins.
     Leader,
-    /// The first of the others.
+    /// The first controller that does not lead when the cut begins.
     One,
+    /// All controllers that do not lead when the cut begins.
     Others,
     Nodes,
-    /// The nodes of a zone.
+    /// The controllers of a zone.
     NodesIn(String),
     State,
     Cloud,
@@ -44,7 +45,7 @@
 }
 
 impl World {
-    /// Whether a described end is this one.
+    /// Returns whether a described end includes this host.
     fn is_end(&self, described: &End, end: &End) -> bool {
         match (described, end) {
             (End::Nodes, End::Node(_)) => true,
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Fixes who leads when a cut begins; `None` while nobody does.
+    /// Replaces ends that depend on the present leader by controllers. Returns `None` if the end
+    /// depends on the leader and no controller leads.
     pub(crate) fn fixed(&self, end: &End) -> Option<Vec<End>> {
         match end {
             End::Leader => self.leader().map(|n| vec![End::Node(n)]),
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Whether packets get from one host to another.
+    /// Returns whether packets get from one host to another.
     pub(crate) fn passes(&self, from: &End, to: &End) -> bool {
         let cuts = |(a, b): &(End, End)| self.is_end(a, from) && self.is_end(b, to);
         !self.active_faults.links.values().flatten().any(cuts)
@@ -86,7 +88,8 @@
         End::Workers(self.workers.get(machine).map(|w| w.zone.clone()))
     }
 
-    /// What a controller's link to another one is told to be, once that has changed.
+    /// Reports the state of a controller's link to another controller to the former, if the state
+    /// has changed. `arrives` says whether packets reach the other controller.
     pub(crate) fn tell_link(&mut self, n: usize, other: usize, arrives: bool) {
         let there = self.nodes[other].controller.is_some();
         let acked = arrives && there && self.passes(&End::Node(other), &End::Node(n));
--- a/tests/sim/matrix.rs
+++ b/tests/sim/matrix.rs
@@ -1,11 +1,11 @@
-//! A matrix of cut links: every kind of directed link, alone and in pairs, cut for
+//! A matrix of link failures: every kind of directed link, alone and in pairs, cut for
 //! shorter and for longer than a worker's lease, and triples drawn by fixed seeds. Each
-//! is played against the stand-ins and checked for every rule of the protocol, for how
-//! long a small job waits while some controller could lead, and for what the state
-//! service gets when the links come back.
+//! case is simulated and checked for every rule of the protocol, for how long a small
+//! job waits while some controller could lead, and for the request rate at the state
+//! service when the links come back.
 //!
-//! `LINKS=n` plays n triples instead of the few that always are; `LINKS_TABLE=FILE`
-//! writes the table.
+//! `LINKS=n` simulates n triples instead of the default number; `LINKS_TABLE=FILE`
+//! writes the results as tables, to `FILE.pairs.md` and `FILE.triples.md`.
 
 use super::script::Script;
 use super::{World, SEC};
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// Kinds of links: from and to.
+/// Kinds of links, as source and destination.
 const KINDS: [(&str, &str); 18] = [
     ("leader", "state"),
     ("state", "leader"),
@@ -35,20 +35,23 @@
     ("leader", "cloud"),
 ];
 
-/// Shorter and longer than the workers' lease of 10 s.
+/// Durations of the cuts in seconds: shorter and longer than the workers' lease of 10 s.
 const LASTS: [u64; 2] = [6, 25];
 const BEGINS: u64 = 40;
 const ENDS: u64 = 110;
-/// The platform's settings of the runner: leader's lease, report period, the worker's
-/// patience with an answer, its pause. A small job is accepted within a user's second
-/// try, and starts once a leader was lost, another took over, and a worker found it.
+/// Longest time until a small job is accepted: a user's second attempt succeeds.
 const ACCEPTED_S: u64 = 8;
+/// Longest time until a small job starts: a leader is lost, another controller takes over, and a
+/// worker finds the new leader. The time follows from the leader's lease, the report period, the
+/// worker's timeout for a reply and its pause between attempts, as set in the simulation.
 const STARTED_S: u64 = 15;
-/// Two controllers may be taken from a worker, one after the other: that is its lease.
-/// Which worker finds which controller is drawn by the seed. Where zones hear each other in one direction only and the leader is lost, the
-/// next one may have no machine on its side. Either way another one has to boot.
+/// Longest time until a small job starts if a machine has to boot for it. A worker may lose two
+/// controllers, one after the other, which takes as long as its lease; the seed decides which
+/// worker finds which controller. Where zones reach each other in one direction only and the leader
+/// is lost, the next leader may have no machine on its side. In both cases another machine has to
+/// boot.
 const STARTED_ANEW_S: u64 = 40;
-/// Requests a second that the state service takes, in the runner's settings.
+/// Highest number of requests a second at the state service, as set in the simulation.
 const RPS: u64 = 250;
 
 struct Played {
@@ -65,7 +68,7 @@
 fn play(cuts: &[(&str, &str)], lasts: u64, seed: u64) -> Played {
     let mut text = format!("nodes a b a b a\nseed {seed}\nuntil {ENDS}\n");
     text.push_str("at 1 submit run-000001 service pieces=8 cores=4\n");
-    // Small jobs all along: how long each waits tells what works.
+    // Small jobs throughout the simulation. Their waiting times show whether the service works.
     let mut probes = vec![];
     for (n, at) in (24..ENDS - 24).step_by(3).enumerate() {
         let id = format!("run-{:06}", 100 + n);
@@ -94,7 +97,8 @@
     let taken = |names: &[&str]| cuts.iter().any(|(a, b)| names.iter().any(|n| [*a, *b].contains(n)));
     let workers = |end: &str| end.starts_with("workers");
     let two = taken(&["leader"]) && taken(&["one"]) && cuts.iter().all(|(a, b)| workers(a) || workers(b));
-    // With zones that hear each other in one direction, a boot now and then, by the seed.
+    // With zones that reach each other in one direction only, the seed decides whether a machine
+    // has to boot.
     let anew = cuts.len() > 2 || zones || alone || two;
     if started_s > if anew { STARTED_ANEW_S } else { STARTED_S } {
         wrong.push(format!("a job started after {started_s} s"));
@@ -121,10 +125,10 @@
     }
 }
 
-/// Links that are cut, for how long, and the seed.
+/// The links that are cut, the duration in seconds, and the seed.
 type Case = (Vec<(&'static str, &'static str)>, u64, u64);
 
-/// Plays all of these on as many threads as there are cores.
+/// Simulates all cases on as many threads as there are cores. The results are in no fixed order.
 fn play_all(cases: &[Case]) -> Vec<Played> {
     let next = AtomicUsize::new(0);
     let played = Mutex::new(vec![]);
--- a/tests/sim/one_way_faults.rs
+++ b/tests/sim/one_way_faults.rs
@@ -1,5 +1,6 @@
-//! Troubles of machines and of the state service that leave one direction or one kind of message
-//! open: a request is carried out and its answer lost, a machine reaches nobody and is reached.
+//! Faults of machines, of the state service and of controllers that affect one direction or one
+//! kind of message only: a request is executed and its reply lost, or a machine reaches no
+//! controller while controllers reach it.
 
 use super::script::Words;
 use super::{ScheduledEvent, World, MS, SEC};
@@ -7,7 +8,7 @@
 use glenhaven::protocol::store::{StoreRequest, Transaction};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Kinds of these for the search, written as in `meetings.rs`.
+/// Templates of these faults for the search, in the form that `fault_combinations.rs` describes.
 pub(crate) const KINDS: [&str; 10] = [
     "late-writes {h} at-once for {d}",
     "late-writes {h} at-once key=open/ for {d}\ncrash leader for {q} later=3",
@@ -21,49 +22,52 @@
     "boots 0.05 for 60\nkill {m} later=1",
 ];
 
-/// Answers that lag by tens of milliseconds, beside users who look closely: further troubles of
-/// some seeds.
+/// Further faults of some seeds: replies are delayed by tens of milliseconds while users query all
+/// controllers.
 pub(crate) const LAGGING: [&str; 2] = [
     "close-looks for 60\nstate-slow 0.08 for 60",
     "close-looks for 60\nthrottle {n} share=0.16 for 60",
 ];
 
-/// Which machines a trouble is about.
+/// Machines that a fault affects.
 #[derive(Clone, Debug)]
 pub(crate) enum Which {
-    /// So many of those with most tasks.
+    /// This many machines, those with the most tasks.
     Busiest(usize),
-    /// So large a share, those with most tasks.
+    /// This share of all machines, those with the most tasks.
     Share(f64),
-    /// All of one zone.
+    /// All machines of one zone.
     Zone(String),
-    /// So many of those with most tasks in one zone.
+    /// This many machines of one zone, those with the most tasks.
     BusiestIn(String, usize),
 }
 
+/// A fault in one direction or of one kind of message. Times are in microseconds, and a share is
+/// between 0 and 1.
 #[derive(Clone, Debug)]
 pub(crate) enum OneWayFault {
-    /// So large a share of the transactions that write a key that begins like this is carried
-    /// out at once, and only the answer is lost.
+    /// This share of the transactions that write a key with this prefix is executed at once, and
+    /// only the reply is lost.
     WriteAnswersLost(f64, String),
-    /// Of so large a share of reports a copy is kept, and reaches every controller as the next
-    /// leader begins.
+    /// Copies of this share of the reports are kept, and reach every controller when the next
+    /// leader begins to lead.
     ReportsForNext(f64),
-    /// Machines that can't connect to any controller, while direct commands reach them.
+    /// Machines can't connect to any controller, while pushed commands reach them.
     Mute(Which),
-    /// So large a share of direct commands is held 2 to 16 s, unanswered, and carried out once.
+    /// This share of the pushed commands gets no reply and is executed once, 2 to 16 s later.
     LateCommands(f64),
-    /// Machines that carry out direct commands at once and answer up to so much later.
+    /// Machines execute pushed commands at once and reply up to this much later.
     HeldDirectAnswers(Which, u64),
-    /// Machines die without a word.
+    /// Machines die without notice.
     Kill(Which),
-    /// The state service answers up to so much later.
+    /// The state service replies up to this much later.
     SlowState(u64),
-    /// A controller gets its processor for so large a share of each period only.
+    /// A controller gets its processor only for this share of each period.
     Throttle(usize, f64),
 }
 
-/// A throttled controller runs at the beginning of each period.
+/// Period of throttling in microseconds. A throttled controller runs at the beginning of each
+/// period.
 const PERIOD: u64 = 100 * MS;
 
 impl Which {
@@ -79,7 +83,7 @@
 }
 
 impl OneWayFault {
-    /// The trouble that this line of a scenario names.
+    /// Parses the fault of a line of a scenario.
     pub(crate) fn parse(words: &Words) -> Result<OneWayFault, String> {
         let share = || words.word(3)?.parse::<f64>().map_err(|_| "share".to_string());
         Ok(match words.word(2)? {
@@ -104,7 +108,7 @@
         })
     }
 
-    /// How much longer than the trouble itself lasts what it holds back may arrive.
+    /// Returns the longest time after the end of the fault at which delayed messages may arrive.
     pub(crate) fn lingers(&self) -> u64 {
         match self {
             OneWayFault::LateCommands(_) => 16 * SEC,
@@ -114,7 +118,7 @@
     }
 }
 
-/// Those of these troubles that last just now, by the step that began them.
+/// The active faults of this module, by the step that began them.
 #[derive(Default)]
 pub(crate) struct Lasting {
     lost_answers: BTreeMap<usize, (f64, String)>,
@@ -125,16 +129,16 @@
     slow_state: BTreeMap<usize, u64>,
     /// The throttled controller, and its share of the processor.
     throttled: BTreeMap<usize, (usize, f64)>,
-    /// Messages that these troubles lost, held up or copied.
+    /// Number of messages that these faults lost, delayed or copied.
     pub met: usize,
     /// Copies of reports for the next leader.
     kept: Vec<Heartbeat>,
-    /// The controller that led last, and its life.
+    /// The controller that led last, and the number of its life, which changes at each restart.
     led: Option<(usize, u64)>,
 }
 
 impl Lasting {
-    /// This step's trouble is over; what is kept for the next leader stays.
+    /// Ends the fault of a step. Reports that are kept for the next leader stay.
     pub(crate) fn heal(&mut self, step: usize) {
         self.lost_answers.remove(&step);
         self.kept_reports.remove(&step);
@@ -147,6 +151,7 @@
 }
 
 impl World {
+    /// Returns the names of the running machines that a fault affects.
     fn machines(&self, which: &Which) -> BTreeSet<String> {
         let all = self.busiest(usize::MAX).into_iter();
         let in_zone = |name: &String, zone: &String| self.workers[name].zone == *zone;
@@ -162,7 +167,7 @@
         }
     }
 
-    /// The trouble of this step begins.
+    /// Begins the fault of a step.
     pub(crate) fn begin_trouble(&mut self, step: usize, trouble: &OneWayFault) {
         match trouble {
             OneWayFault::WriteAnswersLost(share, prefix) => {
@@ -200,7 +205,8 @@
         }
     }
 
-    /// A throttled controller has used up its share of the period, or the next one begins.
+    /// Suspends a throttled controller that has used its share of the period, or resumes the
+    /// controller when the next period begins.
     pub(crate) fn throttle(&mut self, step: usize) {
         let Some(&(n, share)) = self.active_faults.lasting.throttled.get(&step) else {
             return;
@@ -214,14 +220,14 @@
         self.after(PERIOD - runs, ScheduledEvent::Throttle(step));
     }
 
-    /// Whether so large a share, drawn anew each time, includes this message.
+    /// Draws whether a fault with this share affects a message, and counts affected messages.
     fn drawn(&mut self, share: f64) -> bool {
         let drawn = share > 0.0 && self.rng.f64() < share;
         self.active_faults.lasting.met += usize::from(drawn);
         drawn
     }
 
-    /// Whether this transaction is carried out and its sender hears nothing.
+    /// Returns whether a transaction is executed and its reply lost.
     pub(crate) fn loses_answer(&mut self, txn: &Transaction) -> bool {
         let writes = |prefix: &str| txn.changes.iter().any(|c| c.key().starts_with(prefix));
         let shares = self.active_faults.lasting.lost_answers.values();
@@ -230,7 +236,7 @@
         self.drawn(share)
     }
 
-    /// How much later than usual the state service answers this.
+    /// Returns the additional delay of the state service's reply to a request.
     pub(crate) fn state_delay(&mut self, request: &StoreRequest) -> u64 {
         let slow = self
             .active_faults
@@ -246,8 +252,8 @@
         self.rng.u64(0..=slow)
     }
 
-    /// Whether this machine reaches no controller; its attempt to connect fails then, at once
-    /// or when its time is over.
+    /// Returns whether a machine reaches no controller. If so, the attempt to connect fails at once
+    /// or after a timeout of 4 s.
     pub(crate) fn report_fails_to_leave(&mut self, name: &str, rid: u64) -> bool {
         if !self.active_faults.lasting.mute.values().any(|m| m.contains(name)) {
             return false;
@@ -258,7 +264,7 @@
         true
     }
 
-    /// Keeps a copy of a share of the reports for the next leader.
+    /// Keeps a copy of the report for the next leader, if drawn from the share.
     pub(crate) fn keep_for_next(&mut self, heartbeat: &Heartbeat) {
         let shares = self.active_faults.lasting.kept_reports.values();
         let share = shares.copied().fold(0.0, f64::max);
@@ -267,7 +273,8 @@
         }
     }
 
-    /// Has what was kept reach every controller just as this one begins to lead.
+    /// Sends the kept reports to every controller within a second, if this controller has just
+    /// begun to lead.
     pub(crate) fn notice_leader(&mut self, n: usize) {
         let node = &self.nodes[n];
         let leads = node
@@ -288,8 +295,8 @@
         }
     }
 
-    /// Sends a command on its way to a machine, or has it held up there: nobody hears then
-    /// what became of it.
+    /// Pushes commands to a machine. Commands that the fault delays by 2 to 16 s are executed
+    /// without a reply to any controller.
     pub(crate) fn send_direct(&mut self, n: usize, life: u64, id: u64, hop: u64, addr: String, body: PushedCommands) {
         let held = self.active_faults.hold_direct.values().copied().max().unwrap_or(0);
         let shares = self.active_faults.lasting.late_commands.values();
@@ -301,7 +308,7 @@
         self.after(hop + held, ScheduledEvent::PushedCommands(n, life, id, addr, body));
     }
 
-    /// How much later than usual this machine's answer to a direct command is there.
+    /// Returns the additional delay of a machine's reply to a pushed command.
     pub(crate) fn answer_held(&mut self, name: &str) -> u64 {
         let held = self.active_faults.lasting.held_answers.values();
         let by = held.filter(|(names, _)| names.contains(name)).map(|(_, by)| *by);
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -1,4 +1,5 @@
-//! Scenario files: what the world is like, what happens, what is expected.
+//! Language of the scenario files: the simulated cluster, the timed actions and faults, and the
+//! expectations. Times are in seconds in the files and in microseconds in the parsed script.
 
 use super::one_way_faults::OneWayFault;
 use super::SEC;
@@ -9,46 +10,53 @@
 pub(crate) use glenhaven_fakes::user::plain_spec;
 use std::collections::BTreeMap;
 
+/// An action or fault of a scenario.
+///
+/// Counts of machines choose the running machines with the most tasks. A share is between 0 and 1.
 #[derive(Clone, Debug)]
 pub(crate) enum Act {
     Submit(Box<JobSpec>),
-    /// A job that an earlier version of the service accepted, by a key of its own.
+    /// Adds a job that an earlier version of the service accepted, with a key of its own.
     Inherit(Box<JobSpec>),
     Abort(String),
     Resubmit(String),
     AskUnknown(String),
     Crash(String),
-    /// The next controller that writes a key that begins like this ends between the
-    /// commit and its answer.
+    /// Ends the next controller that writes a key with this prefix, between the commit and the
+    /// reply.
     CrashOn(String),
     StateOut,
-    /// One node alone is refused by the state service; MAX: the leader.
+    /// The state service refuses requests of this controller only; `usize::MAX` is the leader.
     StateDeaf(usize),
     CloudOut,
-    /// Transactions go unanswered; half are executed this much later.
+    /// Transactions get no reply; half of them are executed after this delay.
     LoseTxn(u64),
-    /// So large a share of transactions gets no answer and is executed 2 to 12 s later,
-    /// after newer ones; of those that write a key that begins like this.
+    /// This share of the transactions that write a key with this prefix gets no reply and is
+    /// executed 2 to 12 s later, after newer transactions.
     LateWrites(f64, String),
-    /// Of so large a share of reports a copy arrives again, after 2 s to well over a lease.
+    /// Copies of this share of the reports arrive after a delay of 2 s to well over a lease.
     LateReports(f64),
-    /// Direct orders arrive this much later.
+    /// Commands that are pushed to machines are delayed by this time.
     HoldDirect(u64),
+    /// Machines lose the network; messages are held back until the end of the cut.
     Cut(usize),
+    /// Two zones cannot reach each other.
     ZoneCut(String, String),
     /// A zone is cut off from everything outside it.
     ZoneOff(String),
     Hang(usize),
     Kill(usize),
+    /// All spot machines are reclaimed after a notice of this many seconds.
     Notice(u64),
+    /// Tasks fail on this many machines.
     Faulty(usize),
-    /// Tasks take four times as long on so many machines.
+    /// Tasks take four times as long on this many machines.
     Slow(usize),
-    /// A machine that nobody expects.
+    /// Adds a machine that the controllers did not rent.
     Ghost,
-    /// A controller stands still, its clocks running on.
+    /// A controller is suspended while its clocks go on.
     Freeze(String),
-    /// The next controller that asks for a lease stands still.
+    /// Suspends the next controller that requests a lease.
     FreezeOnGrant,
     /// A controller is cut off from `all`, `state`, `workers` or `peers`.
     NodeCut(String, String),
@@ -56,78 +64,85 @@
     PeersRefuse,
     /// Packets from one end to another are lost.
     LinkCut(super::links::End, super::links::End),
-    /// So many machines get no answers and no commands; their reports arrive.
+    /// This many machines receive no replies and no commands; their reports arrive.
     Deaf(usize),
-    /// Answers to reports take up to this much longer.
+    /// Replies to reports are delayed by up to this time.
     SlowAnswers(u64),
-    /// Copies of all reports arrive this much later.
+    /// Copies of all reports arrive after this delay.
     Copies(u64),
-    /// Machines rented now boot so many times as long; 0: never.
+    /// Multiplies the boot time of machines that are rented now; with 0 they never boot.
     BootTimes(f64),
-    /// Users ask so many times as often.
+    /// Multiplies the rate of users' queries.
     Storm(u64),
-    /// A controller is said to run the release before the present one.
+    /// Registers a controller as running the release before the present one.
     OldRelease(String),
-    /// A key of the state service holds something that can't be read.
+    /// Puts a malformed value under a key of the state service.
     Garbage(String),
-    /// The state service has its lower limits from now on.
+    /// Lowers the limits of the state service from now on.
     StateLimits,
-    /// So many jobs that run and have long to go are called off within a fifth of a second,
-    /// up to eight of their machines hanging for so long.
+    /// Cancels this many running jobs that are far from their end within 0.2 s; up to eight of
+    /// their machines hang for the given time.
     CancelNow(usize, Option<u64>),
-    /// So large a share of the jobs that end is called off at the moment of the end.
+    /// Cancels this share of the ending jobs at the moment when they end.
     CancelAtEnd(f64),
-    /// Users repeat unfinished submissions, cancel done jobs and send what can't be accepted.
+    /// Users repeat unfinished submissions, cancel done jobs and send invalid submissions.
     OddRequests,
-    /// Users ask all nodes at once, again and again, when a job is accepted, ends or is cancelled.
+    /// Users query all controllers at once, repeatedly, when a job is accepted, ends or is
+    /// cancelled.
     CloseLooks,
     OneWayFault(OneWayFault),
 }
 
+/// An action with its time. Times are in microseconds unless the name has a unit.
 #[derive(Clone, Debug)]
 pub(crate) struct Step {
     pub at: u64,
     pub lasts: Option<u64>,
     pub act: Act,
+    /// Run time of each task of a submitted job.
     pub run_s: f64,
-    /// The job fails on every machine.
+    /// Whether the submitted job fails on every machine.
     pub mistake: bool,
 }
 
+/// A condition that must hold at the end of a scenario. Times are in microseconds unless said
+/// otherwise.
 #[derive(Clone, Debug)]
 pub(crate) enum Expect {
     Done(String, u64),
     Cancelled(String, u64),
-    /// Pages of the book ever used.
+    /// Highest number of pages that the log ever used.
     Book(usize),
-    /// The state service says at the end that it is withdrawn.
+    /// The job is recorded as withdrawn in the state service at the end.
     Withdrawn(String),
     Started(String, u64),
     Replicas(String, usize),
     Refused(String, u16),
-    /// Replica seconds that a service missed once all its replicas had run.
+    /// Highest number of replica seconds that a service missed after all its replicas had run.
     Missed(String, u64),
-    /// Every job is accepted within so many seconds.
+    /// Every job is accepted within this many seconds.
     AcceptedWithin(u64),
     Rented(usize),
     LeaseKills(usize),
     LeaseKillsAtLeast(usize),
-    /// Running tasks stopped without their job being cancelled.
+    /// Highest number of running tasks that were stopped without a cancellation of their job.
     Stops(usize),
     Terms(u64),
     TermsAtMost(u64),
-    /// Tasks that failed.
+    /// Highest number of failed tasks.
     Failures(usize),
-    /// Changes made in the state service.
+    /// Highest number of changes made in the state service.
     Changes(u64),
-    /// Machines ever rented.
+    /// Highest number of machines ever rented.
     RentedInAll(usize),
-    /// Calls made to the cloud.
+    /// Highest number of calls made to the cloud.
     CloudCalls(u64),
-    /// Messages that `troubles.rs` lost, held up or copied: its verbs reach something.
+    /// Lowest number of messages that the faults of `one_way_faults.rs` lost, delayed or copied, to
+    /// prove that these faults took effect.
     Met(usize),
 }
 
+/// A parsed scenario.
 pub(crate) struct Script {
     pub seed: u64,
     pub until: u64,
@@ -136,13 +151,14 @@
     pub types: Vec<MachineType>,
     pub capacity: u32,
     pub dead_boots: u32,
-    /// Packets between hosts that can't reach each other are held back, and delivered
-    /// when they can.
+    /// Whether packets between hosts that can't reach each other are delivered once they can,
+    /// instead of being lost.
     pub held_packets: bool,
     pub steps: Vec<Step>,
     pub expect: Vec<Expect>,
 }
 
+/// Settings of every controller unless the scenario changes them.
 const BASE: &str = r#"
 node = "node-0"
 zone = "a"
@@ -171,6 +187,7 @@
 sockets = 500
 "#;
 
+/// Parses a number of seconds and returns it in microseconds.
 fn secs(text: &str) -> Result<u64, String> {
     let s: f64 = text
         .parse()
@@ -178,7 +195,7 @@
     Ok((s * SEC as f64) as u64)
 }
 
-/// A line's words, and what it names as `name=value`.
+/// Words of a line: positional ones and `name=value` pairs.
 pub(crate) struct Words<'a> {
     plain: Vec<&'a str>,
     pub named: BTreeMap<&'a str, &'a str>,
@@ -203,12 +220,12 @@
 }
 
 impl Script {
-    /// A worker's lease.
+    /// Returns the length of a worker's lease in microseconds.
     pub(crate) fn lease(&self) -> u64 {
         (self.base.params.workers.lease_s * SEC as f64) as u64
     }
 
-    /// When the last trouble is over.
+    /// Returns the time at which the last fault is over, including its delayed effects.
     pub(crate) fn calm_from(&self) -> u64 {
         let quiet = |a: &Act| {
             use Act::*;
@@ -218,7 +235,7 @@
             )
         };
         let over = |s: &Step| match &s.act {
-            // Copies come after the trouble that made them.
+            // Copies arrive after the fault that made them is over.
             Act::Copies(late) => s.at + s.lasts.unwrap_or(0) + late,
             Act::LateReports(_) => s.at + s.lasts.unwrap_or(0) + 2 * self.lease(),
             Act::LateWrites(..) | Act::LoseTxn(_) => s.at + s.lasts.unwrap_or(0) + 12 * SEC,
@@ -325,7 +342,7 @@
                 p.state.value_kb = w.num("value_kb", p.state.value_kb)?;
                 p.state.txn_ops = w.num("ops", p.state.txn_ops)?;
             }
-            // What is announced for later.
+            // Limits that are announced for later.
             "state-next" => {
                 p.state.next = Some(NextState {
                     write_rps: Some(w.num("writes", p.state.write_rps)?),
@@ -401,8 +418,8 @@
                     "storm" => Act::Storm(w.word(3)?.parse().map_err(|_| "factor")?),
                     _ => Act::OneWayFault(OneWayFault::parse(&w)?),
                 };
-                // `every=s times=n`: again and again. `copies=n`: jobs with the following
-                // numbers as well. `step=n`: of jobs that are cancelled, each n-th.
+                // `every=s times=n` repeats the step n times, s seconds apart. `copies=n` submits n
+                // jobs with consecutive numbers. `step=n` cancels every n-th job.
                 let (every, times) = (secs(w.named.get("every").unwrap_or(&"0"))?, w.num("times", 1u64)?);
                 for again in 0..times {
                     let at = at + again * every;
@@ -412,7 +429,7 @@
                             let number: u32 = spec.id[4..].parse().map_err(|_| "a number is missing")?;
                             let number = number + again as u32 * w.num("copies", 1u32)?;
                             spec.id = format!("run-{:06}", number + copy);
-                            // Of copies that form a chain, each waits for the one before.
+                            // Each copy in a chain waits for the copy before it.
                             if w.has("chained") && copy > 0 {
                                 spec.needs = vec![format!("run-{:06}", number + copy - 1)];
                             }
@@ -487,7 +504,7 @@
         spec.one_zone = w.has("together");
         spec.spread = w.has("apart");
         spec.spot = w.has("spot");
-        // `run-000100..000299` names all of these.
+        // `run-000100..000299` names all jobs with these numbers.
         for named in w.named.get("waits").into_iter().flat_map(|n| n.split(',')) {
             match named.split_once("..") {
                 Some((from, to)) => {
@@ -517,13 +534,13 @@
         Ok(spec)
     }
 
-    /// The cloud at the beginning.
+    /// Returns the cloud at the beginning of the scenario.
     pub(crate) fn cloud(&self) -> Cloud {
         let lag = (self.base.params.cloud.list_lag_s * SEC as f64) as u64;
         Cloud::new(self.types.clone(), self.capacity, self.dead_boots, lag)
     }
 
-    /// The settings of every node.
+    /// Returns the settings of every controller.
     pub(crate) fn settings(&self) -> Vec<Settings> {
         let peer = |n: usize| Peer {
             node: format!("node-{n}"),
--- a/tests/sim/steps.rs
+++ b/tests/sim/steps.rs
@@ -1,4 +1,4 @@
-//! What the steps of a scenario do to the world, and how it heals.
+//! Execution of a scenario's steps, and the end of the faults that they cause.
 
 use super::script::Act;
 use super::{users, ScheduledEvent, World, MS, SEC};
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 impl World {
-    /// A step of the scenario begins.
+    /// Executes a step of the scenario and schedules its end, if the step has a duration.
     pub(crate) fn step(&mut self, i: usize) {
         let step = self.script.steps[i].clone();
         if let Act::FreezeOnGrant = step.act {
@@ -195,7 +195,7 @@
         }
     }
 
-    /// The controller that a script means: a number, or `leader`.
+    /// Returns the controller with this number, or the present leader for `leader`.
     fn which(&self, who: &str) -> Option<usize> {
         match who {
             "leader" => self.leader(),
@@ -203,13 +203,13 @@
         }
     }
 
-    /// The controller that this step froze goes on.
+    /// Resumes the controller that this step suspended, if any.
     pub(crate) fn thaw(&mut self, step: usize) {
         let Some(n) = self.active_faults.frozen.remove(&step) else {
             return;
         };
-        // Everything that came meanwhile is there at once, each message on a
-        // connection of its own: they are read in any order.
+        // Every message that arrived in the meantime is available at once. Each has its own
+        // connection, so the messages are read in any order.
         let mut inbox = std::mem::take(&mut self.nodes[n].inbox);
         self.rng.shuffle(&mut inbox);
         self.nodes[n].inbox = inbox;
@@ -220,7 +220,7 @@
         }
     }
 
-    /// What a step did is over.
+    /// Ends the faults that a step began.
     pub(crate) fn heal(&mut self, i: usize) {
         self.thaw(i);
         self.one_way_faults.heal(i);
@@ -247,13 +247,13 @@
         if self.active_faults.state_out.is_empty() {
             self.store.outage(false, self.now);
         }
-        // What was held back arrives now, in order.
+        // Messages that were held back arrive now, in order.
         for (_, ev) in std::mem::take(&mut self.held) {
             self.after(MS, ev);
         }
     }
 
-    /// The machines with most tasks.
+    /// Returns the names of up to `count` running machines, those with the most tasks.
     pub(crate) fn busiest(&self, count: usize) -> BTreeSet<String> {
         let mut by: Vec<(std::cmp::Reverse<usize>, String)> = self
             .workers
