--- a/tests/sim/one_way_faults.rs
+++ b/tests/sim/one_way_faults.rs
@@ -10,23 +10,23 @@
 
 /// Templates of these faults for the search, in the form that `fault_combinations.rs` describes.
 pub(crate) const KINDS: [&str; 10] = [
-    "late-writes {h} at-once for {d}",
-    "late-writes {h} at-once key=open/ for {d}\ncrash leader for {q} later=3",
-    "late-reports {h} for-next for {d}\ncrash leader for {q} later=5",
-    "mute {m} for {d}",
-    "mute zone=b for {d}",
+    "lose-write-replies {h} for {d}",
+    "lose-write-replies {h} key=open/ for {d}\ncrash leader for {q} later=3",
+    "replay-reports {h} for {d}\ncrash leader for {q} later=5",
+    "block-outbound {m} for {d}",
+    "block-outbound zone=b for {d}",
     "late-commands {h} for {d}",
-    "hold-direct-answers {m} by={s} for {d}",
+    "delay-push-replies {m} by={s} for {d}",
     "kill {m} zone=a",
     "state-slow {s} for {d}",
-    "boots 0.05 for 60\nkill {m} later=1",
+    "boot-factor 0.05 for 60\nkill {m} later=1",
 ];
 
 /// Further faults of some seeds: replies are delayed by tens of milliseconds while users query all
 /// controllers.
 pub(crate) const LAGGING: [&str; 2] = [
-    "close-looks for 60\nstate-slow 0.08 for 60",
-    "close-looks for 60\nthrottle {n} share=0.16 for 60",
+    "query-all-nodes for 60\nstate-slow 0.08 for 60",
+    "query-all-nodes for 60\nthrottle {n} share=0.16 for 60",
 ];
 
 /// Machines that a fault affects.
@@ -87,14 +87,14 @@
     pub(crate) fn parse(words: &Words) -> Result<OneWayFault, String> {
         let share = || words.word(3)?.parse::<f64>().map_err(|_| "share".to_string());
         Ok(match words.word(2)? {
-            "late-writes" => {
+            "lose-write-replies" => {
                 let prefix = words.named.get("key").unwrap_or(&"");
                 OneWayFault::WriteAnswersLost(share()?, prefix.to_string())
             }
-            "late-reports" => OneWayFault::ReportsForNext(share()?),
-            "mute" => OneWayFault::Mute(Which::parse(words)?),
+            "replay-reports" => OneWayFault::ReportsForNext(share()?),
+            "block-outbound" => OneWayFault::Mute(Which::parse(words)?),
             "late-commands" => OneWayFault::LateCommands(share()?),
-            "hold-direct-answers" => {
+            "delay-push-replies" => {
                 let by: f64 = words.num("by", 10.0)?;
                 OneWayFault::HeldDirectAnswers(Which::parse(words)?, (by * SEC as f64) as u64)
             }
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -375,24 +375,24 @@
                     "crash" => Act::Crash(w.word(3)?.into()),
                     "crash-on" => Act::CrashOn(w.word(3)?.into()),
                     "state-out" => Act::StateOut,
-                    "state-deaf" => Act::StateDeaf(w.word(3)?.parse().unwrap_or(usize::MAX)),
+                    "state-refuses" => Act::StateDeaf(w.word(3)?.parse().unwrap_or(usize::MAX)),
                     "cloud-out" => Act::CloudOut,
                     "lose-txn" => Act::LoseTxn(secs(w.word(3)?)?),
-                    "late-writes" if !w.has("at-once") => {
+                    "late-writes" => {
                         let prefix = w.named.get("key").unwrap_or(&"");
                         Act::LateWrites(w.word(3)?.parse().map_err(|_| "share")?, prefix.to_string())
                     }
-                    "late-reports" if !w.has("for-next") => Act::LateReports(w.word(3)?.parse().map_err(|_| "share")?),
-                    "hold-direct" => Act::HoldDirect(secs(w.word(3)?)?),
+                    "late-reports" => Act::LateReports(w.word(3)?.parse().map_err(|_| "share")?),
+                    "delay-pushed-commands" => Act::HoldDirect(secs(w.word(3)?)?),
                     "cut" => Act::Cut(count()?),
                     "zone-cut" => Act::ZoneCut(w.word(3)?.into(), w.word(4)?.into()),
-                    "zone-off" => Act::ZoneOff(w.word(3)?.into()),
+                    "isolate-zone" => Act::ZoneOff(w.word(3)?.into()),
                     "hang" => Act::Hang(count()?),
                     "kill" if !w.named.contains_key("zone") => Act::Kill(count()?),
-                    "notice" => Act::Notice(w.word(3)?.parse().map_err(|_| "seconds")?),
+                    "spot-notice" => Act::Notice(w.word(3)?.parse().map_err(|_| "seconds")?),
                     "faulty" => Act::Faulty(count()?),
                     "slow" => Act::Slow(count()?),
-                    "ghost" => Act::Ghost,
+                    "unknown-machine" => Act::Ghost,
                     "freeze-on-grant" => Act::FreezeOnGrant,
                     "freeze" => Act::Freeze(w.word(3)?.into()),
                     "node-cut" => Act::NodeCut(w.word(3)?.into(), w.word(4)?.into()),
@@ -401,21 +401,21 @@
                         use super::links::End;
                         Act::LinkCut(End::parse(w.word(3)?)?, End::parse(w.word(4)?)?)
                     }
-                    "deaf" => Act::Deaf(count()?),
+                    "block-inbound" => Act::Deaf(count()?),
                     "slow-answers" => Act::SlowAnswers(secs(w.word(3)?)?),
-                    "copies" => Act::Copies(secs(w.word(3)?)?),
-                    "boots" => Act::BootTimes(w.word(3)?.parse().map_err(|_| "factor")?),
-                    "old-release" => Act::OldRelease(w.word(3)?.into()),
-                    "garbage" => Act::Garbage(w.word(3)?.into()),
-                    "state-limits" => Act::StateLimits,
+                    "duplicate-reports" => Act::Copies(secs(w.word(3)?)?),
+                    "boot-factor" => Act::BootTimes(w.word(3)?.parse().map_err(|_| "factor")?),
+                    "earlier-release" => Act::OldRelease(w.word(3)?.into()),
+                    "malformed-value" => Act::Garbage(w.word(3)?.into()),
+                    "lower-state-limits" => Act::StateLimits,
                     "cancel-now" => {
                         let hangs = w.named.get("hang").map(|hang| secs(hang)).transpose()?;
                         Act::CancelNow(count()?, hangs)
                     }
                     "cancel-at-end" => Act::CancelAtEnd(w.word(3)?.parse().map_err(|_| "share")?),
                     "odd-requests" => Act::OddRequests,
-                    "close-looks" => Act::CloseLooks,
-                    "storm" => Act::Storm(w.word(3)?.parse().map_err(|_| "factor")?),
+                    "query-all-nodes" => Act::CloseLooks,
+                    "query-rate" => Act::Storm(w.word(3)?.parse().map_err(|_| "factor")?),
                     _ => Act::OneWayFault(OneWayFault::parse(&w)?),
                 };
                 // `every=s times=n` repeats the step n times, s seconds apart. `copies=n` submits n
@@ -438,7 +438,7 @@
                             let number: u64 = job[4..].parse().map_err(|_| "a number is missing")?;
                             *job = format!("run-{:06}", number + again * w.num("step", 1u64)?);
                         }
-                        let mistake = w.has("mistake");
+                        let mistake = w.has("always-fails");
                         self.steps.push(Step {
                             at,
                             lasts,
@@ -460,7 +460,7 @@
                 };
                 let e = match w.word(1)? {
                     "done" => Expect::Done(w.word(2)?.into(), by()?),
-                    "book-at-most" => Expect::Book(number(2)? as usize),
+                    "log-pages-at-most" => Expect::Book(number(2)? as usize),
                     "withdrawn" => Expect::Withdrawn(w.word(2)?.into()),
                     "cancelled" => Expect::Cancelled(w.word(2)?.into(), by()?),
                     "started" => Expect::Started(w.word(2)?.into(), by()?),
@@ -478,7 +478,7 @@
                     "rented-in-all-at-most" => Expect::RentedInAll(number(2)? as usize),
                     "changes-at-most" => Expect::Changes(number(2)?),
                     "cloud-calls-at-most" => Expect::CloudCalls(number(2)?),
-                    "met-at-least" => Expect::Met(number(2)? as usize),
+                    "affected-at-least" => Expect::Met(number(2)? as usize),
                     other => return Err(format!("unknown expectation {other}")),
                 };
                 self.expect.push(e);
