--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -11,14 +11,14 @@
 
 /// Longest time in seconds without an answered query about an accepted job, once all faults are
 /// over.
-const FORGOTTEN_S: u64 = 75;
+const LONGEST_SILENCE_S: u64 = 75;
 
 /// Returns the broken rules and unmet expectations of a simulated scenario.
 fn check(world: &World) -> Vec<String> {
     let mut wrong: Vec<String> = world.rules.broken.clone();
     wrong.extend(sim::fairness::below_half(world));
     for (job, user) in world.users.iter().filter(|(_, u)| u.accepted.is_some()) {
-        if user.silent > FORGOTTEN_S * SEC {
+        if user.silent > LONGEST_SILENCE_S * SEC {
             wrong.push(format!(
                 "forgotten: no question about {job} was answered for {} s",
                 user.silent / SEC
@@ -32,10 +32,10 @@
     }
     for expect in &world.script.expect {
         let within = |at: Option<u64>, by: u64| at.is_some_and(|at| at <= by);
-        let good = match expect {
+        let holds = match expect {
             Expect::Done(job, by) => within(world.users[job].done, *by),
             Expect::Cancelled(job, by) => within(world.users[job].cancelled, *by),
-            Expect::Book(most) => world.store.log_pages() <= *most,
+            Expect::LogPages(most) => world.store.log_pages() <= *most,
             Expect::Withdrawn(job) => world.store.says_withdrawn(job),
             Expect::Started(task, by) => within(world.rules.first_start.get(task).copied(), *by),
             Expect::Replicas(job, count) => {
@@ -60,16 +60,16 @@
             Expect::Stops(most) => world.rules.stops <= *most,
             Expect::Failures(most) => world.rules.failures <= *most,
             Expect::TermsAtMost(most) => world.last_term() <= *most,
-            Expect::Terms(least) => world.last_term() >= *least,
+            Expect::TermsAtLeast(least) => world.last_term() >= *least,
             Expect::RentedInAll(most) => world.cloud.rented_in_all() <= *most,
             Expect::Changes(most) => world.store.changes <= *most,
             Expect::CloudCalls(most) => world.cloud.calls <= *most,
-            Expect::Met(least) => world.active_faults.lasting.met >= *least,
+            Expect::Affected(least) => world.active_faults.lasting.affected >= *least,
         };
-        if !good {
+        if !holds {
             let counted = (world.store.changes, world.cloud.calls, world.cloud.rented_in_all());
             let (failures, missed) = (world.rules.failures, &world.rules.missed);
-            let met = world.active_faults.lasting.met;
+            let affected = world.active_faults.lasting.affected;
             if let Expect::AcceptedWithin(seconds) = expect {
                 for (id, u) in &world.users {
                     let waited = u.accepted.zip(u.first_asked).map(|(at, from)| at - from);
@@ -79,7 +79,7 @@
                 }
             }
             wrong.push(format!(
-                "expected {expect:?}; changes, calls, machines rented: {counted:?}, failures {failures}, missed {missed:?}, met {met}"
+                "expected {expect:?}; changes, calls, machines rented: {counted:?}, failures {failures}, missed {missed:?}, affected messages {affected}"
             ));
         }
     }
@@ -90,7 +90,7 @@
 /// scenario's file name, the cause and the issue, separated by colons.
 const KNOWN_RED: &str = "KNOWN-RED.txt";
 /// Highest number of scenarios in [`KNOWN_RED`].
-const MOST_KNOWN_RED: usize = 3;
+const MAX_KNOWN_RED: usize = 3;
 
 /// Returns the scenarios that are known to fail, with the cause. The result is empty if the file
 /// does not exist.
@@ -107,7 +107,7 @@
         .map(|line| line.split_once(": ").expect("a name and a cause"))
         .map(|(name, cause)| (name.to_string(), cause.to_string()))
         .collect();
-    assert!(listed.len() <= MOST_KNOWN_RED, "{KNOWN_RED} is too long");
+    assert!(listed.len() <= MAX_KNOWN_RED, "{KNOWN_RED} is too long");
     for name in listed.keys() {
         let file = format!("{}/tests/scenarios/{name}", env!("CARGO_MANIFEST_DIR"));
         assert!(std::path::Path::new(&file).exists(), "{KNOWN_RED}: no scenario {name}");
@@ -117,7 +117,7 @@
 
 /// Simulates one scenario with several seeds, three unless `SEEDS` is set, and returns what is
 /// wrong. No rule may hold by the choice of the seed alone.
-fn play(text: &str) -> Vec<String> {
+fn simulate(text: &str) -> Vec<String> {
     let mut wrong = vec![];
     let seeds = std::env::var("SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(3);
     for extra in 0..seeds {
@@ -160,14 +160,14 @@
     let mut files: Vec<_> = std::fs::read_dir(dir).unwrap().map(|f| f.unwrap().path()).collect();
     files.sort();
     assert!(files.len() >= 10, "scenarios are missing");
-    let played: Vec<_> = files
+    let threads: Vec<_> = files
         .into_iter()
         .filter(|f| f.to_string_lossy().contains(&only))
-        .map(|file| std::thread::spawn(move || (file.clone(), play(&std::fs::read_to_string(&file).unwrap()))))
+        .map(|file| std::thread::spawn(move || (file.clone(), simulate(&std::fs::read_to_string(&file).unwrap()))))
         .collect();
     let known_red = known_red();
     let mut failed = vec![];
-    for thread in played {
+    for thread in threads {
         let (file, wrong) = thread.join().expect("a scenario panicked");
         let name = file.file_name().unwrap().to_string_lossy().to_string();
         match (wrong.is_empty(), known_red.get(&name)) {
@@ -184,7 +184,7 @@
 #[test]
 fn the_checks_can_fail() {
     let late = "until 60\nat 1 submit run-000001 run=100\nexpect done run-000001 by 50";
-    assert!(!play(late).is_empty());
+    assert!(!simulate(late).is_empty());
     let mut world = World::new(Script::parse("until 60\nat 1 submit run-000001 service pieces=2").unwrap());
     world.play();
     assert!(check(&world).is_empty());
--- a/tests/sim/fault_combinations.rs
+++ b/tests/sim/fault_combinations.rs
@@ -2,11 +2,11 @@
 //! chains, a team at its limit and jobs that are cancelled throughout, and two or three faults that
 //! overlap. Every rule is checked, and that work continues after the last fault.
 //!
-//! `MEETINGS=n` simulates n seeds instead of the default number and prints each result,
-//! `MEETINGS_FROM=seed` sets the first seed, and `MEETINGS_THREADS=n` the number of threads.
-//! `MEETINGS_PLANTED=n` sets the highest number of seeds per injected fault, and `PLANTED=text`
-//! selects the injected faults whose names contain the text. A seed that breaks a rule is printed
-//! as a scenario, which can be saved as a file.
+//! `FAULT_COMBINATIONS=n` simulates n seeds instead of the default number and prints each result,
+//! `FAULT_COMBINATIONS_FROM=seed` sets the first seed, and `FAULT_COMBINATIONS_THREADS=n` the
+//! number of threads. `FAULT_COMBINATIONS_PLANTED=n` sets the highest number of seeds per injected
+//! fault, and `PLANTED=text` selects the injected faults whose names contain the text. A seed that
+//! breaks a rule is printed as a scenario, which can be saved as a file.
 
 use super::fault_injection::{Fault, ALL};
 use super::one_way_faults;
@@ -60,7 +60,7 @@
 /// First lines of the workloads: an ordinary workload, twice as likely as each other one; teams
 /// that are all at their limits; four one-task jobs a second for two minutes, a quarter of them
 /// cancelled.
-const WORLDS: [&str; 4] = [
+const WORKLOADS: [&str; 4] = [
     "team blue\n",
     "team blue\n",
     "team blue cpus=20 max=40\n",
@@ -76,35 +76,35 @@
 const WRITES: [&str; 6] = ["job/@", "job/run", "open/", "term", "term-", "care/"];
 
 /// Earliest time of the first fault, in seconds.
-const BEGINS: u64 = 60;
+const FIRST_FAULT_S: u64 = 60;
 /// End of the simulation, in seconds.
-const UNTIL: u64 = 290;
+const END_S: u64 = 290;
 
 /// Returns whether a seed draws from all workloads and faults. Even seeds draw only from the
 /// ordinary workload and `KINDS`, so that rare combinations of these stay as frequent.
-fn is_grown(seed: u64) -> bool {
+fn draws_from_all(seed: u64) -> bool {
     seed % 2 == 1
 }
 
 /// Returns the scenario of this seed.
-pub(super) fn text(seed: u64) -> String {
+pub(super) fn scenario(seed: u64) -> String {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let first = BEGINS as f64 + rng.f64() * 10.0;
-    let mut t = world(seed, first, &mut rng);
+    let first = FIRST_FAULT_S as f64 + rng.f64() * 10.0;
+    let mut t = workload(seed, first, &mut rng);
     let count = if rng.u32(0..4) == 0 { 3 } else { 2 };
-    for line in troubles(seed, first, &mut rng, count) {
+    for line in fault_lines(seed, first, &mut rng, count) {
         writeln!(t, "at {line}").unwrap();
     }
     if seed % 8 == 7 {
-        lag(&mut t, first, &mut fastrand::Rng::with_seed(seed));
+        add_slow_replies(&mut t, first, &mut fastrand::Rng::with_seed(seed));
     }
     t
 }
 
 /// Adds slow replies while users query all controllers. The random numbers come from a generator of
 /// their own, so that the seed's other draws do not change.
-fn lag(t: &mut String, first: f64, rng: &mut fastrand::Rng) {
-    let kind = one_way_faults::LAGGING[rng.usize(0..one_way_faults::LAGGING.len())];
+fn add_slow_replies(t: &mut String, first: f64, rng: &mut fastrand::Rng) {
+    let kind = one_way_faults::SLOW_REPLIES[rng.usize(0..one_way_faults::SLOW_REPLIES.len())];
     let node = rng.u32(0..5).to_string();
     for line in kind.replace("{n}", &node).lines() {
         writeln!(t, "at {first:.2} {line}").unwrap();
@@ -112,11 +112,15 @@
 }
 
 /// Returns the scenario of this seed without its faults. The first fault begins at second `first`.
-fn world(seed: u64, first: f64, rng: &mut fastrand::Rng) -> String {
-    let mut t = format!("# Meeting {seed}.\nseed {seed}\nuntil {UNTIL}\nnodes a b a b a\n");
+fn workload(seed: u64, first: f64, rng: &mut fastrand::Rng) -> String {
+    let mut t = format!("# Fault combination {seed}.\nseed {seed}\nuntil {END_S}\nnodes a b a b a\n");
     t.push_str("state-next writes=50 value_kb=8 ops=16\n");
-    let kind = if is_grown(seed) { rng.usize(0..WORLDS.len()) } else { 0 };
-    t.push_str(WORLDS[kind]);
+    let kind = if draws_from_all(seed) {
+        rng.usize(0..WORKLOADS.len())
+    } else {
+        0
+    };
+    t.push_str(WORKLOADS[kind]);
     t.push_str("team red cpus=4 max=6\n");
     if rng.bool() {
         t.push_str("held-packets\n");
@@ -141,7 +145,7 @@
         let abort = if n % 3 == 0 {
             at as f64 + rng.f64() * 70.0
         } else {
-            BEGINS as f64 + rng.f64() * 14.0
+            FIRST_FAULT_S as f64 + rng.f64() * 14.0
         };
         writeln!(t, "at {abort:.2} abort run-0001{n:02}").unwrap();
     }
@@ -154,7 +158,7 @@
     }
     // Services that are cancelled 0.05 to 3.05 s after their submission.
     for n in 0..6 {
-        let at = (BEGINS as f64) - 4.0 + rng.f64() * 30.0;
+        let at = (FIRST_FAULT_S as f64) - 4.0 + rng.f64() * 30.0;
         writeln!(t, "at {at:.2} submit run-0002{n:02} service pieces=2").unwrap();
         let abort = at + 0.05 + rng.f64() * 3.0;
         writeln!(t, "at {abort:.2} abort run-0002{n:02}").unwrap();
@@ -186,18 +190,18 @@
         writeln!(t, "at {abort:.2} abort run-0005{n:02}").unwrap();
     }
     // The other workloads have many jobs of their own, with the same numbers.
-    if WORLDS[kind] == WORLDS[0] {
-        crowd(&mut t, &mut fastrand::Rng::with_seed(seed));
+    if WORKLOADS[kind] == WORKLOADS[0] {
+        add_many_jobs(&mut t, &mut fastrand::Rng::with_seed(seed));
     }
     t
 }
 
 /// Adds to some workloads a team that always has more work than its limit, and to some four
 /// one-task jobs a second, a quarter of them cancelled.
-fn crowd(t: &mut String, rng: &mut fastrand::Rng) {
+fn add_many_jobs(t: &mut String, rng: &mut fastrand::Rng) {
     if rng.bool() {
         t.push_str("team green max=8\nat 30 submit run-000700 copies=24 run=12 cores=2 team=green\n");
-        let abort = BEGINS as f64 + rng.f64() * 5.0;
+        let abort = FIRST_FAULT_S as f64 + rng.f64() * 5.0;
         writeln!(t, "at {abort:.2} abort run-000706 every=1 times=6").unwrap();
     }
     if rng.u32(0..4) == 0 {
@@ -208,12 +212,12 @@
 }
 
 /// Returns the lines of `count` faults, each with its time.
-fn troubles(seed: u64, first: f64, rng: &mut fastrand::Rng, count: usize) -> Vec<String> {
+fn fault_lines(seed: u64, first: f64, rng: &mut fastrand::Rng, count: usize) -> Vec<String> {
     let mut lines = vec![];
     let mut out = false;
     let mut at = first;
     for _ in 0..count {
-        let added = if is_grown(seed) {
+        let added = if draws_from_all(seed) {
             &one_way_faults::KINDS[..]
         } else {
             &[]
@@ -261,13 +265,13 @@
     for (i, key) in WRITES.iter().enumerate() {
         for (j, end) in ends.iter().enumerate() {
             let seed = (i * ends.len() + j) as u64;
-            let mut t = world(seed, BEGINS as f64, &mut fastrand::Rng::with_seed(seed));
-            writeln!(t, "at {BEGINS} late-writes 0.5 key={key} for 40").unwrap();
+            let mut t = workload(seed, FIRST_FAULT_S as f64, &mut fastrand::Rng::with_seed(seed));
+            writeln!(t, "at {FIRST_FAULT_S} late-writes 0.5 key={key} for 40").unwrap();
             if !end.is_empty() {
-                writeln!(t, "at {} {end}", BEGINS + 6).unwrap();
+                writeln!(t, "at {} {end}", FIRST_FAULT_S + 6).unwrap();
             }
             if *key == "care/" {
-                writeln!(t, "at {BEGINS} zone-cut a b for 30").unwrap();
+                writeln!(t, "at {FIRST_FAULT_S} zone-cut a b for 30").unwrap();
             }
             texts.push(t);
         }
@@ -277,22 +281,22 @@
 
 #[test]
 fn every_kind_of_write_comes_late() {
-    let told: Vec<String> = late_writes()
+    let failures: Vec<String> = late_writes()
         .iter()
-        .map(|text| (play(text, None), text))
+        .map(|text| (simulate(text, None), text))
         .filter(|(wrong, _)| !wrong.is_empty())
         .map(|(wrong, text)| format!("{}\n{text}", wrong.join("; ")))
         .collect();
-    assert!(told.is_empty(), "\n{}", told.join("\n"));
+    assert!(failures.is_empty(), "\n{}", failures.join("\n"));
 }
 
 /// Simulates a scenario and returns what is wrong.
-fn play(text: &str, planted: Option<Fault>) -> Vec<String> {
+fn simulate(text: &str, injected: Option<Fault>) -> Vec<String> {
     let mut world = World::new(Script::parse(text).unwrap());
-    world.planted = planted;
+    world.planted = injected;
     world.play();
     let mut wrong = crate::check(&world);
-    if planted.is_none() {
+    if injected.is_none() {
         // Small jobs that were not cancelled are done long after the last fault.
         for (id, user) in &world.users {
             let small = ("run-000500".."run-000600").contains(&id.as_str()) || id.as_str() >= "run-000700";
@@ -304,23 +308,20 @@
     wrong
 }
 
-/// Returns the number in an environment variable, or `otherwise`.
-fn number(name: &str, otherwise: u64) -> u64 {
-    std::env::var(name)
-        .ok()
-        .and_then(|n| n.parse().ok())
-        .unwrap_or(otherwise)
+/// Returns the number in an environment variable, or `default`.
+fn environment_number(name: &str, default: u64) -> u64 {
+    std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
 /// Simulates `count` seeds from `from` on, on as many threads as there are cores or as the
 /// environment says, and returns the seeds that fail with what is wrong. The search ends once
 /// `enough` were found.
-fn search(from: u64, count: u64, planted: Option<Fault>, enough: usize) -> Vec<(u64, Vec<String>)> {
+fn search(from: u64, count: u64, injected: Option<Fault>, enough: usize) -> Vec<(u64, Vec<String>)> {
     let next = AtomicU64::new(from);
     let found = Mutex::new(vec![]);
     let cores = std::thread::available_parallelism().map_or(4, |n| n.get());
-    let threads = number("MEETINGS_THREADS", cores as u64);
-    let told = std::env::var("MEETINGS").is_ok();
+    let threads = environment_number("FAULT_COMBINATIONS_THREADS", cores as u64);
+    let verbose = std::env::var("FAULT_COMBINATIONS").is_ok();
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| loop {
@@ -328,19 +329,19 @@
                 if seed >= from + count || found.lock().unwrap().len() >= enough {
                     return;
                 }
-                let text = text(seed);
-                let mut wrong = play(&text, planted);
+                let text = scenario(seed);
+                let mut wrong = simulate(&text, injected);
                 // A seed finds an injected fault only if the simulation without the fault passes.
-                if planted.is_some() && !wrong.is_empty() && !play(&text, None).is_empty() {
+                if injected.is_some() && !wrong.is_empty() && !simulate(&text, None).is_empty() {
                     wrong.clear();
                 }
-                if told {
+                if verbose {
                     let verdict = if wrong.is_empty() { "held" } else { "BROKEN" };
-                    println!("meeting {seed}: {verdict}");
+                    println!("fault combination {seed}: {verdict}");
                 }
                 // A failure that also occurs without the fault does not show the fault.
-                let own = planted.is_none() || wrong.is_empty() || play(&text, None).is_empty();
-                if !wrong.is_empty() && own {
+                let caused_by_fault = injected.is_none() || wrong.is_empty() || simulate(&text, None).is_empty();
+                if !wrong.is_empty() && caused_by_fault {
                     found.lock().unwrap().push((seed, wrong));
                 }
             });
@@ -353,20 +354,20 @@
 
 #[test]
 fn combinations_of_two_and_three_faults() {
-    let count = number("MEETINGS", 120);
-    let found = search(number("MEETINGS_FROM", 0), count, None, 5);
-    let told: Vec<String> = found
+    let count = environment_number("FAULT_COMBINATIONS", 120);
+    let found = search(environment_number("FAULT_COMBINATIONS_FROM", 0), count, None, 5);
+    let failures: Vec<String> = found
         .iter()
-        .map(|(seed, wrong)| format!("meeting {seed}: {}\n{}", wrong.join("; "), text(*seed)))
+        .map(|(seed, wrong)| format!("fault combination {seed}: {}\n{}", wrong.join("; "), scenario(*seed)))
         .collect();
-    assert!(told.is_empty(), "\n{}", told.join("\n"));
+    assert!(failures.is_empty(), "\n{}", failures.join("\n"));
 }
 
-/// Verifies that the search finds every injected fault within `MEETINGS_PLANTED` seeds. `PLANTED`
-/// selects faults by a part of their names.
+/// Verifies that the search finds every injected fault within `FAULT_COMBINATIONS_PLANTED` seeds.
+/// `PLANTED` selects faults by a part of their names.
 #[test]
 fn injected_faults_are_found() {
-    let most = number("MEETINGS_PLANTED", 500);
+    let most = environment_number("FAULT_COMBINATIONS_PLANTED", 500);
     let mut missed = vec![];
     let only = std::env::var("PLANTED").unwrap_or_default();
     for fault in ALL.into_iter().filter(|f| format!("{f:?}").contains(&only)) {
--- a/tests/sim/fault_injection.rs
+++ b/tests/sim/fault_injection.rs
@@ -100,7 +100,7 @@
     }
 
     /// Replaces stops of cancelled tasks by starts, or removes the starts of some jobs.
-    fn plant_starts(&self, fault: Fault, commands: &mut Vec<AgentCommand>) {
+    fn inject_starts(&self, fault: Fault, commands: &mut Vec<AgentCommand>) {
         if fault == Fault::StartsNotAll {
             commands.retain(|o| !matches!(o, AgentCommand::Start { task, .. } if job_of(task).ends_with('7')));
         }
@@ -119,7 +119,7 @@
     }
 
     /// Adds the starts that were pushed to this address under an earlier term.
-    fn plant_kept(&mut self, addr: &str, body: &mut PushedCommands) {
+    fn inject_repeated_starts(&mut self, addr: &str, body: &mut PushedCommands) {
         let starts = body.commands.iter().filter(|o| matches!(o, AgentCommand::Start { .. }));
         let starts: Vec<AgentCommand> = starts.cloned().collect();
         let kept = self.planted_kept.entry(addr.into()).or_default();
@@ -162,7 +162,7 @@
     }
 
     /// Returns the answers to the withheld submissions that get the answer of this submission.
-    fn plant_joined(&mut self, answered: u64, answer: &Outgoing) -> Vec<Effect> {
+    fn inject_joined_answers(&mut self, answered: u64, answer: &Outgoing) -> Vec<Effect> {
         let found = self.planted_joined.iter().find(|(_, (id, _))| *id == answered);
         let Some(key) = found.map(|(key, _)| key.clone()) else {
             return vec![];
@@ -176,7 +176,7 @@
     }
 
     /// Changes the answer to a query of the users who query all controllers at once.
-    fn plant_look(&mut self, n: usize, number: u64, fault: Fault, answer: &mut Outgoing) {
+    fn inject_query_answer(&mut self, n: usize, number: u64, fault: Fault, answer: &mut Outgoing) {
         let Some(job) = self.one_way_faults.job_of(number).map(str::to_string) else {
             return;
         };
@@ -206,7 +206,7 @@
         let mut out = vec![];
         for mut effect in effects {
             if let (Fault::JoinsSubmissions, Effect::Reply { id, answer }) = (fault, &effect) {
-                out.extend(self.plant_joined(*id, answer));
+                out.extend(self.inject_joined_answers(*id, answer));
             }
             match &mut effect {
                 Effect::Reply { id, answer } => match self.origins.get(id) {
@@ -230,25 +230,27 @@
                                     commands.commands.push(AgentCommand::Forget { task, attempt });
                                 }
                             }
-                            self.plant_starts(fault, &mut commands.commands);
+                            self.inject_starts(fault, &mut commands.commands);
                             answer.body = to_cbor(&commands);
                         }
                     }
                     Some(Origin::User(..)) if fault == Fault::ForgetsInDoubt && answer.status == 503 => {
                         answer.status = 404;
                     }
-                    Some(Origin::Query(number)) => self.plant_look(n, *number, fault, answer),
+                    Some(Origin::Query(number)) => self.inject_query_answer(n, *number, fault, answer),
                     _ => {}
                 },
                 Effect::Store {
                     request: StoreRequest::Transaction(txn),
                     ..
-                } => strip(fault, txn),
+                } => remove_conditions(fault, txn),
                 Effect::PushedCommands { body, .. } if fault == Fault::StopsNothing => {
                     body.commands.retain(|o| !matches!(o, AgentCommand::Stop { .. }));
                 }
-                Effect::PushedCommands { addr, body, .. } if fault == Fault::KeepsStarts => self.plant_kept(addr, body),
-                Effect::PushedCommands { body, .. } => self.plant_starts(fault, &mut body.commands),
+                Effect::PushedCommands { addr, body, .. } if fault == Fault::KeepsStarts => {
+                    self.inject_repeated_starts(addr, body)
+                }
+                Effect::PushedCommands { body, .. } => self.inject_starts(fault, &mut body.commands),
                 Effect::Peer {
                     to,
                     message:
@@ -292,7 +294,7 @@
 }
 
 /// Removes the conditions of a transaction that protect against this fault.
-fn strip(fault: Fault, txn: &mut Transaction) {
+fn remove_conditions(fault: Fault, txn: &mut Transaction) {
     use glenhaven::storage::keys;
     let puts = |prefix: &str| {
         txn.changes
--- a/tests/sim/links.rs
+++ b/tests/sim/links.rs
@@ -46,7 +46,7 @@
 
 impl World {
     /// Returns whether a described end includes this host.
-    fn is_end(&self, described: &End, end: &End) -> bool {
+    fn includes_end(&self, described: &End, end: &End) -> bool {
         match (described, end) {
             (End::Nodes, End::Node(_)) => true,
             (End::NodesIn(zone), End::Node(n)) => self.active_faults.zone_of[*n] == *zone,
@@ -57,7 +57,7 @@
 
     /// Replaces ends that depend on the present leader by controllers. Returns `None` if the end
     /// depends on the leader and no controller leads.
-    pub(crate) fn fixed(&self, end: &End) -> Option<Vec<End>> {
+    pub(crate) fn resolve_end(&self, end: &End) -> Option<Vec<End>> {
         match end {
             End::Leader => self.leader().map(|n| vec![End::Node(n)]),
             End::Others => {
@@ -80,7 +80,7 @@
 
     /// Returns whether packets get from one host to another.
     pub(crate) fn passes(&self, from: &End, to: &End) -> bool {
-        let cuts = |(a, b): &(End, End)| self.is_end(a, from) && self.is_end(b, to);
+        let cuts = |(a, b): &(End, End)| self.includes_end(a, from) && self.includes_end(b, to);
         !self.active_faults.links.values().flatten().any(cuts)
     }
 
--- a/tests/sim/matrix.rs
+++ b/tests/sim/matrix.rs
@@ -36,9 +36,9 @@
 ];
 
 /// Durations of the cuts in seconds: shorter and longer than the workers' lease of 10 s.
-const LASTS: [u64; 2] = [6, 25];
-const BEGINS: u64 = 40;
-const ENDS: u64 = 110;
+const DURATIONS_S: [u64; 2] = [6, 25];
+const CUT_S: u64 = 40;
+const END_S: u64 = 110;
 /// Longest time until a small job is accepted: a user's second attempt succeeds.
 const ACCEPTED_S: u64 = 8;
 /// Longest time until a small job starts: a leader is lost, another controller takes over, and a
@@ -50,33 +50,33 @@
 /// worker finds which controller. Where zones reach each other in one direction only and the leader
 /// is lost, the next leader may have no machine on its side. In both cases another machine has to
 /// boot.
-const STARTED_ANEW_S: u64 = 40;
+const STARTED_WITH_BOOT_S: u64 = 40;
 /// Highest number of requests a second at the state service, as set in the simulation.
-const RPS: u64 = 250;
+const REQUESTS_PER_S: u64 = 250;
 
-struct Played {
+struct CaseResult {
     cuts: String,
-    lasts: u64,
+    duration_s: u64,
     accepted_s: u64,
     started_s: u64,
-    after: u64,
+    peak_requests_after: u64,
     terms: u64,
     missed: u64,
     wrong: Vec<String>,
 }
 
-fn play(cuts: &[(&str, &str)], lasts: u64, seed: u64) -> Played {
-    let mut text = format!("nodes a b a b a\nseed {seed}\nuntil {ENDS}\n");
+fn simulate(cuts: &[(&str, &str)], duration_s: u64, seed: u64) -> CaseResult {
+    let mut text = format!("nodes a b a b a\nseed {seed}\nuntil {END_S}\n");
     text.push_str("at 1 submit run-000001 service pieces=8 cores=4\n");
     // Small jobs throughout the simulation. Their waiting times show whether the service works.
     let mut probes = vec![];
-    for (n, at) in (24..ENDS - 24).step_by(3).enumerate() {
+    for (n, at) in (24..END_S - 24).step_by(3).enumerate() {
         let id = format!("run-{:06}", 100 + n);
         writeln!(text, "at {at} submit {id} run=2 estimate=2").unwrap();
         probes.push((id, at * SEC));
     }
     for (from, to) in cuts {
-        writeln!(text, "at {BEGINS} link-cut {from} {to} for {lasts}").unwrap();
+        writeln!(text, "at {CUT_S} link-cut {from} {to} for {duration_s}").unwrap();
     }
     let mut world = World::new(Script::parse(&text).unwrap());
     world.play();
@@ -85,7 +85,7 @@
     wrong.extend(world.cloud.problems.iter().cloned());
     let (mut accepted_s, mut started_s) = (0, 0);
     for (id, at) in &probes {
-        let waited = |t: Option<u64>| t.map_or(ENDS, |t| (t - at).div_ceil(SEC));
+        let waited = |t: Option<u64>| t.map_or(END_S, |t| (t - at).div_ceil(SEC));
         accepted_s = accepted_s.max(waited(world.users[id].accepted));
         started_s = started_s.max(waited(world.rules.first_start.get(&format!("{id}/0")).copied()));
     }
@@ -94,31 +94,33 @@
     }
     let zones = cuts.contains(&("nodes-a", "nodes-b"));
     let alone = cuts.iter().any(|(from, to)| *from == "others" || *to == "others");
-    let taken = |names: &[&str]| cuts.iter().any(|(a, b)| names.iter().any(|n| [*a, *b].contains(n)));
+    let involves = |names: &[&str]| cuts.iter().any(|(a, b)| names.iter().any(|n| [*a, *b].contains(n)));
     let workers = |end: &str| end.starts_with("workers");
-    let two = taken(&["leader"]) && taken(&["one"]) && cuts.iter().all(|(a, b)| workers(a) || workers(b));
+    let two = involves(&["leader"]) && involves(&["one"]) && cuts.iter().all(|(a, b)| workers(a) || workers(b));
     // With zones that reach each other in one direction only, the seed decides whether a machine
     // has to boot.
-    let anew = cuts.len() > 2 || zones || alone || two;
-    if started_s > if anew { STARTED_ANEW_S } else { STARTED_S } {
+    let needs_boot = cuts.len() > 2 || zones || alone || two;
+    if started_s > if needs_boot { STARTED_WITH_BOOT_S } else { STARTED_S } {
         wrong.push(format!("a job started after {started_s} s"));
     }
-    let healed = BEGINS + lasts;
+    let healed = CUT_S + duration_s;
     let of_second = |s: u64| world.store.by_second.get(&s).copied().unwrap_or(0);
-    let after = (healed..healed + 10).map(of_second).max().unwrap_or(0);
-    if after > RPS {
-        wrong.push(format!("{after} requests in a second after the links came back"));
+    let peak_requests_after = (healed..healed + 10).map(of_second).max().unwrap_or(0);
+    if peak_requests_after > REQUESTS_PER_S {
+        wrong.push(format!(
+            "{peak_requests_after} requests in a second after the links came back"
+        ));
     }
-    Played {
+    CaseResult {
         cuts: cuts
             .iter()
             .map(|(a, b)| format!("{a}>{b}"))
             .collect::<Vec<_>>()
             .join(" "),
-        lasts,
+        duration_s,
         accepted_s,
         started_s,
-        after,
+        peak_requests_after,
         terms: world.last_term(),
         missed: world.rules.missed.get("run-000001").copied().unwrap_or(0),
         wrong,
@@ -129,17 +131,17 @@
 type Case = (Vec<(&'static str, &'static str)>, u64, u64);
 
 /// Simulates all cases on as many threads as there are cores. The results are in no fixed order.
-fn play_all(cases: &[Case]) -> Vec<Played> {
+fn simulate_all(cases: &[Case]) -> Vec<CaseResult> {
     let next = AtomicUsize::new(0);
     let played = Mutex::new(vec![]);
     let threads = std::thread::available_parallelism().map_or(4, |n| n.get());
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| loop {
-                let Some((cuts, lasts, seed)) = cases.get(next.fetch_add(1, Ordering::Relaxed)) else {
+                let Some((cuts, duration_s, seed)) = cases.get(next.fetch_add(1, Ordering::Relaxed)) else {
                     return;
                 };
-                let one = play(cuts, *lasts, *seed);
+                let one = simulate(cuts, *duration_s, *seed);
                 played.lock().unwrap().push(one);
             });
         }
@@ -147,7 +149,7 @@
     played.into_inner().unwrap()
 }
 
-fn table(played: &mut [Played]) -> String {
+fn table(played: &mut [CaseResult]) -> String {
     played.sort_by_key(|p| std::cmp::Reverse((p.wrong.len(), p.started_s, p.accepted_s, p.missed)));
     let mut text = String::from(
         "| cut | for, s | accepted, s | started, s | replica s missed | terms | most requests a second after |\n\
@@ -157,14 +159,14 @@
         writeln!(
             text,
             "| {} | {} | {} | {} | {} | {} | {} |",
-            p.cuts, p.lasts, p.accepted_s, p.started_s, p.missed, p.terms, p.after
+            p.cuts, p.duration_s, p.accepted_s, p.started_s, p.missed, p.terms, p.peak_requests_after
         )
         .unwrap();
     }
     text
 }
 
-fn judge(name: &str, mut played: Vec<Played>) {
+fn assert_no_failures(name: &str, mut played: Vec<CaseResult>) {
     let text = table(&mut played);
     if let Ok(file) = std::env::var("LINKS_TABLE") {
         std::fs::write(format!("{file}.{name}.md"), &text).unwrap();
@@ -172,7 +174,7 @@
     let wrong: Vec<String> = played
         .iter()
         .filter(|p| !p.wrong.is_empty())
-        .map(|p| format!("{} for {} s: {}", p.cuts, p.lasts, p.wrong.join("; ")))
+        .map(|p| format!("{} for {} s: {}", p.cuts, p.duration_s, p.wrong.join("; ")))
         .collect();
     assert!(
         wrong.is_empty(),
@@ -187,14 +189,14 @@
 fn one_and_two_kinds_of_links() {
     let mut cases = vec![];
     for (i, a) in KINDS.iter().enumerate() {
-        for lasts in LASTS {
-            cases.push((vec![*a], lasts, 7));
+        for duration_s in DURATIONS_S {
+            cases.push((vec![*a], duration_s, 7));
             for b in &KINDS[i + 1..] {
-                cases.push((vec![*a, *b], lasts, 7));
+                cases.push((vec![*a, *b], duration_s, 7));
             }
         }
     }
-    judge("pairs", play_all(&cases));
+    assert_no_failures("pairs", simulate_all(&cases));
 }
 
 #[test]
@@ -209,5 +211,5 @@
             (kinds, 4 + rng.u64(0..30), seed)
         })
         .collect();
-    judge("triples", play_all(&cases));
+    assert_no_failures("triples", simulate_all(&cases));
 }
--- a/tests/sim/one_way_faults.rs
+++ b/tests/sim/one_way_faults.rs
@@ -24,14 +24,14 @@
 
 /// Further faults of some seeds: replies are delayed by tens of milliseconds while users query all
 /// controllers.
-pub(crate) const LAGGING: [&str; 2] = [
+pub(crate) const SLOW_REPLIES: [&str; 2] = [
     "query-all-nodes for 60\nstate-slow 0.08 for 60",
     "query-all-nodes for 60\nthrottle {n} share=0.16 for 60",
 ];
 
 /// Machines that a fault affects.
 #[derive(Clone, Debug)]
-pub(crate) enum Which {
+pub(crate) enum MachineSelection {
     /// This many machines, those with the most tasks.
     Busiest(usize),
     /// This share of all machines, those with the most tasks.
@@ -48,18 +48,18 @@
 pub(crate) enum OneWayFault {
     /// This share of the transactions that write a key with this prefix is executed at once, and
     /// only the reply is lost.
-    WriteAnswersLost(f64, String),
+    LoseWriteReplies(f64, String),
     /// Copies of this share of the reports are kept, and reach every controller when the next
     /// leader begins to lead.
-    ReportsForNext(f64),
+    ReplayReports(f64),
     /// Machines can't connect to any controller, while pushed commands reach them.
-    Mute(Which),
+    BlockOutbound(MachineSelection),
     /// This share of the pushed commands gets no reply and is executed once, 2 to 16 s later.
     LateCommands(f64),
     /// Machines execute pushed commands at once and reply up to this much later.
-    HeldDirectAnswers(Which, u64),
+    DelayPushReplies(MachineSelection, u64),
     /// Machines die without notice.
-    Kill(Which),
+    Kill(MachineSelection),
     /// The state service replies up to this much later.
     SlowState(u64),
     /// A controller gets its processor only for this share of each period.
@@ -68,16 +68,16 @@
 
 /// Period of throttling in microseconds. A throttled controller runs at the beginning of each
 /// period.
-const PERIOD: u64 = 100 * MS;
+const THROTTLE_PERIOD: u64 = 100 * MS;
 
-impl Which {
-    fn parse(words: &Words) -> Result<Which, String> {
+impl MachineSelection {
+    fn parse(words: &Words) -> Result<MachineSelection, String> {
         let count = words.word(3).and_then(|n| n.parse().map_err(|_| "count".into()));
         match (words.named.get("zone"), count) {
-            (Some(zone), Ok(count)) => Ok(Which::BusiestIn(zone.to_string(), count)),
-            (Some(zone), Err(_)) => Ok(Which::Zone(zone.to_string())),
-            (None, Err(_)) if words.named.contains_key("share") => words.num("share", 0.0).map(Which::Share),
-            (None, count) => count.map(Which::Busiest),
+            (Some(zone), Ok(count)) => Ok(MachineSelection::BusiestIn(zone.to_string(), count)),
+            (Some(zone), Err(_)) => Ok(MachineSelection::Zone(zone.to_string())),
+            (None, Err(_)) if words.named.contains_key("share") => words.num("share", 0.0).map(MachineSelection::Share),
+            (None, count) => count.map(MachineSelection::Busiest),
         }
     }
 }
@@ -89,16 +89,16 @@
         Ok(match words.word(2)? {
             "lose-write-replies" => {
                 let prefix = words.named.get("key").unwrap_or(&"");
-                OneWayFault::WriteAnswersLost(share()?, prefix.to_string())
+                OneWayFault::LoseWriteReplies(share()?, prefix.to_string())
             }
-            "replay-reports" => OneWayFault::ReportsForNext(share()?),
-            "block-outbound" => OneWayFault::Mute(Which::parse(words)?),
+            "replay-reports" => OneWayFault::ReplayReports(share()?),
+            "block-outbound" => OneWayFault::BlockOutbound(MachineSelection::parse(words)?),
             "late-commands" => OneWayFault::LateCommands(share()?),
             "delay-push-replies" => {
                 let by: f64 = words.num("by", 10.0)?;
-                OneWayFault::HeldDirectAnswers(Which::parse(words)?, (by * SEC as f64) as u64)
+                OneWayFault::DelayPushReplies(MachineSelection::parse(words)?, (by * SEC as f64) as u64)
             }
-            "kill" => OneWayFault::Kill(Which::parse(words)?),
+            "kill" => OneWayFault::Kill(MachineSelection::parse(words)?),
             "state-slow" => OneWayFault::SlowState((share()? * SEC as f64) as u64),
             "throttle" => {
                 let node = words.word(3)?.parse().map_err(|_| "node".to_string())?;
@@ -109,10 +109,10 @@
     }
 
     /// Returns the longest time after the end of the fault at which delayed messages may arrive.
-    pub(crate) fn lingers(&self) -> u64 {
+    pub(crate) fn longest_delay(&self) -> u64 {
         match self {
             OneWayFault::LateCommands(_) => 16 * SEC,
-            OneWayFault::HeldDirectAnswers(_, by) | OneWayFault::SlowState(by) => *by,
+            OneWayFault::DelayPushReplies(_, by) | OneWayFault::SlowState(by) => *by,
             _ => 0,
         }
     }
@@ -121,30 +121,30 @@
 /// The active faults of this module, by the step that began them.
 #[derive(Default)]
 pub(crate) struct Lasting {
-    lost_answers: BTreeMap<usize, (f64, String)>,
-    kept_reports: BTreeMap<usize, f64>,
-    mute: BTreeMap<usize, BTreeSet<String>>,
+    lost_replies: BTreeMap<usize, (f64, String)>,
+    replayed_reports: BTreeMap<usize, f64>,
+    blocked_outbound: BTreeMap<usize, BTreeSet<String>>,
     late_commands: BTreeMap<usize, f64>,
-    held_answers: BTreeMap<usize, (BTreeSet<String>, u64)>,
+    delayed_replies: BTreeMap<usize, (BTreeSet<String>, u64)>,
     slow_state: BTreeMap<usize, u64>,
     /// The throttled controller, and its share of the processor.
     throttled: BTreeMap<usize, (usize, f64)>,
     /// Number of messages that these faults lost, delayed or copied.
-    pub met: usize,
+    pub affected: usize,
     /// Copies of reports for the next leader.
-    kept: Vec<Heartbeat>,
+    kept_for_next: Vec<Heartbeat>,
     /// The controller that led last, and the number of its life, which changes at each restart.
-    led: Option<(usize, u64)>,
+    last_leader: Option<(usize, u64)>,
 }
 
 impl Lasting {
     /// Ends the fault of a step. Reports that are kept for the next leader stay.
     pub(crate) fn heal(&mut self, step: usize) {
-        self.lost_answers.remove(&step);
-        self.kept_reports.remove(&step);
-        self.mute.remove(&step);
+        self.lost_replies.remove(&step);
+        self.replayed_reports.remove(&step);
+        self.blocked_outbound.remove(&step);
         self.late_commands.remove(&step);
-        self.held_answers.remove(&step);
+        self.delayed_replies.remove(&step);
         self.slow_state.remove(&step);
         self.throttled.remove(&step);
     }
@@ -152,14 +152,14 @@
 
 impl World {
     /// Returns the names of the running machines that a fault affects.
-    fn machines(&self, which: &Which) -> BTreeSet<String> {
+    fn machines(&self, which: &MachineSelection) -> BTreeSet<String> {
         let all = self.busiest(usize::MAX).into_iter();
         let in_zone = |name: &String, zone: &String| self.workers[name].zone == *zone;
         match which {
-            Which::Busiest(count) => self.busiest(*count),
-            Which::Share(share) => self.busiest((all.len() as f64 * share).ceil() as usize),
-            Which::Zone(zone) => all.filter(|name| in_zone(name, zone)).collect(),
-            Which::BusiestIn(zone, count) => {
+            MachineSelection::Busiest(count) => self.busiest(*count),
+            MachineSelection::Share(share) => self.busiest((all.len() as f64 * share).ceil() as usize),
+            MachineSelection::Zone(zone) => all.filter(|name| in_zone(name, zone)).collect(),
+            MachineSelection::BusiestIn(zone, count) => {
                 let mut names: Vec<String> = all.filter(|name| in_zone(name, zone)).collect();
                 names.sort_by_key(|name| std::cmp::Reverse(self.workers[name].tasks.len()));
                 names.into_iter().take(*count).collect()
@@ -168,27 +168,27 @@
     }
 
     /// Begins the fault of a step.
-    pub(crate) fn begin_trouble(&mut self, step: usize, trouble: &OneWayFault) {
-        match trouble {
-            OneWayFault::WriteAnswersLost(share, prefix) => {
+    pub(crate) fn begin_one_way_fault(&mut self, step: usize, fault: &OneWayFault) {
+        match fault {
+            OneWayFault::LoseWriteReplies(share, prefix) => {
                 self.active_faults
                     .lasting
-                    .lost_answers
+                    .lost_replies
                     .insert(step, (*share, prefix.clone()));
             }
-            OneWayFault::ReportsForNext(share) => {
-                self.active_faults.lasting.kept_reports.insert(step, *share);
+            OneWayFault::ReplayReports(share) => {
+                self.active_faults.lasting.replayed_reports.insert(step, *share);
             }
-            OneWayFault::Mute(which) => {
+            OneWayFault::BlockOutbound(which) => {
                 let machines = self.machines(which);
-                self.active_faults.lasting.mute.insert(step, machines);
+                self.active_faults.lasting.blocked_outbound.insert(step, machines);
             }
             OneWayFault::LateCommands(share) => {
                 self.active_faults.lasting.late_commands.insert(step, *share);
             }
-            OneWayFault::HeldDirectAnswers(which, by) => {
+            OneWayFault::DelayPushReplies(which, by) => {
                 let machines = self.machines(which);
-                self.active_faults.lasting.held_answers.insert(step, (machines, *by));
+                self.active_faults.lasting.delayed_replies.insert(step, (machines, *by));
             }
             OneWayFault::Kill(which) => {
                 for name in self.machines(which) {
@@ -211,29 +211,29 @@
         let Some(&(n, share)) = self.active_faults.lasting.throttled.get(&step) else {
             return;
         };
-        let runs = (PERIOD as f64 * share) as u64;
+        let runs = (THROTTLE_PERIOD as f64 * share) as u64;
         if self.active_faults.frozen.contains_key(&step) {
             self.thaw(step);
             return self.after(runs, ScheduledEvent::Throttle(step));
         }
         self.active_faults.frozen.insert(step, n);
-        self.after(PERIOD - runs, ScheduledEvent::Throttle(step));
+        self.after(THROTTLE_PERIOD - runs, ScheduledEvent::Throttle(step));
     }
 
     /// Draws whether a fault with this share affects a message, and counts affected messages.
-    fn drawn(&mut self, share: f64) -> bool {
+    fn draw(&mut self, share: f64) -> bool {
         let drawn = share > 0.0 && self.rng.f64() < share;
-        self.active_faults.lasting.met += usize::from(drawn);
+        self.active_faults.lasting.affected += usize::from(drawn);
         drawn
     }
 
     /// Returns whether a transaction is executed and its reply lost.
     pub(crate) fn loses_answer(&mut self, txn: &Transaction) -> bool {
         let writes = |prefix: &str| txn.changes.iter().any(|c| c.key().starts_with(prefix));
-        let shares = self.active_faults.lasting.lost_answers.values();
+        let shares = self.active_faults.lasting.lost_replies.values();
         let share = shares.filter(|(_, prefix)| writes(prefix)).map(|(share, _)| *share);
         let share = share.fold(0.0, f64::max);
-        self.drawn(share)
+        self.draw(share)
     }
 
     /// Returns the additional delay of the state service's reply to a request.
@@ -255,10 +255,16 @@
     /// Returns whether a machine reaches no controller. If so, the attempt to connect fails at once
     /// or after a timeout of 4 s.
     pub(crate) fn report_fails_to_leave(&mut self, name: &str, rid: u64) -> bool {
-        if !self.active_faults.lasting.mute.values().any(|m| m.contains(name)) {
+        if !self
+            .active_faults
+            .lasting
+            .blocked_outbound
+            .values()
+            .any(|m| m.contains(name))
+        {
             return false;
         }
-        self.active_faults.lasting.met += 1;
+        self.active_faults.lasting.affected += 1;
         let pause = if self.rng.bool() { MS } else { 4 * SEC };
         self.after(pause, ScheduledEvent::ReportLate(name.into(), rid));
         true
@@ -266,10 +272,10 @@
 
     /// Keeps a copy of the report for the next leader, if drawn from the share.
     pub(crate) fn keep_for_next(&mut self, heartbeat: &Heartbeat) {
-        let shares = self.active_faults.lasting.kept_reports.values();
+        let shares = self.active_faults.lasting.replayed_reports.values();
         let share = shares.copied().fold(0.0, f64::max);
-        if self.drawn(share) {
-            self.active_faults.lasting.kept.push(heartbeat.clone());
+        if self.draw(share) {
+            self.active_faults.lasting.kept_for_next.push(heartbeat.clone());
         }
     }
 
@@ -282,11 +288,11 @@
             .as_ref()
             .is_some_and(|controller| controller.is_leader());
         let life = Some((n, node.life));
-        if !leads || self.active_faults.lasting.led == life {
+        if !leads || self.active_faults.lasting.last_leader == life {
             return;
         }
-        self.active_faults.lasting.led = life;
-        for heartbeat in std::mem::take(&mut self.active_faults.lasting.kept) {
+        self.active_faults.lasting.last_leader = life;
+        for heartbeat in std::mem::take(&mut self.active_faults.lasting.kept_for_next) {
             for to in 0..self.nodes.len() {
                 let pause = self.rng.u64(0..SEC);
                 let name = heartbeat.machine.clone();
@@ -301,7 +307,7 @@
         let held = self.active_faults.hold_direct.values().copied().max().unwrap_or(0);
         let shares = self.active_faults.lasting.late_commands.values();
         let share = shares.copied().fold(0.0, f64::max);
-        if self.drawn(share) {
+        if self.draw(share) {
             let late = 2 * SEC + self.rng.u64(0..14 * SEC);
             return self.after(late, ScheduledEvent::PushedCommands(n, u64::MAX, id, addr, body));
         }
@@ -310,13 +316,13 @@
 
     /// Returns the additional delay of a machine's reply to a pushed command.
     pub(crate) fn answer_held(&mut self, name: &str) -> u64 {
-        let held = self.active_faults.lasting.held_answers.values();
+        let held = self.active_faults.lasting.delayed_replies.values();
         let by = held.filter(|(names, _)| names.contains(name)).map(|(_, by)| *by);
         let by = by.max().unwrap_or(0);
         if by == 0 {
             return 0;
         }
-        self.active_faults.lasting.met += 1;
+        self.active_faults.lasting.affected += 1;
         self.rng.u64(0..=by)
     }
 }
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -14,7 +14,7 @@
 ///
 /// Counts of machines choose the running machines with the most tasks. A share is between 0 and 1.
 #[derive(Clone, Debug)]
-pub(crate) enum Act {
+pub(crate) enum Action {
     Submit(Box<JobSpec>),
     /// Adds a job that an earlier version of the service accepted, with a key of its own.
     Inherit(Box<JobSpec>),
@@ -27,7 +27,7 @@
     CrashOn(String),
     StateOut,
     /// The state service refuses requests of this controller only; `usize::MAX` is the leader.
-    StateDeaf(usize),
+    StateRefuses(usize),
     CloudOut,
     /// Transactions get no reply; half of them are executed after this delay.
     LoseTxn(u64),
@@ -37,23 +37,23 @@
     /// Copies of this share of the reports arrive after a delay of 2 s to well over a lease.
     LateReports(f64),
     /// Commands that are pushed to machines are delayed by this time.
-    HoldDirect(u64),
+    DelayPushedCommands(u64),
     /// Machines lose the network; messages are held back until the end of the cut.
     Cut(usize),
     /// Two zones cannot reach each other.
     ZoneCut(String, String),
     /// A zone is cut off from everything outside it.
-    ZoneOff(String),
+    IsolateZone(String),
     Hang(usize),
     Kill(usize),
     /// All spot machines are reclaimed after a notice of this many seconds.
-    Notice(u64),
+    SpotNotice(u64),
     /// Tasks fail on this many machines.
     Faulty(usize),
     /// Tasks take four times as long on this many machines.
     Slow(usize),
     /// Adds a machine that the controllers did not rent.
-    Ghost,
+    UnknownMachine,
     /// A controller is suspended while its clocks go on.
     Freeze(String),
     /// Suspends the next controller that requests a lease.
@@ -65,21 +65,21 @@
     /// Packets from one end to another are lost.
     LinkCut(super::links::End, super::links::End),
     /// This many machines receive no replies and no commands; their reports arrive.
-    Deaf(usize),
+    BlockInbound(usize),
     /// Replies to reports are delayed by up to this time.
     SlowAnswers(u64),
     /// Copies of all reports arrive after this delay.
-    Copies(u64),
+    DuplicateReports(u64),
     /// Multiplies the boot time of machines that are rented now; with 0 they never boot.
-    BootTimes(f64),
+    BootFactor(f64),
     /// Multiplies the rate of users' queries.
-    Storm(u64),
+    QueryRate(u64),
     /// Registers a controller as running the release before the present one.
-    OldRelease(String),
+    EarlierRelease(String),
     /// Puts a malformed value under a key of the state service.
-    Garbage(String),
+    MalformedValue(String),
     /// Lowers the limits of the state service from now on.
-    StateLimits,
+    LowerStateLimits,
     /// Cancels this many running jobs that are far from their end within 0.2 s; up to eight of
     /// their machines hang for the given time.
     CancelNow(usize, Option<u64>),
@@ -89,7 +89,7 @@
     OddRequests,
     /// Users query all controllers at once, repeatedly, when a job is accepted, ends or is
     /// cancelled.
-    CloseLooks,
+    QueryAllNodes,
     OneWayFault(OneWayFault),
 }
 
@@ -97,12 +97,12 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Step {
     pub at: u64,
-    pub lasts: Option<u64>,
-    pub act: Act,
+    pub duration: Option<u64>,
+    pub action: Action,
     /// Run time of each task of a submitted job.
     pub run_s: f64,
     /// Whether the submitted job fails on every machine.
-    pub mistake: bool,
+    pub always_fails: bool,
 }
 
 /// A condition that must hold at the end of a scenario. Times are in microseconds unless said
@@ -112,7 +112,7 @@
     Done(String, u64),
     Cancelled(String, u64),
     /// Highest number of pages that the log ever used.
-    Book(usize),
+    LogPages(usize),
     /// The job is recorded as withdrawn in the state service at the end.
     Withdrawn(String),
     Started(String, u64),
@@ -127,7 +127,7 @@
     LeaseKillsAtLeast(usize),
     /// Highest number of running tasks that were stopped without a cancellation of their job.
     Stops(usize),
-    Terms(u64),
+    TermsAtLeast(u64),
     TermsAtMost(u64),
     /// Highest number of failed tasks.
     Failures(usize),
@@ -139,7 +139,7 @@
     CloudCalls(u64),
     /// Lowest number of messages that the faults of `one_way_faults.rs` lost, delayed or copied, to
     /// prove that these faults took effect.
-    Met(usize),
+    Affected(usize),
 }
 
 /// A parsed scenario.
@@ -188,7 +188,7 @@
 "#;
 
 /// Parses a number of seconds and returns it in microseconds.
-fn secs(text: &str) -> Result<u64, String> {
+fn parse_seconds(text: &str) -> Result<u64, String> {
     let s: f64 = text
         .parse()
         .map_err(|_| format!("\"{text}\" is not a number of seconds"))?;
@@ -197,7 +197,7 @@
 
 /// Words of a line: positional ones and `name=value` pairs.
 pub(crate) struct Words<'a> {
-    plain: Vec<&'a str>,
+    positional: Vec<&'a str>,
     pub named: BTreeMap<&'a str, &'a str>,
 }
 
@@ -209,13 +209,13 @@
         }
     }
     pub(crate) fn word(&self, i: usize) -> Result<&'a str, String> {
-        self.plain
+        self.positional
             .get(i)
             .copied()
             .ok_or_else(|| "a word is missing".to_string())
     }
     pub(crate) fn has(&self, word: &str) -> bool {
-        self.plain.contains(&word)
+        self.positional.contains(&word)
     }
 }
 
@@ -227,28 +227,28 @@
 
     /// Returns the time at which the last fault is over, including its delayed effects.
     pub(crate) fn calm_from(&self) -> u64 {
-        let quiet = |a: &Act| {
-            use Act::*;
+        let is_harmless = |a: &Action| {
+            use Action::*;
             matches!(
                 a,
-                Submit(_) | Inherit(_) | Abort(_) | Resubmit(_) | AskUnknown(_) | Ghost
+                Submit(_) | Inherit(_) | Abort(_) | Resubmit(_) | AskUnknown(_) | UnknownMachine
             )
         };
-        let over = |s: &Step| match &s.act {
+        let end_of = |s: &Step| match &s.action {
             // Copies arrive after the fault that made them is over.
-            Act::Copies(late) => s.at + s.lasts.unwrap_or(0) + late,
-            Act::LateReports(_) => s.at + s.lasts.unwrap_or(0) + 2 * self.lease(),
-            Act::LateWrites(..) | Act::LoseTxn(_) => s.at + s.lasts.unwrap_or(0) + 12 * SEC,
-            Act::HoldDirect(late) => s.at + s.lasts.unwrap_or(0) + late,
-            Act::CancelNow(_, hangs) => s.at + hangs.unwrap_or(0) + SEC,
-            Act::OneWayFault(trouble) => s.at + s.lasts.unwrap_or(0) + trouble.lingers(),
-            Act::Crash(_) | Act::CrashOn(_) => s.at + s.lasts.unwrap_or(3 * SEC),
-            _ => s.at + s.lasts.unwrap_or(0),
+            Action::DuplicateReports(late) => s.at + s.duration.unwrap_or(0) + late,
+            Action::LateReports(_) => s.at + s.duration.unwrap_or(0) + 2 * self.lease(),
+            Action::LateWrites(..) | Action::LoseTxn(_) => s.at + s.duration.unwrap_or(0) + 12 * SEC,
+            Action::DelayPushedCommands(late) => s.at + s.duration.unwrap_or(0) + late,
+            Action::CancelNow(_, hangs) => s.at + hangs.unwrap_or(0) + SEC,
+            Action::OneWayFault(fault) => s.at + s.duration.unwrap_or(0) + fault.longest_delay(),
+            Action::Crash(_) | Action::CrashOn(_) => s.at + s.duration.unwrap_or(3 * SEC),
+            _ => s.at + s.duration.unwrap_or(0),
         };
         self.steps
             .iter()
-            .filter(|s| !quiet(&s.act))
-            .map(over)
+            .filter(|s| !is_harmless(&s.action))
+            .map(end_of)
             .max()
             .unwrap_or(0)
     }
@@ -310,7 +310,7 @@
 
     fn line(&mut self, line: &str) -> Result<(), String> {
         let mut words = Words {
-            plain: vec![],
+            positional: vec![],
             named: BTreeMap::new(),
         };
         for word in line.split_whitespace() {
@@ -318,15 +318,15 @@
                 Some((k, v)) => {
                     words.named.insert(k, v);
                 }
-                None => words.plain.push(word),
+                None => words.positional.push(word),
             }
         }
         let w = words;
         let p = &mut self.base.params;
         match w.word(0)? {
             "seed" => self.seed = w.word(1)?.parse().map_err(|_| "seed")?,
-            "until" => self.until = secs(w.word(1)?)?,
-            "nodes" => self.zones = w.plain[1..].iter().map(|z| z.to_string()).collect(),
+            "until" => self.until = parse_seconds(w.word(1)?)?,
+            "nodes" => self.zones = w.positional[1..].iter().map(|z| z.to_string()).collect(),
             "list-lag" => p.cloud.list_lag_s = w.word(1)?.parse().map_err(|_| "list-lag")?,
             "held-packets" => self.held_packets = true,
             "capacity" => self.capacity = w.word(1)?.parse().map_err(|_| "capacity")?,
@@ -359,100 +359,103 @@
                 self.machine_type(w.word(1)?, cpus, mem, boot, w.num("fetch", 0.5)?);
             }
             "at" => {
-                let at = secs(w.word(1)?)?;
-                let lasts = match w.plain.iter().position(|x| *x == "for") {
-                    Some(i) => Some(secs(w.word(i + 1)?)?),
+                let at = parse_seconds(w.word(1)?)?;
+                let duration = match w.positional.iter().position(|x| *x == "for") {
+                    Some(i) => Some(parse_seconds(w.word(i + 1)?)?),
                     None => None,
                 };
                 let run_s = w.num("run", 10.0)?;
                 let count = || w.word(3).and_then(|x| x.parse().map_err(|_| "count".to_string()));
-                let act = match w.word(2)? {
-                    "submit" => Act::Submit(Box::new(Self::spec(&w)?)),
-                    "inherit" => Act::Inherit(Box::new(Self::spec(&w)?)),
-                    "abort" => Act::Abort(w.word(3)?.into()),
-                    "resubmit" => Act::Resubmit(w.word(3)?.into()),
-                    "ask-unknown" => Act::AskUnknown(w.word(3)?.into()),
-                    "crash" => Act::Crash(w.word(3)?.into()),
-                    "crash-on" => Act::CrashOn(w.word(3)?.into()),
-                    "state-out" => Act::StateOut,
-                    "state-refuses" => Act::StateDeaf(w.word(3)?.parse().unwrap_or(usize::MAX)),
-                    "cloud-out" => Act::CloudOut,
-                    "lose-txn" => Act::LoseTxn(secs(w.word(3)?)?),
+                let action = match w.word(2)? {
+                    "submit" => Action::Submit(Box::new(Self::spec(&w)?)),
+                    "inherit" => Action::Inherit(Box::new(Self::spec(&w)?)),
+                    "abort" => Action::Abort(w.word(3)?.into()),
+                    "resubmit" => Action::Resubmit(w.word(3)?.into()),
+                    "ask-unknown" => Action::AskUnknown(w.word(3)?.into()),
+                    "crash" => Action::Crash(w.word(3)?.into()),
+                    "crash-on" => Action::CrashOn(w.word(3)?.into()),
+                    "state-out" => Action::StateOut,
+                    "state-refuses" => Action::StateRefuses(w.word(3)?.parse().unwrap_or(usize::MAX)),
+                    "cloud-out" => Action::CloudOut,
+                    "lose-txn" => Action::LoseTxn(parse_seconds(w.word(3)?)?),
                     "late-writes" => {
                         let prefix = w.named.get("key").unwrap_or(&"");
-                        Act::LateWrites(w.word(3)?.parse().map_err(|_| "share")?, prefix.to_string())
+                        Action::LateWrites(w.word(3)?.parse().map_err(|_| "share")?, prefix.to_string())
                     }
-                    "late-reports" => Act::LateReports(w.word(3)?.parse().map_err(|_| "share")?),
-                    "delay-pushed-commands" => Act::HoldDirect(secs(w.word(3)?)?),
-                    "cut" => Act::Cut(count()?),
-                    "zone-cut" => Act::ZoneCut(w.word(3)?.into(), w.word(4)?.into()),
-                    "isolate-zone" => Act::ZoneOff(w.word(3)?.into()),
-                    "hang" => Act::Hang(count()?),
-                    "kill" if !w.named.contains_key("zone") => Act::Kill(count()?),
-                    "spot-notice" => Act::Notice(w.word(3)?.parse().map_err(|_| "seconds")?),
-                    "faulty" => Act::Faulty(count()?),
-                    "slow" => Act::Slow(count()?),
-                    "unknown-machine" => Act::Ghost,
-                    "freeze-on-grant" => Act::FreezeOnGrant,
-                    "freeze" => Act::Freeze(w.word(3)?.into()),
-                    "node-cut" => Act::NodeCut(w.word(3)?.into(), w.word(4)?.into()),
-                    "peers-refuse" => Act::PeersRefuse,
+                    "late-reports" => Action::LateReports(w.word(3)?.parse().map_err(|_| "share")?),
+                    "delay-pushed-commands" => Action::DelayPushedCommands(parse_seconds(w.word(3)?)?),
+                    "cut" => Action::Cut(count()?),
+                    "zone-cut" => Action::ZoneCut(w.word(3)?.into(), w.word(4)?.into()),
+                    "isolate-zone" => Action::IsolateZone(w.word(3)?.into()),
+                    "hang" => Action::Hang(count()?),
+                    "kill" if !w.named.contains_key("zone") => Action::Kill(count()?),
+                    "spot-notice" => Action::SpotNotice(w.word(3)?.parse().map_err(|_| "seconds")?),
+                    "faulty" => Action::Faulty(count()?),
+                    "slow" => Action::Slow(count()?),
+                    "unknown-machine" => Action::UnknownMachine,
+                    "freeze-on-grant" => Action::FreezeOnGrant,
+                    "freeze" => Action::Freeze(w.word(3)?.into()),
+                    "node-cut" => Action::NodeCut(w.word(3)?.into(), w.word(4)?.into()),
+                    "peers-refuse" => Action::PeersRefuse,
                     "link-cut" => {
                         use super::links::End;
-                        Act::LinkCut(End::parse(w.word(3)?)?, End::parse(w.word(4)?)?)
+                        Action::LinkCut(End::parse(w.word(3)?)?, End::parse(w.word(4)?)?)
                     }
-                    "block-inbound" => Act::Deaf(count()?),
-                    "slow-answers" => Act::SlowAnswers(secs(w.word(3)?)?),
-                    "duplicate-reports" => Act::Copies(secs(w.word(3)?)?),
-                    "boot-factor" => Act::BootTimes(w.word(3)?.parse().map_err(|_| "factor")?),
-                    "earlier-release" => Act::OldRelease(w.word(3)?.into()),
-                    "malformed-value" => Act::Garbage(w.word(3)?.into()),
-                    "lower-state-limits" => Act::StateLimits,
+                    "block-inbound" => Action::BlockInbound(count()?),
+                    "slow-answers" => Action::SlowAnswers(parse_seconds(w.word(3)?)?),
+                    "duplicate-reports" => Action::DuplicateReports(parse_seconds(w.word(3)?)?),
+                    "boot-factor" => Action::BootFactor(w.word(3)?.parse().map_err(|_| "factor")?),
+                    "earlier-release" => Action::EarlierRelease(w.word(3)?.into()),
+                    "malformed-value" => Action::MalformedValue(w.word(3)?.into()),
+                    "lower-state-limits" => Action::LowerStateLimits,
                     "cancel-now" => {
-                        let hangs = w.named.get("hang").map(|hang| secs(hang)).transpose()?;
-                        Act::CancelNow(count()?, hangs)
+                        let hangs = w.named.get("hang").map(|hang| parse_seconds(hang)).transpose()?;
+                        Action::CancelNow(count()?, hangs)
                     }
-                    "cancel-at-end" => Act::CancelAtEnd(w.word(3)?.parse().map_err(|_| "share")?),
-                    "odd-requests" => Act::OddRequests,
-                    "query-all-nodes" => Act::CloseLooks,
-                    "query-rate" => Act::Storm(w.word(3)?.parse().map_err(|_| "factor")?),
-                    _ => Act::OneWayFault(OneWayFault::parse(&w)?),
+                    "cancel-at-end" => Action::CancelAtEnd(w.word(3)?.parse().map_err(|_| "share")?),
+                    "odd-requests" => Action::OddRequests,
+                    "query-all-nodes" => Action::QueryAllNodes,
+                    "query-rate" => Action::QueryRate(w.word(3)?.parse().map_err(|_| "factor")?),
+                    _ => Action::OneWayFault(OneWayFault::parse(&w)?),
                 };
                 // `every=s times=n` repeats the step n times, s seconds apart. `copies=n` submits n
                 // jobs with consecutive numbers. `step=n` cancels every n-th job.
-                let (every, times) = (secs(w.named.get("every").unwrap_or(&"0"))?, w.num("times", 1u64)?);
-                for again in 0..times {
-                    let at = at + again * every;
+                let (every, times) = (
+                    parse_seconds(w.named.get("every").unwrap_or(&"0"))?,
+                    w.num("times", 1u64)?,
+                );
+                for repetition in 0..times {
+                    let at = at + repetition * every;
                     for copy in 0..w.num("copies", 1u32)? {
-                        let mut act = act.clone();
-                        if let Act::Submit(spec) | Act::Inherit(spec) = &mut act {
+                        let mut action = action.clone();
+                        if let Action::Submit(spec) | Action::Inherit(spec) = &mut action {
                             let number: u32 = spec.id[4..].parse().map_err(|_| "a number is missing")?;
-                            let number = number + again as u32 * w.num("copies", 1u32)?;
+                            let number = number + repetition as u32 * w.num("copies", 1u32)?;
                             spec.id = format!("run-{:06}", number + copy);
                             // Each copy in a chain waits for the copy before it.
                             if w.has("chained") && copy > 0 {
                                 spec.needs = vec![format!("run-{:06}", number + copy - 1)];
                             }
                         }
-                        if let Act::Abort(job) = &mut act {
+                        if let Action::Abort(job) = &mut action {
                             let number: u64 = job[4..].parse().map_err(|_| "a number is missing")?;
-                            *job = format!("run-{:06}", number + again * w.num("step", 1u64)?);
+                            *job = format!("run-{:06}", number + repetition * w.num("step", 1u64)?);
                         }
-                        let mistake = w.has("always-fails");
+                        let always_fails = w.has("always-fails");
                         self.steps.push(Step {
                             at,
-                            lasts,
-                            act,
+                            duration,
+                            action,
                             run_s,
-                            mistake,
+                            always_fails,
                         });
                     }
                 }
             }
             "expect" => {
                 let by = || -> Result<u64, String> {
-                    let i = w.plain.iter().position(|x| *x == "by").ok_or("by is missing")?;
-                    secs(w.word(i + 1)?)
+                    let i = w.positional.iter().position(|x| *x == "by").ok_or("by is missing")?;
+                    parse_seconds(w.word(i + 1)?)
                 };
                 let number = |i: usize| {
                     w.word(i)
@@ -460,7 +463,7 @@
                 };
                 let e = match w.word(1)? {
                     "done" => Expect::Done(w.word(2)?.into(), by()?),
-                    "log-pages-at-most" => Expect::Book(number(2)? as usize),
+                    "log-pages-at-most" => Expect::LogPages(number(2)? as usize),
                     "withdrawn" => Expect::Withdrawn(w.word(2)?.into()),
                     "cancelled" => Expect::Cancelled(w.word(2)?.into(), by()?),
                     "started" => Expect::Started(w.word(2)?.into(), by()?),
@@ -474,11 +477,11 @@
                     "stops-at-most" => Expect::Stops(number(2)? as usize),
                     "failures-at-most" => Expect::Failures(number(2)? as usize),
                     "terms-at-most" => Expect::TermsAtMost(number(2)?),
-                    "terms-at-least" => Expect::Terms(number(2)?),
+                    "terms-at-least" => Expect::TermsAtLeast(number(2)?),
                     "rented-in-all-at-most" => Expect::RentedInAll(number(2)? as usize),
                     "changes-at-most" => Expect::Changes(number(2)?),
                     "cloud-calls-at-most" => Expect::CloudCalls(number(2)?),
-                    "affected-at-least" => Expect::Met(number(2)? as usize),
+                    "affected-at-least" => Expect::Affected(number(2)? as usize),
                     other => return Err(format!("unknown expectation {other}")),
                 };
                 self.expect.push(e);
--- a/tests/sim/steps.rs
+++ b/tests/sim/steps.rs
@@ -1,6 +1,6 @@
 //! Execution of a scenario's steps, and the end of the faults that they cause.
 
-use super::script::Act;
+use super::script::Action;
 use super::{users, ScheduledEvent, World, MS, SEC};
 use glenhaven::coordination::Event;
 use std::collections::BTreeSet;
@@ -9,46 +9,46 @@
     /// Executes a step of the scenario and schedules its end, if the step has a duration.
     pub(crate) fn step(&mut self, i: usize) {
         let step = self.script.steps[i].clone();
-        if let Act::FreezeOnGrant = step.act {
-            self.active_faults.trap = step.lasts.map(|lasts| (i, lasts));
+        if let Action::FreezeOnGrant = step.action {
+            self.active_faults.trap = step.duration.map(|duration| (i, duration));
             return;
         }
-        if let Some(lasts) = step.lasts {
-            self.after(lasts, ScheduledEvent::Heal(i));
+        if let Some(duration) = step.duration {
+            self.after(duration, ScheduledEvent::Heal(i));
         }
-        match step.act {
-            Act::Submit(spec) => {
+        match step.action {
+            Action::Submit(spec) => {
                 let id = spec.id.clone();
                 self.users
-                    .insert(id.clone(), users::User::new(*spec, step.run_s, step.mistake));
+                    .insert(id.clone(), users::User::new(*spec, step.run_s, step.always_fails));
                 self.event(ScheduledEvent::User(id));
             }
-            Act::Inherit(spec) => {
+            Action::Inherit(spec) => {
                 self.store.inherit(&spec);
-                let mut user = users::User::new(*spec.clone(), step.run_s, step.mistake);
+                let mut user = users::User::new(*spec.clone(), step.run_s, step.always_fails);
                 user.submitted = true;
                 user.accepted = Some(self.now);
                 self.answers.inherited(&spec.id);
                 self.users.insert(spec.id.clone(), user);
                 self.event(ScheduledEvent::User(spec.id));
             }
-            Act::Abort(job) => {
+            Action::Abort(job) => {
                 if let Some(user) = self.users.get_mut(&job) {
                     user.wants_abort = true;
                 }
                 self.event(ScheduledEvent::User(job));
             }
-            Act::Resubmit(job) => {
+            Action::Resubmit(job) => {
                 if let Some(user) = self.users.get_mut(&job) {
                     user.resubmit = true;
                 }
                 self.event(ScheduledEvent::User(job));
             }
-            Act::AskUnknown(job) => {
+            Action::AskUnknown(job) => {
                 self.users.insert(job.clone(), users::User::never_submitted(&job));
                 self.event(ScheduledEvent::User(job));
             }
-            Act::Crash(who) => {
+            Action::Crash(who) => {
                 let nodes: Vec<usize> = match who.as_str() {
                     "all" => (0..self.nodes.len()).collect(),
                     "leader" => self.leader().into_iter().collect(),
@@ -56,55 +56,55 @@
                 };
                 for n in nodes {
                     self.crash_node(n);
-                    self.after(step.lasts.unwrap_or(3 * SEC), ScheduledEvent::Start(n));
+                    self.after(step.duration.unwrap_or(3 * SEC), ScheduledEvent::Start(n));
                 }
             }
-            Act::CrashOn(key) => self.active_faults.ends_on.push((key, step.lasts.unwrap_or(3 * SEC))),
-            Act::StateOut => {
+            Action::CrashOn(key) => self.active_faults.ends_on.push((key, step.duration.unwrap_or(3 * SEC))),
+            Action::StateOut => {
                 self.active_faults.state_out.insert(i);
                 self.store.outage(true, self.now);
             }
-            Act::StateDeaf(n) => {
+            Action::StateRefuses(n) => {
                 let n = if n == usize::MAX { self.leader().unwrap_or(0) } else { n };
                 self.active_faults.state_deaf.insert(i, n);
             }
-            Act::CloudOut => {
+            Action::CloudOut => {
                 self.active_faults.cloud_out.insert(i);
             }
-            Act::LoseTxn(late) => {
+            Action::LoseTxn(late) => {
                 self.active_faults.lose_txn.insert(i, late);
             }
-            Act::LateWrites(share, prefix) => {
+            Action::LateWrites(share, prefix) => {
                 self.active_faults.late_writes.insert(i, (share, prefix));
             }
-            Act::LateReports(share) => {
+            Action::LateReports(share) => {
                 self.active_faults.late_reports.insert(i, share);
             }
-            Act::HoldDirect(late) => {
+            Action::DelayPushedCommands(late) => {
                 self.active_faults.hold_direct.insert(i, late);
             }
-            Act::Cut(count) => {
+            Action::Cut(count) => {
                 let busy = self.busiest(count);
                 self.active_faults.cut.insert(i, busy);
             }
-            Act::ZoneCut(a, b) => {
+            Action::ZoneCut(a, b) => {
                 self.active_faults.zones.insert(i, (a, b));
             }
-            Act::ZoneOff(zone) => {
+            Action::IsolateZone(zone) => {
                 self.active_faults.zone_off.insert(i, zone);
             }
-            Act::Hang(count) => {
-                let until = self.now + step.lasts.unwrap_or(SEC);
+            Action::Hang(count) => {
+                let until = self.now + step.duration.unwrap_or(SEC);
                 for name in self.busiest(count) {
                     self.hang(&name, until);
                 }
             }
-            Act::Kill(count) => {
+            Action::Kill(count) => {
                 for name in self.busiest(count) {
                     self.machine_dies(&name);
                 }
             }
-            Act::Notice(seconds) => {
+            Action::SpotNotice(seconds) => {
                 let spot: Vec<String> = self
                     .workers
                     .values()
@@ -115,14 +115,14 @@
                     self.notice(&name, seconds);
                 }
             }
-            Act::Faulty(count) => {
+            Action::Faulty(count) => {
                 for name in self.busiest(count) {
                     if let Some(w) = self.workers.get_mut(&name) {
                         w.faulty = true;
                     }
                 }
             }
-            Act::Slow(count) => {
+            Action::Slow(count) => {
                 let now = self.now;
                 for name in self.busiest(count) {
                     if let Some(w) = self.workers.get_mut(&name) {
@@ -130,62 +130,62 @@
                     }
                 }
             }
-            Act::Ghost => self.ghost_machine(),
-            Act::FreezeOnGrant => {}
-            Act::Freeze(who) => {
-                if let Some(n) = self.which(&who) {
+            Action::UnknownMachine => self.ghost_machine(),
+            Action::FreezeOnGrant => {}
+            Action::Freeze(who) => {
+                if let Some(n) = self.named_controller(&who) {
                     self.active_faults.frozen.insert(i, n);
                 }
             }
-            Act::NodeCut(who, from) => {
-                if let Some(n) = self.which(&who) {
+            Action::NodeCut(who, from) => {
+                if let Some(n) = self.named_controller(&who) {
                     self.active_faults.node_cut.insert(i, (n, from));
                 }
             }
-            Act::PeersRefuse => {
+            Action::PeersRefuse => {
                 self.active_faults.refuse.insert(i);
             }
-            Act::LinkCut(from, to) => {
-                if let (Some(from), Some(to)) = (self.fixed(&from), self.fixed(&to)) {
+            Action::LinkCut(from, to) => {
+                if let (Some(from), Some(to)) = (self.resolve_end(&from), self.resolve_end(&to)) {
                     let pairs = from.iter().flat_map(|a| to.iter().map(move |b| (a.clone(), b.clone())));
                     self.active_faults.links.insert(i, pairs.collect());
                 }
             }
-            Act::Deaf(count) => {
+            Action::BlockInbound(count) => {
                 let busy = self.busiest(count);
                 self.active_faults.deaf.insert(i, busy);
             }
-            Act::SlowAnswers(late) => {
+            Action::SlowAnswers(late) => {
                 self.active_faults.slow_answers.insert(i, late);
             }
-            Act::Copies(late) => {
+            Action::DuplicateReports(late) => {
                 self.active_faults.copies.insert(i, late);
             }
-            Act::BootTimes(factor) => {
+            Action::BootFactor(factor) => {
                 self.active_faults.boots.insert(i, factor);
             }
-            Act::OldRelease(node) => {
+            Action::EarlierRelease(node) => {
                 self.store.old_release(&node);
                 self.tell_watches();
             }
-            Act::Garbage(key) => {
+            Action::MalformedValue(key) => {
                 self.store.garbage(key);
                 self.tell_watches();
             }
-            Act::StateLimits => self.store.lower(),
-            Act::CancelNow(count, hangs) => self.cancel_now(count, hangs),
-            Act::CancelAtEnd(share) => {
+            Action::LowerStateLimits => self.store.lower(),
+            Action::CancelNow(count, hangs) => self.cancel_now(count, hangs),
+            Action::CancelAtEnd(share) => {
                 self.one_way_faults.cancel_at_end.insert(i, share);
             }
-            Act::CloseLooks => {
+            Action::QueryAllNodes => {
                 self.one_way_faults.close_looks.insert(i);
             }
-            Act::OddRequests => {
+            Action::OddRequests => {
                 self.one_way_faults.odd_requests.insert(i);
                 self.odd_requests(i);
             }
-            Act::OneWayFault(trouble) => self.begin_trouble(i, &trouble),
-            Act::Storm(factor) => {
+            Action::OneWayFault(fault) => self.begin_one_way_fault(i, &fault),
+            Action::QueryRate(factor) => {
                 self.active_faults.storm.insert(i, factor);
                 let all: Vec<String> = self.users.keys().cloned().collect();
                 for job in all {
@@ -196,7 +196,7 @@
     }
 
     /// Returns the controller with this number, or the present leader for `leader`.
-    fn which(&self, who: &str) -> Option<usize> {
+    fn named_controller(&self, who: &str) -> Option<usize> {
         match who {
             "leader" => self.leader(),
             n => n.parse().ok(),
@@ -224,26 +224,26 @@
     pub(crate) fn heal(&mut self, i: usize) {
         self.thaw(i);
         self.one_way_faults.heal(i);
-        let b = &mut self.active_faults;
-        b.state_out.remove(&i);
-        b.state_deaf.remove(&i);
-        b.cloud_out.remove(&i);
-        b.cut.remove(&i);
-        b.zones.remove(&i);
-        b.zone_off.remove(&i);
-        b.lose_txn.remove(&i);
-        b.hold_direct.remove(&i);
-        b.late_writes.remove(&i);
-        b.late_reports.remove(&i);
-        b.node_cut.remove(&i);
-        b.refuse.remove(&i);
-        b.links.remove(&i);
-        b.deaf.remove(&i);
-        b.copies.remove(&i);
-        b.slow_answers.remove(&i);
-        b.boots.remove(&i);
-        b.storm.remove(&i);
-        b.lasting.heal(i);
+        let faults = &mut self.active_faults;
+        faults.state_out.remove(&i);
+        faults.state_deaf.remove(&i);
+        faults.cloud_out.remove(&i);
+        faults.cut.remove(&i);
+        faults.zones.remove(&i);
+        faults.zone_off.remove(&i);
+        faults.lose_txn.remove(&i);
+        faults.hold_direct.remove(&i);
+        faults.late_writes.remove(&i);
+        faults.late_reports.remove(&i);
+        faults.node_cut.remove(&i);
+        faults.refuse.remove(&i);
+        faults.links.remove(&i);
+        faults.deaf.remove(&i);
+        faults.copies.remove(&i);
+        faults.slow_answers.remove(&i);
+        faults.boots.remove(&i);
+        faults.storm.remove(&i);
+        faults.lasting.heal(i);
         if self.active_faults.state_out.is_empty() {
             self.store.outage(false, self.now);
         }
