--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -20,7 +20,7 @@
     for (job, user) in world.users.iter().filter(|(_, u)| u.accepted.is_some()) {
         if user.silent > LONGEST_SILENCE_S * SEC {
             wrong.push(format!(
-                "forgotten: no question about {job} was answered for {} s",
+                "forgotten: no query about {job} was answered for {} s",
                 user.silent / SEC
             ));
         }
@@ -107,7 +107,10 @@
         .map(|line| line.split_once(": ").expect("a name and a cause"))
         .map(|(name, cause)| (name.to_string(), cause.to_string()))
         .collect();
-    assert!(listed.len() <= MAX_KNOWN_RED, "{KNOWN_RED} is too long");
+    assert!(
+        listed.len() <= MAX_KNOWN_RED,
+        "{KNOWN_RED} lists more than {MAX_KNOWN_RED} scenarios"
+    );
     for name in listed.keys() {
         let file = format!("{}/tests/scenarios/{name}", env!("CARGO_MANIFEST_DIR"));
         assert!(std::path::Path::new(&file).exists(), "{KNOWN_RED}: no scenario {name}");
@@ -172,7 +175,7 @@
         let name = file.file_name().unwrap().to_string_lossy().to_string();
         match (wrong.is_empty(), known_red.get(&name)) {
             (true, None) => {}
-            (true, Some(_)) => failed.push(format!("{name} passes: take it off {KNOWN_RED}")),
+            (true, Some(_)) => failed.push(format!("{name} passes: remove it from {KNOWN_RED}")),
             (false, Some(cause)) => println!("KNOWN RED {name}: {cause}\n  {}", wrong.join("\n  ")),
             (false, None) => failed.push(format!("{name}:\n  {}", wrong.join("\n  "))),
         }
--- a/tests/sim/links.rs
+++ b/tests/sim/links.rs
@@ -38,7 +38,7 @@
             other => match (other.strip_prefix("nodes-"), other.strip_prefix("workers-")) {
                 (Some(zone), _) => End::NodesIn(zone.into()),
                 (_, Some(zone)) => End::Workers(Some(zone.into())),
-                _ => End::Node(other.parse().map_err(|_| format!("no such end: {other}"))?),
+                _ => End::Node(other.parse().map_err(|_| format!("unknown end of a link: {other}"))?),
             },
         })
     }
--- a/tests/sim/one_way_faults.rs
+++ b/tests/sim/one_way_faults.rs
@@ -72,7 +72,9 @@
 
 impl MachineSelection {
     fn parse(words: &Words) -> Result<MachineSelection, String> {
-        let count = words.word(3).and_then(|n| n.parse().map_err(|_| "count".into()));
+        let count = words
+            .word(3)
+            .and_then(|n| n.parse().map_err(|_| "the count is not a number".into()));
         match (words.named.get("zone"), count) {
             (Some(zone), Ok(count)) => Ok(MachineSelection::BusiestIn(zone.to_string(), count)),
             (Some(zone), Err(_)) => Ok(MachineSelection::Zone(zone.to_string())),
@@ -85,7 +87,12 @@
 impl OneWayFault {
     /// Parses the fault of a line of a scenario.
     pub(crate) fn parse(words: &Words) -> Result<OneWayFault, String> {
-        let share = || words.word(3)?.parse::<f64>().map_err(|_| "share".to_string());
+        let share = || {
+            words
+                .word(3)?
+                .parse::<f64>()
+                .map_err(|_| "the share is not a number".to_string())
+        };
         Ok(match words.word(2)? {
             "lose-write-replies" => {
                 let prefix = words.named.get("key").unwrap_or(&"");
@@ -101,10 +108,13 @@
             "kill" => OneWayFault::Kill(MachineSelection::parse(words)?),
             "state-slow" => OneWayFault::SlowState((share()? * SEC as f64) as u64),
             "throttle" => {
-                let node = words.word(3)?.parse().map_err(|_| "node".to_string())?;
+                let node = words
+                    .word(3)?
+                    .parse()
+                    .map_err(|_| "the controller is not a number".to_string())?;
                 OneWayFault::Throttle(node, words.num("share", 0.16)?)
             }
-            other => return Err(format!("unknown act {other}")),
+            other => return Err(format!("unknown action {other}")),
         })
     }
 
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -205,7 +205,7 @@
     pub(crate) fn num<T: std::str::FromStr>(&self, name: &str, default: T) -> Result<T, String> {
         match self.named.get(name) {
             None => Ok(default),
-            Some(v) => v.parse().map_err(|_| format!("{name}: \"{v}\"")),
+            Some(v) => v.parse().map_err(|_| format!("{name}: \"{v}\" is not valid")),
         }
     }
     pub(crate) fn word(&self, i: usize) -> Result<&'a str, String> {
@@ -324,13 +324,13 @@
         let w = words;
         let p = &mut self.base.params;
         match w.word(0)? {
-            "seed" => self.seed = w.word(1)?.parse().map_err(|_| "seed")?,
+            "seed" => self.seed = w.word(1)?.parse().map_err(|_| "the seed is not a number")?,
             "until" => self.until = parse_seconds(w.word(1)?)?,
             "nodes" => self.zones = w.positional[1..].iter().map(|z| z.to_string()).collect(),
-            "list-lag" => p.cloud.list_lag_s = w.word(1)?.parse().map_err(|_| "list-lag")?,
+            "list-lag" => p.cloud.list_lag_s = w.word(1)?.parse().map_err(|_| "list-lag is not a number of seconds")?,
             "held-packets" => self.held_packets = true,
-            "capacity" => self.capacity = w.word(1)?.parse().map_err(|_| "capacity")?,
-            "dead-boots" => self.dead_boots = w.word(1)?.parse().map_err(|_| "dead-boots")?,
+            "capacity" => self.capacity = w.word(1)?.parse().map_err(|_| "the capacity is not a number")?,
+            "dead-boots" => self.dead_boots = w.word(1)?.parse().map_err(|_| "dead-boots is not a number")?,
             "workers" => {
                 p.workers.report_s = w.num("report", p.workers.report_s)?;
                 p.workers.lease_s = w.num("lease", p.workers.lease_s)?;
@@ -365,7 +365,10 @@
                     None => None,
                 };
                 let run_s = w.num("run", 10.0)?;
-                let count = || w.word(3).and_then(|x| x.parse().map_err(|_| "count".to_string()));
+                let count = || {
+                    w.word(3)
+                        .and_then(|x| x.parse().map_err(|_| "the count is not a number".to_string()))
+                };
                 let action = match w.word(2)? {
                     "submit" => Action::Submit(Box::new(Self::spec(&w)?)),
                     "inherit" => Action::Inherit(Box::new(Self::spec(&w)?)),
@@ -380,16 +383,23 @@
                     "lose-txn" => Action::LoseTxn(parse_seconds(w.word(3)?)?),
                     "late-writes" => {
                         let prefix = w.named.get("key").unwrap_or(&"");
-                        Action::LateWrites(w.word(3)?.parse().map_err(|_| "share")?, prefix.to_string())
+                        Action::LateWrites(
+                            w.word(3)?.parse().map_err(|_| "the share is not a number")?,
+                            prefix.to_string(),
+                        )
                     }
-                    "late-reports" => Action::LateReports(w.word(3)?.parse().map_err(|_| "share")?),
+                    "late-reports" => Action::LateReports(w.word(3)?.parse().map_err(|_| "the share is not a number")?),
                     "delay-pushed-commands" => Action::DelayPushedCommands(parse_seconds(w.word(3)?)?),
                     "cut" => Action::Cut(count()?),
                     "zone-cut" => Action::ZoneCut(w.word(3)?.into(), w.word(4)?.into()),
                     "isolate-zone" => Action::IsolateZone(w.word(3)?.into()),
                     "hang" => Action::Hang(count()?),
                     "kill" if !w.named.contains_key("zone") => Action::Kill(count()?),
-                    "spot-notice" => Action::SpotNotice(w.word(3)?.parse().map_err(|_| "seconds")?),
+                    "spot-notice" => Action::SpotNotice(
+                        w.word(3)?
+                            .parse()
+                            .map_err(|_| "the notice is not a number of seconds")?,
+                    ),
                     "faulty" => Action::Faulty(count()?),
                     "slow" => Action::Slow(count()?),
                     "unknown-machine" => Action::UnknownMachine,
@@ -404,7 +414,7 @@
                     "block-inbound" => Action::BlockInbound(count()?),
                     "slow-answers" => Action::SlowAnswers(parse_seconds(w.word(3)?)?),
                     "duplicate-reports" => Action::DuplicateReports(parse_seconds(w.word(3)?)?),
-                    "boot-factor" => Action::BootFactor(w.word(3)?.parse().map_err(|_| "factor")?),
+                    "boot-factor" => Action::BootFactor(w.word(3)?.parse().map_err(|_| "the factor is not a number")?),
                     "earlier-release" => Action::EarlierRelease(w.word(3)?.into()),
                     "malformed-value" => Action::MalformedValue(w.word(3)?.into()),
                     "lower-state-limits" => Action::LowerStateLimits,
@@ -412,10 +422,12 @@
                         let hangs = w.named.get("hang").map(|hang| parse_seconds(hang)).transpose()?;
                         Action::CancelNow(count()?, hangs)
                     }
-                    "cancel-at-end" => Action::CancelAtEnd(w.word(3)?.parse().map_err(|_| "share")?),
+                    "cancel-at-end" => {
+                        Action::CancelAtEnd(w.word(3)?.parse().map_err(|_| "the share is not a number")?)
+                    }
                     "odd-requests" => Action::OddRequests,
                     "query-all-nodes" => Action::QueryAllNodes,
-                    "query-rate" => Action::QueryRate(w.word(3)?.parse().map_err(|_| "factor")?),
+                    "query-rate" => Action::QueryRate(w.word(3)?.parse().map_err(|_| "the factor is not a number")?),
                     _ => Action::OneWayFault(OneWayFault::parse(&w)?),
                 };
                 // `every=s times=n` repeats the step n times, s seconds apart. `copies=n` submits n
@@ -429,7 +441,7 @@
                     for copy in 0..w.num("copies", 1u32)? {
                         let mut action = action.clone();
                         if let Action::Submit(spec) | Action::Inherit(spec) = &mut action {
-                            let number: u32 = spec.id[4..].parse().map_err(|_| "a number is missing")?;
+                            let number: u32 = spec.id[4..].parse().map_err(|_| "the job's name has no number")?;
                             let number = number + repetition as u32 * w.num("copies", 1u32)?;
                             spec.id = format!("run-{:06}", number + copy);
                             // Each copy in a chain waits for the copy before it.
@@ -438,7 +450,7 @@
                             }
                         }
                         if let Action::Abort(job) = &mut action {
-                            let number: u64 = job[4..].parse().map_err(|_| "a number is missing")?;
+                            let number: u64 = job[4..].parse().map_err(|_| "the job's name has no number")?;
                             *job = format!("run-{:06}", number + repetition * w.num("step", 1u64)?);
                         }
                         let always_fails = w.has("always-fails");
@@ -454,12 +466,18 @@
             }
             "expect" => {
                 let by = || -> Result<u64, String> {
-                    let i = w.positional.iter().position(|x| *x == "by").ok_or("by is missing")?;
+                    let i = w
+                        .positional
+                        .iter()
+                        .position(|x| *x == "by")
+                        .ok_or("the time after by is missing")?;
                     parse_seconds(w.word(i + 1)?)
                 };
                 let number = |i: usize| {
-                    w.word(i)
-                        .and_then(|x| x.parse::<u64>().map_err(|_| "number".to_string()))
+                    w.word(i).and_then(|x| {
+                        x.parse::<u64>()
+                            .map_err(|_| "the expected value is not a number".to_string())
+                    })
                 };
                 let e = match w.word(1)? {
                     "done" => Expect::Done(w.word(2)?.into(), by()?),
@@ -514,7 +532,7 @@
                     let number = |t: &str| {
                         t.trim_start_matches("run-")
                             .parse::<u32>()
-                            .map_err(|_| "a range of jobs")
+                            .map_err(|_| "the range of jobs is not valid")
                     };
                     spec.needs
                         .extend((number(from)?..=number(to)?).map(|n| format!("run-{n:06}")));
