--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -80,8 +80,8 @@
     MalformedValue(String),
     /// Lowers the limits of the state service from now on.
     LowerStateLimits,
-    /// Cancels this many running jobs that are far from their end within 0.2 s; up to eight of
-    /// their machines hang for the given time.
+    /// Cancels this many running jobs that have a long remaining run time, all within 0.2 s. Up to
+    /// eight of their machines hang for the given time.
     CancelNow(usize, Option<u64>),
     /// Cancels this share of the ending jobs at the moment when they end.
     CancelAtEnd(f64),
