--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,6 +1,6 @@
-//! Plays every file in `tests/scenarios/`. Each is checked for what it expects
-//! and for every rule of the protocol.
-// A test is one story from beginning to end.
+//! Simulates every scenario file in `tests/scenarios/` and checks its expectations and every rule
+//! of the protocol.
+// A test runs one long sequence of steps, which is easier to read in one function.
 #![allow(clippy::too_many_lines)]
 
 mod sim;
@@ -9,16 +9,18 @@
 use sim::{World, SEC};
 use std::collections::BTreeMap;
 
-/// How long questions about an accepted job may go unanswered once all troubles are over.
-const FORGOTTEN_S: u64 = 75;
+/// Longest time in seconds without an answered query about an accepted job, once all faults are
+/// over.
+const LONGEST_SILENCE_S: u64 = 75;
 
+/// Returns the broken rules and unmet expectations of a simulated scenario.
 fn check(world: &World) -> Vec<String> {
     let mut wrong: Vec<String> = world.rules.broken.clone();
     wrong.extend(sim::fairness::below_half(world));
     for (job, user) in world.users.iter().filter(|(_, u)| u.accepted.is_some()) {
-        if user.silent > FORGOTTEN_S * SEC {
+        if user.silent > LONGEST_SILENCE_S * SEC {
             wrong.push(format!(
-                "forgotten: no question about {job} was answered for {} s",
+                "forgotten: no query about {job} was answered for {} s",
                 user.silent / SEC
             ));
         }
@@ -30,10 +32,10 @@
     }
     for expect in &world.script.expect {
         let within = |at: Option<u64>, by: u64| at.is_some_and(|at| at <= by);
-        let good = match expect {
+        let holds = match expect {
             Expect::Done(job, by) => within(world.users[job].done, *by),
             Expect::Cancelled(job, by) => within(world.users[job].cancelled, *by),
-            Expect::Book(most) => world.store.log_pages() <= *most,
+            Expect::LogPages(most) => world.store.log_pages() <= *most,
             Expect::Withdrawn(job) => world.store.says_withdrawn(job),
             Expect::Started(task, by) => within(world.rules.first_start.get(task).copied(), *by),
             Expect::Replicas(job, count) => {
@@ -58,16 +60,16 @@
             Expect::Stops(most) => world.rules.stops <= *most,
             Expect::Failures(most) => world.rules.failures <= *most,
             Expect::TermsAtMost(most) => world.last_term() <= *most,
-            Expect::Terms(least) => world.last_term() >= *least,
+            Expect::TermsAtLeast(least) => world.last_term() >= *least,
             Expect::RentedInAll(most) => world.cloud.rented_in_all() <= *most,
             Expect::Changes(most) => world.store.changes <= *most,
             Expect::CloudCalls(most) => world.cloud.calls <= *most,
-            Expect::Met(least) => world.active_faults.lasting.met >= *least,
+            Expect::Affected(least) => world.active_faults.lasting.affected >= *least,
         };
-        if !good {
+        if !holds {
             let counted = (world.store.changes, world.cloud.calls, world.cloud.rented_in_all());
             let (failures, missed) = (world.rules.failures, &world.rules.missed);
-            let met = world.active_faults.lasting.met;
+            let affected = world.active_faults.lasting.affected;
             if let Expect::AcceptedWithin(seconds) = expect {
                 for (id, u) in &world.users {
                     let waited = u.accepted.zip(u.first_asked).map(|(at, from)| at - from);
@@ -77,20 +79,25 @@
                 }
             }
             wrong.push(format!(
-                "expected {expect:?}; changes, calls, machines rented: {counted:?}, failures {failures}, missed {missed:?}, met {met}"
+                "expected {expect:?}; changes, calls, machines rented: {counted:?}, failures {failures}, missed {missed:?}, affected messages {affected}"
             ));
         }
     }
     wrong
 }
 
-/// Lists the scenarios that fail for a fault that is known and not mended yet: a line each, with
-/// the file's name, the cause and the issue, separated by colons.
+/// File that lists the scenarios that fail because of a known, unfixed fault. Each line has the
+/// scenario's file name, the cause and the issue, separated by colons.
 const KNOWN_RED: &str = "KNOWN-RED.txt";
-/// No more may be listed.
-const MOST_KNOWN_RED: usize = 3;
+/// Highest number of scenarios in [`KNOWN_RED`].
+const MAX_KNOWN_RED: usize = 3;
 
-/// The scenarios that are known to fail, and why. Without the file there are none.
+/// Returns the scenarios that are known to fail, with the cause. The result is empty if the file
+/// does not exist.
+///
+/// # Panics
+///
+/// Panics if a line has no cause, if too many scenarios are listed, or if one does not exist.
 fn known_red() -> BTreeMap<String, String> {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/KNOWN-RED.txt");
     let text = std::fs::read_to_string(path).unwrap_or_default();
@@ -100,7 +107,10 @@
         .map(|line| line.split_once(": ").expect("a name and a cause"))
         .map(|(name, cause)| (name.to_string(), cause.to_string()))
         .collect();
-    assert!(listed.len() <= MOST_KNOWN_RED, "{KNOWN_RED} is too long");
+    assert!(
+        listed.len() <= MAX_KNOWN_RED,
+        "{KNOWN_RED} lists more than {MAX_KNOWN_RED} scenarios"
+    );
     for name in listed.keys() {
         let file = format!("{}/tests/scenarios/{name}", env!("CARGO_MANIFEST_DIR"));
         assert!(std::path::Path::new(&file).exists(), "{KNOWN_RED}: no scenario {name}");
@@ -108,8 +118,9 @@
     listed
 }
 
-/// Plays one scenario with several seeds; luck must not decide about rules.
-fn play(text: &str) -> Vec<String> {
+/// Simulates one scenario with several seeds, three unless `SEEDS` is set, and returns what is
+/// wrong. No rule may hold by the choice of the seed alone.
+fn simulate(text: &str) -> Vec<String> {
     let mut wrong = vec![];
     let seeds = std::env::var("SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(3);
     for extra in 0..seeds {
@@ -152,19 +163,19 @@
     let mut files: Vec<_> = std::fs::read_dir(dir).unwrap().map(|f| f.unwrap().path()).collect();
     files.sort();
     assert!(files.len() >= 10, "scenarios are missing");
-    let played: Vec<_> = files
+    let threads: Vec<_> = files
         .into_iter()
         .filter(|f| f.to_string_lossy().contains(&only))
-        .map(|file| std::thread::spawn(move || (file.clone(), play(&std::fs::read_to_string(&file).unwrap()))))
+        .map(|file| std::thread::spawn(move || (file.clone(), simulate(&std::fs::read_to_string(&file).unwrap()))))
         .collect();
     let known_red = known_red();
     let mut failed = vec![];
-    for thread in played {
+    for thread in threads {
         let (file, wrong) = thread.join().expect("a scenario panicked");
         let name = file.file_name().unwrap().to_string_lossy().to_string();
         match (wrong.is_empty(), known_red.get(&name)) {
             (true, None) => {}
-            (true, Some(_)) => failed.push(format!("{name} passes: take it off {KNOWN_RED}")),
+            (true, Some(_)) => failed.push(format!("{name} passes: remove it from {KNOWN_RED}")),
             (false, Some(cause)) => println!("KNOWN RED {name}: {cause}\n  {}", wrong.join("\n  ")),
             (false, None) => failed.push(format!("{name}:\n  {}", wrong.join("\n  "))),
         }
@@ -172,15 +183,16 @@
     assert!(failed.is_empty(), "\n{}", failed.join("\n"));
 }
 
-/// The checks themselves must be able to fail.
+/// Verifies that the checks fail for an unmet expectation and for rules broken on purpose.
 #[test]
 fn the_checks_can_fail() {
     let late = "until 60\nat 1 submit run-000001 run=100\nexpect done run-000001 by 50";
-    assert!(!play(late).is_empty());
+    assert!(!simulate(late).is_empty());
     let mut world = World::new(Script::parse("until 60\nat 1 submit run-000001 service pieces=2").unwrap());
     world.play();
     assert!(check(&world).is_empty());
-    // A second copy of a running task, a team over its limit, a phase taken back.
+    // A second copy of a running task, a task of a cancelled job, and a job that is reported done
+    // although it is not.
     let task = "run-000001/0";
     let machine = world
         .workers
--- a/tests/sim/fault_combinations.rs
+++ b/tests/sim/fault_combinations.rs
@@ -1,11 +1,12 @@
-//! Meetings of troubles: worlds with long and short tasks, services, chains, a team at its
-//! limit and jobs that are cancelled all along, in which two or three troubles drawn by a seed
-//! meet. Every rule is checked, and that work goes on once they are over.
+//! Random combinations of faults. Each seed generates a workload of long and short tasks, services,
+//! chains, a team at its limit and jobs that are cancelled throughout, and two or three faults that
+//! overlap. Every rule is checked, and that work continues after the last fault.
 //!
-//! `MEETINGS=n` plays n of them instead of the few that always are, `MEETINGS_FROM=seed` begins
-//! elsewhere, `MEETINGS_THREADS=n` plays so many at once; each is printed as it is played. `PLANTED=`
-//! and part of a name looks for such faults only. What breaks a rule is printed as a scenario to be
-//! saved as a file.
+//! `FAULT_COMBINATIONS=n` simulates n seeds instead of the default number and prints each result,
+//! `FAULT_COMBINATIONS_FROM=seed` sets the first seed, and `FAULT_COMBINATIONS_THREADS=n` the
+//! number of threads. `FAULT_COMBINATIONS_PLANTED=n` sets the highest number of seeds per injected
+//! fault, and `PLANTED=text` selects the injected faults whose names contain the text. A seed that
+//! breaks a rule is printed as a scenario, which can be saved as a file.
 
 use super::fault_injection::{Fault, ALL};
 use super::one_way_faults;
@@ -15,8 +16,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// Kinds of troubles; `{d}`: how long, `{s}`: a few seconds, `{m}`: a number of machines,
-/// `{n}`: a controller, `{q}`: a moment, `{h}`: a share. Several lines are one trouble.
+/// Templates of faults. `{d}` is a duration, `{s}` a few seconds, `{m}` a number of machines, `{n}`
+/// a controller, `{q}` a short time and `{h}` a share. Several lines form one fault; `later=`
+/// delays a line by this many seconds.
 const KINDS: [&str; 36] = [
     "crash leader for {q}",
     "crash all for {q}",
@@ -24,19 +26,19 @@
     "crash leader for {q} every=1.5 times=4",
     "crash {n} for {d}",
     "cut {m} for {d}",
-    "deaf {m} for {d}",
+    "block-inbound {m} for {d}",
     "hang {m} for {s}",
     "kill {m}",
-    "hold-direct {s} for {d}",
+    "delay-pushed-commands {s} for {d}",
     "slow-answers {s} for {d}",
     "state-out for {d}",
     "state-out for 55",
-    "state-deaf leader for {d}",
-    "state-deaf leader for 14\nstate-out for 55 later=1.5",
-    "state-deaf leader for 14\nstate-out for 55 later=1.5\ncrash {n} for 70 later=1.7",
-    "state-deaf leader for 14\nstate-out for 55 later=1.5\nfreeze {n} for 50 later=1.6",
-    "state-deaf leader for 14\nstate-out for 55 later=1.5\nnode-cut {n} peers for 50 later=1.6",
-    "state-out for 55\nzone-off b for 45 later=2",
+    "state-refuses leader for {d}",
+    "state-refuses leader for 14\nstate-out for 55 later=1.5",
+    "state-refuses leader for 14\nstate-out for 55 later=1.5\ncrash {n} for 70 later=1.7",
+    "state-refuses leader for 14\nstate-out for 55 later=1.5\nfreeze {n} for 50 later=1.6",
+    "state-refuses leader for 14\nstate-out for 55 later=1.5\nnode-cut {n} peers for 50 later=1.6",
+    "state-out for 55\nisolate-zone b for 45 later=2",
     "node-cut leader state for {d}",
     "node-cut leader state for {d}\nnode-cut leader peers for {d}",
     "node-cut leader state for 1 every=2 times=6\nnode-cut leader peers for 1 every=2 times=6",
@@ -44,20 +46,21 @@
     "late-reports {h} for {d}",
     "freeze leader for {s}",
     "zone-cut a b for {d}",
-    "zone-off b for {d}",
+    "isolate-zone b for {d}",
     "peers-refuse for {d}",
     "crash-on term for {q}\ncrash-on job/ for {q}\ncrash-on open/ for {q}",
-    "state-limits",
+    "lower-state-limits",
     "cancel-now {m} hang={s}",
     "crash leader for {q}\ncancel-now 8 hang={s}",
     "cut {m} for {d}\ncancel-now {m} later=0.1",
     "cancel-at-end {h} for {d}",
     "odd-requests for {d}",
-    "close-looks for {d}",
+    "query-all-nodes for {d}",
 ];
-/// What worlds differ in: ordinary ones; teams that are all at their limits; one-task jobs that
-/// come four a second for two minutes, of which a quarter are cancelled.
-const WORLDS: [&str; 4] = [
+/// First lines of the workloads: an ordinary workload, twice as likely as each other one; teams
+/// that are all at their limits; four one-task jobs a second for two minutes, a quarter of them
+/// cancelled.
+const WORKLOADS: [&str; 4] = [
     "team blue\n",
     "team blue\n",
     "team blue cpus=20 max=40\n",
@@ -68,51 +71,56 @@
      at 31.5 abort run-000708 every=3 step=12 times=40\n",
 ];
 
-/// What is written, by the beginnings of keys: acceptances, ends of jobs, the book and rentals,
-/// terms, releases and limits, machines kept for a leader that can't hear them.
+/// Prefixes of the keys that are written: acceptances, ends of jobs, the log and rentals, terms,
+/// releases and limits, machines kept for a leader that can't receive their reports.
 const WRITES: [&str; 6] = ["job/@", "job/run", "open/", "term", "term-", "care/"];
 
-/// The first trouble begins here, the others within so much of it.
-const BEGINS: u64 = 60;
-const UNTIL: u64 = 290;
+/// Earliest time of the first fault, in seconds.
+const FIRST_FAULT_S: u64 = 60;
+/// End of the simulation, in seconds.
+const END_S: u64 = 290;
 
-/// Odd seeds draw from all worlds and kinds, even ones from the ordinary world and `KINDS`, so
-/// that rare meetings of these stay as frequent.
-fn is_grown(seed: u64) -> bool {
+/// Returns whether a seed draws from all workloads and faults. Even seeds draw only from the
+/// ordinary workload and `KINDS`, so that rare combinations of these stay as frequent.
+fn draws_from_all(seed: u64) -> bool {
     seed % 2 == 1
 }
 
-/// The world of this seed, as a scenario.
-pub(super) fn text(seed: u64) -> String {
+/// Returns the scenario of this seed.
+pub(super) fn scenario(seed: u64) -> String {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let first = BEGINS as f64 + rng.f64() * 10.0;
-    let mut t = world(seed, first, &mut rng);
+    let first = FIRST_FAULT_S as f64 + rng.f64() * 10.0;
+    let mut t = workload(seed, first, &mut rng);
     let count = if rng.u32(0..4) == 0 { 3 } else { 2 };
-    for line in troubles(seed, first, &mut rng, count) {
+    for line in fault_lines(seed, first, &mut rng, count) {
         writeln!(t, "at {line}").unwrap();
     }
     if seed % 8 == 7 {
-        lag(&mut t, first, &mut fastrand::Rng::with_seed(seed));
+        add_slow_replies(&mut t, first, &mut fastrand::Rng::with_seed(seed));
     }
     t
 }
 
-/// Answers lag while users look closely. It is drawn apart, so that what else a seed draws stays
-/// as it is.
-fn lag(t: &mut String, first: f64, rng: &mut fastrand::Rng) {
-    let kind = one_way_faults::LAGGING[rng.usize(0..one_way_faults::LAGGING.len())];
+/// Adds slow replies while users query all controllers. The random numbers come from a generator of
+/// their own, so that the seed's other draws do not change.
+fn add_slow_replies(t: &mut String, first: f64, rng: &mut fastrand::Rng) {
+    let kind = one_way_faults::SLOW_REPLIES[rng.usize(0..one_way_faults::SLOW_REPLIES.len())];
     let node = rng.u32(0..5).to_string();
     for line in kind.replace("{n}", &node).lines() {
         writeln!(t, "at {first:.2} {line}").unwrap();
     }
 }
 
-/// The same without its troubles, the first of which begins at this second.
-fn world(seed: u64, first: f64, rng: &mut fastrand::Rng) -> String {
-    let mut t = format!("# Meeting {seed}.\nseed {seed}\nuntil {UNTIL}\nnodes a b a b a\n");
+/// Returns the scenario of this seed without its faults. The first fault begins at second `first`.
+fn workload(seed: u64, first: f64, rng: &mut fastrand::Rng) -> String {
+    let mut t = format!("# Fault combination {seed}.\nseed {seed}\nuntil {END_S}\nnodes a b a b a\n");
     t.push_str("state-next writes=50 value_kb=8 ops=16\n");
-    let kind = if is_grown(seed) { rng.usize(0..WORLDS.len()) } else { 0 };
-    t.push_str(WORLDS[kind]);
+    let kind = if draws_from_all(seed) {
+        rng.usize(0..WORKLOADS.len())
+    } else {
+        0
+    };
+    t.push_str(WORKLOADS[kind]);
     t.push_str("team red cpus=4 max=6\n");
     if rng.bool() {
         t.push_str("held-packets\n");
@@ -122,10 +130,10 @@
          at 1 submit run-000002 service pieces=4 apart\n\
          at 1 submit run-000003 service pieces=3 together team=red\n",
     );
-    // Long tasks, cancelled before, while and after the troubles meet.
+    // Long tasks, cancelled before, during and after the overlap of the faults.
     for n in 0..14 {
         let (pieces, save) = (rng.u32(1..4), if rng.bool() { 4 } else { 0 });
-        // Most before the troubles begin.
+        // Most are submitted before the faults begin.
         let most = if n % 3 == 0 { 100 } else { 30 };
         let at = 20 + rng.u64(0..most);
         let place = ["", "apart", "together"][rng.usize(0..3)];
@@ -137,25 +145,26 @@
         let abort = if n % 3 == 0 {
             at as f64 + rng.f64() * 70.0
         } else {
-            BEGINS as f64 + rng.f64() * 14.0
+            FIRST_FAULT_S as f64 + rng.f64() * 14.0
         };
         writeln!(t, "at {abort:.2} abort run-0001{n:02}").unwrap();
     }
-    // Many that are cancelled in the moments in which the first trouble becomes two: what one
-    // controller has confirmed is known to no other for some tenths of a second.
+    // Many jobs that are cancelled while the second line of the first fault begins: for some tenths
+    // of a second, no other controller has the cancellations that one controller confirmed.
     t.push_str("at 25 submit run-000600 copies=16 run=400 spot\n");
     for n in 0..16 {
         let abort = first + 0.5 + rng.f64() * 1.2;
         writeln!(t, "at {abort:.2} abort run-0006{n:02}").unwrap();
     }
-    // Services that are cancelled a moment after they were submitted.
+    // Services that are cancelled 0.05 to 3.05 s after their submission.
     for n in 0..6 {
-        let at = (BEGINS as f64) - 4.0 + rng.f64() * 30.0;
+        let at = (FIRST_FAULT_S as f64) - 4.0 + rng.f64() * 30.0;
         writeln!(t, "at {at:.2} submit run-0002{n:02} service pieces=2").unwrap();
         let abort = at + 0.05 + rng.f64() * 3.0;
         writeln!(t, "at {abort:.2} abort run-0002{n:02}").unwrap();
     }
-    // Jobs of two or three tasks that end far apart: their team may run so many at once.
+    // Jobs of two or three tasks whose ends are far apart, because the team's limit lets few tasks
+    // run at once.
     for n in 0..8 {
         let (at, run) = (22 + rng.u64(0..60), 5 + rng.u64(0..25));
         let pieces = rng.u32(2..4);
@@ -172,27 +181,27 @@
             writeln!(t, "at {} abort run-0004{n}1", at + rng.u64(1..30)).unwrap();
         }
     }
-    // Small ones all along.
+    // Small jobs throughout the simulation.
     t.push_str("at 24 submit run-000500 every=6 times=30 pieces=2 run=3 estimate=3\n");
-    // Of some of them the end and the cancellation meet.
+    // Cancellations of some of them at about the time of their end.
     for _ in 0..8 {
         let n = rng.u64(0..20);
         let abort = (24 + n * 6) as f64 + 2.5 + rng.f64() * 2.5;
         writeln!(t, "at {abort:.2} abort run-0005{n:02}").unwrap();
     }
-    // The other worlds have crowds of their own, with the same numbers.
-    if WORLDS[kind] == WORLDS[0] {
-        crowd(&mut t, &mut fastrand::Rng::with_seed(seed));
+    // The other workloads have many jobs of their own, with the same numbers.
+    if WORKLOADS[kind] == WORKLOADS[0] {
+        add_many_jobs(&mut t, &mut fastrand::Rng::with_seed(seed));
     }
     t
 }
 
-/// Of some worlds: a team that has more work than its limit all along, and four jobs of one
-/// task a second, a quarter of them cancelled.
-fn crowd(t: &mut String, rng: &mut fastrand::Rng) {
+/// Adds to some workloads a team that always has more work than its limit, and to some four
+/// one-task jobs a second, a quarter of them cancelled.
+fn add_many_jobs(t: &mut String, rng: &mut fastrand::Rng) {
     if rng.bool() {
         t.push_str("team green max=8\nat 30 submit run-000700 copies=24 run=12 cores=2 team=green\n");
-        let abort = BEGINS as f64 + rng.f64() * 5.0;
+        let abort = FIRST_FAULT_S as f64 + rng.f64() * 5.0;
         writeln!(t, "at {abort:.2} abort run-000706 every=1 times=6").unwrap();
     }
     if rng.u32(0..4) == 0 {
@@ -202,21 +211,21 @@
     }
 }
 
-/// Lines of so many troubles.
-fn troubles(seed: u64, first: f64, rng: &mut fastrand::Rng, count: usize) -> Vec<String> {
+/// Returns the lines of `count` faults, each with its time.
+fn fault_lines(seed: u64, first: f64, rng: &mut fastrand::Rng, count: usize) -> Vec<String> {
     let mut lines = vec![];
     let mut out = false;
     let mut at = first;
     for _ in 0..count {
-        let added = if is_grown(seed) {
+        let added = if draws_from_all(seed) {
             &one_way_faults::KINDS[..]
         } else {
             &[]
         };
         let kinds = [&KINDS[..], added].concat();
         let mut kind = kinds[rng.usize(0..kinds.len())];
-        // Two long outages would be one in which nobody is answered for as long as a job
-        // takes to be forgotten.
+        // Two long outages could leave a user without an answer for longer than the limit of the
+        // `forgotten` check.
         if out && kind.contains("state-out") {
             kind = "kill {m}";
         }
@@ -243,8 +252,8 @@
     lines
 }
 
-/// Transactions of each kind come late, alone and beside ends of controllers that are back at
-/// once, so that an earlier life's writes meet those of the next.
+/// Returns scenarios with late transactions of each kind, alone and with controllers that end and
+/// restart at once, so that the writes of a process arrive among those of its successor.
 fn late_writes() -> Vec<String> {
     let ends = [
         "",
@@ -256,13 +265,13 @@
     for (i, key) in WRITES.iter().enumerate() {
         for (j, end) in ends.iter().enumerate() {
             let seed = (i * ends.len() + j) as u64;
-            let mut t = world(seed, BEGINS as f64, &mut fastrand::Rng::with_seed(seed));
-            writeln!(t, "at {BEGINS} late-writes 0.5 key={key} for 40").unwrap();
+            let mut t = workload(seed, FIRST_FAULT_S as f64, &mut fastrand::Rng::with_seed(seed));
+            writeln!(t, "at {FIRST_FAULT_S} late-writes 0.5 key={key} for 40").unwrap();
             if !end.is_empty() {
-                writeln!(t, "at {} {end}", BEGINS + 6).unwrap();
+                writeln!(t, "at {} {end}", FIRST_FAULT_S + 6).unwrap();
             }
             if *key == "care/" {
-                writeln!(t, "at {BEGINS} zone-cut a b for 30").unwrap();
+                writeln!(t, "at {FIRST_FAULT_S} zone-cut a b for 30").unwrap();
             }
             texts.push(t);
         }
@@ -272,23 +281,23 @@
 
 #[test]
 fn every_kind_of_write_comes_late() {
-    let told: Vec<String> = late_writes()
+    let failures: Vec<String> = late_writes()
         .iter()
-        .map(|text| (play(text, None), text))
+        .map(|text| (simulate(text, None), text))
         .filter(|(wrong, _)| !wrong.is_empty())
         .map(|(wrong, text)| format!("{}\n{text}", wrong.join("; ")))
         .collect();
-    assert!(told.is_empty(), "\n{}", told.join("\n"));
+    assert!(failures.is_empty(), "\n{}", failures.join("\n"));
 }
 
-/// What is wrong with the play of this text.
-fn play(text: &str, planted: Option<Fault>) -> Vec<String> {
+/// Simulates a scenario and returns what is wrong.
+fn simulate(text: &str, injected: Option<Fault>) -> Vec<String> {
     let mut world = World::new(Script::parse(text).unwrap());
-    world.planted = planted;
+    world.planted = injected;
     world.play();
     let mut wrong = crate::check(&world);
-    if planted.is_none() {
-        // What was not cancelled is done long after the last trouble.
+    if injected.is_none() {
+        // Small jobs that were not cancelled are done long after the last fault.
         for (id, user) in &world.users {
             let small = ("run-000500".."run-000600").contains(&id.as_str()) || id.as_str() >= "run-000700";
             if small && !user.wants_abort && user.done.is_none() {
@@ -299,22 +308,20 @@
     wrong
 }
 
-/// The count that an environment variable names, or this.
-fn number(name: &str, otherwise: u64) -> u64 {
-    std::env::var(name)
-        .ok()
-        .and_then(|n| n.parse().ok())
-        .unwrap_or(otherwise)
+/// Returns the number in an environment variable, or `default`.
+fn environment_number(name: &str, default: u64) -> u64 {
+    std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
-/// Plays these seeds on as many threads as there are cores; what was wrong with each. `until`
-/// says whether what was found is enough.
-fn search(from: u64, count: u64, planted: Option<Fault>, enough: usize) -> Vec<(u64, Vec<String>)> {
+/// Simulates `count` seeds from `from` on, on as many threads as there are cores or as the
+/// environment says, and returns the seeds that fail with what is wrong. The search ends once
+/// `enough` were found.
+fn search(from: u64, count: u64, injected: Option<Fault>, enough: usize) -> Vec<(u64, Vec<String>)> {
     let next = AtomicU64::new(from);
     let found = Mutex::new(vec![]);
     let cores = std::thread::available_parallelism().map_or(4, |n| n.get());
-    let threads = number("MEETINGS_THREADS", cores as u64);
-    let told = std::env::var("MEETINGS").is_ok();
+    let threads = environment_number("FAULT_COMBINATIONS_THREADS", cores as u64);
+    let verbose = std::env::var("FAULT_COMBINATIONS").is_ok();
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| loop {
@@ -322,19 +329,19 @@
                 if seed >= from + count || found.lock().unwrap().len() >= enough {
                     return;
                 }
-                let text = text(seed);
-                let mut wrong = play(&text, planted);
-                // A planted fault is found where the same play without it holds.
-                if planted.is_some() && !wrong.is_empty() && !play(&text, None).is_empty() {
+                let text = scenario(seed);
+                let mut wrong = simulate(&text, injected);
+                // A seed finds an injected fault only if the simulation without the fault passes.
+                if injected.is_some() && !wrong.is_empty() && !simulate(&text, None).is_empty() {
                     wrong.clear();
                 }
-                if told {
+                if verbose {
                     let verdict = if wrong.is_empty() { "held" } else { "BROKEN" };
-                    println!("meeting {seed}: {verdict}");
+                    println!("fault combination {seed}: {verdict}");
                 }
-                // What breaks a rule without the fault shows nothing of it.
-                let own = planted.is_none() || wrong.is_empty() || play(&text, None).is_empty();
-                if !wrong.is_empty() && own {
+                // A failure that also occurs without the fault does not show the fault.
+                let caused_by_fault = injected.is_none() || wrong.is_empty() || simulate(&text, None).is_empty();
+                if !wrong.is_empty() && caused_by_fault {
                     found.lock().unwrap().push((seed, wrong));
                 }
             });
@@ -347,19 +354,20 @@
 
 #[test]
 fn combinations_of_two_and_three_faults() {
-    let count = number("MEETINGS", 120);
-    let found = search(number("MEETINGS_FROM", 0), count, None, 5);
-    let told: Vec<String> = found
+    let count = environment_number("FAULT_COMBINATIONS", 120);
+    let found = search(environment_number("FAULT_COMBINATIONS_FROM", 0), count, None, 5);
+    let failures: Vec<String> = found
         .iter()
-        .map(|(seed, wrong)| format!("meeting {seed}: {}\n{}", wrong.join("; "), text(*seed)))
+        .map(|(seed, wrong)| format!("fault combination {seed}: {}\n{}", wrong.join("; "), scenario(*seed)))
         .collect();
-    assert!(told.is_empty(), "\n{}", told.join("\n"));
+    assert!(failures.is_empty(), "\n{}", failures.join("\n"));
 }
 
-/// The search finds each of these within so many seeds. `PLANTED` names one alone.
+/// Verifies that the search finds every injected fault within `FAULT_COMBINATIONS_PLANTED` seeds.
+/// `PLANTED` selects faults by a part of their names.
 #[test]
 fn injected_faults_are_found() {
-    let most = number("MEETINGS_PLANTED", 500);
+    let most = environment_number("FAULT_COMBINATIONS_PLANTED", 500);
     let mut missed = vec![];
     let only = std::env::var("PLANTED").unwrap_or_default();
     for fault in ALL.into_iter().filter(|f| format!("{f:?}").contains(&only)) {
--- a/tests/sim/one_way_faults.rs
+++ b/tests/sim/one_way_faults.rs
@@ -1,5 +1,6 @@
-//! Troubles of machines and of the state service that leave one direction or one kind of message
-//! open: a request is carried out and its answer lost, a machine reaches nobody and is reached.
+//! Faults of machines, of the state service and of controllers that affect one direction or one
+//! kind of message only: a request is executed and its reply lost, or a machine reaches no
+//! controller while controllers reach it.
 
 use super::script::Words;
 use super::{ScheduledEvent, World, MS, SEC};
@@ -7,154 +8,168 @@
 use glenhaven::protocol::store::{StoreRequest, Transaction};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Kinds of these for the search, written as in `meetings.rs`.
+/// Templates of these faults for the search, in the form that `fault_combinations.rs` describes.
 pub(crate) const KINDS: [&str; 10] = [
-    "late-writes {h} at-once for {d}",
-    "late-writes {h} at-once key=open/ for {d}\ncrash leader for {q} later=3",
-    "late-reports {h} for-next for {d}\ncrash leader for {q} later=5",
-    "mute {m} for {d}",
-    "mute zone=b for {d}",
+    "lose-write-replies {h} for {d}",
+    "lose-write-replies {h} key=open/ for {d}\ncrash leader for {q} later=3",
+    "replay-reports {h} for {d}\ncrash leader for {q} later=5",
+    "block-outbound {m} for {d}",
+    "block-outbound zone=b for {d}",
     "late-commands {h} for {d}",
-    "hold-direct-answers {m} by={s} for {d}",
+    "delay-push-replies {m} by={s} for {d}",
     "kill {m} zone=a",
     "state-slow {s} for {d}",
-    "boots 0.05 for 60\nkill {m} later=1",
+    "boot-factor 0.05 for 60\nkill {m} later=1",
 ];
 
-/// Answers that lag by tens of milliseconds, beside users who look closely: further troubles of
-/// some seeds.
-pub(crate) const LAGGING: [&str; 2] = [
-    "close-looks for 60\nstate-slow 0.08 for 60",
-    "close-looks for 60\nthrottle {n} share=0.16 for 60",
+/// Further faults of some seeds: replies are delayed by tens of milliseconds while users query all
+/// controllers.
+pub(crate) const SLOW_REPLIES: [&str; 2] = [
+    "query-all-nodes for 60\nstate-slow 0.08 for 60",
+    "query-all-nodes for 60\nthrottle {n} share=0.16 for 60",
 ];
 
-/// Which machines a trouble is about.
+/// Machines that a fault affects.
 #[derive(Clone, Debug)]
-pub(crate) enum Which {
-    /// So many of those with most tasks.
+pub(crate) enum MachineSelection {
+    /// This many machines, those with the most tasks.
     Busiest(usize),
-    /// So large a share, those with most tasks.
+    /// This share of all machines, those with the most tasks.
     Share(f64),
-    /// All of one zone.
+    /// All machines of one zone.
     Zone(String),
-    /// So many of those with most tasks in one zone.
+    /// This many machines of one zone, those with the most tasks.
     BusiestIn(String, usize),
 }
 
+/// A fault in one direction or of one kind of message. Times are in microseconds, and a share is
+/// between 0 and 1.
 #[derive(Clone, Debug)]
 pub(crate) enum OneWayFault {
-    /// So large a share of the transactions that write a key that begins like this is carried
-    /// out at once, and only the answer is lost.
-    WriteAnswersLost(f64, String),
-    /// Of so large a share of reports a copy is kept, and reaches every controller as the next
-    /// leader begins.
-    ReportsForNext(f64),
-    /// Machines that can't connect to any controller, while direct commands reach them.
-    Mute(Which),
-    /// So large a share of direct commands is held 2 to 16 s, unanswered, and carried out once.
+    /// This share of the transactions that write a key with this prefix is executed at once, and
+    /// only the reply is lost.
+    LoseWriteReplies(f64, String),
+    /// Copies of this share of the reports are kept, and reach every controller when the next
+    /// leader begins to lead.
+    ReplayReports(f64),
+    /// Machines can't connect to any controller, while pushed commands reach them.
+    BlockOutbound(MachineSelection),
+    /// This share of the pushed commands gets no reply and is executed once, 2 to 16 s later.
     LateCommands(f64),
-    /// Machines that carry out direct commands at once and answer up to so much later.
-    HeldDirectAnswers(Which, u64),
-    /// Machines die without a word.
-    Kill(Which),
-    /// The state service answers up to so much later.
+    /// Machines execute pushed commands at once and reply up to this much later.
+    DelayPushReplies(MachineSelection, u64),
+    /// Machines die without notice.
+    Kill(MachineSelection),
+    /// The state service replies up to this much later.
     SlowState(u64),
-    /// A controller gets its processor for so large a share of each period only.
+    /// A controller gets its processor only for this share of each period.
     Throttle(usize, f64),
 }
 
-/// A throttled controller runs at the beginning of each period.
-const PERIOD: u64 = 100 * MS;
+/// Period of throttling in microseconds. A throttled controller runs at the beginning of each
+/// period.
+const THROTTLE_PERIOD: u64 = 100 * MS;
 
-impl Which {
-    fn parse(words: &Words) -> Result<Which, String> {
-        let count = words.word(3).and_then(|n| n.parse().map_err(|_| "count".into()));
+impl MachineSelection {
+    fn parse(words: &Words) -> Result<MachineSelection, String> {
+        let count = words
+            .word(3)
+            .and_then(|n| n.parse().map_err(|_| "the count is not a number".into()));
         match (words.named.get("zone"), count) {
-            (Some(zone), Ok(count)) => Ok(Which::BusiestIn(zone.to_string(), count)),
-            (Some(zone), Err(_)) => Ok(Which::Zone(zone.to_string())),
-            (None, Err(_)) if words.named.contains_key("share") => words.num("share", 0.0).map(Which::Share),
-            (None, count) => count.map(Which::Busiest),
+            (Some(zone), Ok(count)) => Ok(MachineSelection::BusiestIn(zone.to_string(), count)),
+            (Some(zone), Err(_)) => Ok(MachineSelection::Zone(zone.to_string())),
+            (None, Err(_)) if words.named.contains_key("share") => words.num("share", 0.0).map(MachineSelection::Share),
+            (None, count) => count.map(MachineSelection::Busiest),
         }
     }
 }
 
 impl OneWayFault {
-    /// The trouble that this line of a scenario names.
+    /// Parses the fault of a line of a scenario.
     pub(crate) fn parse(words: &Words) -> Result<OneWayFault, String> {
-        let share = || words.word(3)?.parse::<f64>().map_err(|_| "share".to_string());
+        let share = || {
+            words
+                .word(3)?
+                .parse::<f64>()
+                .map_err(|_| "the share is not a number".to_string())
+        };
         Ok(match words.word(2)? {
-            "late-writes" => {
+            "lose-write-replies" => {
                 let prefix = words.named.get("key").unwrap_or(&"");
-                OneWayFault::WriteAnswersLost(share()?, prefix.to_string())
+                OneWayFault::LoseWriteReplies(share()?, prefix.to_string())
             }
-            "late-reports" => OneWayFault::ReportsForNext(share()?),
-            "mute" => OneWayFault::Mute(Which::parse(words)?),
+            "replay-reports" => OneWayFault::ReplayReports(share()?),
+            "block-outbound" => OneWayFault::BlockOutbound(MachineSelection::parse(words)?),
             "late-commands" => OneWayFault::LateCommands(share()?),
-            "hold-direct-answers" => {
+            "delay-push-replies" => {
                 let by: f64 = words.num("by", 10.0)?;
-                OneWayFault::HeldDirectAnswers(Which::parse(words)?, (by * SEC as f64) as u64)
+                OneWayFault::DelayPushReplies(MachineSelection::parse(words)?, (by * SEC as f64) as u64)
             }
-            "kill" => OneWayFault::Kill(Which::parse(words)?),
+            "kill" => OneWayFault::Kill(MachineSelection::parse(words)?),
             "state-slow" => OneWayFault::SlowState((share()? * SEC as f64) as u64),
             "throttle" => {
-                let node = words.word(3)?.parse().map_err(|_| "node".to_string())?;
+                let node = words
+                    .word(3)?
+                    .parse()
+                    .map_err(|_| "the controller is not a number".to_string())?;
                 OneWayFault::Throttle(node, words.num("share", 0.16)?)
             }
-            other => return Err(format!("unknown act {other}")),
+            other => return Err(format!("unknown action {other}")),
         })
     }
 
-    /// How much longer than the trouble itself lasts what it holds back may arrive.
-    pub(crate) fn lingers(&self) -> u64 {
+    /// Returns the longest time after the end of the fault at which delayed messages may arrive.
+    pub(crate) fn longest_delay(&self) -> u64 {
         match self {
             OneWayFault::LateCommands(_) => 16 * SEC,
-            OneWayFault::HeldDirectAnswers(_, by) | OneWayFault::SlowState(by) => *by,
+            OneWayFault::DelayPushReplies(_, by) | OneWayFault::SlowState(by) => *by,
             _ => 0,
         }
     }
 }
 
-/// Those of these troubles that last just now, by the step that began them.
+/// The active faults of this module, by the step that began them.
 #[derive(Default)]
 pub(crate) struct Lasting {
-    lost_answers: BTreeMap<usize, (f64, String)>,
-    kept_reports: BTreeMap<usize, f64>,
-    mute: BTreeMap<usize, BTreeSet<String>>,
+    lost_replies: BTreeMap<usize, (f64, String)>,
+    replayed_reports: BTreeMap<usize, f64>,
+    blocked_outbound: BTreeMap<usize, BTreeSet<String>>,
     late_commands: BTreeMap<usize, f64>,
-    held_answers: BTreeMap<usize, (BTreeSet<String>, u64)>,
+    delayed_replies: BTreeMap<usize, (BTreeSet<String>, u64)>,
     slow_state: BTreeMap<usize, u64>,
     /// The throttled controller, and its share of the processor.
     throttled: BTreeMap<usize, (usize, f64)>,
-    /// Messages that these troubles lost, held up or copied.
-    pub met: usize,
+    /// Number of messages that these faults lost, delayed or copied.
+    pub affected: usize,
     /// Copies of reports for the next leader.
-    kept: Vec<Heartbeat>,
-    /// The controller that led last, and its life.
-    led: Option<(usize, u64)>,
+    kept_for_next: Vec<Heartbeat>,
+    /// The controller that led last, and the number of its life, which changes at each restart.
+    last_leader: Option<(usize, u64)>,
 }
 
 impl Lasting {
-    /// This step's trouble is over; what is kept for the next leader stays.
+    /// Ends the fault of a step. Reports that are kept for the next leader stay.
     pub(crate) fn heal(&mut self, step: usize) {
-        self.lost_answers.remove(&step);
-        self.kept_reports.remove(&step);
-        self.mute.remove(&step);
+        self.lost_replies.remove(&step);
+        self.replayed_reports.remove(&step);
+        self.blocked_outbound.remove(&step);
         self.late_commands.remove(&step);
-        self.held_answers.remove(&step);
+        self.delayed_replies.remove(&step);
         self.slow_state.remove(&step);
         self.throttled.remove(&step);
     }
 }
 
 impl World {
-    fn machines(&self, which: &Which) -> BTreeSet<String> {
+    /// Returns the names of the running machines that a fault affects.
+    fn machines(&self, which: &MachineSelection) -> BTreeSet<String> {
         let all = self.busiest(usize::MAX).into_iter();
         let in_zone = |name: &String, zone: &String| self.workers[name].zone == *zone;
         match which {
-            Which::Busiest(count) => self.busiest(*count),
-            Which::Share(share) => self.busiest((all.len() as f64 * share).ceil() as usize),
-            Which::Zone(zone) => all.filter(|name| in_zone(name, zone)).collect(),
-            Which::BusiestIn(zone, count) => {
+            MachineSelection::Busiest(count) => self.busiest(*count),
+            MachineSelection::Share(share) => self.busiest((all.len() as f64 * share).ceil() as usize),
+            MachineSelection::Zone(zone) => all.filter(|name| in_zone(name, zone)).collect(),
+            MachineSelection::BusiestIn(zone, count) => {
                 let mut names: Vec<String> = all.filter(|name| in_zone(name, zone)).collect();
                 names.sort_by_key(|name| std::cmp::Reverse(self.workers[name].tasks.len()));
                 names.into_iter().take(*count).collect()
@@ -162,28 +177,28 @@
         }
     }
 
-    /// The trouble of this step begins.
-    pub(crate) fn begin_trouble(&mut self, step: usize, trouble: &OneWayFault) {
-        match trouble {
-            OneWayFault::WriteAnswersLost(share, prefix) => {
+    /// Begins the fault of a step.
+    pub(crate) fn begin_one_way_fault(&mut self, step: usize, fault: &OneWayFault) {
+        match fault {
+            OneWayFault::LoseWriteReplies(share, prefix) => {
                 self.active_faults
                     .lasting
-                    .lost_answers
+                    .lost_replies
                     .insert(step, (*share, prefix.clone()));
             }
-            OneWayFault::ReportsForNext(share) => {
-                self.active_faults.lasting.kept_reports.insert(step, *share);
+            OneWayFault::ReplayReports(share) => {
+                self.active_faults.lasting.replayed_reports.insert(step, *share);
             }
-            OneWayFault::Mute(which) => {
+            OneWayFault::BlockOutbound(which) => {
                 let machines = self.machines(which);
-                self.active_faults.lasting.mute.insert(step, machines);
+                self.active_faults.lasting.blocked_outbound.insert(step, machines);
             }
             OneWayFault::LateCommands(share) => {
                 self.active_faults.lasting.late_commands.insert(step, *share);
             }
-            OneWayFault::HeldDirectAnswers(which, by) => {
+            OneWayFault::DelayPushReplies(which, by) => {
                 let machines = self.machines(which);
-                self.active_faults.lasting.held_answers.insert(step, (machines, *by));
+                self.active_faults.lasting.delayed_replies.insert(step, (machines, *by));
             }
             OneWayFault::Kill(which) => {
                 for name in self.machines(which) {
@@ -200,37 +215,38 @@
         }
     }
 
-    /// A throttled controller has used up its share of the period, or the next one begins.
+    /// Suspends a throttled controller that has used its share of the period, or resumes the
+    /// controller when the next period begins.
     pub(crate) fn throttle(&mut self, step: usize) {
         let Some(&(n, share)) = self.active_faults.lasting.throttled.get(&step) else {
             return;
         };
-        let runs = (PERIOD as f64 * share) as u64;
+        let runs = (THROTTLE_PERIOD as f64 * share) as u64;
         if self.active_faults.frozen.contains_key(&step) {
             self.thaw(step);
             return self.after(runs, ScheduledEvent::Throttle(step));
         }
         self.active_faults.frozen.insert(step, n);
-        self.after(PERIOD - runs, ScheduledEvent::Throttle(step));
+        self.after(THROTTLE_PERIOD - runs, ScheduledEvent::Throttle(step));
     }
 
-    /// Whether so large a share, drawn anew each time, includes this message.
-    fn drawn(&mut self, share: f64) -> bool {
+    /// Draws whether a fault with this share affects a message, and counts affected messages.
+    fn draw(&mut self, share: f64) -> bool {
         let drawn = share > 0.0 && self.rng.f64() < share;
-        self.active_faults.lasting.met += usize::from(drawn);
+        self.active_faults.lasting.affected += usize::from(drawn);
         drawn
     }
 
-    /// Whether this transaction is carried out and its sender hears nothing.
+    /// Returns whether a transaction is executed and its reply lost.
     pub(crate) fn loses_answer(&mut self, txn: &Transaction) -> bool {
         let writes = |prefix: &str| txn.changes.iter().any(|c| c.key().starts_with(prefix));
-        let shares = self.active_faults.lasting.lost_answers.values();
+        let shares = self.active_faults.lasting.lost_replies.values();
         let share = shares.filter(|(_, prefix)| writes(prefix)).map(|(share, _)| *share);
         let share = share.fold(0.0, f64::max);
-        self.drawn(share)
+        self.draw(share)
     }
 
-    /// How much later than usual the state service answers this.
+    /// Returns the additional delay of the state service's reply to a request.
     pub(crate) fn state_delay(&mut self, request: &StoreRequest) -> u64 {
         let slow = self
             .active_faults
@@ -246,28 +262,35 @@
         self.rng.u64(0..=slow)
     }
 
-    /// Whether this machine reaches no controller; its attempt to connect fails then, at once
-    /// or when its time is over.
+    /// Returns whether a machine reaches no controller. If so, the attempt to connect fails at once
+    /// or after a timeout of 4 s.
     pub(crate) fn report_fails_to_leave(&mut self, name: &str, rid: u64) -> bool {
-        if !self.active_faults.lasting.mute.values().any(|m| m.contains(name)) {
+        if !self
+            .active_faults
+            .lasting
+            .blocked_outbound
+            .values()
+            .any(|m| m.contains(name))
+        {
             return false;
         }
-        self.active_faults.lasting.met += 1;
+        self.active_faults.lasting.affected += 1;
         let pause = if self.rng.bool() { MS } else { 4 * SEC };
         self.after(pause, ScheduledEvent::ReportLate(name.into(), rid));
         true
     }
 
-    /// Keeps a copy of a share of the reports for the next leader.
+    /// Keeps a copy of the report for the next leader, if drawn from the share.
     pub(crate) fn keep_for_next(&mut self, heartbeat: &Heartbeat) {
-        let shares = self.active_faults.lasting.kept_reports.values();
+        let shares = self.active_faults.lasting.replayed_reports.values();
         let share = shares.copied().fold(0.0, f64::max);
-        if self.drawn(share) {
-            self.active_faults.lasting.kept.push(heartbeat.clone());
+        if self.draw(share) {
+            self.active_faults.lasting.kept_for_next.push(heartbeat.clone());
         }
     }
 
-    /// Has what was kept reach every controller just as this one begins to lead.
+    /// Sends the kept reports to every controller within a second, if this controller has just
+    /// begun to lead.
     pub(crate) fn notice_leader(&mut self, n: usize) {
         let node = &self.nodes[n];
         let leads = node
@@ -275,11 +298,11 @@
             .as_ref()
             .is_some_and(|controller| controller.is_leader());
         let life = Some((n, node.life));
-        if !leads || self.active_faults.lasting.led == life {
+        if !leads || self.active_faults.lasting.last_leader == life {
             return;
         }
-        self.active_faults.lasting.led = life;
-        for heartbeat in std::mem::take(&mut self.active_faults.lasting.kept) {
+        self.active_faults.lasting.last_leader = life;
+        for heartbeat in std::mem::take(&mut self.active_faults.lasting.kept_for_next) {
             for to in 0..self.nodes.len() {
                 let pause = self.rng.u64(0..SEC);
                 let name = heartbeat.machine.clone();
@@ -288,28 +311,28 @@
         }
     }
 
-    /// Sends a command on its way to a machine, or has it held up there: nobody hears then
-    /// what became of it.
+    /// Pushes commands to a machine. Commands that the fault delays by 2 to 16 s are executed
+    /// without a reply to any controller.
     pub(crate) fn send_direct(&mut self, n: usize, life: u64, id: u64, hop: u64, addr: String, body: PushedCommands) {
         let held = self.active_faults.hold_direct.values().copied().max().unwrap_or(0);
         let shares = self.active_faults.lasting.late_commands.values();
         let share = shares.copied().fold(0.0, f64::max);
-        if self.drawn(share) {
+        if self.draw(share) {
             let late = 2 * SEC + self.rng.u64(0..14 * SEC);
             return self.after(late, ScheduledEvent::PushedCommands(n, u64::MAX, id, addr, body));
         }
         self.after(hop + held, ScheduledEvent::PushedCommands(n, life, id, addr, body));
     }
 
-    /// How much later than usual this machine's answer to a direct command is there.
+    /// Returns the additional delay of a machine's reply to a pushed command.
     pub(crate) fn answer_held(&mut self, name: &str) -> u64 {
-        let held = self.active_faults.lasting.held_answers.values();
+        let held = self.active_faults.lasting.delayed_replies.values();
         let by = held.filter(|(names, _)| names.contains(name)).map(|(_, by)| *by);
         let by = by.max().unwrap_or(0);
         if by == 0 {
             return 0;
         }
-        self.active_faults.lasting.met += 1;
+        self.active_faults.lasting.affected += 1;
         self.rng.u64(0..=by)
     }
 }
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -1,4 +1,5 @@
-//! Scenario files: what the world is like, what happens, what is expected.
+//! Language of the scenario files: the simulated cluster, the timed actions and faults, and the
+//! expectations. Times are in seconds in the files and in microseconds in the parsed script.
 
 use super::one_way_faults::OneWayFault;
 use super::SEC;
@@ -9,46 +10,53 @@
 pub(crate) use glenhaven_fakes::user::plain_spec;
 use std::collections::BTreeMap;
 
+/// An action or fault of a scenario.
+///
+/// Counts of machines choose the running machines with the most tasks. A share is between 0 and 1.
 #[derive(Clone, Debug)]
-pub(crate) enum Act {
+pub(crate) enum Action {
     Submit(Box<JobSpec>),
-    /// A job that an earlier version of the service accepted, by a key of its own.
+    /// Adds a job that an earlier version of the service accepted, with a key of its own.
     Inherit(Box<JobSpec>),
     Abort(String),
     Resubmit(String),
     AskUnknown(String),
     Crash(String),
-    /// The next controller that writes a key that begins like this ends between the
-    /// commit and its answer.
+    /// Ends the next controller that writes a key with this prefix, between the commit and the
+    /// reply.
     CrashOn(String),
     StateOut,
-    /// One node alone is refused by the state service; MAX: the leader.
-    StateDeaf(usize),
+    /// The state service refuses requests of this controller only; `usize::MAX` is the leader.
+    StateRefuses(usize),
     CloudOut,
-    /// Transactions go unanswered; half are executed this much later.
+    /// Transactions get no reply; half of them are executed after this delay.
     LoseTxn(u64),
-    /// So large a share of transactions gets no answer and is executed 2 to 12 s later,
-    /// after newer ones; of those that write a key that begins like this.
+    /// This share of the transactions that write a key with this prefix gets no reply and is
+    /// executed 2 to 12 s later, after newer transactions.
     LateWrites(f64, String),
-    /// Of so large a share of reports a copy arrives again, after 2 s to well over a lease.
+    /// Copies of this share of the reports arrive after a delay of 2 s to well over a lease.
     LateReports(f64),
-    /// Direct orders arrive this much later.
-    HoldDirect(u64),
+    /// Commands that are pushed to machines are delayed by this time.
+    DelayPushedCommands(u64),
+    /// Machines lose the network; messages are held back until the end of the cut.
     Cut(usize),
+    /// Two zones cannot reach each other.
     ZoneCut(String, String),
     /// A zone is cut off from everything outside it.
-    ZoneOff(String),
+    IsolateZone(String),
     Hang(usize),
     Kill(usize),
-    Notice(u64),
+    /// All spot machines are reclaimed after a notice of this many seconds.
+    SpotNotice(u64),
+    /// Tasks fail on this many machines.
     Faulty(usize),
-    /// Tasks take four times as long on so many machines.
+    /// Tasks take four times as long on this many machines.
     Slow(usize),
-    /// A machine that nobody expects.
-    Ghost,
-    /// A controller stands still, its clocks running on.
+    /// Adds a machine that the controllers did not rent.
+    UnknownMachine,
+    /// A controller is suspended while its clocks go on.
     Freeze(String),
-    /// The next controller that asks for a lease stands still.
+    /// Suspends the next controller that requests a lease.
     FreezeOnGrant,
     /// A controller is cut off from `all`, `state`, `workers` or `peers`.
     NodeCut(String, String),
@@ -56,78 +64,85 @@
     PeersRefuse,
     /// Packets from one end to another are lost.
     LinkCut(super::links::End, super::links::End),
-    /// So many machines get no answers and no commands; their reports arrive.
-    Deaf(usize),
-    /// Answers to reports take up to this much longer.
+    /// This many machines receive no replies and no commands; their reports arrive.
+    BlockInbound(usize),
+    /// Replies to reports are delayed by up to this time.
     SlowAnswers(u64),
-    /// Copies of all reports arrive this much later.
-    Copies(u64),
-    /// Machines rented now boot so many times as long; 0: never.
-    BootTimes(f64),
-    /// Users ask so many times as often.
-    Storm(u64),
-    /// A controller is said to run the release before the present one.
-    OldRelease(String),
-    /// A key of the state service holds something that can't be read.
-    Garbage(String),
-    /// The state service has its lower limits from now on.
-    StateLimits,
-    /// So many jobs that run and have long to go are called off within a fifth of a second,
-    /// up to eight of their machines hanging for so long.
+    /// Copies of all reports arrive after this delay.
+    DuplicateReports(u64),
+    /// Multiplies the boot time of machines that are rented now; with 0 they never boot.
+    BootFactor(f64),
+    /// Multiplies the rate of users' queries.
+    QueryRate(u64),
+    /// Registers a controller as running the release before the present one.
+    EarlierRelease(String),
+    /// Puts a malformed value under a key of the state service.
+    MalformedValue(String),
+    /// Lowers the limits of the state service from now on.
+    LowerStateLimits,
+    /// Cancels this many running jobs that have a long remaining run time, all within 0.2 s. Up to
+    /// eight of their machines hang for the given time.
     CancelNow(usize, Option<u64>),
-    /// So large a share of the jobs that end is called off at the moment of the end.
+    /// Cancels this share of the ending jobs at the moment when they end.
     CancelAtEnd(f64),
-    /// Users repeat unfinished submissions, cancel done jobs and send what can't be accepted.
+    /// Users repeat unfinished submissions, cancel done jobs and send invalid submissions.
     OddRequests,
-    /// Users ask all nodes at once, again and again, when a job is accepted, ends or is cancelled.
-    CloseLooks,
+    /// Users query all controllers at once, repeatedly, when a job is accepted, ends or is
+    /// cancelled.
+    QueryAllNodes,
     OneWayFault(OneWayFault),
 }
 
+/// An action with its time. Times are in microseconds unless the name has a unit.
 #[derive(Clone, Debug)]
 pub(crate) struct Step {
     pub at: u64,
-    pub lasts: Option<u64>,
-    pub act: Act,
+    pub duration: Option<u64>,
+    pub action: Action,
+    /// Run time of each task of a submitted job.
     pub run_s: f64,
-    /// The job fails on every machine.
-    pub mistake: bool,
+    /// Whether the submitted job fails on every machine.
+    pub always_fails: bool,
 }
 
+/// A condition that must hold at the end of a scenario. Times are in microseconds unless said
+/// otherwise.
 #[derive(Clone, Debug)]
 pub(crate) enum Expect {
     Done(String, u64),
     Cancelled(String, u64),
-    /// Pages of the book ever used.
-    Book(usize),
-    /// The state service says at the end that it is withdrawn.
+    /// Highest number of pages that the log ever used.
+    LogPages(usize),
+    /// The job is recorded as withdrawn in the state service at the end.
     Withdrawn(String),
     Started(String, u64),
     Replicas(String, usize),
     Refused(String, u16),
-    /// Replica seconds that a service missed once all its replicas had run.
+    /// Highest number of replica seconds that a service missed after all its replicas had run.
     Missed(String, u64),
-    /// Every job is accepted within so many seconds.
+    /// Every job is accepted within this many seconds.
     AcceptedWithin(u64),
     Rented(usize),
     LeaseKills(usize),
     LeaseKillsAtLeast(usize),
-    /// Running tasks stopped without their job being cancelled.
+    /// Highest number of running tasks that were stopped without a cancellation of their job.
     Stops(usize),
-    Terms(u64),
+    TermsAtLeast(u64),
     TermsAtMost(u64),
-    /// Tasks that failed.
+    /// Highest number of failed tasks.
     Failures(usize),
-    /// Changes made in the state service.
+    /// Highest number of changes made in the state service.
     Changes(u64),
-    /// Machines ever rented.
+    /// Highest number of machines ever rented.
     RentedInAll(usize),
-    /// Calls made to the cloud.
+    /// Highest number of calls made to the cloud.
     CloudCalls(u64),
-    /// Messages that `troubles.rs` lost, held up or copied: its verbs reach something.
-    Met(usize),
+    /// Lowest number of messages that the faults of `one_way_faults.rs` lost, delayed or copied, to
+    /// prove that these faults took effect.
+    Affected(usize),
 }
 
+/// A parsed scenario.
 pub(crate) struct Script {
     pub seed: u64,
     pub until: u64,
@@ -136,13 +151,14 @@
     pub types: Vec<MachineType>,
     pub capacity: u32,
     pub dead_boots: u32,
-    /// Packets between hosts that can't reach each other are held back, and delivered
-    /// when they can.
+    /// Whether packets between hosts that can't reach each other are delivered once they can,
+    /// instead of being lost.
     pub held_packets: bool,
     pub steps: Vec<Step>,
     pub expect: Vec<Expect>,
 }
 
+/// Settings of every controller unless the scenario changes them.
 const BASE: &str = r#"
 node = "node-0"
 zone = "a"
@@ -171,16 +187,17 @@
 sockets = 500
 "#;
 
-fn secs(text: &str) -> Result<u64, String> {
+/// Parses a number of seconds and returns it in microseconds.
+fn parse_seconds(text: &str) -> Result<u64, String> {
     let s: f64 = text
         .parse()
         .map_err(|_| format!("\"{text}\" is not a number of seconds"))?;
     Ok((s * SEC as f64) as u64)
 }
 
-/// A line's words, and what it names as `name=value`.
+/// Words of a line: positional ones and `name=value` pairs.
 pub(crate) struct Words<'a> {
-    plain: Vec<&'a str>,
+    positional: Vec<&'a str>,
     pub named: BTreeMap<&'a str, &'a str>,
 }
 
@@ -188,50 +205,50 @@
     pub(crate) fn num<T: std::str::FromStr>(&self, name: &str, default: T) -> Result<T, String> {
         match self.named.get(name) {
             None => Ok(default),
-            Some(v) => v.parse().map_err(|_| format!("{name}: \"{v}\"")),
+            Some(v) => v.parse().map_err(|_| format!("{name}: \"{v}\" is not valid")),
         }
     }
     pub(crate) fn word(&self, i: usize) -> Result<&'a str, String> {
-        self.plain
+        self.positional
             .get(i)
             .copied()
             .ok_or_else(|| "a word is missing".to_string())
     }
     pub(crate) fn has(&self, word: &str) -> bool {
-        self.plain.contains(&word)
+        self.positional.contains(&word)
     }
 }
 
 impl Script {
-    /// A worker's lease.
+    /// Returns the length of a worker's lease in microseconds.
     pub(crate) fn lease(&self) -> u64 {
         (self.base.params.workers.lease_s * SEC as f64) as u64
     }
 
-    /// When the last trouble is over.
+    /// Returns the time at which the last fault is over, including its delayed effects.
     pub(crate) fn calm_from(&self) -> u64 {
-        let quiet = |a: &Act| {
-            use Act::*;
+        let is_harmless = |a: &Action| {
+            use Action::*;
             matches!(
                 a,
-                Submit(_) | Inherit(_) | Abort(_) | Resubmit(_) | AskUnknown(_) | Ghost
+                Submit(_) | Inherit(_) | Abort(_) | Resubmit(_) | AskUnknown(_) | UnknownMachine
             )
         };
-        let over = |s: &Step| match &s.act {
-            // Copies come after the trouble that made them.
-            Act::Copies(late) => s.at + s.lasts.unwrap_or(0) + late,
-            Act::LateReports(_) => s.at + s.lasts.unwrap_or(0) + 2 * self.lease(),
-            Act::LateWrites(..) | Act::LoseTxn(_) => s.at + s.lasts.unwrap_or(0) + 12 * SEC,
-            Act::HoldDirect(late) => s.at + s.lasts.unwrap_or(0) + late,
-            Act::CancelNow(_, hangs) => s.at + hangs.unwrap_or(0) + SEC,
-            Act::OneWayFault(trouble) => s.at + s.lasts.unwrap_or(0) + trouble.lingers(),
-            Act::Crash(_) | Act::CrashOn(_) => s.at + s.lasts.unwrap_or(3 * SEC),
-            _ => s.at + s.lasts.unwrap_or(0),
+        let end_of = |s: &Step| match &s.action {
+            // Copies arrive after the fault that made them is over.
+            Action::DuplicateReports(late) => s.at + s.duration.unwrap_or(0) + late,
+            Action::LateReports(_) => s.at + s.duration.unwrap_or(0) + 2 * self.lease(),
+            Action::LateWrites(..) | Action::LoseTxn(_) => s.at + s.duration.unwrap_or(0) + 12 * SEC,
+            Action::DelayPushedCommands(late) => s.at + s.duration.unwrap_or(0) + late,
+            Action::CancelNow(_, hangs) => s.at + hangs.unwrap_or(0) + SEC,
+            Action::OneWayFault(fault) => s.at + s.duration.unwrap_or(0) + fault.longest_delay(),
+            Action::Crash(_) | Action::CrashOn(_) => s.at + s.duration.unwrap_or(3 * SEC),
+            _ => s.at + s.duration.unwrap_or(0),
         };
         self.steps
             .iter()
-            .filter(|s| !quiet(&s.act))
-            .map(over)
+            .filter(|s| !is_harmless(&s.action))
+            .map(end_of)
             .max()
             .unwrap_or(0)
     }
@@ -293,7 +310,7 @@
 
     fn line(&mut self, line: &str) -> Result<(), String> {
         let mut words = Words {
-            plain: vec![],
+            positional: vec![],
             named: BTreeMap::new(),
         };
         for word in line.split_whitespace() {
@@ -301,19 +318,19 @@
                 Some((k, v)) => {
                     words.named.insert(k, v);
                 }
-                None => words.plain.push(word),
+                None => words.positional.push(word),
             }
         }
         let w = words;
         let p = &mut self.base.params;
         match w.word(0)? {
-            "seed" => self.seed = w.word(1)?.parse().map_err(|_| "seed")?,
-            "until" => self.until = secs(w.word(1)?)?,
-            "nodes" => self.zones = w.plain[1..].iter().map(|z| z.to_string()).collect(),
-            "list-lag" => p.cloud.list_lag_s = w.word(1)?.parse().map_err(|_| "list-lag")?,
+            "seed" => self.seed = w.word(1)?.parse().map_err(|_| "the seed is not a number")?,
+            "until" => self.until = parse_seconds(w.word(1)?)?,
+            "nodes" => self.zones = w.positional[1..].iter().map(|z| z.to_string()).collect(),
+            "list-lag" => p.cloud.list_lag_s = w.word(1)?.parse().map_err(|_| "list-lag is not a number of seconds")?,
             "held-packets" => self.held_packets = true,
-            "capacity" => self.capacity = w.word(1)?.parse().map_err(|_| "capacity")?,
-            "dead-boots" => self.dead_boots = w.word(1)?.parse().map_err(|_| "dead-boots")?,
+            "capacity" => self.capacity = w.word(1)?.parse().map_err(|_| "the capacity is not a number")?,
+            "dead-boots" => self.dead_boots = w.word(1)?.parse().map_err(|_| "dead-boots is not a number")?,
             "workers" => {
                 p.workers.report_s = w.num("report", p.workers.report_s)?;
                 p.workers.lease_s = w.num("lease", p.workers.lease_s)?;
@@ -325,7 +342,7 @@
                 p.state.value_kb = w.num("value_kb", p.state.value_kb)?;
                 p.state.txn_ops = w.num("ops", p.state.txn_ops)?;
             }
-            // What is announced for later.
+            // Limits that are announced for later.
             "state-next" => {
                 p.state.next = Some(NextState {
                     write_rps: Some(w.num("writes", p.state.write_rps)?),
@@ -342,108 +359,129 @@
                 self.machine_type(w.word(1)?, cpus, mem, boot, w.num("fetch", 0.5)?);
             }
             "at" => {
-                let at = secs(w.word(1)?)?;
-                let lasts = match w.plain.iter().position(|x| *x == "for") {
-                    Some(i) => Some(secs(w.word(i + 1)?)?),
+                let at = parse_seconds(w.word(1)?)?;
+                let duration = match w.positional.iter().position(|x| *x == "for") {
+                    Some(i) => Some(parse_seconds(w.word(i + 1)?)?),
                     None => None,
                 };
                 let run_s = w.num("run", 10.0)?;
-                let count = || w.word(3).and_then(|x| x.parse().map_err(|_| "count".to_string()));
-                let act = match w.word(2)? {
-                    "submit" => Act::Submit(Box::new(Self::spec(&w)?)),
-                    "inherit" => Act::Inherit(Box::new(Self::spec(&w)?)),
-                    "abort" => Act::Abort(w.word(3)?.into()),
-                    "resubmit" => Act::Resubmit(w.word(3)?.into()),
-                    "ask-unknown" => Act::AskUnknown(w.word(3)?.into()),
-                    "crash" => Act::Crash(w.word(3)?.into()),
-                    "crash-on" => Act::CrashOn(w.word(3)?.into()),
-                    "state-out" => Act::StateOut,
-                    "state-deaf" => Act::StateDeaf(w.word(3)?.parse().unwrap_or(usize::MAX)),
-                    "cloud-out" => Act::CloudOut,
-                    "lose-txn" => Act::LoseTxn(secs(w.word(3)?)?),
-                    "late-writes" if !w.has("at-once") => {
+                let count = || {
+                    w.word(3)
+                        .and_then(|x| x.parse().map_err(|_| "the count is not a number".to_string()))
+                };
+                let action = match w.word(2)? {
+                    "submit" => Action::Submit(Box::new(Self::spec(&w)?)),
+                    "inherit" => Action::Inherit(Box::new(Self::spec(&w)?)),
+                    "abort" => Action::Abort(w.word(3)?.into()),
+                    "resubmit" => Action::Resubmit(w.word(3)?.into()),
+                    "ask-unknown" => Action::AskUnknown(w.word(3)?.into()),
+                    "crash" => Action::Crash(w.word(3)?.into()),
+                    "crash-on" => Action::CrashOn(w.word(3)?.into()),
+                    "state-out" => Action::StateOut,
+                    "state-refuses" => Action::StateRefuses(w.word(3)?.parse().unwrap_or(usize::MAX)),
+                    "cloud-out" => Action::CloudOut,
+                    "lose-txn" => Action::LoseTxn(parse_seconds(w.word(3)?)?),
+                    "late-writes" => {
                         let prefix = w.named.get("key").unwrap_or(&"");
-                        Act::LateWrites(w.word(3)?.parse().map_err(|_| "share")?, prefix.to_string())
+                        Action::LateWrites(
+                            w.word(3)?.parse().map_err(|_| "the share is not a number")?,
+                            prefix.to_string(),
+                        )
                     }
-                    "late-reports" if !w.has("for-next") => Act::LateReports(w.word(3)?.parse().map_err(|_| "share")?),
-                    "hold-direct" => Act::HoldDirect(secs(w.word(3)?)?),
-                    "cut" => Act::Cut(count()?),
-                    "zone-cut" => Act::ZoneCut(w.word(3)?.into(), w.word(4)?.into()),
-                    "zone-off" => Act::ZoneOff(w.word(3)?.into()),
-                    "hang" => Act::Hang(count()?),
-                    "kill" if !w.named.contains_key("zone") => Act::Kill(count()?),
-                    "notice" => Act::Notice(w.word(3)?.parse().map_err(|_| "seconds")?),
-                    "faulty" => Act::Faulty(count()?),
-                    "slow" => Act::Slow(count()?),
-                    "ghost" => Act::Ghost,
-                    "freeze-on-grant" => Act::FreezeOnGrant,
-                    "freeze" => Act::Freeze(w.word(3)?.into()),
-                    "node-cut" => Act::NodeCut(w.word(3)?.into(), w.word(4)?.into()),
-                    "peers-refuse" => Act::PeersRefuse,
+                    "late-reports" => Action::LateReports(w.word(3)?.parse().map_err(|_| "the share is not a number")?),
+                    "delay-pushed-commands" => Action::DelayPushedCommands(parse_seconds(w.word(3)?)?),
+                    "cut" => Action::Cut(count()?),
+                    "zone-cut" => Action::ZoneCut(w.word(3)?.into(), w.word(4)?.into()),
+                    "isolate-zone" => Action::IsolateZone(w.word(3)?.into()),
+                    "hang" => Action::Hang(count()?),
+                    "kill" if !w.named.contains_key("zone") => Action::Kill(count()?),
+                    "spot-notice" => Action::SpotNotice(
+                        w.word(3)?
+                            .parse()
+                            .map_err(|_| "the notice is not a number of seconds")?,
+                    ),
+                    "faulty" => Action::Faulty(count()?),
+                    "slow" => Action::Slow(count()?),
+                    "unknown-machine" => Action::UnknownMachine,
+                    "freeze-on-grant" => Action::FreezeOnGrant,
+                    "freeze" => Action::Freeze(w.word(3)?.into()),
+                    "node-cut" => Action::NodeCut(w.word(3)?.into(), w.word(4)?.into()),
+                    "peers-refuse" => Action::PeersRefuse,
                     "link-cut" => {
                         use super::links::End;
-                        Act::LinkCut(End::parse(w.word(3)?)?, End::parse(w.word(4)?)?)
+                        Action::LinkCut(End::parse(w.word(3)?)?, End::parse(w.word(4)?)?)
                     }
-                    "deaf" => Act::Deaf(count()?),
-                    "slow-answers" => Act::SlowAnswers(secs(w.word(3)?)?),
-                    "copies" => Act::Copies(secs(w.word(3)?)?),
-                    "boots" => Act::BootTimes(w.word(3)?.parse().map_err(|_| "factor")?),
-                    "old-release" => Act::OldRelease(w.word(3)?.into()),
-                    "garbage" => Act::Garbage(w.word(3)?.into()),
-                    "state-limits" => Act::StateLimits,
+                    "block-inbound" => Action::BlockInbound(count()?),
+                    "slow-answers" => Action::SlowAnswers(parse_seconds(w.word(3)?)?),
+                    "duplicate-reports" => Action::DuplicateReports(parse_seconds(w.word(3)?)?),
+                    "boot-factor" => Action::BootFactor(w.word(3)?.parse().map_err(|_| "the factor is not a number")?),
+                    "earlier-release" => Action::EarlierRelease(w.word(3)?.into()),
+                    "malformed-value" => Action::MalformedValue(w.word(3)?.into()),
+                    "lower-state-limits" => Action::LowerStateLimits,
                     "cancel-now" => {
-                        let hangs = w.named.get("hang").map(|hang| secs(hang)).transpose()?;
-                        Act::CancelNow(count()?, hangs)
+                        let hangs = w.named.get("hang").map(|hang| parse_seconds(hang)).transpose()?;
+                        Action::CancelNow(count()?, hangs)
+                    }
+                    "cancel-at-end" => {
+                        Action::CancelAtEnd(w.word(3)?.parse().map_err(|_| "the share is not a number")?)
                     }
-                    "cancel-at-end" => Act::CancelAtEnd(w.word(3)?.parse().map_err(|_| "share")?),
-                    "odd-requests" => Act::OddRequests,
-                    "close-looks" => Act::CloseLooks,
-                    "storm" => Act::Storm(w.word(3)?.parse().map_err(|_| "factor")?),
-                    _ => Act::OneWayFault(OneWayFault::parse(&w)?),
+                    "odd-requests" => Action::OddRequests,
+                    "query-all-nodes" => Action::QueryAllNodes,
+                    "query-rate" => Action::QueryRate(w.word(3)?.parse().map_err(|_| "the factor is not a number")?),
+                    _ => Action::OneWayFault(OneWayFault::parse(&w)?),
                 };
-                // `every=s times=n`: again and again. `copies=n`: jobs with the following
-                // numbers as well. `step=n`: of jobs that are cancelled, each n-th.
-                let (every, times) = (secs(w.named.get("every").unwrap_or(&"0"))?, w.num("times", 1u64)?);
-                for again in 0..times {
-                    let at = at + again * every;
+                // `every=s times=n` repeats the step n times, s seconds apart. `copies=n` submits n
+                // jobs with consecutive numbers. `step=n` cancels every n-th job.
+                let (every, times) = (
+                    parse_seconds(w.named.get("every").unwrap_or(&"0"))?,
+                    w.num("times", 1u64)?,
+                );
+                for repetition in 0..times {
+                    let at = at + repetition * every;
                     for copy in 0..w.num("copies", 1u32)? {
-                        let mut act = act.clone();
-                        if let Act::Submit(spec) | Act::Inherit(spec) = &mut act {
-                            let number: u32 = spec.id[4..].parse().map_err(|_| "a number is missing")?;
-                            let number = number + again as u32 * w.num("copies", 1u32)?;
+                        let mut action = action.clone();
+                        if let Action::Submit(spec) | Action::Inherit(spec) = &mut action {
+                            let number: u32 = spec.id[4..].parse().map_err(|_| "the job's name has no number")?;
+                            let number = number + repetition as u32 * w.num("copies", 1u32)?;
                             spec.id = format!("run-{:06}", number + copy);
-                            // Of copies that form a chain, each waits for the one before.
+                            // Each copy in a chain waits for the copy before it.
                             if w.has("chained") && copy > 0 {
                                 spec.needs = vec![format!("run-{:06}", number + copy - 1)];
                             }
                         }
-                        if let Act::Abort(job) = &mut act {
-                            let number: u64 = job[4..].parse().map_err(|_| "a number is missing")?;
-                            *job = format!("run-{:06}", number + again * w.num("step", 1u64)?);
+                        if let Action::Abort(job) = &mut action {
+                            let number: u64 = job[4..].parse().map_err(|_| "the job's name has no number")?;
+                            *job = format!("run-{:06}", number + repetition * w.num("step", 1u64)?);
                         }
-                        let mistake = w.has("mistake");
+                        let always_fails = w.has("always-fails");
                         self.steps.push(Step {
                             at,
-                            lasts,
-                            act,
+                            duration,
+                            action,
                             run_s,
-                            mistake,
+                            always_fails,
                         });
                     }
                 }
             }
             "expect" => {
                 let by = || -> Result<u64, String> {
-                    let i = w.plain.iter().position(|x| *x == "by").ok_or("by is missing")?;
-                    secs(w.word(i + 1)?)
+                    let i = w
+                        .positional
+                        .iter()
+                        .position(|x| *x == "by")
+                        .ok_or("the time after by is missing")?;
+                    parse_seconds(w.word(i + 1)?)
                 };
                 let number = |i: usize| {
-                    w.word(i)
-                        .and_then(|x| x.parse::<u64>().map_err(|_| "number".to_string()))
+                    w.word(i).and_then(|x| {
+                        x.parse::<u64>()
+                            .map_err(|_| "the expected value is not a number".to_string())
+                    })
                 };
                 let e = match w.word(1)? {
                     "done" => Expect::Done(w.word(2)?.into(), by()?),
-                    "book-at-most" => Expect::Book(number(2)? as usize),
+                    "log-pages-at-most" => Expect::LogPages(number(2)? as usize),
                     "withdrawn" => Expect::Withdrawn(w.word(2)?.into()),
                     "cancelled" => Expect::Cancelled(w.word(2)?.into(), by()?),
                     "started" => Expect::Started(w.word(2)?.into(), by()?),
@@ -457,11 +495,11 @@
                     "stops-at-most" => Expect::Stops(number(2)? as usize),
                     "failures-at-most" => Expect::Failures(number(2)? as usize),
                     "terms-at-most" => Expect::TermsAtMost(number(2)?),
-                    "terms-at-least" => Expect::Terms(number(2)?),
+                    "terms-at-least" => Expect::TermsAtLeast(number(2)?),
                     "rented-in-all-at-most" => Expect::RentedInAll(number(2)? as usize),
                     "changes-at-most" => Expect::Changes(number(2)?),
                     "cloud-calls-at-most" => Expect::CloudCalls(number(2)?),
-                    "met-at-least" => Expect::Met(number(2)? as usize),
+                    "affected-at-least" => Expect::Affected(number(2)? as usize),
                     other => return Err(format!("unknown expectation {other}")),
                 };
                 self.expect.push(e);
@@ -487,14 +525,14 @@
         spec.one_zone = w.has("together");
         spec.spread = w.has("apart");
         spec.spot = w.has("spot");
-        // `run-000100..000299` names all of these.
+        // `run-000100..000299` names all jobs with these numbers.
         for named in w.named.get("waits").into_iter().flat_map(|n| n.split(',')) {
             match named.split_once("..") {
                 Some((from, to)) => {
                     let number = |t: &str| {
                         t.trim_start_matches("run-")
                             .parse::<u32>()
-                            .map_err(|_| "a range of jobs")
+                            .map_err(|_| "the range of jobs is not valid")
                     };
                     spec.needs
                         .extend((number(from)?..=number(to)?).map(|n| format!("run-{n:06}")));
@@ -517,13 +555,13 @@
         Ok(spec)
     }
 
-    /// The cloud at the beginning.
+    /// Returns the cloud at the beginning of the scenario.
     pub(crate) fn cloud(&self) -> Cloud {
         let lag = (self.base.params.cloud.list_lag_s * SEC as f64) as u64;
         Cloud::new(self.types.clone(), self.capacity, self.dead_boots, lag)
     }
 
-    /// The settings of every node.
+    /// Returns the settings of every controller.
     pub(crate) fn settings(&self) -> Vec<Settings> {
         let peer = |n: usize| Peer {
             node: format!("node-{n}"),
