--- a/tests/sim/agents.rs
+++ b/tests/sim/agents.rs
@@ -1,4 +1,4 @@
-//! Workers among simulated hosts.
+//! Simulated workers: reports, commands that arrive, leases that expire and hung machines.
 
 use super::answers::Carrier;
 use super::{ScheduledEvent, World, SEC};
@@ -9,7 +9,7 @@
 pub(crate) use glenhaven_fakes::worker::Worker;
 
 impl World {
-    /// A machine hangs until then.
+    /// Hangs a machine until the given time, unless it already hangs for longer.
     pub(crate) fn hang(&mut self, name: &str, until: u64) {
         if let Some(w) = self.workers.get_mut(name) {
             w.hangs_until = w.hangs_until.max(until);
@@ -17,6 +17,7 @@
         }
     }
 
+    /// Ends a machine's boot: it reports to a random controller.
     pub(crate) fn boot(&mut self, name: &str) {
         let now = self.now;
         let nodes = self.nodes.len();
@@ -29,6 +30,7 @@
         }
     }
 
+    /// Announces to a machine that the cloud takes it back after this many seconds.
     pub(crate) fn notice(&mut self, name: &str, seconds: u64) {
         let now = self.now;
         if let Some(w) = self.workers.get_mut(name) {
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Looks at everything a worker does by itself.
+    /// Runs everything that a worker does by its own timers: lease, tasks and reports.
     pub(crate) fn worker_wakes(&mut self, name: &str) {
         let now = self.now;
         let (lease, nodes) = (self.script.lease(), self.nodes.len());
@@ -83,7 +85,7 @@
                 );
             }
             if let Some(late) = self.active_faults.copies.values().copied().max() {
-                // Nobody waits for the answer to a copy.
+                // The answer to a copy is ignored.
                 let ev = ScheduledEvent::Heartbeat(name.into(), node, u64::MAX, heartbeat.clone());
                 self.after(hop + late, ev);
             }
@@ -113,7 +115,7 @@
             return;
         };
         if flying == rid && w.up && now < w.hangs_until {
-            // It lies there until the machine goes on, if its time is not over by then.
+            // The answer waits until the machine resumes, unless the report has timed out by then.
             let pause = w.hangs_until - now + 1;
             return self.after(pause, ScheduledEvent::ReportAnswer(name.into(), rid, answer));
         }
@@ -136,7 +138,7 @@
         self.after(1, ScheduledEvent::Worker(name.into()));
     }
 
-    /// Notes what a worker did by the orders that it got.
+    /// Records what a worker did with the commands that it received.
     fn note_executed(&mut self, carrier: &Carrier, machine: &str, commands: &[AgentCommand], executed: Executed) {
         self.rules.stops += executed.stops;
         for (task, _) in &executed.taken {
@@ -152,6 +154,7 @@
         self.answers.executed(carrier, machine, commands);
     }
 
+    /// Times out a report: the worker reports to another controller next.
     pub(crate) fn report_late(&mut self, name: &str, rid: u64) {
         let nodes = self.nodes.len();
         let now = self.now;
@@ -163,6 +166,7 @@
         }
     }
 
+    /// Delivers pushed commands to the machine at this address.
     pub(crate) fn direct_request(&mut self, n: usize, life: u64, id: u64, addr: &str, body: &PushedCommands) {
         let now = self.now;
         let Some(name) = self
@@ -180,7 +184,7 @@
             return;
         }
         if !self.reaches(n, &name) {
-            // Held back, and delivered when the cut is over.
+            // The commands are held back until a fault ends.
             let ev = ScheduledEvent::PushedCommands(n, life, id, addr.into(), body.clone());
             self.held.push((n, ev));
             return;
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -1,6 +1,8 @@
-//! A world in simulated time: stand-ins for the state service, the cloud,
-//! workers and users, written from the protocol, around real controllers'
-//! coordination code. Every rule is checked as things happen.
+//! A simulated cluster with its own clock: fakes of the state service, the cloud, workers and
+//! users, written from the protocol alone, around the controllers' real coordination code.
+//!
+//! Everything happens as a [`ScheduledEvent`] in the queue of the [`World`]. The rules are checked
+//! after each event that can break one. Times are microseconds since the start of the run.
 
 pub(crate) mod agents;
 mod answers;
@@ -31,7 +33,12 @@
 pub(crate) use glenhaven_fakes::{rules, store, MS, SEC};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Something that will happen.
+/// An event in the queue of the [`World`].
+///
+/// Controllers are given by index and by `life`, the number of starts of the process when the
+/// event was scheduled: an event for an earlier process is dropped. The life `u64::MAX` is that of
+/// no process, so that the answer to a late message reaches nobody; the report number `u64::MAX`
+/// marks a copy, whose answer is ignored.
 pub(crate) enum ScheduledEvent {
     Tick(usize, u64),
     Event(usize, u64, Event),
@@ -45,22 +52,23 @@
     ReportLate(String, u64),
     Boot(String),
     User(String),
-    /// The answer to a user's request, and when it left the controller.
+    /// The answer to a user's request: job, request number, time at which it left the controller.
     UserAnswer(String, u64, u64, Outgoing),
     UserLate(String, u64),
-    /// A question to one node beside those that a user asks in turn, and its answer.
+    /// A request about a job to one node, in addition to those that its user sends in turn.
     Ask(String, users::Asked, usize),
+    /// The answer to such a request: its number, time at which it left the controller.
     QueryAnswer(u64, u64, Outgoing),
     OddRequests(usize),
     Step(usize),
     Heal(usize),
     Throttle(usize),
     Start(usize),
-    /// Services are looked at.
+    /// The periodic check of services, stranded jobs and the controllers' own invariants.
     Query,
 }
 
-/// Who waits for an answer of a controller.
+/// The sender of a request that a controller has yet to answer, with the request's number.
 #[derive(Clone)]
 pub(crate) enum Origin {
     Worker(String, u64),
@@ -69,66 +77,73 @@
 }
 
 pub(crate) struct Node {
+    /// The controller's state; `None` while the process is down.
     pub controller: Option<Controller>,
+    /// How many times the process has been started.
     pub life: u64,
     pub settings: Settings,
-    /// What has come while it stands still.
+    /// Events that arrived while the process was frozen.
     pub inbox: Vec<Event>,
 }
 
-/// What is broken just now, by the step that broke it.
+/// The faults that are active, keyed by the index of the script's step that began them.
 #[derive(Default)]
 pub(crate) struct ActiveFaults {
     pub state_out: BTreeSet<usize>,
+    /// Controllers whose requests the state service refuses and whose watches it holds back.
     pub state_deaf: BTreeMap<usize, usize>,
     pub cloud_out: BTreeSet<usize>,
-    /// Machines that no one can reach; messages are held back till the end.
+    /// Machines that no controller can reach; messages to and from them are held back.
     pub cut: BTreeMap<usize, BTreeSet<String>>,
-    /// Zones that cannot reach each other.
+    /// Pairs of zones that cannot reach each other.
     pub zones: BTreeMap<usize, (String, String)>,
-    /// Zones that nothing outside them can reach.
+    /// Zones that are cut off from everything outside them.
     pub zone_off: BTreeMap<usize, String>,
     /// The zone of each controller.
     pub zone_of: Vec<String>,
-    /// Transactions whose answers are lost, and how late they are executed.
+    /// Answers to all transactions are lost. Where the delay isn't 0, about half of the
+    /// transactions are executed only after it.
     pub lose_txn: BTreeMap<usize, u64>,
+    /// Delays of commands on their way to a machine.
     pub hold_direct: BTreeMap<usize, u64>,
-    /// Shares of transactions that are executed late, and of reports that arrive again.
+    /// Share of the transactions with a write under the key prefix that are executed late.
     pub late_writes: BTreeMap<usize, (f64, String)>,
+    /// Share of the reports of which a copy arrives late, at any controller.
     pub late_reports: BTreeMap<usize, f64>,
-    /// Controllers that stand still, their clocks running on.
+    /// Controllers that process nothing while their clocks run on.
     pub frozen: BTreeMap<usize, usize>,
-    /// Controllers cut off from these: `all`, `state`, `workers` or `peers`.
+    /// Controllers that are cut off from `all`, `state`, `workers` or `peers`.
     pub node_cut: BTreeMap<usize, (usize, String)>,
-    /// Steps by which connections between controllers are refused.
+    /// Connections between controllers are refused.
     pub refuse: BTreeSet<usize>,
-    /// Directed links that are cut, from and to.
+    /// Directed links that are cut, as pairs of sender and receiver.
     pub links: BTreeMap<usize, Vec<(links::End, links::End)>>,
-    /// Machines whose reports arrive, and which get no answers and no commands.
+    /// Machines whose reports arrive, but which receive neither answers nor commands.
     pub deaf: BTreeMap<usize, BTreeSet<String>>,
-    /// Answers to reports take up to so much longer.
+    /// Largest extra delay of an answer to a report; each delay is random.
     pub slow_answers: BTreeMap<usize, u64>,
-    /// Copies of all reports arrive this much later.
+    /// A copy of every report arrives after this extra delay.
     pub copies: BTreeMap<usize, u64>,
-    /// Boots take so many times as long; 0: machines never come up.
+    /// Factors on the boot time; with 0, machines never boot.
     pub boots: BTreeMap<usize, f64>,
-    /// Users ask so many times as often.
+    /// Factors on the rate at which users poll.
     pub storm: BTreeMap<usize, u64>,
-    /// The next controller that asks for a lease stands still for so long, by
-    /// the step that says so.
+    /// Step and duration of a freeze that begins when a controller next requests a lease.
     pub trap: Option<(usize, u64)>,
-    /// The next controller that writes such a key ends before it hears of it, for so long.
+    /// Key prefixes and downtimes: the next controller that commits a write under the prefix
+    /// crashes before the answer reaches it.
     pub ends_on: Vec<(String, u64)>,
     pub lasting: one_way_faults::Lasting,
 }
 
 impl ActiveFaults {
-    /// Whether this machine gets no answers and no commands.
+    /// Returns whether this machine receives neither answers nor commands.
     pub(crate) fn is_asymmetrically_partitioned(&self, machine: &str) -> bool {
         self.deaf.values().any(|d| d.contains(machine))
     }
 
-    /// Whether this controller is cut off from these.
+    /// Returns whether this controller is cut off from `state`, `cloud`, `users`, `workers` or
+    /// `peers`.
     pub(crate) fn cut_off(&self, n: usize, from: &str) -> bool {
         let inside = !["peers", "workers"].contains(&from);
         let off = |zone: &String| *zone == self.zone_of[n];
@@ -161,13 +176,17 @@
     pub one_way_faults: close_queries::Troubles,
     pub script: script::Script,
     pub active_faults: ActiveFaults,
+    /// Senders of the requests that controllers have yet to answer, by request ID.
     pub origins: BTreeMap<u64, Origin>,
+    /// Messages held back by a fault, each with the index of its controller. All of them are
+    /// delivered as soon as any fault ends.
     pub held: Vec<(usize, ScheduledEvent)>,
     next_id: u64,
-    /// What each controller was last told of its link to another.
+    /// The state of the link to another controller that was last reported to a controller.
     pub links_told: BTreeMap<(usize, usize), bool>,
+    /// Names of the tasks that have completed.
     pub results: BTreeSet<String>,
-    /// A fault that the search for meetings is to find.
+    /// A deliberate fault that the search over combinations of faults must find.
     pub planted: Option<fault_injection::Fault>,
     planted_kept: fault_injection::Kept,
     planted_cache: fault_injection::Cache,
@@ -238,7 +257,7 @@
         self.queue.insert((self.now + delay, self.seq), ev);
     }
 
-    /// A network delay.
+    /// Draws the delay of one network hop.
     pub(crate) fn hop(&mut self) -> u64 {
         500 + self.rng.u64(0..2500)
     }
@@ -255,8 +274,10 @@
         self.after(1, ScheduledEvent::Tick(n, life));
     }
 
-    /// A process ends: its connections are reset at once, unlike those of a host that
-    /// nothing can reach.
+    /// Ends a controller's process.
+    ///
+    /// Requests to it fail at once, because its connections are reset. Requests to a host that is
+    /// cut off time out instead.
     pub(crate) fn crash_node(&mut self, n: usize) {
         self.nodes[n].controller = None;
         self.nodes[n].inbox.clear();
@@ -276,7 +297,7 @@
         (0..self.nodes.len()).find(|n| self.nodes[*n].controller.as_ref().is_some_and(Controller::is_leader))
     }
 
-    /// Plays the script to its end.
+    /// Runs the script to its end.
     pub(crate) fn play(&mut self) {
         for n in 0..self.nodes.len() {
             self.after(n as u64 * 10 * MS, ScheduledEvent::Start(n));
@@ -293,8 +314,8 @@
             }
             let Some(ev) = self.queue.remove(&(at, seq)) else { break };
             self.now = at;
-            // Within these, no task comes to a machine or leaves it, and no user is told
-            // anything: what they cause happens later, by events of its own.
+            // While these events are processed, no task is added to a machine or removed from one
+            // and no user receives an answer: their effects are scheduled as later events.
             let within_controllers = matches!(
                 ev,
                 ScheduledEvent::Tick(..)
@@ -338,7 +359,7 @@
                 let life = self.nodes[n].life;
                 let arrives = self.passes(&self.zone_end(&name), &links::End::Node(n));
                 if self.nodes[n].controller.is_none() && self.reaches(n, &name) && arrives {
-                    // Refused.
+                    // The connection is refused.
                     let hop = self.hop();
                     self.after(hop, ScheduledEvent::ReportLate(name, rid));
                 } else if self.reaches(n, &name) && arrives {
@@ -346,7 +367,7 @@
                     self.origins.insert(id, Origin::Worker(name, rid));
                     self.event(ScheduledEvent::Event(n, life, Event::Heartbeat { id, heartbeat }));
                 } else if self.script.held_packets && rid != u64::MAX {
-                    // It arrives when its worker has long asked another controller.
+                    // The report arrives after the worker has moved on to another controller.
                     self.held
                         .push((n, ScheduledEvent::Heartbeat(name, n, u64::MAX, heartbeat)));
                 }
@@ -372,7 +393,7 @@
         }
     }
 
-    /// What the controllers themselves saw broken.
+    /// Records the broken invariants that the controllers counted themselves.
     fn check_invariants(&mut self) {
         for node in &self.nodes {
             let broken = node
@@ -386,7 +407,7 @@
         }
     }
 
-    /// Whether a node and a machine can reach each other.
+    /// Returns whether a controller and a machine can reach each other.
     pub(crate) fn reaches(&self, n: usize, machine: &str) -> bool {
         let Some(w) = self.workers.get(machine) else {
             return false;
@@ -452,7 +473,7 @@
                     self.after(timeout.0, ScheduledEvent::Event(n, life, Event::Store { id, answer }));
                     if self.active_faults.cut_off(n, "state") || !self.passes(&links::End::Node(n), &links::End::State)
                     {
-                        // Its sender has given it up by the time that it is delivered.
+                        // The sender's timeout has expired when the transaction is delivered.
                         if self.script.held_packets && matches!(request, StoreRequest::Transaction(_)) {
                             self.held.push((n, ScheduledEvent::Store(n, u64::MAX, id, request)));
                         }
@@ -508,7 +529,7 @@
         }
     }
 
-    /// Notes what a controller tells workers to do, and users of their jobs.
+    /// Records the commands and job states that a controller sends to workers and users.
     fn note(&mut self, from: answers::Life, effect: &Effect) {
         let now = self.now;
         match effect {
@@ -534,12 +555,17 @@
         }
     }
 
-    /// The number of the last term.
+    /// Returns the number of the latest term.
     pub(crate) fn last_term(&self) -> u64 {
         self.store.term()
     }
 
-    /// Reads the orders or the new node from an answer to a report.
+    /// Decodes an answer to a report.
+    ///
+    /// # Errors
+    ///
+    /// Returns the name of the controller that a redirect points to, or `None` for any other
+    /// answer without commands.
     pub(crate) fn read_answer(answer: &Outgoing) -> Result<HeartbeatResponse, Option<String>> {
         match answer.status {
             200 => from_cbor(&answer.body).map_err(|_| None),
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -1,4 +1,4 @@
-//! Users and the load balancer among simulated hosts.
+//! Simulated users, and the load balancer that sends each request to a random controller.
 
 use super::answers::Answer;
 use super::close_queries::Moment;
@@ -10,7 +10,7 @@
 pub(crate) use glenhaven_fakes::user::{Asked, User};
 
 impl World {
-    /// Sends a user's next request, unless one is under way.
+    /// Sends a user's next request, unless one is in flight.
     pub(crate) fn user_acts(&mut self, job: &str) {
         let live: Vec<usize> = (0..self.nodes.len())
             .filter(|n| self.nodes[*n].controller.is_some() && !self.active_faults.cut_off(*n, "users"))
@@ -21,7 +21,7 @@
         } else {
             Some(live[self.rng.usize(0..live.len())])
         };
-        // Users submit a job once those that it needs are accepted.
+        // A job is submitted after the jobs that it depends on have been accepted.
         let Some(user) = self.users.get(job) else { return };
         let early = |need: &String| *need != *job && self.users.get(need).is_some_and(|u| u.accepted.is_none());
         if !user.submitted && user.spec.needs.iter().any(early) {
@@ -95,7 +95,7 @@
         self.user_goes_on(job, asked, answer.status);
     }
 
-    /// Takes in any answer about a job: whether it says the job's state.
+    /// Checks and records an answer about a job, and returns whether it states the job's phase.
     pub(crate) fn heard(&mut self, job: &str, asked: Asked, sent: u64, left: u64, answer: &Outgoing) -> bool {
         let now = self.now;
         let status = answer.status;
@@ -133,7 +133,7 @@
         true
     }
 
-    /// The next question, after a while.
+    /// Schedules the user's next request.
     fn user_goes_on(&mut self, job: &str, asked: Asked, status: u16) {
         let user = &self.users[job];
         let pause = match asked {
