--- a/tests/sim/answers.rs
+++ b/tests/sim/answers.rs
@@ -1,9 +1,11 @@
-//! What users were told and what started, checked against the protocol alone: no start is
-//! commanded after a confirmed cancellation, nothing is accepted that can't run or lacks a
-//! field, and no answer is older than one that any node gave before the question was sent.
+//! Checks of the answers to users and of the tasks that start, by the protocol alone.
 //!
-//! Beyond the protocol, no answer is older than its question: it may not contradict what the
-//! state service held when the question was sent, whether or not any user was told of it.
+//! - No start is sent after a confirmed cancellation.
+//! - No job is accepted that can't run or lacks a field.
+//! - No answer is older than one that any controller gave before the request was sent.
+//!
+//! Beyond the protocol, no answer is older than its request: an answer may not contradict what
+//! the state service held when the request was sent, whether or not a user had been informed.
 
 use super::script::Script;
 use super::MS;
@@ -38,32 +40,32 @@
     "snapshot_cost_s",
 ];
 
-/// What is known of a job by the answers that its users got.
+/// What the users of a job have learned from answers.
 #[derive(Default)]
 struct Told {
-    /// When the first answer left that called it accepted.
+    /// When the first answer left that implied acceptance.
     accepted: Option<u64>,
-    /// When the first answer left that called it done or cancelled, and which.
+    /// When the first answer with a final phase left, and that phase.
     ended: Option<(u64, Phase)>,
 }
 
-/// What the state service holds of a job, whoever knows of it.
+/// What the state service has stored of a job.
 #[derive(Default)]
 struct Stored {
-    /// When the first page that names it was written.
+    /// When the first acceptance page that lists the job was written.
     accepted: Option<u64>,
-    /// When its own key was written: it is over since then.
+    /// When a final phase was written under the job's own key.
     over: Option<u64>,
 }
 
-/// By then every controller that hears the state service has heard of a cancellation; a start
-/// that left earlier was on its way.
+/// Time until every controller that the state service can reach has learned of a confirmed
+/// cancellation. A start that left within this time was already on its way.
 const NEWS: u64 = 100 * MS;
 
-/// A life of a controller.
+/// One run of a controller's process: the controller's index and the number of its starts.
 pub(super) type Life = (usize, u64);
 
-/// A command to a worker on its way: the answer to a report, or a direct one.
+/// A message with commands on its way to a worker: the answer to a report, or a push.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Carrier {
     /// The worker and its report's number.
@@ -74,7 +76,7 @@
 
 /// An answer to a user.
 pub(crate) struct Answer {
-    /// When its question was sent, and when the answer left.
+    /// When the request was sent, and when the answer left the controller.
     pub asked: u64,
     pub left: u64,
     pub status: u16,
@@ -86,11 +88,12 @@
     types: Vec<MachineType>,
     told: BTreeMap<String, Told>,
     stored: BTreeMap<String, Stored>,
-    /// When controllers first said that a job is cancelled.
+    /// When each controller first reported a job as cancelled.
     said: BTreeMap<(Life, String), u64>,
-    /// From whom and when commands left that are on their way.
+    /// Sender and departure time of the messages with starts that are in flight.
     leaving: BTreeMap<Carrier, (Life, u64)>,
-    /// The same of the start that put a task and attempt on a machine.
+    /// Sender and departure time of the start that put a task's attempt on a machine, by machine,
+    /// task and attempt.
     commanded: BTreeMap<(String, String, u64), (Life, u64)>,
 }
 
@@ -107,12 +110,12 @@
         }
     }
 
-    /// A job is known from before the play.
+    /// Records a job that was accepted before the run.
     pub(crate) fn inherited(&mut self, job: &str) {
         self.told.entry(job.into()).or_default().accepted = Some(0);
     }
 
-    /// The state service has carried out these changes.
+    /// Records changes that the state service has committed.
     pub(crate) fn written(&mut self, changes: &[Change], now: u64) {
         for change in changes {
             let Change::Put { key, value, .. } = change else {
@@ -131,21 +134,21 @@
         }
     }
 
-    /// Commands leave a controller.
+    /// Records the starts among commands that leave a controller.
     pub(crate) fn leaves(&mut self, from: Life, carrier: Carrier, commands: &[AgentCommand], now: u64) {
         if commands.iter().any(|order| matches!(order, AgentCommand::Start { .. })) {
             self.leaving.insert(carrier, (from, now));
         }
     }
 
-    /// A controller says of a job what state it is in.
+    /// Records that a controller reports a job as cancelled.
     pub(crate) fn says(&mut self, from: Life, state: &JobState, now: u64) {
         if state.phase == Phase::Cancelled {
             self.said.entry((from, state.id.clone())).or_insert(now);
         }
     }
 
-    /// Commands have arrived at a worker, which executes them.
+    /// Records the starts among commands that a worker executes.
     pub(crate) fn executed(&mut self, carrier: &Carrier, machine: &str, commands: &[AgentCommand]) {
         let Some(left) = self.leaving.remove(carrier) else {
             return;
@@ -158,18 +161,19 @@
         }
     }
 
-    /// A worker no longer knows an attempt.
+    /// Removes an attempt that a worker has forgotten.
     pub(crate) fn forgotten(&mut self, machine: &str, task: &str, attempt: u64) {
         self.commanded.remove(&(machine.into(), task.into(), attempt));
     }
 
-    /// A machine's session has ended, and all its tasks with it.
+    /// Removes all attempts of a machine whose session has ended.
     pub(crate) fn session_ended(&mut self, machine: &str) {
         self.commanded.retain(|(on, ..), _| on != machine);
     }
 
-    /// What is wrong with a task that begins on a machine: its start left a controller that
-    /// had called the job cancelled, or long after any had told its user.
+    /// Returns what is wrong with a task that begins on a machine, if anything: its start left a
+    /// controller that had already reported the job as cancelled, or left more than [`NEWS`]
+    /// after any controller had confirmed the cancellation.
     pub(crate) fn started(&self, machine: &str, task: &str, attempt: u64) -> Option<String> {
         let (from, left) = *self.commanded.get(&(machine.into(), task.into(), attempt))?;
         let job = task.rsplit_once('/')?.0;
@@ -182,7 +186,7 @@
         })
     }
 
-    /// How an answer contradicts what the state service held when its question was sent.
+    /// Returns how an answer contradicts what the state service held when the request was sent.
     fn is_stale(&self, job: &str, answer: &Answer) -> Option<String> {
         let stored = self.stored.get(job)?;
         let before = |at: &u64| *at < answer.asked;
@@ -204,7 +208,8 @@
         }
     }
 
-    /// What is wrong with an answer about this job, given all answers before it.
+    /// Records an answer about a job, and returns how it contradicts earlier answers or what the
+    /// state service held.
     pub(crate) fn heard(&mut self, job: &str, answer: &Answer) -> Option<String> {
         let stale = self.is_stale(job, answer);
         let told = self.told.entry(job.into()).or_default();
@@ -237,7 +242,7 @@
             .map(|why| format!("{why}; asked at {}, answered at {}", answer.asked, answer.left))
     }
 
-    /// Why a submission that was just accepted may not be, if that is so.
+    /// Returns why a submission that has just been accepted must not be, if there is a reason.
     pub(crate) fn accepted(&self, body: &[u8]) -> Option<String> {
         let Ok(fields) = from_cbor::<BTreeMap<String, ciborium::Value>>(body) else {
             return Some("accepted, though it is no map".into());
--- a/tests/sim/close_queries.rs
+++ b/tests/sim/close_queries.rs
@@ -1,6 +1,7 @@
-//! Questions of users beside the ones that they ask in turn: several nodes are asked within
-//! milliseconds, submissions are repeated, jobs are called off at awkward moments, and
-//! requests come that no user should send.
+//! Requests of users in addition to those that they send in turn.
+//!
+//! Several controllers are queried about a job within milliseconds, submissions are repeated,
+//! jobs are cancelled close to their acceptance or end, and invalid requests are sent.
 
 use super::answers::REQUIRED;
 use super::script::plain_spec;
@@ -13,38 +14,42 @@
 use glenhaven_fakes::user::job_of;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// When all nodes are asked, after something has happened to a job.
+/// Delays after a change of a job, in microseconds, at which all controllers are queried about it.
 const QUERY_DELAYS: [u64; 4] = [0, 3 * MS, 12 * MS, 60 * MS];
-/// Most machines that hang while jobs on them are cancelled.
+/// Largest number of machines that hang while jobs on them are cancelled.
 const MOST_HANG: usize = 8;
-/// A task with less to go is not worth calling off.
+/// Least remaining run time of a task whose job is cancelled.
 const LONG: u64 = 30 * SEC;
-/// How long users wait for an answer.
+/// Time after which an answer is ignored.
 const WAIT: u64 = 5 * SEC;
-/// Jobs that can't be accepted are numbered from here on.
+/// Number of the first job that must be refused.
 const ODD_JOBS: u64 = 900_000;
 
-/// A question beside those that a user asks in turn.
+/// A request in addition to those that a user sends in turn.
 pub(super) struct Query {
     job: String,
     asked: Asked,
     sent: u64,
-    /// A submission that must be refused.
+    /// The submission that must be refused, if the request is about one.
     odd: Option<Vec<u8>>,
 }
 
-/// Users' troubles that go on, by the step that began them.
+/// The additional requests that are switched on, keyed by the index of the script's step that
+/// began them, and those in flight.
 #[derive(Default)]
 pub(crate) struct Troubles {
+    /// Each change of a job is followed by queries to all controllers.
     pub close_looks: BTreeSet<usize>,
+    /// Share of the jobs that are cancelled as their last task completes.
     pub cancel_at_end: BTreeMap<usize, f64>,
+    /// Invalid and repeated requests are sent regularly.
     pub odd_requests: BTreeSet<usize>,
     odd_jobs: u64,
     looks: BTreeMap<u64, Query>,
 }
 
 impl Troubles {
-    /// The job that an unanswered look is about.
+    /// Returns the job that an unanswered request is about.
     pub(crate) fn job_of(&self, query: u64) -> Option<&str> {
         self.looks.get(&query).map(|query| query.job.as_str())
     }
@@ -56,7 +61,7 @@
     }
 }
 
-/// What becomes of a job that its users look at closely.
+/// A change of a job after which all controllers are queried about it.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Moment {
     Accepted,
@@ -65,7 +70,7 @@
 }
 
 impl World {
-    /// Asks one node about a job, whatever else its user asks.
+    /// Sends a request about a job to one controller, independent of its user's own requests.
     pub(crate) fn ask(&mut self, job: &str, asked: Asked, n: usize) {
         let Some(user) = self.users.get_mut(job) else { return };
         user.wants_abort |= asked == Asked::Abort;
@@ -120,7 +125,7 @@
         }
     }
 
-    /// A task has completed; its job may have ended with it.
+    /// Reacts to the completion of a task if it completes the job.
     pub(crate) fn task_ended(&mut self, task: &str) {
         let job = job_of(task).to_string();
         let Some(user) = self.users.get(&job) else { return };
@@ -136,13 +141,14 @@
         self.look_closely(&job, Moment::Ended);
     }
 
-    /// Asks some node in a moment.
+    /// Sends a request about a job to a random controller after a pause.
     fn ask_some(&mut self, job: &str, asked: Asked, pause: u64) {
         let n = self.rng.usize(0..self.nodes.len());
         self.after(pause, ScheduledEvent::Ask(job.into(), asked, n));
     }
 
-    /// Users ask at all nodes, again and again, and repeat the submission.
+    /// Queries all controllers about a job several times and repeats its submission, if that is
+    /// switched on. A quarter of the jobs that were just accepted are cancelled.
     pub(crate) fn look_closely(&mut self, job: &str, moment: Moment) {
         if self.one_way_faults.close_looks.is_empty() {
             return;
@@ -161,7 +167,8 @@
         }
     }
 
-    /// Jobs that run and have long to go are called off within a fifth of a second.
+    /// Cancels up to `count` running jobs with at least [`LONG`] to go, within 200 ms. Some of
+    /// their machines hang for `hangs` microseconds.
     pub(crate) fn cancel_now(&mut self, count: usize, hangs: Option<u64>) {
         let mut running: Vec<(String, String)> = vec![];
         for worker in self.workers.values().filter(|w| w.up) {
@@ -191,8 +198,8 @@
         }
     }
 
-    /// Repeats an unfinished job's submission, cancels one that is done, submits one that
-    /// can't be accepted and asks about it.
+    /// Repeats the submission of an unfinished job, cancels a job that is done, and submits,
+    /// polls and cancels a job that must be refused. Repeats itself four times a second.
     pub(crate) fn odd_requests(&mut self, step: usize) {
         if !self.one_way_faults.odd_requests.contains(&step) {
             return;
@@ -202,7 +209,7 @@
             (!jobs.is_empty()).then(|| jobs[self.rng.usize(0..jobs.len())].clone())
         };
         let unfinished = pick(|u| u.accepted.is_some() && u.done.is_none() && u.cancelled.is_none());
-        // Its user knows that it is done, so that this cancels nothing.
+        // The job's user has been informed that it is done, so the request cancels nothing.
         let done = pick(|u| u.done.is_some());
         if let Some(job) = unfinished {
             self.ask_some(&job, Asked::Submit, 0);
@@ -233,7 +240,8 @@
         }
     }
 
-    /// A submission that fits no machine, is over a limit, of nobody's team, or lacks a field.
+    /// Returns a submission that fits no machine, names an unknown machine type or team, or lacks
+    /// a field.
     fn odd_submission(&mut self, job: &str, number: u64) -> Vec<u8> {
         let mut spec = JobSpec {
             team: self.script.base.params.teams[0].name.clone(),
@@ -244,7 +252,8 @@
             1 => spec.types = Some(vec!["no such type".into()]),
             2 => spec.team = "no such team".into(),
             3 => {
-                // Of a team without a limit, each task fits no machine.
+                // The size refuses the job also where its team has no limit: no machine has
+                // enough memory for a task.
                 spec.shape = Shape::Service;
                 spec.tasks = 100_000;
                 spec.memory = 1e6;
--- a/tests/sim/cloud.rs
+++ b/tests/sim/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud among simulated hosts.
+//! The simulated cloud: machines that are rented, boot and are released.
 
 use super::agents::Worker;
 use super::{ScheduledEvent, World, SEC};
@@ -7,6 +7,7 @@
 pub(crate) use glenhaven_fakes::cloud::{Cloud, Rental};
 
 impl World {
+    /// Creates a machine and schedules the end of its boot, unless the boot is to fail.
     fn create(&mut self, machine_type: &str, zone: &str, spot: bool) -> String {
         let (number, name) = self.cloud.create(self.now, machine_type, zone, spot);
         let t = self.cloud.machine_type(machine_type).cloned();
@@ -22,7 +23,7 @@
         name
     }
 
-    /// A machine that nobody asked for, as after a late rental request.
+    /// Creates a machine without a request, like a rental request that is executed late.
     pub(crate) fn ghost_machine(&mut self) {
         let Some(t) = self.cloud.catalogue().types.into_iter().next() else {
             return;
@@ -66,7 +67,7 @@
         self.cloud.rented_as(rent, names)
     }
 
-    /// The machine and everything on it is gone.
+    /// Removes a machine with all its tasks.
     pub(crate) fn machine_dies(&mut self, name: &str) {
         self.cloud.terminate(self.now, name);
         if let Some(w) = self.workers.get_mut(name) {
--- a/tests/sim/fairness.rs
+++ b/tests/sim/fairness.rs
@@ -1,16 +1,18 @@
-//! Whether any class, team or the largest jobs of a class were served less than half, and
-//! whether the largest began in time. Worked out from what machines did and users asked.
+//! The fairness check of a finished run: at least half of the jobs of each class, of each team and
+//! of the largest of each class were served, and the largest jobs began in time. The check uses
+//! submissions and the starts on machines only.
 
 use super::users::User;
 use super::{World, SEC};
 use std::collections::BTreeMap;
 
-/// A job counts if it had so long, from when it could begin to the end of the play.
+/// Least time between the moment at which a job could begin and the end of the run for the job to
+/// count as served or not.
 const TIME: u64 = 60 * SEC;
-/// The largest jobs of a class begin within this.
+/// Limit for the start of the largest jobs of a class, from the moment at which they could begin.
 const LARGEST_BEGIN: u64 = 240 * SEC;
 
-/// When a job could begin: accepted, and all it needs done.
+/// Returns when a job could begin: after its acceptance and the end of all its dependencies.
 fn from(world: &World, user: &User) -> Option<u64> {
     let mut from = user.accepted?;
     for need in &user.spec.needs {
@@ -19,7 +21,7 @@
     Some(from)
 }
 
-/// What is wrong with the shares of a play that is over.
+/// Returns the violations in a finished run.
 pub(crate) fn below_half(world: &World) -> Vec<String> {
     let mut shares: BTreeMap<String, (usize, usize)> = BTreeMap::new();
     let mut wrong = vec![];
--- a/tests/sim/lease_renewal.rs
+++ b/tests/sim/lease_renewal.rs
@@ -1,5 +1,5 @@
-//! Whether an answer may renew a worker's lease: what the other controllers say while the state
-//! service answers nobody, and starts of cancelled jobs that may still be on their way.
+//! Tests of whether an answer may renew a worker's lease: attestations of the other controllers
+//! while the state service is unreachable, and starts of cancelled jobs that may be in flight.
 
 use super::process_restarts::{at, cluster, life, place};
 use super::script::Script;
@@ -20,8 +20,8 @@
     super::process_restarts::heartbeat(sequence, tasks.iter().map(running).collect())
 }
 
-/// A leader's word for a question counts from all others, for this very question, and as long
-/// as none knows a later term.
+/// A round is complete with attestations for that round from all other controllers, none of
+/// which has seen a later term.
 #[test]
 fn only_attestations_of_all_others_for_this_round_count() {
     let settings = Script::parse("nodes a b a").unwrap().settings().remove(0);
@@ -49,8 +49,8 @@
     assert!(!attestations.on_answer(&election, "node-1", 8, 0));
 }
 
-/// What this life of a process was told is all it can say: asked from before it began, it is
-/// silent, since an earlier life may have confirmed more.
+/// A process attests only what it has seen since its start. It doesn't answer a request that
+/// reaches further back, because the process before it may have confirmed more cancellations.
 #[test]
 fn a_restarted_process_attests_nothing_for_its_earlier_incarnations() {
     let mut controller = life(3);
@@ -72,12 +72,12 @@
         };
         effects.iter().filter(|e| word(e)).count()
     };
-    // It read the term's keys at revision 9.
+    // The process read the term's keys at revision 9.
     assert_eq!(answers(8, 100), 0);
     assert_eq!(answers(9, 120), 1);
 }
 
-/// A leader of term 1 whose cancelled job's start was sent and never seen.
+/// Returns a leader of term 1 that has sent a start which no report has confirmed yet.
 fn flying() -> LeaderState {
     let mut leader = LeaderState::new(1, 1, at(0));
     leader.apply_heartbeat(&cluster(), &heartbeat(1, &[]), None, at(10), at(10));
@@ -109,14 +109,15 @@
     leader.cancel("run-000001", at(1000));
     leader.update_unsettled_machines(at(5000));
     assert!(!lapses(&leader, 5000, &[]), "there is time to raise the term");
-    // 40 s after the cancellation, at the latest, nothing may begin: 10 s of lease before.
+    // From 40 s after the cancellation on no task may begin, so the 10 s lease may not be
+    // renewed after 30 s.
     assert!(lapses(&leader, 31_000, &[]));
     assert!(!lapses(&leader, 31_000, &["run-000001/0"]), "it is there, and stopped");
     leader.term_raised(2);
     assert!(!lapses(&leader, 31_000, &[]), "the answer's fence refuses it");
 }
 
-/// A token that nobody gave out proves nothing.
+/// A report with a token that was never issued does not void a placement.
 #[test]
 fn a_heartbeat_with_an_unissued_token_frees_nothing() {
     let cluster = cluster();
@@ -130,7 +131,7 @@
         leader.jobs["run-000001"].placements.contains_key(&0),
         "the start may be on its way"
     );
-    // With a higher term of its own, the same report is a proof.
+    // Once the leader itself has raised its term, such a report voids the placement.
     leader.term_raised(2);
     let real = Heartbeat {
         fencing_token: 2,
@@ -140,8 +141,7 @@
     assert!(!leader.jobs["run-000001"].placements.contains_key(&0));
 }
 
-/// A start that was held up on its way to the node that is to hand it on, until its job was
-/// cancelled, goes no further.
+/// A start that reaches the relaying controller after its job was cancelled is not forwarded.
 #[test]
 fn a_start_delayed_until_its_job_was_cancelled_is_not_forwarded() {
     let handed_on = |job: &str| {
--- a/tests/sim/outbox.rs
+++ b/tests/sim/outbox.rs
@@ -1,5 +1,5 @@
-//! Commands are built from the records when they leave: what was decided before is a reason, not
-//! a command.
+//! Tests of outgoing commands: they are built from the records when a message leaves. What was
+//! queued earlier is only a reason to look at a record, and sends nothing by itself.
 
 use super::process_restarts::{at, cluster, heartbeat, place};
 use glenhaven::coordination::agents::{parse_task, CommandReasons, SendContext};
@@ -9,7 +9,7 @@
 use glenhaven::protocol::agents::{AgentCommand, Cause, Heartbeat, TaskPhase, TaskStatus};
 use glenhaven::protocol::users::Phase;
 
-/// A leader of term 1 that has recorded a start for n-000001 and not sent it yet.
+/// Returns a leader of term 1 that has recorded a start for n-000001 but not sent it.
 fn recorded() -> LeaderState {
     let mut leader = LeaderState::new(1, 1, at(0));
     leader.apply_heartbeat(&cluster(), &heartbeat(1, vec![]), None, at(10), at(10));
@@ -20,7 +20,7 @@
     leader
 }
 
-/// What a direct message that leaves now under this token holds.
+/// Returns the commands of a push that leaves now with this fencing token.
 fn leaves(leader: &mut LeaderState, fencing_token: u64, api: &JobApi) -> Vec<AgentCommand> {
     let name: MachineId = "n-000001".into();
     let reasons: CommandReasons = leader.machines[&name].outbox.reasons.clone();
@@ -47,8 +47,8 @@
     leader.jobs["run-000001"].placements.contains_key(&0)
 }
 
-/// A record for which nothing was sent is not proven void by a report with a higher token: its
-/// start leaves under the new token, and the record says so.
+/// A report with a higher token does not void a placement whose start was never sent: the start
+/// leaves with the new token, and the placement records that token.
 #[test]
 fn a_start_that_was_not_sent_outlives_a_raise_of_the_term() {
     let mut leader = recorded();
@@ -58,7 +58,7 @@
     // Counted as free, its cores would let the team start more than its limit allows.
     assert_eq!(leader.jobs["run-000001"].held_tasks, 1);
     assert_eq!(leaves(&mut leader, 2, &JobApi::new("node-0")).len(), 1);
-    // The next report was sent before that start arrived, and proves nothing of it.
+    // The next report may have been sent before that start arrived, so it proves nothing.
     leader.apply_heartbeat(&cluster(), &fenced(3, 2), None, at(600), at(600));
     assert!(is_placed(&leader), "the start under token 2 may be on its way");
     leader.term_raised(3);
@@ -66,7 +66,7 @@
     assert!(!is_placed(&leader), "it is refused from here on");
 }
 
-/// A queued start whose record was freed, and one of a stopped or cancelled job, don't exist.
+/// A queued start is not sent if its record was freed or its task was stopped or its job cancelled.
 #[test]
 fn a_start_whose_reason_has_lapsed_is_not_sent() {
     let api = JobApi::new("node-0");
@@ -83,14 +83,14 @@
     cancelled.cancel("run-000001", at(100));
     assert!(leaves(&mut cancelled, 1, &api).is_empty());
 
-    // Confirmed by this controller itself; the records have yet to hear of it.
+    // This controller has confirmed the cancellation; the leader's records don't have it yet.
     let mut confirmed = recorded();
     let mut api = JobApi::new("node-0");
     api.learn("run-000001", 9, Phase::Cancelled);
     assert!(leaves(&mut confirmed, 1, &api).is_empty());
 }
 
-/// Nothing starts on a machine that is given up, nor in a session that is over.
+/// No start is sent to a machine that is being released, or for a session that has ended.
 #[test]
 fn a_start_for_a_releasing_or_restarted_machine_is_not_sent() {
     let api = JobApi::new("node-0");
@@ -108,7 +108,7 @@
     assert!(leaves(&mut renewed, 1, &api).is_empty());
 }
 
-/// An attempt that ended and a later one of the same task are told apart, however they are listed.
+/// An exited attempt and a later one of the same task are kept apart, in either order in a report.
 #[test]
 fn attempts_at_one_task_are_distinguished() {
     let listed = |attempt: u64, phase: TaskPhase| TaskStatus {
@@ -150,7 +150,7 @@
     }
 }
 
-/// A record is freed only by a proof that covers it; what a caller names in vain changes nothing.
+/// A placement is freed only by a proof that covers it; any other proof changes nothing.
 #[test]
 fn a_record_stays_without_a_proof_that_covers_it() {
     let id = "run-000001".into();
@@ -174,8 +174,9 @@
     assert!(!is_placed(&sent));
 }
 
-/// A record that was found in the log may have been freed by the leader that made it, before that
-/// was written: its start does not leave again, and a report under the present token voids it.
+/// The leader that made a placement may have freed it without having written that to the log.
+/// A later leader that restores the placement doesn't send its start again, and a report with the
+/// current token voids it.
 #[test]
 fn an_inherited_start_is_not_sent_again() {
     let mut leader = recorded();
--- a/tests/sim/process_restarts.rs
+++ b/tests/sim/process_restarts.rs
@@ -1,5 +1,5 @@
-//! A process that ends is back within a fraction of a second, while answers to what its
-//! earlier life asked are still on their way.
+//! Tests of a process that restarts within a fraction of a second, while answers to requests of
+//! the previous process are still in flight; and the fixtures of the tests of single controllers.
 
 use super::script::Script;
 use glenhaven::coordination::agents::{CommandReasons, SendContext};
@@ -16,7 +16,7 @@
     Micros::from_millis(86_400_000 + ms)
 }
 
-/// A life of a node that knows node-1 to lead and reaches it.
+/// Returns a new process of node-0 that has learned that node-1 leads and can reach it.
 pub(super) fn life(seed: u64) -> Controller {
     let settings = Script::parse("nodes a a").unwrap().settings().remove(0);
     let mut controller = Controller::new(settings, seed, at(0));
@@ -64,7 +64,7 @@
     controller
 }
 
-/// Has a worker report; the number under which the report is passed on to the leader.
+/// Delivers a worker's report, and returns the ID under which it is forwarded to the leader.
 fn passes_on(controller: &mut Controller, machine: &str) -> u64 {
     let heartbeat = Heartbeat {
         machine: machine.into(),
@@ -89,6 +89,8 @@
     passed.expect("the report is passed on")
 }
 
+/// Delivers the leader's response to the forwarded report, and returns the number of answers that
+/// are sent to workers.
 fn answers(controller: &mut Controller, id: u64) -> usize {
     let commands = HeartbeatResponse {
         fencing_token: 3,
@@ -114,7 +116,7 @@
     }
 }
 
-/// What every part of a controller looks at.
+/// Returns the configuration of a cluster of two controllers.
 pub(super) fn cluster() -> ClusterConfig {
     let settings = Script::parse("nodes a a").unwrap().settings().remove(0);
     ClusterConfig {
@@ -125,7 +127,7 @@
     }
 }
 
-/// What n-000001 reports in its first session.
+/// Returns a report of n-000001 in its first session.
 pub(super) fn heartbeat(sequence: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
     Heartbeat {
         machine: "n-000001".into(),
@@ -141,7 +143,7 @@
     }
 }
 
-/// Has a leader that knows n-000001 in its first session take `run-000001/0` for started there.
+/// Adds a placement of `run-000001/0` on n-000001, in its first session, whose start was sent.
 pub(super) fn place(leader: &mut LeaderState, since: Micros) {
     let mut job = Job::new("run-000001", super::script::plain_spec("run-000001"), 5, 0, since);
     job.waiting.clear();
@@ -167,9 +169,9 @@
     leader.jobs.insert(job.id.clone(), job);
 }
 
-/// A start goes straight to the worker and, by a report that left before, in the answer to
-/// it. While that answer may be on its way, the attempt is not forgotten: forgotten, it
-/// would run again when the answer comes, beside its next attempt.
+/// A start is pushed to the worker, and is also part of the answer to a report that left before
+/// the push arrived. The worker isn't ordered to forget the attempt while that answer may be in
+/// flight: otherwise the answer would start the attempt again, next to the following one.
 #[test]
 fn a_start_in_an_answer_keeps_its_attempt_known() {
     use glenhaven::protocol::agents::{AgentCommand, Cause, TaskPhase};
@@ -209,7 +211,7 @@
             .filter(|o| matches!(o, AgentCommand::Forget { .. }))
             .count()
     };
-    // This report left before the command that starts the task arrived.
+    // This report left before the pushed start arrived.
     let due = leader.apply_heartbeat(&cluster, &heartbeat(2, None), None, at(30), at(30));
     assert_eq!(starts(&commands(&mut leader, due, 30)), 1);
     let running = heartbeat(3, Some((TaskPhase::Running, None)));
@@ -218,11 +220,11 @@
     let due = leader.apply_heartbeat_content(&cluster, &heartbeat(4, stopped()), None, at(60), at(60));
     let sent = commands(&mut leader, due, 60);
     assert_eq!(forgets(&sent), 0, "the answer to report 2 may still be on its way");
-    // A copy of an old report says nothing of that answer.
+    // A copy of an old report proves nothing about that answer.
     leader.apply_heartbeat(&cluster, &heartbeat(1, None), None, at(65), at(65));
     let due = leader.apply_heartbeat_content(&cluster, &heartbeat(5, stopped()), None, at(70), at(70));
     assert_eq!(forgets(&commands(&mut leader, due, 70)), 0);
-    // The worker's next report does.
+    // The worker's next report proves that the answer was received or dropped.
     let due = leader.apply_heartbeat(&cluster, &heartbeat(6, stopped()), None, at(500), at(500));
     assert_eq!(forgets(&commands(&mut leader, due, 500)), 1);
 }
--- a/tests/sim/state_service.rs
+++ b/tests/sim/state_service.rs
@@ -1,11 +1,11 @@
-//! The state service among simulated hosts: lost and late requests, and watches.
+//! The simulated state service: requests that are lost or executed late, and watches.
 
 use super::links::End;
 use super::{ScheduledEvent, World, MS, SEC};
 use glenhaven::coordination::Event;
 use glenhaven::protocol::store::{StoreRequest, StoreResponse};
 
-/// A watch that waits for news.
+/// A watch without an answer so far.
 pub(super) struct Watch {
     node: usize,
     life: u64,
@@ -40,7 +40,8 @@
         let hop = self.hop();
         let delay = self.state_delay(&request);
         let mut lost = false;
-        // What comes late was taken in long ago: it is executed whatever happens meanwhile.
+        // A late transaction was received before: it is executed regardless of rate limits and
+        // of the other faults, except an outage.
         let late = life == u64::MAX && matches!(request, StoreRequest::Transaction(_));
         let answer = if late && !self.store.out {
             self.store.answer(&request, now)
@@ -70,21 +71,21 @@
                 self.tell_watches();
                 return;
             } else if self.is_late_write(&request) {
-                // Its sender hears nothing, and newer ones are executed before it.
+                // The sender gets no answer, and newer transactions are executed first.
                 let late = 2 * SEC + self.rng.u64(0..10 * SEC);
                 self.after(late, ScheduledEvent::Store(n, u64::MAX, id, request));
                 return;
             } else if let (StoreRequest::Transaction(txn), Some(late)) =
                 (&request, self.active_faults.lose_txn.values().copied().next())
             {
-                // Unanswered; executed now, or later when the sender has
-                // long given up.
+                // The answer is lost. The transaction is executed now, or late, after its sender
+                // has timed out.
                 if !txn.changes.is_empty() {
                     lost = true;
                     if late > 0 && self.rng.bool() {
                         let _ = hop;
                         let request = StoreRequest::Transaction(txn.clone());
-                        // A life that never was: the answer reaches nobody.
+                        // No process has this life, so the answer is dropped.
                         self.after(late, ScheduledEvent::Store(n, u64::MAX, id, request));
                         return;
                     }
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Answers the watches that have news; an outage holds them.
+    /// Answers the watches with new events; during an outage they stay open.
     pub(crate) fn tell_watches(&mut self) {
         if self.store.out {
             return;
@@ -133,7 +134,7 @@
             return;
         };
         if self.store.out || self.deaf(w.node) {
-            // Open watches stay open.
+            // The watch stays open past its time limit.
             self.after(100 * MS, ScheduledEvent::WatchEnds(watch));
             return;
         }
--- a/tests/sim/stranded_jobs.rs
+++ b/tests/sim/stranded_jobs.rs
@@ -1,5 +1,5 @@
-//! Jobs left waiting, once all troubles are over, while a machine that fits has room and
-//! their team is under its limit. Worked out from machines and submissions alone.
+//! The check for stranded jobs: after all faults are over, no job may wait long while machines
+//! have room for it and its team is under its limit. The check uses machines and submissions only.
 
 use super::agents::Worker;
 use super::users::User;
@@ -8,21 +8,22 @@
 use glenhaven_fakes::user::job_of;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a job may wait like this.
+/// How long a job may wait although it could begin.
 const MOST: u64 = 90 * SEC;
 
 #[derive(Default)]
 pub(crate) struct Starving {
-    /// Since when a job has waited with room for it, all the time.
+    /// Since when each job has been waiting with room for it, without interruption.
     since: BTreeMap<String, u64>,
+    /// Jobs that have been reported.
     told: BTreeSet<String>,
 }
 
 /// Where the tasks of all jobs are.
 struct Places<'a> {
-    /// Of each job, how many of its tasks are in each zone.
+    /// The number of tasks by job and zone.
     by_job: BTreeMap<&'a str, BTreeMap<&'a str, u32>>,
-    /// What each team's tasks take.
+    /// The CPUs that each team's tasks occupy.
     by_team: BTreeMap<&'a str, f64>,
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// How many more tasks of this job a machine has room for.
+/// Returns how many more tasks of this job a machine has room for.
 fn room(world: &World, worker: &Worker, spec: &JobSpec) -> u32 {
     let usable = worker.up && world.now >= worker.hangs_until && worker.taken.is_none() && !worker.faulty;
     let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&worker.machine_type))
@@ -58,13 +59,13 @@
     ((cpus + 1e-9) / spec.cpus).min((memory + 1e-9) / spec.memory.max(1e-9)) as u32
 }
 
-/// How many tasks of a job have completed.
+/// Returns how many tasks of a job have completed.
 fn done(world: &World, job: &str) -> u32 {
     let all = world.results.range(format!("{job}/")..format!("{job}0"));
     all.count() as u32
 }
 
-/// Whether a job waits that could begin.
+/// Returns whether a job is accepted and unfinished, with all its dependencies completed.
 fn waits(world: &World, user: &User) -> bool {
     let need_done = |need: &String| {
         let needed = world.users.get(need);
@@ -74,7 +75,8 @@
     user.accepted.is_some() && !over && user.spec.needs.iter().all(need_done)
 }
 
-/// Whether the machines have room for what waits of this job, its zones and team allow it.
+/// Returns whether some of the job's waiting tasks could begin: within the limit of its team and
+/// its zone rules, and with room on the machines.
 fn could_begin(world: &World, places: &Places, spec: &JobSpec) -> bool {
     let none = BTreeMap::new();
     let zones = places.by_job.get(spec.id.as_str()).unwrap_or(&none);
@@ -83,7 +85,7 @@
     if waiting == 0 {
         return false;
     }
-    // A gang begins as a whole.
+    // All tasks of a gang begin together.
     let count = if spec.one_zone { waiting } else { 1 };
     let held = places.by_team.get(spec.team.as_str()).copied().unwrap_or(0.0);
     let limit = world.rules.limit(&spec.team);
@@ -103,7 +105,7 @@
 }
 
 impl World {
-    /// Once a second.
+    /// Reports jobs that are stranded; called once a second.
     pub(crate) fn look_for_starving(&mut self) {
         let mut starving = std::mem::take(&mut self.starving);
         starving.query(self);
@@ -141,7 +143,7 @@
     use super::super::script::Script;
     use super::*;
 
-    /// A job that nobody places although a machine has room for it.
+    /// A job is reported if it is not placed although a machine has room for it.
     #[test]
     fn a_stranded_job_is_reported() {
         let text =
