--- a/tests/sim/agents.rs
+++ b/tests/sim/agents.rs
@@ -44,7 +44,7 @@
     }
 
     /// Runs everything that a worker does by its own timers: lease, tasks and reports.
-    pub(crate) fn worker_wakes(&mut self, name: &str) {
+    pub(crate) fn run_worker(&mut self, name: &str) {
         let now = self.now;
         let (lease, nodes) = (self.script.lease(), self.nodes.len());
         let Some(w) = self.workers.get_mut(name) else { return };
@@ -96,7 +96,7 @@
             self.task_ended(&task);
         }
         for (task, attempt) in progress.started {
-            self.rules.broken.extend(self.answers.started(name, &task, attempt));
+            self.rules.broken.extend(self.answers.check_start(name, &task, attempt));
             self.rules.started(now, name, &task, &self.workers, &self.users);
             self.rules.started_in_order(&task, &self.users, &self.results);
         }
@@ -127,7 +127,7 @@
             Ok(commands) if w.accepts(commands.fencing_token, incarnation) => {
                 let executed = w.take_orders(now, sent, &commands, &self.users);
                 let carrier = Carrier::Answer(name.into(), rid);
-                self.note_executed(&carrier, name, &commands.commands, executed);
+                self.record_executed(&carrier, name, &commands.commands, executed);
             }
             Ok(_) => {}
             Err(other) => {
@@ -139,7 +139,7 @@
     }
 
     /// Records what a worker did with the commands that it received.
-    fn note_executed(&mut self, carrier: &Carrier, machine: &str, commands: &[AgentCommand], executed: Executed) {
+    fn record_executed(&mut self, carrier: &Carrier, machine: &str, commands: &[AgentCommand], executed: Executed) {
         self.rules.stops += executed.stops;
         for (task, _) in &executed.taken {
             self.rules.start_taken(self.now, task, &self.workers, &self.users);
@@ -151,11 +151,11 @@
         for (task, attempt) in executed.forgotten {
             self.answers.forgotten(machine, &task, attempt);
         }
-        self.answers.executed(carrier, machine, commands);
+        self.answers.commands_executed(carrier, machine, commands);
     }
 
     /// Times out a report: the worker reports to another controller next.
-    pub(crate) fn report_late(&mut self, name: &str, rid: u64) {
+    pub(crate) fn report_timed_out(&mut self, name: &str, rid: u64) {
         let nodes = self.nodes.len();
         let now = self.now;
         let Some(w) = self.workers.get_mut(name) else { return };
@@ -167,7 +167,7 @@
     }
 
     /// Delivers pushed commands to the machine at this address.
-    pub(crate) fn direct_request(&mut self, n: usize, life: u64, id: u64, addr: &str, body: &PushedCommands) {
+    pub(crate) fn deliver_pushed_commands(&mut self, n: usize, life: u64, id: u64, addr: &str, body: &PushedCommands) {
         let now = self.now;
         let Some(name) = self
             .workers
@@ -209,7 +209,7 @@
         };
         if let Some(executed) = executed {
             let carrier = Carrier::PushedCommands((n, life), id);
-            self.note_executed(&carrier, &name, &body.commands, executed);
+            self.record_executed(&carrier, &name, &body.commands, executed);
         }
         let hop = self.hop();
         if self.passes(&self.zone_end(&name), &super::links::End::Node(n)) {
--- a/tests/sim/answers.rs
+++ b/tests/sim/answers.rs
@@ -42,7 +42,7 @@
 
 /// What the users of a job have learned from answers.
 #[derive(Default)]
-struct Told {
+struct ReportedState {
     /// When the first answer left that implied acceptance.
     accepted: Option<u64>,
     /// When the first answer with a final phase left, and that phase.
@@ -51,7 +51,7 @@
 
 /// What the state service has stored of a job.
 #[derive(Default)]
-struct Stored {
+struct StoredState {
     /// When the first acceptance page that lists the job was written.
     accepted: Option<u64>,
     /// When a final phase was written under the job's own key.
@@ -60,7 +60,7 @@
 
 /// Time until every controller that the state service can reach has learned of a confirmed
 /// cancellation. A start that left within this time was already on its way.
-const NEWS: u64 = 100 * MS;
+const CANCELLATION_PROPAGATION: u64 = 100 * MS;
 
 /// One run of a controller's process: the controller's index and the number of its starts.
 pub(super) type Life = (usize, u64);
@@ -86,12 +86,12 @@
 pub(crate) struct Answers {
     teams: Vec<Team>,
     types: Vec<MachineType>,
-    told: BTreeMap<String, Told>,
-    stored: BTreeMap<String, Stored>,
+    reported: BTreeMap<String, ReportedState>,
+    stored: BTreeMap<String, StoredState>,
     /// When each controller first reported a job as cancelled.
-    said: BTreeMap<(Life, String), u64>,
+    reported_cancelled: BTreeMap<(Life, String), u64>,
     /// Sender and departure time of the messages with starts that are in flight.
-    leaving: BTreeMap<Carrier, (Life, u64)>,
+    in_flight: BTreeMap<Carrier, (Life, u64)>,
     /// Sender and departure time of the start that put a task's attempt on a machine, by machine,
     /// task and attempt.
     commanded: BTreeMap<(String, String, u64), (Life, u64)>,
@@ -102,17 +102,17 @@
         Answers {
             teams: script.base.params.teams.clone(),
             types: script.types.clone(),
-            told: BTreeMap::new(),
+            reported: BTreeMap::new(),
             stored: BTreeMap::new(),
-            said: BTreeMap::new(),
-            leaving: BTreeMap::new(),
+            reported_cancelled: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             commanded: BTreeMap::new(),
         }
     }
 
     /// Records a job that was accepted before the run.
     pub(crate) fn inherited(&mut self, job: &str) {
-        self.told.entry(job.into()).or_default().accepted = Some(0);
+        self.reported.entry(job.into()).or_default().accepted = Some(0);
     }
 
     /// Records changes that the state service has committed.
@@ -135,26 +135,29 @@
     }
 
     /// Records the starts among commands that leave a controller.
-    pub(crate) fn leaves(&mut self, from: Life, carrier: Carrier, commands: &[AgentCommand], now: u64) {
-        if commands.iter().any(|order| matches!(order, AgentCommand::Start { .. })) {
-            self.leaving.insert(carrier, (from, now));
+    pub(crate) fn commands_sent(&mut self, from: Life, carrier: Carrier, commands: &[AgentCommand], now: u64) {
+        if commands
+            .iter()
+            .any(|command| matches!(command, AgentCommand::Start { .. }))
+        {
+            self.in_flight.insert(carrier, (from, now));
         }
     }
 
     /// Records that a controller reports a job as cancelled.
-    pub(crate) fn says(&mut self, from: Life, state: &JobState, now: u64) {
+    pub(crate) fn state_sent(&mut self, from: Life, state: &JobState, now: u64) {
         if state.phase == Phase::Cancelled {
-            self.said.entry((from, state.id.clone())).or_insert(now);
+            self.reported_cancelled.entry((from, state.id.clone())).or_insert(now);
         }
     }
 
     /// Records the starts among commands that a worker executes.
-    pub(crate) fn executed(&mut self, carrier: &Carrier, machine: &str, commands: &[AgentCommand]) {
-        let Some(left) = self.leaving.remove(carrier) else {
+    pub(crate) fn commands_executed(&mut self, carrier: &Carrier, machine: &str, commands: &[AgentCommand]) {
+        let Some(left) = self.in_flight.remove(carrier) else {
             return;
         };
-        for order in commands {
-            if let AgentCommand::Start { task, attempt } = order {
+        for command in commands {
+            if let AgentCommand::Start { task, attempt } = command {
                 let start = (machine.to_string(), task.clone(), *attempt);
                 self.commanded.entry(start).or_insert(left);
             }
@@ -172,17 +175,20 @@
     }
 
     /// Returns what is wrong with a task that begins on a machine, if anything: its start left a
-    /// controller that had already reported the job as cancelled, or left more than [`NEWS`]
-    /// after any controller had confirmed the cancellation.
-    pub(crate) fn started(&self, machine: &str, task: &str, attempt: u64) -> Option<String> {
+    /// controller that had already reported the job as cancelled, or left more than
+    /// [`CANCELLATION_PROPAGATION`] after any controller had confirmed the cancellation.
+    pub(crate) fn check_start(&self, machine: &str, task: &str, attempt: u64) -> Option<String> {
         let (from, left) = *self.commanded.get(&(machine.into(), task.into(), attempt))?;
         let job = task.rsplit_once('/')?.0;
-        let told = self.told.get(job).and_then(|told| told.ended);
-        let late = matches!(told, Some((at, Phase::Cancelled)) if left > at + NEWS);
-        let knew = self.said.get(&(from, job.into())).is_some_and(|at| *at < left);
-        (late || knew).then(|| {
+        let told = self.reported.get(job).and_then(|told| told.ended);
+        let late = matches!(told, Some((at, Phase::Cancelled)) if left > at + CANCELLATION_PROPAGATION);
+        let was_reported = self
+            .reported_cancelled
+            .get(&(from, job.into()))
+            .is_some_and(|at| *at < left);
+        (late || was_reported).then(|| {
             let told = told.map(|told| told.0);
-            format!("started_cancelled: {task} on {machine}, commanded by {from:?} at {left}, cancelled at {told:?}, knew: {knew}")
+            format!("started_cancelled: {task} on {machine}, commanded by {from:?} at {left}, cancelled at {told:?}, knew: {was_reported}")
         })
     }
 
@@ -210,14 +216,14 @@
 
     /// Records an answer about a job, and returns how it contradicts earlier answers or what the
     /// state service held.
-    pub(crate) fn heard(&mut self, job: &str, answer: &Answer) -> Option<String> {
+    pub(crate) fn check_answer(&mut self, job: &str, answer: &Answer) -> Option<String> {
         let stale = self.is_stale(job, answer);
-        let told = self.told.entry(job.into()).or_default();
+        let reported = self.reported.entry(job.into()).or_default();
         let before = |at: u64| at < answer.asked;
         let wrong = match (answer.status, answer.phase) {
             (200 | 201, Some(phase)) => {
-                told.accepted.get_or_insert(answer.left);
-                match told.ended {
+                reported.accepted.get_or_insert(answer.left);
+                match reported.ended {
                     Some((_, first)) if phase.is_final() && phase != first => {
                         Some(format!("went_back: {job} was {first:?}, now {phase:?}"))
                     }
@@ -225,14 +231,14 @@
                         Some(format!("went_back: {job} was {first:?} since {at}, now {phase:?}"))
                     }
                     None if phase.is_final() => {
-                        told.ended = Some((answer.left, phase));
+                        reported.ended = Some((answer.left, phase));
                         None
                     }
                     _ => None,
                 }
             }
-            (404, _) if told.accepted.is_some_and(before) => Some(format!("forgotten: {job} answered 404")),
-            (400 | 422, _) if told.accepted.is_some_and(before) => {
+            (404, _) if reported.accepted.is_some_and(before) => Some(format!("forgotten: {job} answered 404")),
+            (400 | 422, _) if reported.accepted.is_some_and(before) => {
                 Some(format!("forgotten: {job} answered {}", answer.status))
             }
             _ => None,
@@ -243,7 +249,7 @@
     }
 
     /// Returns why a submission that has just been accepted must not be, if there is a reason.
-    pub(crate) fn accepted(&self, body: &[u8]) -> Option<String> {
+    pub(crate) fn check_acceptance(&self, body: &[u8]) -> Option<String> {
         let Ok(fields) = from_cbor::<BTreeMap<String, ciborium::Value>>(body) else {
             return Some("accepted, though it is no map".into());
         };
@@ -293,31 +299,31 @@
         Answers::new(&Script::parse("team blue max=8").unwrap())
     }
 
-    fn heard(answers: &mut Answers, asked: u64, left: u64, status: u16, phase: Option<Phase>) -> bool {
+    fn contradicts(answers: &mut Answers, asked: u64, left: u64, status: u16, phase: Option<Phase>) -> bool {
         let answer = Answer {
             asked,
             left,
             status,
             phase,
         };
-        answers.heard(JOB, &answer).is_some()
+        answers.check_answer(JOB, &answer).is_some()
     }
 
     #[test]
     fn an_older_answer_is_reported() {
         let mut a = answers();
-        assert!(!heard(&mut a, 1, 2, 404, None), "nobody accepted it");
-        assert!(!heard(&mut a, 1, 10, 201, Some(Phase::Pending)));
-        assert!(!heard(&mut a, 9, 11, 404, None), "asked before it was accepted");
-        assert!(heard(&mut a, 11, 12, 404, None));
-        assert!(heard(&mut a, 11, 12, 422, None));
-        assert!(!heard(&mut a, 12, 20, 200, Some(Phase::Cancelled)));
+        assert!(!contradicts(&mut a, 1, 2, 404, None), "nobody accepted it");
+        assert!(!contradicts(&mut a, 1, 10, 201, Some(Phase::Pending)));
+        assert!(!contradicts(&mut a, 9, 11, 404, None), "asked before it was accepted");
+        assert!(contradicts(&mut a, 11, 12, 404, None));
+        assert!(contradicts(&mut a, 11, 12, 422, None));
+        assert!(!contradicts(&mut a, 12, 20, 200, Some(Phase::Cancelled)));
         assert!(
-            !heard(&mut a, 19, 21, 200, Some(Phase::Running)),
+            !contradicts(&mut a, 19, 21, 200, Some(Phase::Running)),
             "asked before the end"
         );
-        assert!(heard(&mut a, 21, 22, 200, Some(Phase::Running)));
-        assert!(heard(&mut a, 19, 22, 200, Some(Phase::Done)), "two ends");
+        assert!(contradicts(&mut a, 21, 22, 200, Some(Phase::Running)));
+        assert!(contradicts(&mut a, 19, 22, 200, Some(Phase::Done)), "two ends");
     }
 
     #[test]
@@ -332,21 +338,30 @@
             jobs: vec![plain_spec(JOB)],
         };
         a.written(&[put(keys::accepted("node-0", 0), to_value(&page))], 5);
-        assert!(!heard(&mut a, 4, 9, 404, None), "asked before the page was written");
-        assert!(heard(&mut a, 6, 9, 404, None), "no user was told, and it was accepted");
-        assert!(heard(&mut a, 6, 9, 422, None));
+        assert!(
+            !contradicts(&mut a, 4, 9, 404, None),
+            "asked before the page was written"
+        );
+        assert!(
+            contradicts(&mut a, 6, 9, 404, None),
+            "no user was told, and it was accepted"
+        );
+        assert!(contradicts(&mut a, 6, 9, 422, None));
         let over = JobValue {
             phase: Phase::Cancelled,
             spec: None,
         };
         a.written(&[put(keys::job(JOB), to_value(&over))], 10);
-        assert!(!heard(&mut a, 9, 14, 201, Some(Phase::Pending)), "asked before the end");
         assert!(
-            heard(&mut a, 11, 14, 201, Some(Phase::Pending)),
+            !contradicts(&mut a, 9, 14, 201, Some(Phase::Pending)),
+            "asked before the end"
+        );
+        assert!(
+            contradicts(&mut a, 11, 14, 201, Some(Phase::Pending)),
             "no user was told of the end"
         );
-        assert!(heard(&mut a, 11, 14, 200, Some(Phase::Running)));
-        assert!(!heard(&mut a, 11, 14, 200, Some(Phase::Cancelled)));
+        assert!(contradicts(&mut a, 11, 14, 200, Some(Phase::Running)));
+        assert!(!contradicts(&mut a, 11, 14, 200, Some(Phase::Cancelled)));
     }
 
     #[test]
@@ -362,15 +377,24 @@
             running: None,
         };
         let mut a = answers();
-        heard(&mut a, 1, 10, 200, Some(Phase::Cancelled));
-        a.says((0, 1), &cancelled, 10);
-        let starts = [(0, 9, false), (0, 11, true), (1, 11, false), (1, 11 + NEWS, true)];
+        contradicts(&mut a, 1, 10, 200, Some(Phase::Cancelled));
+        a.state_sent((0, 1), &cancelled, 10);
+        let starts = [
+            (0, 9, false),
+            (0, 11, true),
+            (1, 11, false),
+            (1, 11 + CANCELLATION_PROPAGATION, true),
+        ];
         for (attempt, (node, left, wrong)) in starts.into_iter().enumerate() {
             let attempt = attempt as u64;
             let carrier = || Carrier::PushedCommands((node, 1), attempt);
-            a.leaves((node, 1), carrier(), &[start(attempt)], left);
-            a.executed(&carrier(), "n-1", &[start(attempt)]);
-            assert_eq!(a.started("n-1", "run-000001/0", attempt).is_some(), wrong, "{attempt}");
+            a.commands_sent((node, 1), carrier(), &[start(attempt)], left);
+            a.commands_executed(&carrier(), "n-1", &[start(attempt)]);
+            assert_eq!(
+                a.check_start("n-1", "run-000001/0", attempt).is_some(),
+                wrong,
+                "{attempt}"
+            );
         }
     }
 
@@ -382,11 +406,11 @@
             tasks: 3,
             ..plain_spec(JOB)
         };
-        assert_eq!(a.accepted(&to_cbor(&good)), None);
+        assert_eq!(a.check_acceptance(&to_cbor(&good)), None);
         let change = |change: fn(&mut JobSpec)| {
             let mut spec = good.clone();
             change(&mut spec);
-            a.accepted(&to_cbor(&spec))
+            a.check_acceptance(&to_cbor(&spec))
         };
         let changes: [fn(&mut JobSpec); 6] = [
             |s| s.team = "green".into(),
@@ -402,8 +426,8 @@
         for field in REQUIRED {
             let mut fields: BTreeMap<String, ciborium::Value> = from_cbor(&to_cbor(&good)).unwrap();
             fields.remove(field);
-            assert!(a.accepted(&to_cbor(&fields)).is_some(), "{field}");
+            assert!(a.check_acceptance(&to_cbor(&fields)).is_some(), "{field}");
         }
-        assert!(a.accepted(b"\xff").is_some());
+        assert!(a.check_acceptance(b"\xff").is_some());
     }
 }
--- a/tests/sim/close_queries.rs
+++ b/tests/sim/close_queries.rs
@@ -17,13 +17,13 @@
 /// Delays after a change of a job, in microseconds, at which all controllers are queried about it.
 const QUERY_DELAYS: [u64; 4] = [0, 3 * MS, 12 * MS, 60 * MS];
 /// Largest number of machines that hang while jobs on them are cancelled.
-const MOST_HANG: usize = 8;
+const MAX_HUNG_MACHINES: usize = 8;
 /// Least remaining run time of a task whose job is cancelled.
-const LONG: u64 = 30 * SEC;
+const MIN_REMAINING: u64 = 30 * SEC;
 /// Time after which an answer is ignored.
-const WAIT: u64 = 5 * SEC;
+const ANSWER_TIMEOUT: u64 = 5 * SEC;
 /// Number of the first job that must be refused.
-const ODD_JOBS: u64 = 900_000;
+const FIRST_INVALID_JOB: u64 = 900_000;
 
 /// A request in addition to those that a user sends in turn.
 pub(super) struct Query {
@@ -31,27 +31,27 @@
     asked: Asked,
     sent: u64,
     /// The submission that must be refused, if the request is about one.
-    odd: Option<Vec<u8>>,
+    invalid: Option<Vec<u8>>,
 }
 
 /// The additional requests that are switched on, keyed by the index of the script's step that
 /// began them, and those in flight.
 #[derive(Default)]
-pub(crate) struct Troubles {
+pub(crate) struct CloseQueries {
     /// Each change of a job is followed by queries to all controllers.
     pub close_looks: BTreeSet<usize>,
     /// Share of the jobs that are cancelled as their last task completes.
     pub cancel_at_end: BTreeMap<usize, f64>,
     /// Invalid and repeated requests are sent regularly.
     pub odd_requests: BTreeSet<usize>,
-    odd_jobs: u64,
-    looks: BTreeMap<u64, Query>,
+    invalid_jobs: u64,
+    pending: BTreeMap<u64, Query>,
 }
 
-impl Troubles {
+impl CloseQueries {
     /// Returns the job that an unanswered request is about.
     pub(crate) fn job_of(&self, query: u64) -> Option<&str> {
-        self.looks.get(&query).map(|query| query.job.as_str())
+        self.pending.get(&query).map(|query| query.job.as_str())
     }
 
     pub(crate) fn heal(&mut self, step: usize) {
@@ -63,7 +63,7 @@
 
 /// A change of a job after which all controllers are queried about it.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum Moment {
+pub(crate) enum JobChange {
     Accepted,
     Ended,
     Cancelled,
@@ -81,14 +81,14 @@
                 job: job.into(),
                 asked,
                 sent: self.now,
-                odd: None,
+                invalid: None,
             },
             body,
         );
     }
 
     fn send(&mut self, n: usize, query: Query, body: Vec<u8>) {
-        if self.nodes[n].controller.is_none() || self.active_faults.cut_off(n, "users") {
+        if self.nodes[n].controller.is_none() || self.active_faults.is_cut_off(n, "users") {
             return;
         }
         let request = match query.asked {
@@ -97,27 +97,27 @@
             Asked::Abort => UserRequest::Abort(query.job.clone()),
         };
         let (id, number) = (self.id(), self.id());
-        self.one_way_faults.looks.insert(number, query);
+        self.one_way_faults.pending.insert(number, query);
         self.origins.insert(id, Origin::Query(number));
         let (hop, life) = (self.hop(), self.nodes[n].life);
         self.after(hop, ScheduledEvent::Event(n, life, Event::User { id, request }));
     }
 
-    pub(crate) fn look_answered(&mut self, number: u64, left: u64, answer: &Outgoing) {
-        let Some(query) = self.one_way_faults.looks.remove(&number) else {
+    pub(crate) fn query_answered(&mut self, number: u64, left: u64, answer: &Outgoing) {
+        let Some(query) = self.one_way_faults.pending.remove(&number) else {
             return;
         };
-        if self.now > query.sent + WAIT {
+        if self.now > query.sent + ANSWER_TIMEOUT {
             return;
         }
-        let Some(body) = &query.odd else {
-            self.heard(&query.job, query.asked, query.sent, left, answer);
+        let Some(body) = &query.invalid else {
+            self.record_job_answer(&query.job, query.asked, query.sent, left, answer);
             return;
         };
-        let told = from_cbor::<JobState>(&answer.body).is_ok();
+        let is_known = from_cbor::<JobState>(&answer.body).is_ok();
         match answer.status {
-            200 | 201 if query.asked == Asked::Submit => self.rules.broken.extend(self.answers.accepted(body)),
-            200 if told => self
+            200 | 201 if query.asked == Asked::Submit => self.rules.broken.extend(self.answers.check_acceptance(body)),
+            200 if is_known => self
                 .rules
                 .broken
                 .push(format!("invented: {} was refused, and is known", query.job)),
@@ -136,20 +136,20 @@
         let share = self.one_way_faults.cancel_at_end.values().copied().fold(0.0, f64::max);
         if share > 0.0 && self.rng.f64() < share {
             let pause = self.rng.u64(0..6 * MS);
-            self.ask_some(&job, Asked::Abort, pause);
+            self.ask_random_node(&job, Asked::Abort, pause);
         }
-        self.look_closely(&job, Moment::Ended);
+        self.query_all_nodes(&job, JobChange::Ended);
     }
 
     /// Sends a request about a job to a random controller after a pause.
-    fn ask_some(&mut self, job: &str, asked: Asked, pause: u64) {
+    fn ask_random_node(&mut self, job: &str, asked: Asked, pause: u64) {
         let n = self.rng.usize(0..self.nodes.len());
         self.after(pause, ScheduledEvent::Ask(job.into(), asked, n));
     }
 
     /// Queries all controllers about a job several times and repeats its submission, if that is
     /// switched on. A quarter of the jobs that were just accepted are cancelled.
-    pub(crate) fn look_closely(&mut self, job: &str, moment: Moment) {
+    pub(crate) fn query_all_nodes(&mut self, job: &str, change: JobChange) {
         if self.one_way_faults.close_looks.is_empty() {
             return;
         }
@@ -159,20 +159,20 @@
                 self.after(pause, ScheduledEvent::Ask(job.into(), Asked::Poll, n));
             }
             let pause = pause + self.rng.u64(0..5 * MS);
-            self.ask_some(job, Asked::Submit, pause);
+            self.ask_random_node(job, Asked::Submit, pause);
         }
-        if moment == Moment::Accepted && self.rng.u32(0..4) == 0 {
+        if change == JobChange::Accepted && self.rng.u32(0..4) == 0 {
             let pause = self.rng.u64(0..20 * MS);
-            self.ask_some(job, Asked::Abort, pause);
+            self.ask_random_node(job, Asked::Abort, pause);
         }
     }
 
-    /// Cancels up to `count` running jobs with at least [`LONG`] to go, within 200 ms. Some of
-    /// their machines hang for `hangs` microseconds.
+    /// Cancels up to `count` running jobs with at least [`MIN_REMAINING`] to go, within 200 ms.
+    /// Some of their machines hang for `hangs` microseconds.
     pub(crate) fn cancel_now(&mut self, count: usize, hangs: Option<u64>) {
         let mut running: Vec<(String, String)> = vec![];
         for worker in self.workers.values().filter(|w| w.up) {
-            for job in worker.long_to_go(self.now + LONG).map(job_of) {
+            for job in worker.long_to_go(self.now + MIN_REMAINING).map(job_of) {
                 running.push((job.into(), worker.name.clone()));
             }
         }
@@ -184,13 +184,13 @@
                 .users
                 .get(&job)
                 .is_some_and(|u| !u.wants_abort && u.accepted.is_some());
-            if wanted && jobs.len() < count && jobs.insert(job) && hang.len() < MOST_HANG {
+            if wanted && jobs.len() < count && jobs.insert(job) && hang.len() < MAX_HUNG_MACHINES {
                 hang.insert(machine);
             }
         }
         for job in jobs {
             let pause = self.rng.u64(0..SEC / 5);
-            self.ask_some(&job, Asked::Abort, pause);
+            self.ask_random_node(&job, Asked::Abort, pause);
         }
         let Some(hangs) = hangs else { return };
         for machine in hang {
@@ -212,17 +212,17 @@
         // The job's user has been informed that it is done, so the request cancels nothing.
         let done = pick(|u| u.done.is_some());
         if let Some(job) = unfinished {
-            self.ask_some(&job, Asked::Submit, 0);
+            self.ask_random_node(&job, Asked::Submit, 0);
         }
         if let Some(job) = done {
             let n = self.rng.usize(0..self.nodes.len());
             let query = self.query(&job, Asked::Abort, None);
             self.send(n, query, vec![]);
         }
-        self.one_way_faults.odd_jobs += 1;
-        let number = self.one_way_faults.odd_jobs;
-        let job = format!("run-{}", ODD_JOBS + number);
-        let body = self.odd_submission(&job, number);
+        self.one_way_faults.invalid_jobs += 1;
+        let number = self.one_way_faults.invalid_jobs;
+        let job = format!("run-{}", FIRST_INVALID_JOB + number);
+        let body = self.invalid_submission(&job, number);
         for asked in [Asked::Submit, Asked::Poll, Asked::Abort] {
             let n = self.rng.usize(0..self.nodes.len());
             let query = self.query(&job, asked, Some(body.clone()));
@@ -231,18 +231,18 @@
         self.after(SEC / 4, ScheduledEvent::OddRequests(step));
     }
 
-    fn query(&self, job: &str, asked: Asked, odd: Option<Vec<u8>>) -> Query {
+    fn query(&self, job: &str, asked: Asked, invalid: Option<Vec<u8>>) -> Query {
         Query {
             job: job.into(),
             asked,
             sent: self.now,
-            odd,
+            invalid,
         }
     }
 
     /// Returns a submission that fits no machine, names an unknown machine type or team, or lacks
     /// a field.
-    fn odd_submission(&mut self, job: &str, number: u64) -> Vec<u8> {
+    fn invalid_submission(&mut self, job: &str, number: u64) -> Vec<u8> {
         let mut spec = JobSpec {
             team: self.script.base.params.teams[0].name.clone(),
             ..plain_spec(job)
--- a/tests/sim/fairness.rs
+++ b/tests/sim/fairness.rs
@@ -8,17 +8,17 @@
 
 /// Least time between the moment at which a job could begin and the end of the run for the job to
 /// count as served or not.
-const TIME: u64 = 60 * SEC;
+const MIN_OPPORTUNITY: u64 = 60 * SEC;
 /// Limit for the start of the largest jobs of a class, from the moment at which they could begin.
-const LARGEST_BEGIN: u64 = 240 * SEC;
+const LARGEST_START_LIMIT: u64 = 240 * SEC;
 
 /// Returns when a job could begin: after its acceptance and the end of all its dependencies.
-fn from(world: &World, user: &User) -> Option<u64> {
-    let mut from = user.accepted?;
+fn startable_since(world: &World, user: &User) -> Option<u64> {
+    let mut since = user.accepted?;
     for need in &user.spec.needs {
-        from = from.max(world.users.get(need)?.done?);
+        since = since.max(world.users.get(need)?.done?);
     }
-    Some(from)
+    Some(since)
 }
 
 /// Returns the violations in a finished run.
@@ -35,7 +35,9 @@
         sizes.sort_by(f64::total_cmp);
     }
     for (id, user) in world.users.iter().filter(|(_, u)| counts(u)) {
-        let Some(from) = from(world, user) else { continue };
+        let Some(startable) = startable_since(world, user) else {
+            continue;
+        };
         let first = world.rules.first_start.get(&format!("{id}/0")).copied();
         let began = (0..user.spec.tasks)
             .filter_map(|t| world.rules.first_start.get(&format!("{id}/{t}")))
@@ -45,12 +47,15 @@
         let all = &sizes[user.spec.class.as_str()];
         let tenth = all[all.len() - all.len().div_ceil(10)];
         let largest = all.len() >= 10 && f64::from(user.spec.tasks) * user.spec.cpus >= tenth && tenth > all[0];
-        if largest && world.now > from + LARGEST_BEGIN && began.is_none_or(|at| at > from + LARGEST_BEGIN) {
+        if largest
+            && world.now > startable + LARGEST_START_LIMIT
+            && began.is_none_or(|at| at > startable + LARGEST_START_LIMIT)
+        {
             wrong.push(format!(
                 "one of the largest of its class, {id}, did not begin within four minutes"
             ));
         }
-        if world.now < from + TIME {
+        if world.now < startable + MIN_OPPORTUNITY {
             continue;
         }
         let served = user.done.is_some() || {
--- a/tests/sim/lease_renewal.rs
+++ b/tests/sim/lease_renewal.rs
@@ -1,7 +1,7 @@
 //! Tests of whether an answer may renew a worker's lease: attestations of the other controllers
 //! while the state service is unreachable, and starts of cancelled jobs that may be in flight.
 
-use super::process_restarts::{at, cluster, life, place};
+use super::process_restarts::{at, cluster, follower, place};
 use super::script::Script;
 use glenhaven::coordination::election::Election;
 use glenhaven::coordination::lease_renewal::CancellationAttestations;
@@ -53,15 +53,15 @@
 /// reaches further back, because the process before it may have confirmed more cancellations.
 #[test]
 fn a_restarted_process_attests_nothing_for_its_earlier_incarnations() {
-    let mut controller = life(3);
+    let mut controller = follower(3);
     let mut answers = |seen: u64, ms: u64| {
-        let question = PeerMessage::AttestationRequest {
+        let request = PeerMessage::AttestationRequest {
             node: "node-1".into(),
             round: 1,
             seen,
         };
-        let effects = controller.handle(at(ms), vec![Event::Peer(question)]);
-        let word = |e: &Effect| {
+        let effects = controller.handle(at(ms), vec![Event::Peer(request)]);
+        let is_attestation = |e: &Effect| {
             matches!(
                 e,
                 Effect::Peer {
@@ -70,7 +70,7 @@
                 }
             )
         };
-        effects.iter().filter(|e| word(e)).count()
+        effects.iter().filter(|e| is_attestation(e)).count()
     };
     // The process read the term's keys at revision 9.
     assert_eq!(answers(8, 100), 0);
@@ -78,7 +78,7 @@
 }
 
 /// Returns a leader of term 1 that has sent a start which no report has confirmed yet.
-fn flying() -> LeaderState {
+fn leader_with_unseen_start() -> LeaderState {
     let mut leader = LeaderState::new(1, 1, at(0));
     leader.apply_heartbeat(&cluster(), &heartbeat(1, &[]), None, at(10), at(10));
     place(&mut leader, at(20));
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_start_that_was_never_seen_raises_the_term_also_when_its_machine_is_not_heard() {
-    let mut leader = flying();
+    let mut leader = leader_with_unseen_start();
     leader.cancel("run-000001", at(1000));
     leader.update_unsettled_machines(at(3000));
     assert!(leader.new_term_reason.is_none(), "its next report may tell");
@@ -101,27 +101,30 @@
 #[test]
 fn a_lease_ends_in_time_where_a_cancelled_start_may_still_arrive() {
     let cluster = cluster();
-    let lapses = |leader: &LeaderState, ms: u64, tasks: &[&str]| {
+    let must_lapse = |leader: &LeaderState, ms: u64, tasks: &[&str]| {
         leader.must_let_lease_lapse(&cluster, &heartbeat(2, tasks), at(ms))
     };
-    let mut leader = flying();
+    let mut leader = leader_with_unseen_start();
     leader.cancellation_watermark = at(900);
     leader.cancel("run-000001", at(1000));
     leader.update_unsettled_machines(at(5000));
-    assert!(!lapses(&leader, 5000, &[]), "there is time to raise the term");
+    assert!(!must_lapse(&leader, 5000, &[]), "there is time to raise the term");
     // From 40 s after the cancellation on no task may begin, so the 10 s lease may not be
     // renewed after 30 s.
-    assert!(lapses(&leader, 31_000, &[]));
-    assert!(!lapses(&leader, 31_000, &["run-000001/0"]), "it is there, and stopped");
+    assert!(must_lapse(&leader, 31_000, &[]));
+    assert!(
+        !must_lapse(&leader, 31_000, &["run-000001/0"]),
+        "it is there, and stopped"
+    );
     leader.term_raised(2);
-    assert!(!lapses(&leader, 31_000, &[]), "the answer's fence refuses it");
+    assert!(!must_lapse(&leader, 31_000, &[]), "the answer's fence refuses it");
 }
 
 /// A report with a token that was never issued does not void a placement.
 #[test]
 fn a_heartbeat_with_an_unissued_token_frees_nothing() {
     let cluster = cluster();
-    let mut leader = flying();
+    let mut leader = leader_with_unseen_start();
     let forged = Heartbeat {
         fencing_token: 99,
         ..heartbeat(2, &[])
@@ -144,9 +147,9 @@
 /// A start that reaches the relaying controller after its job was cancelled is not forwarded.
 #[test]
 fn a_start_delayed_until_its_job_was_cancelled_is_not_forwarded() {
-    let handed_on = |job: &str| {
-        let mut controller = life(3);
-        let word = PeerMessage::Attestation {
+    let relay_outcome = |job: &str| {
+        let mut controller = follower(3);
+        let attestation = PeerMessage::Attestation {
             node: "node-1".into(),
             round: 1,
             term: 3,
@@ -166,9 +169,9 @@
                 commands: vec![start],
             },
         };
-        let effects = controller.handle(at(100), vec![Event::Peer(word), Event::Peer(relay)]);
+        let effects = controller.handle(at(100), vec![Event::Peer(attestation), Event::Peer(relay)]);
         let sent = effects.iter().any(|e| matches!(e, Effect::PushedCommands { .. }));
-        let told = |e: &Effect| {
+        let is_not_sent_answer = |e: &Effect| {
             let message = match e {
                 Effect::Peer { message, .. } => message,
                 _ => return false,
@@ -181,8 +184,8 @@
                 }
             )
         };
-        (sent, effects.iter().any(told))
+        (sent, effects.iter().any(is_not_sent_answer))
     };
-    assert_eq!(handed_on("run-000008"), (true, false));
-    assert_eq!(handed_on("run-000007"), (false, true));
+    assert_eq!(relay_outcome("run-000008"), (true, false));
+    assert_eq!(relay_outcome("run-000007"), (false, true));
 }
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -54,7 +54,7 @@
     User(String),
     /// The answer to a user's request: job, request number, time at which it left the controller.
     UserAnswer(String, u64, u64, Outgoing),
-    UserLate(String, u64),
+    UserTimeout(String, u64),
     /// A request about a job to one node, in addition to those that its user sends in turn.
     Ask(String, users::Asked, usize),
     /// The answer to such a request: its number, time at which it left the controller.
@@ -144,7 +144,7 @@
 
     /// Returns whether this controller is cut off from `state`, `cloud`, `users`, `workers` or
     /// `peers`.
-    pub(crate) fn cut_off(&self, n: usize, from: &str) -> bool {
+    pub(crate) fn is_cut_off(&self, n: usize, from: &str) -> bool {
         let inside = !["peers", "workers"].contains(&from);
         let off = |zone: &String| *zone == self.zone_of[n];
         (inside && self.zone_off.values().any(off))
@@ -172,8 +172,8 @@
     pub users: BTreeMap<String, users::User>,
     pub rules: rules::Rules,
     pub answers: answers::Answers,
-    pub starving: stranded_jobs::Starving,
-    pub one_way_faults: close_queries::Troubles,
+    pub stranded_jobs: stranded_jobs::StrandedJobs,
+    pub one_way_faults: close_queries::CloseQueries,
     pub script: script::Script,
     pub active_faults: ActiveFaults,
     /// Senders of the requests that controllers have yet to answer, by request ID.
@@ -228,8 +228,8 @@
             users: BTreeMap::new(),
             rules: rules::Rules::new(&script.base.params.teams, script.base.params.workers.cancel_s),
             answers: answers::Answers::new(&script),
-            starving: stranded_jobs::Starving::default(),
-            one_way_faults: close_queries::Troubles::default(),
+            stranded_jobs: stranded_jobs::StrandedJobs::default(),
+            one_way_faults: close_queries::CloseQueries::default(),
             active_faults: ActiveFaults {
                 zone_of,
                 ..ActiveFaults::default()
@@ -285,7 +285,7 @@
         let heartbeats = heartbeats.filter_map(|(name, w)| Some(ScheduledEvent::ReportLate(name.clone(), w.flying?.0)));
         let asked = self.users.iter().filter_map(|(job, u)| Some((job, u.asked_of(n)?)));
         let lost: Vec<ScheduledEvent> = heartbeats
-            .chain(asked.map(|(job, rid)| ScheduledEvent::UserLate(job.clone(), rid)))
+            .chain(asked.map(|(job, rid)| ScheduledEvent::UserTimeout(job.clone(), rid)))
             .collect();
         for ev in lost {
             let hop = self.hop();
@@ -316,7 +316,7 @@
             self.now = at;
             // While these events are processed, no task is added to a machine or removed from one
             // and no user receives an answer: their effects are scheduled as later events.
-            let within_controllers = matches!(
+            let changes_nothing_checked = matches!(
                 ev,
                 ScheduledEvent::Tick(..)
                     | ScheduledEvent::Event(..)
@@ -326,7 +326,7 @@
                     | ScheduledEvent::User(_)
             );
             self.event(ev);
-            if !within_controllers {
+            if !changes_nothing_checked {
                 self.rules.check(self.now, &self.workers, &self.users);
             }
         }
@@ -350,8 +350,10 @@
             ScheduledEvent::Store(n, life, id, request) => self.store_request(n, life, id, request),
             ScheduledEvent::WatchEnds(id) => self.watch_ends(id),
             ScheduledEvent::Cloud(n, life, id, request) => self.cloud_request(n, life, id, request),
-            ScheduledEvent::PushedCommands(n, life, id, addr, body) => self.direct_request(n, life, id, &addr, &body),
-            ScheduledEvent::Worker(name) => self.worker_wakes(&name),
+            ScheduledEvent::PushedCommands(n, life, id, addr, body) => {
+                self.deliver_pushed_commands(n, life, id, &addr, &body)
+            }
+            ScheduledEvent::Worker(name) => self.run_worker(&name),
             ScheduledEvent::Heartbeat(name, n, rid, mut heartbeat) => {
                 if rid == u64::MAX {
                     self.plant_copy(&mut heartbeat);
@@ -373,20 +375,20 @@
                 }
             }
             ScheduledEvent::ReportAnswer(name, rid, answer) => self.report_answered(&name, rid, answer),
-            ScheduledEvent::ReportLate(name, rid) => self.report_late(&name, rid),
+            ScheduledEvent::ReportLate(name, rid) => self.report_timed_out(&name, rid),
             ScheduledEvent::Boot(name) => self.boot(&name),
             ScheduledEvent::User(job) => self.user_acts(&job),
             ScheduledEvent::UserAnswer(job, rid, left, answer) => self.user_answered(&job, rid, left, answer),
-            ScheduledEvent::UserLate(job, rid) => self.user_late(&job, rid),
+            ScheduledEvent::UserTimeout(job, rid) => self.user_timed_out(&job, rid),
             ScheduledEvent::Ask(job, asked, n) => self.ask(&job, asked, n),
-            ScheduledEvent::QueryAnswer(number, left, answer) => self.look_answered(number, left, &answer),
+            ScheduledEvent::QueryAnswer(number, left, answer) => self.query_answered(number, left, &answer),
             ScheduledEvent::OddRequests(step) => self.odd_requests(step),
             ScheduledEvent::Step(i) => self.step(i),
             ScheduledEvent::Heal(i) => self.heal(i),
             ScheduledEvent::Throttle(i) => self.throttle(i),
             ScheduledEvent::Query => {
                 self.rules.check_services(self.now, &self.workers, &self.users);
-                self.look_for_starving();
+                self.check_stranded_jobs();
                 self.check_invariants();
                 self.after(SEC, ScheduledEvent::Query);
             }
@@ -413,7 +415,7 @@
             return false;
         };
         !self.active_faults.cut.values().any(|c| c.contains(machine))
-            && !self.active_faults.cut_off(n, "workers")
+            && !self.active_faults.is_cut_off(n, "workers")
             && self.zones_reach(&self.nodes[n].settings.zone, &w.zone)
     }
 
@@ -446,7 +448,7 @@
             }
         }
         for effect in effects {
-            self.note((n, life), &effect);
+            self.record_effect((n, life), &effect);
             let hop = self.hop();
             match effect {
                 Effect::Reply { id, answer } => match self.origins.remove(&id) {
@@ -459,7 +461,7 @@
                             self.after(hop + late, ScheduledEvent::ReportAnswer(name, rid, answer));
                         }
                     }
-                    Some(Origin::User(..) | Origin::Query(_)) if self.active_faults.cut_off(n, "users") => {}
+                    Some(Origin::User(..) | Origin::Query(_)) if self.active_faults.is_cut_off(n, "users") => {}
                     Some(Origin::Query(number)) => {
                         self.after(hop, ScheduledEvent::QueryAnswer(number, self.now, answer))
                     }
@@ -471,7 +473,8 @@
                 Effect::Store { id, request, timeout } => {
                     let answer = glenhaven::protocol::store::StoreResponse::Unknown;
                     self.after(timeout.0, ScheduledEvent::Event(n, life, Event::Store { id, answer }));
-                    if self.active_faults.cut_off(n, "state") || !self.passes(&links::End::Node(n), &links::End::State)
+                    if self.active_faults.is_cut_off(n, "state")
+                        || !self.passes(&links::End::Node(n), &links::End::State)
                     {
                         // The sender's timeout has expired when the transaction is delivered.
                         if self.script.held_packets && matches!(request, StoreRequest::Transaction(_)) {
@@ -484,7 +487,8 @@
                 Effect::Cloud { id, request, timeout } => {
                     let answer = glenhaven::coordination::CloudResponse::Unknown;
                     self.after(timeout.0, ScheduledEvent::Event(n, life, Event::Cloud { id, answer }));
-                    if self.active_faults.cut_off(n, "cloud") || !self.passes(&links::End::Node(n), &links::End::Cloud)
+                    if self.active_faults.is_cut_off(n, "cloud")
+                        || !self.passes(&links::End::Node(n), &links::End::Cloud)
                     {
                         let late = !matches!(request, glenhaven::coordination::CloudRequest::Release(_));
                         if self.script.held_packets && late {
@@ -512,7 +516,8 @@
                         continue;
                     };
                     let (a, b) = (&self.nodes[n].settings.zone, &self.nodes[other].settings.zone);
-                    let cut = self.active_faults.cut_off(n, "peers") || self.active_faults.cut_off(other, "peers");
+                    let cut =
+                        self.active_faults.is_cut_off(n, "peers") || self.active_faults.is_cut_off(other, "peers");
                     let open = self.passes(&links::End::Node(n), &links::End::Node(other));
                     let arrives = !cut && self.zones_reach(a, b) && open && self.active_faults.refuse.is_empty();
                     self.tell_link(n, other, arrives);
@@ -530,23 +535,23 @@
     }
 
     /// Records the commands and job states that a controller sends to workers and users.
-    fn note(&mut self, from: answers::Life, effect: &Effect) {
+    fn record_effect(&mut self, from: answers::Life, effect: &Effect) {
         let now = self.now;
         match effect {
             Effect::PushedCommands { id, body, .. } => {
                 let carrier = answers::Carrier::PushedCommands(from, *id);
-                self.answers.leaves(from, carrier, &body.commands, now);
+                self.answers.commands_sent(from, carrier, &body.commands, now);
             }
             Effect::Reply { id, answer } => match self.origins.get(id) {
                 Some(Origin::Worker(name, rid)) => {
                     let carrier = answers::Carrier::Answer(name.clone(), *rid);
                     if let Ok(commands) = Self::read_answer(answer) {
-                        self.answers.leaves(from, carrier, &commands.commands, now);
+                        self.answers.commands_sent(from, carrier, &commands.commands, now);
                     }
                 }
                 Some(_) => {
                     if let Ok(state) = from_cbor(&answer.body) {
-                        self.answers.says(from, &state, now);
+                        self.answers.state_sent(from, &state, now);
                     }
                 }
                 None => {}
--- a/tests/sim/outbox.rs
+++ b/tests/sim/outbox.rs
@@ -10,7 +10,7 @@
 use glenhaven::protocol::users::Phase;
 
 /// Returns a leader of term 1 that has recorded a start for n-000001 but not sent it.
-fn recorded() -> LeaderState {
+fn leader_with_unsent_start() -> LeaderState {
     let mut leader = LeaderState::new(1, 1, at(0));
     leader.apply_heartbeat(&cluster(), &heartbeat(1, vec![]), None, at(10), at(10));
     place(&mut leader, at(20));
@@ -21,7 +21,7 @@
 }
 
 /// Returns the commands of a push that leaves now with this fencing token.
-fn leaves(leader: &mut LeaderState, fencing_token: u64, api: &JobApi) -> Vec<AgentCommand> {
+fn pushed_commands(leader: &mut LeaderState, fencing_token: u64, api: &JobApi) -> Vec<AgentCommand> {
     let name: MachineId = "n-000001".into();
     let reasons: CommandReasons = leader.machines[&name].outbox.reasons.clone();
     let now = at(500);
@@ -51,13 +51,13 @@
 /// leaves with the new token, and the placement records that token.
 #[test]
 fn a_start_that_was_not_sent_outlives_a_raise_of_the_term() {
-    let mut leader = recorded();
+    let mut leader = leader_with_unsent_start();
     leader.term_raised(2);
     leader.apply_heartbeat(&cluster(), &fenced(2, 2), None, at(100), at(100));
     assert!(is_placed(&leader), "nothing was sent that could have been refused");
     // Counted as free, its cores would let the team start more than its limit allows.
     assert_eq!(leader.jobs["run-000001"].held_tasks, 1);
-    assert_eq!(leaves(&mut leader, 2, &JobApi::new("node-0")).len(), 1);
+    assert_eq!(pushed_commands(&mut leader, 2, &JobApi::new("node-0")).len(), 1);
     // The next report may have been sent before that start arrived, so it proves nothing.
     leader.apply_heartbeat(&cluster(), &fenced(3, 2), None, at(600), at(600));
     assert!(is_placed(&leader), "the start under token 2 may be on its way");
@@ -70,42 +70,42 @@
 #[test]
 fn a_start_whose_reason_has_lapsed_is_not_sent() {
     let api = JobApi::new("node-0");
-    let mut freed = recorded();
+    let mut freed = leader_with_unsent_start();
     freed.free(&"run-000001".into(), 0, VoidProof::NeverSent, at(100));
-    assert!(leaves(&mut freed, 1, &api).is_empty());
+    assert!(pushed_commands(&mut freed, 1, &api).is_empty());
 
-    let mut stopped = recorded();
+    let mut stopped = leader_with_unsent_start();
     stopped.stop("run-000001", 0, 5.0, at(100));
     assert!(!is_placed(&stopped), "nothing was sent: no word is needed");
-    assert!(leaves(&mut stopped, 1, &api).is_empty());
+    assert!(pushed_commands(&mut stopped, 1, &api).is_empty());
 
-    let mut cancelled = recorded();
+    let mut cancelled = leader_with_unsent_start();
     cancelled.cancel("run-000001", at(100));
-    assert!(leaves(&mut cancelled, 1, &api).is_empty());
+    assert!(pushed_commands(&mut cancelled, 1, &api).is_empty());
 
     // This controller has confirmed the cancellation; the leader's records don't have it yet.
-    let mut confirmed = recorded();
+    let mut confirmed = leader_with_unsent_start();
     let mut api = JobApi::new("node-0");
     api.learn("run-000001", 9, Phase::Cancelled);
-    assert!(leaves(&mut confirmed, 1, &api).is_empty());
+    assert!(pushed_commands(&mut confirmed, 1, &api).is_empty());
 }
 
 /// No start is sent to a machine that is being released, or for a session that has ended.
 #[test]
 fn a_start_for_a_releasing_or_restarted_machine_is_not_sent() {
     let api = JobApi::new("node-0");
-    let mut doomed = recorded();
-    doomed.machines.get_mut("n-000001").expect("it reported").state = MachineState::Releasing;
-    assert!(leaves(&mut doomed, 1, &api).is_empty());
-    assert!(!is_placed(&doomed), "it was never sent, and may start elsewhere");
+    let mut releasing = leader_with_unsent_start();
+    releasing.machines.get_mut("n-000001").expect("it reported").state = MachineState::Releasing;
+    assert!(pushed_commands(&mut releasing, 1, &api).is_empty());
+    assert!(!is_placed(&releasing), "it was never sent, and may start elsewhere");
 
-    let mut renewed = recorded();
+    let mut restarted = leader_with_unsent_start();
     let next_session = Heartbeat {
         incarnation: 2,
         ..heartbeat(1, vec![])
     };
-    renewed.apply_heartbeat(&cluster(), &next_session, None, at(100), at(100));
-    assert!(leaves(&mut renewed, 1, &api).is_empty());
+    restarted.apply_heartbeat(&cluster(), &next_session, None, at(100), at(100));
+    assert!(pushed_commands(&mut restarted, 1, &api).is_empty());
 }
 
 /// An exited attempt and a later one of the same task are kept apart, in either order in a report.
@@ -154,20 +154,20 @@
 #[test]
 fn a_record_stays_without_a_proof_that_covers_it() {
     let id = "run-000001".into();
-    let in_vain = [
+    let uncovering = [
         VoidProof::NotRecorded,
         VoidProof::LaterSession { reported: 1 },
         VoidProof::RefusedByToken { reported: 9 },
         VoidProof::Exited(Cause::Stopped),
     ];
-    for proof in in_vain {
-        let mut leader = recorded();
+    for proof in uncovering {
+        let mut leader = leader_with_unsent_start();
         leader.free(&id, 0, proof, at(100));
         assert!(is_placed(&leader), "{proof:?} freed a record that it does not cover");
         assert_eq!(leader.jobs["run-000001"].held_tasks, 1);
     }
-    let mut sent = recorded();
-    assert_eq!(leaves(&mut sent, 1, &JobApi::new("node-0")).len(), 1);
+    let mut sent = leader_with_unsent_start();
+    assert_eq!(pushed_commands(&mut sent, 1, &JobApi::new("node-0")).len(), 1);
     sent.free(&id, 0, VoidProof::NeverSent, at(100));
     assert!(is_placed(&sent), "its start has left");
     sent.free(&id, 0, VoidProof::MachineReleased, at(100));
@@ -179,7 +179,7 @@
 /// current token voids it.
 #[test]
 fn an_inherited_start_is_not_sent_again() {
-    let mut leader = recorded();
+    let mut leader = leader_with_unsent_start();
     let job = leader.jobs.get_mut("run-000001").expect("it is open");
     let placement = job.placements.get_mut(&0).expect("it is placed");
     (placement.restored, placement.sent) = (true, true);
@@ -187,7 +187,7 @@
     let due = leader.apply_heartbeat(&cluster(), &fenced(2, 1), None, at(100), at(100));
     assert!(due.starts.is_empty(), "{due:?}");
     assert!(due.wants_heartbeat, "nobody asks the machine for a report");
-    assert!(leaves(&mut leader, 2, &JobApi::new("node-0")).is_empty());
+    assert!(pushed_commands(&mut leader, 2, &JobApi::new("node-0")).is_empty());
     assert!(is_placed(&leader), "an earlier token proves nothing");
     leader.apply_heartbeat(&cluster(), &fenced(3, 2), None, at(200), at(200));
     assert!(!is_placed(&leader));
--- a/tests/sim/process_restarts.rs
+++ b/tests/sim/process_restarts.rs
@@ -17,7 +17,7 @@
 }
 
 /// Returns a new process of node-0 that has learned that node-1 leads and can reach it.
-pub(super) fn life(seed: u64) -> Controller {
+pub(super) fn follower(seed: u64) -> Controller {
     let settings = Script::parse("nodes a a").unwrap().settings().remove(0);
     let mut controller = Controller::new(settings, seed, at(0));
     let effects = controller.handle(at(0), vec![]);
@@ -65,7 +65,7 @@
 }
 
 /// Delivers a worker's report, and returns the ID under which it is forwarded to the leader.
-fn passes_on(controller: &mut Controller, machine: &str) -> u64 {
+fn forward_heartbeat(controller: &mut Controller, machine: &str) -> u64 {
     let heartbeat = Heartbeat {
         machine: machine.into(),
         addr: "10.1.0.1:9000".into(),
@@ -79,40 +79,40 @@
         tasks: vec![],
     };
     let effects = controller.handle(at(20), vec![Event::Heartbeat { id: 1, heartbeat }]);
-    let passed = effects.iter().find_map(|e| match e {
+    let forwarded = effects.iter().find_map(|e| match e {
         Effect::Peer {
             message: PeerMessage::Heartbeat { id, .. },
             ..
         } => Some(*id),
         _ => None,
     });
-    passed.expect("the report is passed on")
+    forwarded.expect("the report is passed on")
 }
 
 /// Delivers the leader's response to the forwarded report, and returns the number of answers that
 /// are sent to workers.
-fn answers(controller: &mut Controller, id: u64) -> usize {
+fn deliver_response(controller: &mut Controller, id: u64) -> usize {
     let commands = HeartbeatResponse {
         fencing_token: 3,
         commands: vec![],
     };
-    let told = Event::Peer(PeerMessage::HeartbeatResponse { id, commands });
-    let effects = controller.handle(at(30), vec![told]);
+    let response = Event::Peer(PeerMessage::HeartbeatResponse { id, commands });
+    let effects = controller.handle(at(30), vec![response]);
     effects.iter().filter(|e| matches!(e, Effect::Reply { .. })).count()
 }
 
 #[test]
 fn a_response_to_an_earlier_incarnation_is_not_given_to_another_agent() {
     for seed in 0..20 {
-        let earlier = passes_on(&mut life(seed), "n-000001");
-        let mut controller = life(seed + 1000);
-        let own = passes_on(&mut controller, "n-000002");
+        let earlier = forward_heartbeat(&mut follower(seed), "n-000001");
+        let mut controller = follower(seed + 1000);
+        let own = forward_heartbeat(&mut controller, "n-000002");
         assert_eq!(
-            answers(&mut controller, earlier),
+            deliver_response(&mut controller, earlier),
             0,
             "orders for one worker are given to another"
         );
-        assert_eq!(answers(&mut controller, own), 1, "its own answer is handed on");
+        assert_eq!(deliver_response(&mut controller, own), 1, "its own answer is handed on");
     }
 }
 
--- a/tests/sim/state_service.rs
+++ b/tests/sim/state_service.rs
@@ -30,7 +30,7 @@
         share > 0.0 && self.rng.f64() < share
     }
 
-    fn deaf(&self, n: usize) -> bool {
+    fn is_refused(&self, n: usize) -> bool {
         self.active_faults.state_deaf.values().any(|d| *d == n)
     }
 
@@ -45,7 +45,7 @@
         let late = life == u64::MAX && matches!(request, StoreRequest::Transaction(_));
         let answer = if late && !self.store.out {
             self.store.answer(&request, now)
-        } else if self.store.out || self.deaf(n) {
+        } else if self.store.out || self.is_refused(n) {
             StoreResponse::Refused
         } else {
             let writes = match &request {
@@ -120,12 +120,12 @@
         let ready: Vec<u64> = self
             .watches
             .iter()
-            .filter(|(_, w)| !self.deaf(w.node))
+            .filter(|(_, w)| !self.is_refused(w.node))
             .filter(|(_, w)| self.store.has_news(&w.prefix, w.after))
             .map(|(id, _)| *id)
             .collect();
         for watch in ready {
-            self.end_watch(watch);
+            self.answer_watch(watch);
         }
     }
 
@@ -133,19 +133,19 @@
         let Some(w) = self.watches.get(&watch) else {
             return;
         };
-        if self.store.out || self.deaf(w.node) {
+        if self.store.out || self.is_refused(w.node) {
             // The watch stays open past its time limit.
             self.after(100 * MS, ScheduledEvent::WatchEnds(watch));
             return;
         }
         if self.now >= w.ends {
             self.store.expire(self.now);
-            self.end_watch(watch);
+            self.answer_watch(watch);
             self.tell_watches();
         }
     }
 
-    fn end_watch(&mut self, watch: u64) {
+    fn answer_watch(&mut self, watch: u64) {
         let Some(w) = self.watches.remove(&watch) else {
             return;
         };
--- a/tests/sim/stranded_jobs.rs
+++ b/tests/sim/stranded_jobs.rs
@@ -9,14 +9,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a job may wait although it could begin.
-const MOST: u64 = 90 * SEC;
+const MAX_WAIT: u64 = 90 * SEC;
 
 #[derive(Default)]
-pub(crate) struct Starving {
+pub(crate) struct StrandedJobs {
     /// Since when each job has been waiting with room for it, without interruption.
     since: BTreeMap<String, u64>,
     /// Jobs that have been reported.
-    told: BTreeSet<String>,
+    reported: BTreeSet<String>,
 }
 
 /// Where the tasks of all jobs are.
@@ -60,16 +60,16 @@
 }
 
 /// Returns how many tasks of a job have completed.
-fn done(world: &World, job: &str) -> u32 {
+fn completed_tasks(world: &World, job: &str) -> u32 {
     let all = world.results.range(format!("{job}/")..format!("{job}0"));
     all.count() as u32
 }
 
 /// Returns whether a job is accepted and unfinished, with all its dependencies completed.
-fn waits(world: &World, user: &User) -> bool {
+fn is_waiting(world: &World, user: &User) -> bool {
     let need_done = |need: &String| {
         let needed = world.users.get(need);
-        needed.is_some_and(|u| done(world, need) == u.spec.tasks)
+        needed.is_some_and(|u| completed_tasks(world, need) == u.spec.tasks)
     };
     let over = user.wants_abort || user.cancelled.is_some() || user.done.is_some() || user.mistake;
     user.accepted.is_some() && !over && user.spec.needs.iter().all(need_done)
@@ -81,7 +81,7 @@
     let none = BTreeMap::new();
     let zones = places.by_job.get(spec.id.as_str()).unwrap_or(&none);
     let placed: u32 = zones.values().sum();
-    let waiting = spec.tasks.saturating_sub(placed + done(world, &spec.id));
+    let waiting = spec.tasks.saturating_sub(placed + completed_tasks(world, &spec.id));
     if waiting == 0 {
         return false;
     }
@@ -106,32 +106,36 @@
 
 impl World {
     /// Reports jobs that are stranded; called once a second.
-    pub(crate) fn look_for_starving(&mut self) {
-        let mut starving = std::mem::take(&mut self.starving);
-        starving.query(self);
-        for job in starving.since.iter().filter(|(_, since)| self.now > **since + MOST) {
-            if starving.told.insert(job.0.clone()) {
+    pub(crate) fn check_stranded_jobs(&mut self) {
+        let mut stranded_jobs = std::mem::take(&mut self.stranded_jobs);
+        stranded_jobs.update(self);
+        for job in stranded_jobs
+            .since
+            .iter()
+            .filter(|(_, since)| self.now > **since + MAX_WAIT)
+        {
+            if stranded_jobs.reported.insert(job.0.clone()) {
                 self.rules
                     .broken
                     .push(format!("left waiting: {} since {} with room", job.0, job.1));
             }
         }
-        self.starving = starving;
+        self.stranded_jobs = stranded_jobs;
     }
 }
 
-impl Starving {
-    fn query(&mut self, world: &World) {
+impl StrandedJobs {
+    fn update(&mut self, world: &World) {
         if world.now < world.script.calm_from() {
             return;
         }
         let places = Places::of(world);
-        let begun = |id: &str| world.rules.last_start.get(id).copied().unwrap_or(0);
+        let last_start = |id: &str| world.rules.last_start.get(id).copied().unwrap_or(0);
         let mut waiting = BTreeMap::new();
-        for (id, user) in world.users.iter().filter(|(_, u)| waits(world, u)) {
+        for (id, user) in world.users.iter().filter(|(_, u)| is_waiting(world, u)) {
             if could_begin(world, &places, &user.spec) {
                 let since = self.since.get(id).copied().unwrap_or(world.now);
-                waiting.insert(id.clone(), since.max(begun(id)));
+                waiting.insert(id.clone(), since.max(last_start(id)));
             }
         }
         self.since = waiting;
@@ -159,7 +163,7 @@
             world.users.insert("run-000003".into(), user);
             for _ in 0..95 {
                 world.now += SEC;
-                world.look_for_starving();
+                world.check_stranded_jobs();
             }
             world.rules.broken.len()
         };
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -1,7 +1,7 @@
 //! Simulated users, and the load balancer that sends each request to a random controller.
 
 use super::answers::Answer;
-use super::close_queries::Moment;
+use super::close_queries::JobChange;
 use super::{Origin, ScheduledEvent, World, SEC};
 use glenhaven::coordination::{Event, UserRequest};
 use glenhaven::protocol::users::{JobState, Phase};
@@ -13,7 +13,7 @@
     /// Sends a user's next request, unless one is in flight.
     pub(crate) fn user_acts(&mut self, job: &str) {
         let live: Vec<usize> = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].controller.is_some() && !self.active_faults.cut_off(*n, "users"))
+            .filter(|n| self.nodes[*n].controller.is_some() && !self.active_faults.is_cut_off(*n, "users"))
             .collect();
         let rid = self.id();
         let pick = if live.is_empty() {
@@ -37,7 +37,7 @@
             Asked::Poll => UserRequest::Poll(job.into()),
         };
         let limit = asked.limit();
-        self.after(limit, ScheduledEvent::UserLate(job.into(), rid));
+        self.after(limit, ScheduledEvent::UserTimeout(job.into(), rid));
         if let Some(n) = pick {
             let id = self.id();
             let life = self.nodes[n].life;
@@ -47,7 +47,7 @@
         }
     }
 
-    pub(crate) fn user_late(&mut self, job: &str, rid: u64) {
+    pub(crate) fn user_timed_out(&mut self, job: &str, rid: u64) {
         let now = self.now;
         let calm = self.script.calm_from();
         let Some(user) = self.users.get_mut(job) else { return };
@@ -76,7 +76,7 @@
             return;
         }
         let (known, sent) = (user.accepted.is_some(), user.sent);
-        if self.heard(job, asked, sent, left, &answer) {
+        if self.record_job_answer(job, asked, sent, left, &answer) {
             return self.user_goes_on(job, asked, answer.status);
         }
         let Some(user) = self.users.get_mut(job) else { return };
@@ -96,7 +96,14 @@
     }
 
     /// Checks and records an answer about a job, and returns whether it states the job's phase.
-    pub(crate) fn heard(&mut self, job: &str, asked: Asked, sent: u64, left: u64, answer: &Outgoing) -> bool {
+    pub(crate) fn record_job_answer(
+        &mut self,
+        job: &str,
+        asked: Asked,
+        sent: u64,
+        left: u64,
+        answer: &Outgoing,
+    ) -> bool {
         let now = self.now;
         let status = answer.status;
         let state: Option<JobState> = from_cbor(&answer.body).ok();
@@ -110,12 +117,14 @@
             status,
             phase: state.as_ref().map(|s| s.phase),
         };
-        self.rules.broken.extend(self.answers.heard(job, &told));
+        self.rules.broken.extend(self.answers.check_answer(job, &told));
         let (Some(user), Some(state)) = (self.users.get(job), state) else {
             return false;
         };
         if asked == Asked::Submit {
-            self.rules.broken.extend(self.answers.accepted(&to_cbor(&user.spec)));
+            self.rules
+                .broken
+                .extend(self.answers.check_acceptance(&to_cbor(&user.spec)));
         }
         self.rules
             .record_answer(now, job, state.phase, &self.results, user, &self.users);
@@ -126,9 +135,9 @@
         let cancelled = state.phase == Phase::Cancelled && user.cancelled.is_none();
         user.record_answer(now, left, state.phase);
         if cancelled {
-            self.look_closely(job, Moment::Cancelled);
+            self.query_all_nodes(job, JobChange::Cancelled);
         } else if accepted {
-            self.look_closely(job, Moment::Accepted);
+            self.query_all_nodes(job, JobChange::Accepted);
         }
         true
     }
