--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,6 +1,7 @@
-//! Bad input over HTTP, in front of one real process: unknown machines, tokens never given
-//! out, half a body, names of tasks that don't parse, a session that goes back. Nothing
-//! changes that may not, the process goes on, and the log says it in one line.
+//! Tests of invalid input over HTTP to one real process: unknown machines, fencing tokens that
+//! were never issued, truncated bodies, task names that don't parse, an earlier session.
+//!
+//! The process must go on with its records unchanged, and log each input in exactly one line.
 
 mod net;
 
@@ -18,7 +19,7 @@
 /// The session in which the machine runs the job's task.
 const SESSION: u64 = 2;
 
-/// A controller that has one task running on one machine.
+/// A controller with one task that runs on one machine.
 struct Site {
     process: Process,
     public: u16,
@@ -27,7 +28,7 @@
     sequence: u64,
     fencing_token: u64,
     attempt: u64,
-    /// Bad input of which the log didn't say one line.
+    /// Descriptions of invalid inputs that the log did not report in exactly one line.
     untold: Vec<String>,
 }
 
@@ -75,7 +76,7 @@
         ask(self.public, "POST", "/v2/runs", encode(job)).await
     }
 
-    /// The machine reports until it is told to start the job's task, and then that it runs.
+    /// Sends reports until an answer starts the job's task, then reports the task as running.
     async fn start(&mut self) {
         let began = Instant::now();
         while self.attempt == 0 {
@@ -90,7 +91,7 @@
         self.runs_on().await;
     }
 
-    /// What the machine says of itself.
+    /// Sends the machine's next report.
     async fn heartbeats(&mut self, tasks: Vec<Value>) -> (u16, Value) {
         self.sequence += 1;
         self.hello(&heartbeat(MACHINE, SESSION, self.sequence, self.fencing_token, tasks))
@@ -101,7 +102,8 @@
         ask(self.public, "POST", "/hello", encode(heartbeat)).await
     }
 
-    /// The machine reports its task and is told nothing; the job's user is told that it runs.
+    /// Checks that a report of the running task is answered without commands, and that the job's
+    /// user is informed of one running task.
     async fn runs_on(&mut self) {
         let task = running(&format!("{JOB}/0"), self.attempt);
         let (status, body) = self.heartbeats(vec![task]).await;
@@ -111,7 +113,7 @@
         assert_eq!((status, number(&body, "running")), (200, Some(1)), "{body:?}");
     }
 
-    /// What the state service holds of jobs and their tasks.
+    /// Returns the records of jobs and their tasks in the state service.
     fn records(&self) -> Vec<(String, Value)> {
         let store = self.store.lock().unwrap();
         let of_jobs = |key: &str| key.starts_with("job/") || key.starts_with("open/");
@@ -124,7 +126,9 @@
         text.lines().map(str::to_string).collect()
     }
 
-    /// The process goes on, the task too, and the log got one line that says this.
+    /// Checks that the process and the task go on, that the records are unchanged, and that
+    /// exactly one line after the first `lines` of the log contains `says`. A wrong number of
+    /// lines is collected in `untold`, so that the test still tries the other inputs.
     async fn unmoved(&mut self, what: &str, records: &[(String, Value)], lines: usize, says: &str) {
         assert!(
             self.process.0.try_wait().unwrap().is_none(),
@@ -142,7 +146,7 @@
     }
 }
 
-/// Plays a test to its end, and then tells of what the log has not said.
+/// Runs a test on a new controller, and fails at its end if log lines were missing or repeated.
 fn play(name: &str, test: impl AsyncFnOnce(&mut Site)) {
     future::block_on(async {
         let mut site = Site::new(name).await;
@@ -193,7 +197,7 @@
 fn an_unknown_machine() {
     play("unknown", async |site| {
         let records = site.records();
-        // It claims the task that runs elsewhere, and one of a job that no one submitted.
+        // The machine reports a task that runs elsewhere, and one of a job that doesn't exist.
         let tasks = vec![running(&format!("{JOB}/0"), site.attempt), running("run-000777/0", 1)];
         let (status, body) = site.hello(&heartbeat("n-777777", 1, 1, 0, tasks)).await;
         let commands = field(&body, "orders").and_then(Value::as_array).cloned();
@@ -217,7 +221,8 @@
         let records = site.records();
         for fencing_token in [site.fencing_token + 1, u64::MAX] {
             let lines = site.log().len();
-            // By this token the start would be refused, and its task gone.
+            // If this token were valid, the report would prove that the start was refused, and the
+            // task's placement would be freed.
             site.sequence += 1;
             let (status, body) = site
                 .hello(&heartbeat(MACHINE, SESSION, site.sequence, fencing_token, vec![]))
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -1,5 +1,6 @@
-// One message of every kind that controllers exchange. The production version wrote `messages.hex`
-// from these values; its names for some types and fields were others, and bitcode stores no names.
+// Returns one message of each kind that controllers exchange. The production version encoded
+// `messages.hex` from these values. Some of its types and fields had other names, but bitcode
+// stores no names.
 fn messages() -> Vec<PeerMessage> {
     let heartbeat = || Heartbeat {
         machine: "n-000231".into(),
--- a/tests/log_pages.rs
+++ b/tests/log_pages.rs
@@ -1,5 +1,5 @@
-//! The segments of the leader's write-ahead log: what is packed into them is replayed unchanged,
-//! within the limits of a segment and of a transaction.
+//! Tests of the segments of the leader's write-ahead log: packed entries are replayed unchanged
+//! and stay within the size limits of a segment and of a transaction.
 
 use glenhaven::coordination::log::compaction::{extra_segments, segments_allowed};
 use glenhaven::coordination::log::packing::SegmentPacker;
@@ -10,8 +10,9 @@
 use glenhaven::storage::records::{ClaimValue, Entry, PlacementRow, Segment, TaskRangeRecord};
 use std::collections::BTreeSet;
 
-/// The smallest values that the service announces, and the largest transaction.
+/// Smallest limit on the size of a value that the state service announces.
 const VALUE_BYTES: usize = 2048;
+/// Largest size of a transaction.
 const TRANSACTION_BYTES: usize = 64 * 1024;
 
 fn task_range_record(job: &str, full: bool, tasks: u32) -> TaskRangeRecord {
@@ -27,7 +28,7 @@
     }
 }
 
-/// The segments as they are written.
+/// Returns the packed segments as they are written.
 fn segments(packer: SegmentPacker) -> Vec<Segment> {
     let segment = |entries| Segment {
         term: 1,
@@ -153,7 +154,7 @@
     Box::new(spec)
 }
 
-/// A segment in the slot of the same number.
+/// Returns a segment stored in the slot of the same number.
 fn stored(seq: u64, oldest: u64, entries: Vec<Entry>) -> StoredSegment {
     let described = entries.iter().filter(|e| e.describes().is_some()).count();
     StoredSegment {
--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -1,7 +1,7 @@
-//! What tests through real sockets share: HTTP by hand, a stand-in for the state service,
-//! processes that end with the test.
+//! Fixtures of the tests through real sockets: a minimal HTTP client and server, a fake state
+//! service and cloud, and child processes that are killed at the end of a test.
 #![allow(dead_code)]
-// A test is one story from beginning to end.
+// A test runs one scenario from beginning to end.
 #![allow(clippy::too_many_lines)]
 
 use async_io::{Async, Timer};
@@ -36,7 +36,7 @@
     field(value, name)?.as_integer().and_then(|i| u64::try_from(i).ok())
 }
 
-/// Reads one HTTP message: its first line and its body.
+/// Reads one HTTP message, and returns its start line with the headers, and its body.
 pub(crate) async fn read_message(stream: &mut Async<TcpStream>) -> Option<(String, Vec<u8>)> {
     let mut data = vec![];
     let mut buf = [0u8; 4096];
@@ -67,13 +67,17 @@
     Some((headers, body))
 }
 
+/// The content of the fake state service.
 #[derive(Default)]
 pub(crate) struct Store {
+    /// Values and the revisions at which they were written, by key.
     pub keys: BTreeMap<String, (Value, u64)>,
     pub revision: u64,
-    /// Leases: how long they last, and until when; and the keys attached to them.
+    /// Duration and end of each lease, by lease ID.
     leases: BTreeMap<u64, (Duration, Instant)>,
+    /// The lease that each attached key belongs to.
     attached: BTreeMap<String, u64>,
+    /// Keys removed because their lease ended, and the revisions of their removal.
     deleted: Vec<(String, u64)>,
 }
 
@@ -95,6 +99,7 @@
         }
     }
 
+    /// Executes a request, given by its start line and body, and returns status and body.
     pub(crate) fn answer(&mut self, line: &str, body: &[u8]) -> (u16, Value) {
         self.expire();
         let mut words = line.split_whitespace();
@@ -197,6 +202,8 @@
     }
 }
 
+/// Serves HTTP requests with the given handler, which gets the head and body of each. Answers to
+/// watches are delayed by 20 ms.
 pub(crate) async fn serve(
     listener: Async<TcpListener>,
     answer: impl Fn(&str, &[u8]) -> (u16, Value) + Send + Sync + 'static,
@@ -229,15 +236,15 @@
     .await
 }
 
-/// Ports for processes under test lie below those that the system gives to outgoing connections:
-/// one of those could take a port between its choice and the start of the process.
+/// First port for processes under test. The range lies below the ephemeral ports: an outgoing
+/// connection could otherwise take a port between its choice and the start of the process.
 const FIRST_PORT: u32 = 12_000;
 const PORTS: u32 = 18_000;
 
-/// Ports chosen so far by this process.
+/// Number of ports that this process has tried.
 static CHOSEN: AtomicU32 = AtomicU32::new(0);
 
-/// A port on which nothing listens, and that this process has not chosen before.
+/// Returns a port on which nothing listens and that this process has not returned before.
 pub(crate) fn free_port() -> u16 {
     let first = std::process::id().wrapping_mul(97);
     loop {
@@ -249,6 +256,7 @@
     }
 }
 
+/// A child process that is killed on drop.
 pub(crate) struct Process(pub Child);
 
 impl Drop for Process {
@@ -258,7 +266,8 @@
     }
 }
 
-/// Sends raw bytes and reads one answer: status and body.
+/// Sends raw bytes to a new connection, and returns status, lower-case head and body of the
+/// answer; `None` if no whole answer arrives within 8 s.
 pub(crate) async fn raw(port: u16, request: Vec<u8>) -> Option<(u16, String, Vec<u8>)> {
     let work = async {
         let mut stream = Async::<TcpStream>::connect(([127, 0, 0, 1], port)).await.ok()?;
@@ -274,6 +283,11 @@
     work.or(late).await
 }
 
+/// Sends a request and returns the answer's status and decoded body, `Null` if it is no CBOR.
+///
+/// # Panics
+///
+/// Panics if there is no answer.
 pub(crate) async fn ask(port: u16, method: &str, path: &str, body: Vec<u8>) -> (u16, Value) {
     let mut request = format!(
         "{method} {path} HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n",
@@ -285,6 +299,7 @@
     (status, ciborium::from_reader(&body[..]).unwrap_or(Value::Null))
 }
 
+/// Returns the submission of a job.
 pub(crate) fn job(id: &str, pieces: u64, cores: f64) -> Value {
     cbor!({
         "ref" => id, "jobclass" => "train", "owner" => "blue", "shape" => "array", "rank" => "standard",
@@ -295,6 +310,7 @@
     .unwrap()
 }
 
+/// Returns the map with one field set.
 pub(crate) fn with(mut value: Value, name: &str, new: Value) -> Value {
     if let Value::Map(map) = &mut value {
         map.retain(|(k, _)| k.as_text() != Some(name));
@@ -303,6 +319,7 @@
     value
 }
 
+/// Returns the map without one field.
 pub(crate) fn without(mut value: Value, name: &str) -> Value {
     if let Value::Map(map) = &mut value {
         map.retain(|(k, _)| k.as_text() != Some(name));
@@ -310,8 +327,8 @@
     value
 }
 
-/// Stand-ins on loopback for the state service and a cloud of one machine type without
-/// capacity: what the one holds, and the ports of both.
+/// Starts a fake state service and a fake cloud on loopback. The cloud has one machine type and
+/// no capacity. Returns the content of the state service and the ports of both.
 pub(crate) fn stand_ins(cores: f64, boot_s: f64) -> (Arc<Mutex<Store>>, u16, u16) {
     let listen = || Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let (state, cloud) = (listen(), listen());
@@ -344,7 +361,7 @@
     (store, ports.0, ports.1)
 }
 
-/// Settings of one node that serves alone, by its ports and those of its services.
+/// Returns the settings of a cluster of one controller, given its ports and those of its services.
 pub(crate) fn settings(public: u16, peer: u16, state: u16, cloud: u16) -> String {
     format!(
         r#"
@@ -381,7 +398,7 @@
     )
 }
 
-/// Waits until the node that listens here can take requests.
+/// Waits until the controller with this public port is ready.
 pub(crate) async fn ready(public: u16) {
     let began = Instant::now();
     while !matches!(
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,6 +1,6 @@
-//! One real process behind real sockets, against a state service and a cloud
-//! that answer over HTTP: what users, workers and operators meet at the edge.
-// A test is one story from beginning to end.
+//! Tests of one real process through its sockets and command line, with a fake state service and
+//! cloud over HTTP: requests of users and workers, the checks of settings, and peer connections.
+// A test runs one scenario from beginning to end.
 #![allow(clippy::too_many_lines)]
 
 mod net;
@@ -31,7 +31,7 @@
     let _process = Process(child);
     future::block_on(async {
         ready(public).await;
-        // What cannot be taken.
+        // Submissions that must be refused.
         let good = job("run-000001", 2, 1.0);
         let bad: Vec<(&str, Value)> = vec![
             ("not a map", cbor!([1, 2]).unwrap()),
@@ -60,10 +60,10 @@
         ] {
             assert_eq!(ask(public, "POST", "/v2/runs", encode(&value)).await.0, 422);
         }
-        // A body over the limit is refused before it is sent.
+        // A body over the size limit is refused on its announced length.
         let big = b"POST /v2/runs HTTP/1.1\r\nhost: x\r\ncontent-length: 70000\r\n\r\n".to_vec();
         assert_eq!(raw(public, big).await.expect("an answer").0, 413);
-        // Half a request is given up, and the node still answers others.
+        // An incomplete request times out, and the controller still answers others.
         let half = b"POST /v2/runs HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\nabc".to_vec();
         assert_eq!(raw(public, half).await.expect("an answer").0, 408);
         assert_eq!(ask(public, "GET", "/nowhere", vec![]).await.0, 404);
@@ -71,7 +71,7 @@
         assert_eq!(ask(public, "POST", "/hello", b"junk".to_vec()).await.0, 400);
         assert_eq!(ask(public, "GET", "/v2/runs/run-000009", vec![]).await.0, 404);
         assert_eq!(ask(public, "POST", "/v2/runs/run-000009/abort", vec![]).await.0, 404);
-        // A job is accepted once, known ever after, whatever its repetition says.
+        // A repeated submission of an accepted job is answered 200, whatever its fields are.
         let (status, body) = ask(public, "POST", "/v2/runs", encode(&good)).await;
         assert_eq!((status, text(&body, "phase").as_deref()), (201, Some("pending")));
         let in_page = |v: &Value| {
@@ -88,7 +88,7 @@
         assert_eq!(ask(public, "POST", "/v2/runs", encode(&broken)).await.0, 200);
         let foreign = with(good.clone(), "owner", Value::Text("green".into()));
         assert_eq!(ask(public, "POST", "/v2/runs", encode(&foreign)).await.0, 200);
-        // A worker that comes up gets its start, with the fence of the term.
+        // A new worker receives the starts of both tasks, with the fencing token of the term.
         let began = Instant::now();
         let mut sequence = 0;
         let commands = loop {
@@ -169,9 +169,11 @@
     std::fs::remove_dir_all(&dir).ok();
 }
 
-/// A link whose other side has given it up takes in writes without an error, as
-/// after a standstill of this process. Without acknowledgements, a controller
-/// would be silent to the others for good.
+/// A connection to a peer is replaced when its messages are not acknowledged.
+///
+/// After a long pause of this process the peer may have given up the connection, while writes
+/// still succeed. Without the check for acknowledgements, the controller's messages would never
+/// reach its peers again.
 #[test]
 fn a_dead_link_is_opened_anew() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -180,7 +182,7 @@
     std::thread::spawn(move || async_io::block_on(glenhaven::transport::peers::send(addr, queue, |_| {})));
     let (opened, links) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
-        // Held open, never read, never acknowledged.
+        // Connections stay open, but are neither read nor acknowledged.
         for stream in listener.incoming() {
             opened.send(stream.unwrap()).ok();
         }
@@ -204,5 +206,5 @@
         }
         std::thread::sleep(std::time::Duration::from_millis(100));
     }
-    panic!("the link was never opened anew");
+    panic!("no second connection was opened");
 }
--- a/tests/two_versions.rs
+++ b/tests/two_versions.rs
@@ -1,9 +1,9 @@
-//! The version in production and this one, on each other's data and messages: golden bytes
-//! that production wrote, and real processes of both that serve side by side.
+//! Compatibility tests between the version in production and this one: golden bytes that
+//! production wrote, and real processes of both versions in one cluster.
 //!
-//! `deploy/service.toml` names production's commit. Where the checkout lacks it, the check
-//! with real processes fails and says so.
-// A test is one story from beginning to end.
+//! `deploy/service.toml` names production's commit. If the checkout's history lacks that commit,
+//! the test with real processes fails with a message that names it.
+// A test runs one scenario from beginning to end.
 #![allow(clippy::too_many_lines)]
 
 mod net;
@@ -36,7 +36,7 @@
         .collect()
 }
 
-/// Every message between controllers is, byte for byte, what production sends and reads.
+/// Each message between controllers is encoded to the same bytes as in production.
 #[test]
 fn messages_are_those_of_production() {
     let golden: Vec<Vec<u8>> = include_str!("golden/messages.hex").lines().map(unhex).collect();
@@ -48,7 +48,7 @@
     }
 }
 
-/// Every record that production wrote is read, and written anew as it was.
+/// Each record that production wrote can be read and is written back byte for byte.
 #[test]
 fn records_are_those_of_production() {
     for line in include_str!("golden/records.hex").lines() {
@@ -78,9 +78,11 @@
     spec.jobs.remove(0)
 }
 
-/// What is written of a job that names others is what production was shown to read, and what
-/// production reads allows no machine type: it starts nothing of the job. What production
-/// writes of it in turn is told from a job that any type would do for.
+/// Production starts no task of a job with dependencies, which it doesn't support.
+///
+/// The record of such a job is the golden one, which production reads as a job that allows no
+/// machine type. The record that production then writes itself is not read as a job that allows
+/// every type.
 #[test]
 fn production_starts_no_job_that_names_others() {
     let record = Accepted {
@@ -103,7 +105,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Builds the version in production from the history, once for each commit.
+/// Builds the version in production from the git history, once per commit, and returns the path of
+/// its binary.
 fn production() -> PathBuf {
     let deploy = include_str!("../deploy/service.toml");
     let line = deploy
@@ -135,7 +138,7 @@
         unpacked.is_ok_and(|s| s.success()),
         "the source of {commit} can't be unpacked"
     );
-    // Apart from this build's workspace and target.
+    // The build uses a target folder of its own, outside this workspace.
     let built = Command::new(env!("CARGO"))
         .current_dir(&dir)
         .args(["build", "--release", "--locked", "--target-dir", "target"])
@@ -148,7 +151,7 @@
     bin
 }
 
-/// One controller among three on loopback.
+/// A cluster of three controllers on loopback.
 struct Controllers {
     dir: PathBuf,
     public: Vec<u16>,
@@ -231,7 +234,7 @@
         }
     }
 
-    /// Submits as users do, until it is decided.
+    /// Submits a job and repeats that for up to 10 s while the answer is 503; returns the status.
     async fn submit(&self, n: usize, id: &str, needs: &[&str]) -> u16 {
         let mut body = with(job(id, 2, 1.0), "expected_s", Value::Float(1.0));
         if !needs.is_empty() {
@@ -256,6 +259,7 @@
         text(&body, "phase")
     }
 
+    /// Waits until this controller reports the job in the given phase.
     async fn until(&self, n: usize, id: &str, phase: &str) {
         let began = Instant::now();
         loop {
@@ -273,8 +277,8 @@
     }
 }
 
-/// A worker that runs what it is told to, a second each, and reports to controllers in turn
-/// until one answers.
+/// Runs a worker whose tasks take one second each. It moves on to the next controller whenever a
+/// report isn't answered with commands.
 async fn work(public: Vec<u16>) {
     let (mut tasks, mut sequence, mut fencing_token, mut node) =
         (BTreeMap::<(String, u64), Instant>::new(), 0u64, 0u64, 0usize);
@@ -332,9 +336,10 @@
     }
 }
 
-/// Old and new processes serve side by side and lead after each other, in either order: what
-/// one accepts the other knows and runs; no message between them is malformed; a job that
-/// names others waits until no old process is heard, and then runs in order.
+/// Old and new processes work in one cluster, and leadership passes between them in both
+/// directions: jobs accepted by one are known to the other and run, and no message between them
+/// is malformed. A job with dependencies is accepted only when no old process is left, and then
+/// runs after the jobs that it depends on.
 #[test]
 fn old_and_new_serve_side_by_side() {
     let (old, new) = (production(), PathBuf::from(env!("CARGO_BIN_EXE_glenhaven")));
@@ -355,7 +360,7 @@
             all.ready(n).await;
         }
         assert_eq!(all.submit(0, "run-000001", &[]).await, 201);
-        // A new one beside two old: each knows what the other accepted, in the same moment.
+        // With one new and two old processes, each knows at once what another has accepted.
         all.start(2, &new);
         all.ready(2).await;
         assert_eq!(all.submit(2, "run-000002", &[]).await, 201);
@@ -365,10 +370,12 @@
                 all.until(n, id, "done").await;
             }
         }
-        // Old ones are heard: what production would not hold back is not accepted.
+        // While old processes are alive, a job with dependencies is not accepted: production would
+        // not hold it back.
         let early = with(job("run-000009", 1, 1.0), "waits_on", cbor!(["run-000001"]).unwrap());
         assert_eq!(ask(all.public[2], "POST", "/v2/runs", encode(&early)).await.0, 503);
-        // Leads in each order: whoever leads is ended, and the next one carries on.
+        // Leadership passes from old to new and from new to old: the leader is killed, and the
+        // next one must accept and run jobs.
         let mut led: Vec<bool> = vec![];
         let both = |led: &[bool]| {
             [[true, false], [false, true]]
@@ -380,7 +387,7 @@
             if both(&led) {
                 break;
             }
-            // Later, more of them are new than old.
+            // From the third round on, two of the three processes are new.
             if round == 2 {
                 all.start(1, &new);
                 all.ready(1).await;
@@ -403,12 +410,12 @@
             let other = (n + 1) % 3;
             assert_eq!(all.submit(other, &id, &[]).await, 201);
             all.until((n + 2) % 3, &id, "done").await;
-            // It comes back as it was.
+            // The killed process restarts with the same version.
             all.start(n, if is_new[n] { &new } else { &old });
             all.ready(n).await;
         }
         assert!(both(&led), "not in both orders: {led:?}");
-        // The rest of the roll.
+        // The update is completed: all processes are new.
         for n in 0..2 {
             all.start(n, &new);
             all.ready(n).await;
@@ -420,7 +427,7 @@
         for n in 0..3 {
             all.until(n, "run-000022", "done").await;
         }
-        // Withdrawn with the one before it, on every node at once.
+        // Cancelling a job cancels the jobs that depend on it, at once on every controller.
         let long = with(job("run-000030", 2, 60.0), "cores", Value::Float(60.0));
         assert_eq!(ask(all.public[0], "POST", "/v2/runs", encode(&long)).await.0, 201);
         assert_eq!(all.submit(1, "run-000031", &["run-000030"]).await, 201);
