--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -138,10 +138,10 @@
             let puts = puts.map(|(k, (v, s))| (*s, cbor!({"put" => k, "value" => v, "stamp" => s}).unwrap()));
             let deletes = self.deleted.iter().filter(|(k, s)| within(k, *s));
             let deletes = deletes.map(|(k, s)| (*s, cbor!({"delete" => k, "stamp" => s}).unwrap()));
-            let mut news: Vec<(u64, Value)> = puts.chain(deletes).collect();
-            news.sort_by_key(|n| n.0);
-            let news: Vec<Value> = news.into_iter().map(|n| n.1).collect();
-            return (200, cbor!({"epoch" => revision, "news" => news}).unwrap());
+            let mut events: Vec<(u64, Value)> = puts.chain(deletes).collect();
+            events.sort_by_key(|n| n.0);
+            let events: Vec<Value> = events.into_iter().map(|n| n.1).collect();
+            return (200, cbor!({"epoch" => revision, "news" => events}).unwrap());
         }
         if let Some(key) = path.strip_prefix("/kv/") {
             return match self.keys.get(key) {
@@ -150,8 +150,8 @@
             };
         }
         if path == "/holds" {
-            let asked: Value = ciborium::from_reader(body).unwrap();
-            let life = Duration::from_millis(number(&asked, "life_ms").unwrap_or(1000));
+            let grant: Value = ciborium::from_reader(body).unwrap();
+            let life = Duration::from_millis(number(&grant, "life_ms").unwrap_or(1000));
             self.revision += 1;
             self.leases.insert(self.revision, (life, Instant::now() + life));
             return (200, cbor!({"grant" => self.revision}).unwrap());
@@ -239,17 +239,17 @@
 /// First port for processes under test. The range lies below the ephemeral ports: an outgoing
 /// connection could otherwise take a port between its choice and the start of the process.
 const FIRST_PORT: u32 = 12_000;
-const PORTS: u32 = 18_000;
+const PORT_COUNT: u32 = 18_000;
 
 /// Number of ports that this process has tried.
-static CHOSEN: AtomicU32 = AtomicU32::new(0);
+static PORTS_TRIED: AtomicU32 = AtomicU32::new(0);
 
 /// Returns a port on which nothing listens and that this process has not returned before.
 pub(crate) fn free_port() -> u16 {
     let first = std::process::id().wrapping_mul(97);
     loop {
-        let number = first.wrapping_add(CHOSEN.fetch_add(1, Ordering::Relaxed));
-        let port = u16::try_from(FIRST_PORT + number % PORTS).unwrap();
+        let number = first.wrapping_add(PORTS_TRIED.fetch_add(1, Ordering::Relaxed));
+        let port = u16::try_from(FIRST_PORT + number % PORT_COUNT).unwrap();
         if TcpListener::bind(("127.0.0.1", port)).is_ok() {
             return port;
         }
@@ -268,19 +268,19 @@
 
 /// Sends raw bytes to a new connection, and returns status, lower-case head and body of the
 /// answer; `None` if no whole answer arrives within 8 s.
-pub(crate) async fn raw(port: u16, request: Vec<u8>) -> Option<(u16, String, Vec<u8>)> {
-    let work = async {
+pub(crate) async fn send_raw(port: u16, request: Vec<u8>) -> Option<(u16, String, Vec<u8>)> {
+    let exchange = async {
         let mut stream = Async::<TcpStream>::connect(([127, 0, 0, 1], port)).await.ok()?;
         stream.write_all(&request).await.ok()?;
         let (head, body) = read_message(&mut stream).await?;
         let status = head.split_whitespace().nth(1)?.parse().ok()?;
         Some((status, head.to_ascii_lowercase(), body))
     };
-    let late = async {
+    let timeout = async {
         Timer::after(Duration::from_secs(8)).await;
         None
     };
-    work.or(late).await
+    exchange.or(timeout).await
 }
 
 /// Sends a request and returns the answer's status and decoded body, `Null` if it is no CBOR.
@@ -288,14 +288,14 @@
 /// # Panics
 ///
 /// Panics if there is no answer.
-pub(crate) async fn ask(port: u16, method: &str, path: &str, body: Vec<u8>) -> (u16, Value) {
+pub(crate) async fn send_request(port: u16, method: &str, path: &str, body: Vec<u8>) -> (u16, Value) {
     let mut request = format!(
         "{method} {path} HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n",
         body.len()
     )
     .into_bytes();
     request.extend_from_slice(&body);
-    let (status, _, body) = raw(port, request).await.expect("an answer");
+    let (status, _, body) = send_raw(port, request).await.expect("an answer");
     (status, ciborium::from_reader(&body[..]).unwrap_or(Value::Null))
 }
 
@@ -311,7 +311,7 @@
 }
 
 /// Returns the map with one field set.
-pub(crate) fn with(mut value: Value, name: &str, new: Value) -> Value {
+pub(crate) fn with_field(mut value: Value, name: &str, new: Value) -> Value {
     if let Value::Map(map) = &mut value {
         map.retain(|(k, _)| k.as_text() != Some(name));
         map.push((Value::Text(name.into()), new));
@@ -320,7 +320,7 @@
 }
 
 /// Returns the map without one field.
-pub(crate) fn without(mut value: Value, name: &str) -> Value {
+pub(crate) fn without_field(mut value: Value, name: &str) -> Value {
     if let Value::Map(map) = &mut value {
         map.retain(|(k, _)| k.as_text() != Some(name));
     }
@@ -329,16 +329,16 @@
 
 /// Starts a fake state service and a fake cloud on loopback. The cloud has one machine type and
 /// no capacity. Returns the content of the state service and the ports of both.
-pub(crate) fn stand_ins(cores: f64, boot_s: f64) -> (Arc<Mutex<Store>>, u16, u16) {
+pub(crate) fn start_fake_services(cores: f64, boot_s: f64) -> (Arc<Mutex<Store>>, u16, u16) {
     let listen = || Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let (state, cloud) = (listen(), listen());
     let port = |l: &Async<TcpListener>| l.get_ref().local_addr().unwrap().port();
     let ports = (port(&state), port(&cloud));
     let store = Arc::new(Mutex::new(Store::default()));
-    let for_state = store.clone();
+    let state_store = store.clone();
     std::thread::spawn(move || {
         future::block_on(serve(state, move |head, body| {
-            for_state.lock().unwrap().answer(head, body)
+            state_store.lock().unwrap().answer(head, body)
         }))
     });
     std::thread::spawn(move || {
@@ -362,7 +362,7 @@
 }
 
 /// Returns the settings of a cluster of one controller, given its ports and those of its services.
-pub(crate) fn settings(public: u16, peer: u16, state: u16, cloud: u16) -> String {
+pub(crate) fn single_node_settings(public: u16, peer: u16, state: u16, cloud: u16) -> String {
     format!(
         r#"
 node = "worker-0"
@@ -399,10 +399,10 @@
 }
 
 /// Waits until the controller with this public port is ready.
-pub(crate) async fn ready(public: u16) {
+pub(crate) async fn wait_until_ready(public: u16) {
     let began = Instant::now();
     while !matches!(
-        raw(public, b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n".to_vec()).await,
+        send_raw(public, b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n".to_vec()).await,
         Some((200, _, _))
     ) {
         assert!(began.elapsed() < Duration::from_secs(20), "never ready");
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -15,12 +15,12 @@
 
 #[test]
 fn a_process_behind_sockets() {
-    let (store, state_port, cloud_port) = stand_ins(16.0, 20.0);
+    let (store, state_port, cloud_port) = start_fake_services(16.0, 20.0);
     let public = free_port();
     let dir = std::env::temp_dir().join(format!("glenhaven-test-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let file = dir.join("settings.toml");
-    std::fs::write(&file, settings(public, free_port(), state_port, cloud_port)).unwrap();
+    std::fs::write(&file, single_node_settings(public, free_port(), state_port, cloud_port)).unwrap();
     let bin = env!("CARGO_BIN_EXE_glenhaven");
     let child = Command::new(bin)
         .arg("--config")
@@ -30,49 +30,84 @@
         .unwrap();
     let _process = Process(child);
     future::block_on(async {
-        ready(public).await;
+        wait_until_ready(public).await;
         // Submissions that must be refused.
         let good = job("run-000001", 2, 1.0);
         let bad: Vec<(&str, Value)> = vec![
             ("not a map", cbor!([1, 2]).unwrap()),
-            ("a field is missing", without(good.clone(), "cores")),
-            ("a wrong type", with(good.clone(), "pieces", Value::Text("2".into()))),
-            ("negative", with(good.clone(), "mem_gb", Value::Float(-1.0))),
-            ("not a number", with(good.clone(), "cores", Value::Float(f64::NAN))),
+            ("a field is missing", without_field(good.clone(), "cores")),
+            (
+                "a wrong type",
+                with_field(good.clone(), "pieces", Value::Text("2".into())),
+            ),
+            ("negative", with_field(good.clone(), "mem_gb", Value::Float(-1.0))),
+            (
+                "not a number",
+                with_field(good.clone(), "cores", Value::Float(f64::NAN)),
+            ),
             (
                 "infinite",
-                with(good.clone(), "expected_s", Value::Float(f64::INFINITY)),
+                with_field(good.clone(), "expected_s", Value::Float(f64::INFINITY)),
+            ),
+            (
+                "zero count",
+                with_field(good.clone(), "pieces", Value::Integer(0.into())),
+            ),
+            (
+                "too many",
+                with_field(good.clone(), "pieces", Value::Integer(100_001.into())),
+            ),
+            (
+                "unknown shape",
+                with_field(good.clone(), "shape", Value::Text("ring".into())),
+            ),
+            (
+                "unknown rank",
+                with_field(good.clone(), "rank", Value::Text("royal".into())),
+            ),
+            (
+                "malformed ref",
+                with_field(good.clone(), "ref", Value::Text("job-1".into())),
             ),
-            ("zero count", with(good.clone(), "pieces", Value::Integer(0.into()))),
-            ("too many", with(good.clone(), "pieces", Value::Integer(100_001.into()))),
-            ("unknown shape", with(good.clone(), "shape", Value::Text("ring".into()))),
-            ("unknown rank", with(good.clone(), "rank", Value::Text("royal".into()))),
-            ("malformed ref", with(good.clone(), "ref", Value::Text("job-1".into()))),
         ];
         for (what, value) in bad {
-            assert_eq!(ask(public, "POST", "/v2/runs", encode(&value)).await.0, 400, "{what}");
+            assert_eq!(
+                send_request(public, "POST", "/v2/runs", encode(&value)).await.0,
+                400,
+                "{what}"
+            );
         }
-        assert_eq!(ask(public, "POST", "/v2/runs", b"\xff\xff\xff".to_vec()).await.0, 400);
+        assert_eq!(
+            send_request(public, "POST", "/v2/runs", b"\xff\xff\xff".to_vec())
+                .await
+                .0,
+            400
+        );
         for value in [
-            with(good.clone(), "owner", Value::Text("green".into())),
-            with(good.clone(), "cores", Value::Float(17.0)),
-            with(good.clone(), "yard", Value::Text("z".into())),
+            with_field(good.clone(), "owner", Value::Text("green".into())),
+            with_field(good.clone(), "cores", Value::Float(17.0)),
+            with_field(good.clone(), "yard", Value::Text("z".into())),
         ] {
-            assert_eq!(ask(public, "POST", "/v2/runs", encode(&value)).await.0, 422);
+            assert_eq!(send_request(public, "POST", "/v2/runs", encode(&value)).await.0, 422);
         }
         // A body over the size limit is refused on its announced length.
         let big = b"POST /v2/runs HTTP/1.1\r\nhost: x\r\ncontent-length: 70000\r\n\r\n".to_vec();
-        assert_eq!(raw(public, big).await.expect("an answer").0, 413);
+        assert_eq!(send_raw(public, big).await.expect("an answer").0, 413);
         // An incomplete request times out, and the controller still answers others.
         let half = b"POST /v2/runs HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\nabc".to_vec();
-        assert_eq!(raw(public, half).await.expect("an answer").0, 408);
-        assert_eq!(ask(public, "GET", "/nowhere", vec![]).await.0, 404);
-        assert_eq!(ask(public, "GET", "/v2/runs", vec![]).await.0, 405);
-        assert_eq!(ask(public, "POST", "/hello", b"junk".to_vec()).await.0, 400);
-        assert_eq!(ask(public, "GET", "/v2/runs/run-000009", vec![]).await.0, 404);
-        assert_eq!(ask(public, "POST", "/v2/runs/run-000009/abort", vec![]).await.0, 404);
+        assert_eq!(send_raw(public, half).await.expect("an answer").0, 408);
+        assert_eq!(send_request(public, "GET", "/nowhere", vec![]).await.0, 404);
+        assert_eq!(send_request(public, "GET", "/v2/runs", vec![]).await.0, 405);
+        assert_eq!(send_request(public, "POST", "/hello", b"junk".to_vec()).await.0, 400);
+        assert_eq!(send_request(public, "GET", "/v2/runs/run-000009", vec![]).await.0, 404);
+        assert_eq!(
+            send_request(public, "POST", "/v2/runs/run-000009/abort", vec![])
+                .await
+                .0,
+            404
+        );
         // A repeated submission of an accepted job is answered 200, whatever its fields are.
-        let (status, body) = ask(public, "POST", "/v2/runs", encode(&good)).await;
+        let (status, body) = send_request(public, "POST", "/v2/runs", encode(&good)).await;
         assert_eq!((status, text(&body, "phase").as_deref()), (201, Some("pending")));
         let in_page = |v: &Value| {
             let jobs = field(v, "a").and_then(Value::as_array).cloned().unwrap_or_default();
@@ -83,11 +118,11 @@
             store.lock().unwrap().keys.iter().any(pages),
             "accepted before the commit"
         );
-        assert_eq!(ask(public, "POST", "/v2/runs", encode(&good)).await.0, 200);
-        let broken = without(good.clone(), "cores");
-        assert_eq!(ask(public, "POST", "/v2/runs", encode(&broken)).await.0, 200);
-        let foreign = with(good.clone(), "owner", Value::Text("green".into()));
-        assert_eq!(ask(public, "POST", "/v2/runs", encode(&foreign)).await.0, 200);
+        assert_eq!(send_request(public, "POST", "/v2/runs", encode(&good)).await.0, 200);
+        let broken = without_field(good.clone(), "cores");
+        assert_eq!(send_request(public, "POST", "/v2/runs", encode(&broken)).await.0, 200);
+        let foreign = with_field(good.clone(), "owner", Value::Text("green".into()));
+        assert_eq!(send_request(public, "POST", "/v2/runs", encode(&foreign)).await.0, 200);
         // A new worker receives the starts of both tasks, with the fencing token of the term.
         let began = Instant::now();
         let mut sequence = 0;
@@ -96,7 +131,7 @@
             let heartbeat = cbor!({"host" => "n-000001", "addr" => "127.0.0.1:1", "flavor" => "m", "yard" => "a",
                 "reclaimable" => false, "tenure" => 1, "serial" => sequence, "fence" => 0, "warning_s" => null, "pieces" => []})
             .unwrap();
-            let (status, body) = ask(public, "POST", "/hello", encode(&heartbeat)).await;
+            let (status, body) = send_request(public, "POST", "/hello", encode(&heartbeat)).await;
             if status == 200 && number(&body, "fence").unwrap_or(0) > 0 {
                 let commands = field(&body, "orders")
                     .and_then(Value::as_array)
@@ -110,9 +145,9 @@
             Timer::after(Duration::from_millis(100)).await;
         };
         assert!(commands.iter().all(|o| text(o, "verb").as_deref() == Some("run")));
-        let (status, body) = ask(public, "POST", "/v2/runs/run-000001/abort", vec![]).await;
+        let (status, body) = send_request(public, "POST", "/v2/runs/run-000001/abort", vec![]).await;
         assert_eq!((status, text(&body, "phase").as_deref()), (200, Some("withdrawn")));
-        let (_, body) = ask(public, "GET", "/v2/runs/run-000001", vec![]).await;
+        let (_, body) = send_request(public, "GET", "/v2/runs/run-000001", vec![]).await;
         assert_eq!(text(&body, "phase").as_deref(), Some("withdrawn"));
     });
     std::fs::remove_dir_all(&dir).ok();
@@ -133,7 +168,7 @@
             .unwrap();
         (out.status.success(), String::from_utf8_lossy(&out.stderr).to_string())
     };
-    let good = settings(1, 2, 3, 4);
+    let good = single_node_settings(1, 2, 3, 4);
     assert!(run(&good, "good.toml").0);
     let cases = [
         (good.replace("lease_s = 10.0", ""), "lease_s"),
--- a/tests/two_versions.rs
+++ b/tests/two_versions.rs
@@ -29,7 +29,7 @@
 
 include!("golden/messages.rs");
 
-fn unhex(text: &str) -> Vec<u8> {
+fn decode_hex(text: &str) -> Vec<u8> {
     let digits = text.as_bytes().chunks(2);
     digits
         .map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap())
@@ -39,7 +39,7 @@
 /// Each message between controllers is encoded to the same bytes as in production.
 #[test]
 fn messages_are_those_of_production() {
-    let golden: Vec<Vec<u8>> = include_str!("golden/messages.hex").lines().map(unhex).collect();
+    let golden: Vec<Vec<u8>> = include_str!("golden/messages.hex").lines().map(decode_hex).collect();
     let all = messages();
     assert_eq!(golden.len(), all.len());
     for (bytes, message) in golden.iter().zip(&all) {
@@ -53,9 +53,9 @@
 fn records_are_those_of_production() {
     for line in include_str!("golden/records.hex").lines() {
         let (kind, hex) = line.split_once(' ').unwrap();
-        let bytes = unhex(hex);
+        let bytes = decode_hex(hex);
         let value: Value = ciborium::from_reader(&bytes[..]).unwrap();
-        let again = match kind {
+        let rewritten = match kind {
             "term" => to_value(&from_value::<Term>(&value).unwrap()),
             "accepted" => to_value(&from_value::<Accepted>(&value).unwrap()),
             "job" => to_value(&from_value::<JobValue>(&value).unwrap()),
@@ -63,11 +63,11 @@
             "page" => to_value(&from_value::<Segment>(&value).unwrap()),
             other => panic!("{other}"),
         };
-        assert_eq!(to_cbor(&again), bytes, "{kind}");
+        assert_eq!(to_cbor(&rewritten), bytes, "{kind}");
     }
 }
 
-fn chained_spec() -> JobSpec {
+fn spec_with_dependency() -> JobSpec {
     let mut spec: Accepted = serde_json::from_str(
         r#"{"a":[{"ref":"run-000500","jobclass":"train","owner":"vision","shape":"array","rank":"urgent","pieces":16,
         "cores":8.0,"cards":1.0,"mem_gb":64.0,"bundle":"img-07","size_gb":6.2,"flavors":["g8"],"yard":null,
@@ -86,16 +86,16 @@
 #[test]
 fn production_starts_no_job_that_names_others() {
     let record = Accepted {
-        jobs: vec![to_record(&chained_spec(), 1_700_000_000_000, 2000).unwrap()],
+        jobs: vec![to_record(&spec_with_dependency(), 1_700_000_000_000, 2000).unwrap()],
     };
     let bytes = to_cbor(&to_value(&record));
     if std::env::var_os("GOLDEN").is_some() {
         let hex: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
         std::fs::write("tests/golden/chained.hex", hex + "\n").unwrap();
     }
-    assert_eq!(unhex(include_str!("golden/chained.hex").trim()), bytes);
+    assert_eq!(decode_hex(include_str!("golden/chained.hex").trim()), bytes);
     let read = from_record(record.jobs[0].clone());
-    assert_eq!(read, Some((chained_spec(), 1_700_000_000_000)));
+    assert_eq!(read, Some((spec_with_dependency(), 1_700_000_000_000)));
     let production: Accepted = serde_json::from_str(include_str!("golden/chained.production.json")).unwrap();
     assert_eq!(production.jobs[0].types, Some(vec![]));
     assert_eq!(from_record(production.jobs[0].clone()), None);
@@ -107,7 +107,7 @@
 
 /// Builds the version in production from the git history, once per commit, and returns the path of
 /// its binary.
-fn production() -> PathBuf {
+fn build_production() -> PathBuf {
     let deploy = include_str!("../deploy/service.toml");
     let line = deploy
         .lines()
@@ -222,7 +222,7 @@
     async fn ready(&self, n: usize) {
         let began = Instant::now();
         while !matches!(
-            raw(self.public[n], b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n".to_vec()).await,
+            send_raw(self.public[n], b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n".to_vec()).await,
             Some((200, _, _))
         ) {
             assert!(
@@ -236,13 +236,13 @@
 
     /// Submits a job and repeats that for up to 10 s while the answer is 503; returns the status.
     async fn submit(&self, n: usize, id: &str, needs: &[&str]) -> u16 {
-        let mut body = with(job(id, 2, 1.0), "expected_s", Value::Float(1.0));
+        let mut body = with_field(job(id, 2, 1.0), "expected_s", Value::Float(1.0));
         if !needs.is_empty() {
             let needs = needs.iter().map(|n| Value::Text(n.to_string())).collect();
-            body = with(body, "waits_on", Value::Array(needs));
+            body = with_field(body, "waits_on", Value::Array(needs));
         }
         for _ in 0..40 {
-            let (status, _) = ask(self.public[n], "POST", "/v2/runs", encode(&body)).await;
+            let (status, _) = send_request(self.public[n], "POST", "/v2/runs", encode(&body)).await;
             if status != 503 {
                 return status;
             }
@@ -252,7 +252,7 @@
     }
 
     async fn phase(&self, n: usize, id: &str) -> Option<String> {
-        let (status, body) = ask(self.public[n], "GET", &format!("/v2/runs/{id}"), vec![]).await;
+        let (status, body) = send_request(self.public[n], "GET", &format!("/v2/runs/{id}"), vec![]).await;
         if status == 404 {
             panic!("worker-{n} has forgotten {id}:\n{}", self.logs());
         }
@@ -260,7 +260,7 @@
     }
 
     /// Waits until this controller reports the job in the given phase.
-    async fn until(&self, n: usize, id: &str, phase: &str) {
+    async fn wait_for_phase(&self, n: usize, id: &str, phase: &str) {
         let began = Instant::now();
         loop {
             let now = self.phase(n, id).await;
@@ -279,7 +279,7 @@
 
 /// Runs a worker whose tasks take one second each. It moves on to the next controller whenever a
 /// report isn't answered with commands.
-async fn work(public: Vec<u16>) {
+async fn run_worker(public: Vec<u16>) {
     let (mut tasks, mut sequence, mut fencing_token, mut node) =
         (BTreeMap::<(String, u64), Instant>::new(), 0u64, 0u64, 0usize);
     loop {
@@ -304,23 +304,23 @@
         )
         .into_bytes();
         request.extend_from_slice(&body);
-        let answer = raw(public[node], request).await;
+        let answer = send_raw(public[node], request).await;
         let commands = answer
             .filter(|a| a.0 == 200)
             .and_then(|a| ciborium::from_reader::<Value, _>(&a.2[..]).ok());
         match commands.filter(|o| number(o, "fence").is_some_and(|f| f >= fencing_token)) {
             Some(commands) => {
                 fencing_token = number(&commands, "fence").unwrap_or(fencing_token);
-                for order in field(&commands, "orders")
+                for command in field(&commands, "orders")
                     .and_then(Value::as_array)
                     .cloned()
                     .unwrap_or_default()
                 {
                     let key = (
-                        text(&order, "piece").unwrap_or_default(),
-                        number(&order, "try").unwrap_or(0),
+                        text(&command, "piece").unwrap_or_default(),
+                        number(&command, "try").unwrap_or(0),
                     );
-                    match text(&order, "verb").as_deref() {
+                    match text(&command, "verb").as_deref() {
                         Some("run") => {
                             tasks.entry(key).or_insert_with(Instant::now);
                         }
@@ -342,11 +342,11 @@
 /// runs after the jobs that it depends on.
 #[test]
 fn old_and_new_serve_side_by_side() {
-    let (old, new) = (production(), PathBuf::from(env!("CARGO_BIN_EXE_glenhaven")));
-    let (store, state, cloud) = stand_ins(64.0, 1.0);
-    let mut all = Controllers::new(state, cloud);
-    let public = all.public.clone();
-    std::thread::spawn(move || future::block_on(work(public)));
+    let (old, new) = (build_production(), PathBuf::from(env!("CARGO_BIN_EXE_glenhaven")));
+    let (store, state, cloud) = start_fake_services(64.0, 1.0);
+    let mut cluster = Controllers::new(state, cloud);
+    let public = cluster.public.clone();
+    std::thread::spawn(move || future::block_on(run_worker(public)));
     let terms = |store: &Mutex<Store>| {
         let store = store.lock().unwrap();
         let (term, _) = &store.keys["term"];
@@ -354,92 +354,105 @@
     };
     future::block_on(async {
         for n in 0..3 {
-            all.start(n, &old);
+            cluster.start(n, &old);
         }
         for n in 0..3 {
-            all.ready(n).await;
+            cluster.ready(n).await;
         }
-        assert_eq!(all.submit(0, "run-000001", &[]).await, 201);
+        assert_eq!(cluster.submit(0, "run-000001", &[]).await, 201);
         // With one new and two old processes, each knows at once what another has accepted.
-        all.start(2, &new);
-        all.ready(2).await;
-        assert_eq!(all.submit(2, "run-000002", &[]).await, 201);
-        assert_eq!(all.submit(0, "run-000003", &[]).await, 201);
+        cluster.start(2, &new);
+        cluster.ready(2).await;
+        assert_eq!(cluster.submit(2, "run-000002", &[]).await, 201);
+        assert_eq!(cluster.submit(0, "run-000003", &[]).await, 201);
         for n in 0..3 {
             for id in ["run-000001", "run-000002", "run-000003"] {
-                all.until(n, id, "done").await;
+                cluster.wait_for_phase(n, id, "done").await;
             }
         }
         // While old processes are alive, a job with dependencies is not accepted: production would
         // not hold it back.
-        let early = with(job("run-000009", 1, 1.0), "waits_on", cbor!(["run-000001"]).unwrap());
-        assert_eq!(ask(all.public[2], "POST", "/v2/runs", encode(&early)).await.0, 503);
+        let with_dependency = with_field(job("run-000009", 1, 1.0), "waits_on", cbor!(["run-000001"]).unwrap());
+        assert_eq!(
+            send_request(cluster.public[2], "POST", "/v2/runs", encode(&with_dependency))
+                .await
+                .0,
+            503
+        );
         // Leadership passes from old to new and from new to old: the leader is killed, and the
         // next one must accept and run jobs.
-        let mut led: Vec<bool> = vec![];
-        let both = |led: &[bool]| {
+        let mut leaders_new: Vec<bool> = vec![];
+        let both = |leaders_new: &[bool]| {
             [[true, false], [false, true]]
                 .iter()
-                .all(|pair| led.windows(2).any(|w| w == pair))
+                .all(|pair| leaders_new.windows(2).any(|w| w == pair))
         };
         let mut is_new = [false, false, true];
         for round in 0..16 {
-            if both(&led) {
+            if both(&leaders_new) {
                 break;
             }
             // From the third round on, two of the three processes are new.
             if round == 2 {
-                all.start(1, &new);
-                all.ready(1).await;
+                cluster.start(1, &new);
+                cluster.ready(1).await;
                 is_new[1] = true;
             }
             let (term, leader) = terms(&store);
             let n: usize = leader[7..].parse().unwrap();
-            led.push(is_new[n]);
-            all.stop(n);
+            leaders_new.push(is_new[n]);
+            cluster.stop(n);
             let began = Instant::now();
             while terms(&store).0 == term {
                 assert!(
                     began.elapsed() < Duration::from_secs(20),
                     "nobody leads:\n{}",
-                    all.logs()
+                    cluster.logs()
                 );
                 Timer::after(Duration::from_millis(50)).await;
             }
             let id = format!("run-{:06}", 100 + round);
             let other = (n + 1) % 3;
-            assert_eq!(all.submit(other, &id, &[]).await, 201);
-            all.until((n + 2) % 3, &id, "done").await;
+            assert_eq!(cluster.submit(other, &id, &[]).await, 201);
+            cluster.wait_for_phase((n + 2) % 3, &id, "done").await;
             // The killed process restarts with the same version.
-            all.start(n, if is_new[n] { &new } else { &old });
-            all.ready(n).await;
+            cluster.start(n, if is_new[n] { &new } else { &old });
+            cluster.ready(n).await;
         }
-        assert!(both(&led), "not in both orders: {led:?}");
+        assert!(both(&leaders_new), "not in both orders: {leaders_new:?}");
         // The update is completed: all processes are new.
         for n in 0..2 {
-            all.start(n, &new);
-            all.ready(n).await;
+            cluster.start(n, &new);
+            cluster.ready(n).await;
         }
-        assert_eq!(all.submit(0, "run-000020", &["run-000001"]).await, 201);
-        assert_eq!(all.submit(1, "run-000021", &["run-000020"]).await, 201);
-        assert_eq!(all.submit(2, "run-000022", &["run-000021", "run-000020"]).await, 201);
-        assert_eq!(all.submit(2, "run-000023", &["run-999999"]).await, 422);
+        assert_eq!(cluster.submit(0, "run-000020", &["run-000001"]).await, 201);
+        assert_eq!(cluster.submit(1, "run-000021", &["run-000020"]).await, 201);
+        assert_eq!(
+            cluster.submit(2, "run-000022", &["run-000021", "run-000020"]).await,
+            201
+        );
+        assert_eq!(cluster.submit(2, "run-000023", &["run-999999"]).await, 422);
         for n in 0..3 {
-            all.until(n, "run-000022", "done").await;
+            cluster.wait_for_phase(n, "run-000022", "done").await;
         }
         // Cancelling a job cancels the jobs that depend on it, at once on every controller.
-        let long = with(job("run-000030", 2, 60.0), "cores", Value::Float(60.0));
-        assert_eq!(ask(all.public[0], "POST", "/v2/runs", encode(&long)).await.0, 201);
-        assert_eq!(all.submit(1, "run-000031", &["run-000030"]).await, 201);
-        assert_eq!(all.submit(2, "run-000032", &["run-000031"]).await, 201);
-        let (status, body) = ask(all.public[0], "POST", "/v2/runs/run-000030/abort", vec![]).await;
+        let long = with_field(job("run-000030", 2, 60.0), "cores", Value::Float(60.0));
+        assert_eq!(
+            send_request(cluster.public[0], "POST", "/v2/runs", encode(&long))
+                .await
+                .0,
+            201
+        );
+        assert_eq!(cluster.submit(1, "run-000031", &["run-000030"]).await, 201);
+        assert_eq!(cluster.submit(2, "run-000032", &["run-000031"]).await, 201);
+        let (status, body) = send_request(cluster.public[0], "POST", "/v2/runs/run-000030/abort", vec![]).await;
         assert_eq!((status, text(&body, "phase").as_deref()), (200, Some("withdrawn")));
         for n in 0..3 {
-            assert_eq!(all.phase(n, "run-000032").await.as_deref(), Some("withdrawn"));
+            assert_eq!(cluster.phase(n, "run-000032").await.as_deref(), Some("withdrawn"));
         }
     });
-    let logs = all.logs();
+    let logs = cluster.logs();
     let bad = logs.lines().find(|l| l.contains("malformed") || l.contains("panicked"));
     assert_eq!(bad, None, "{logs}");
-    std::fs::remove_dir_all(&all.dir).ok();
+    std::fs::remove_dir_all(&cluster.dir).ok();
 }
