--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -176,7 +176,7 @@
             408
         );
         fixture
-            .expect_unchanged("a body that goes no further", &records, lines, "/hello")
+            .expect_unchanged("a body that is never completed", &records, lines, "/hello")
             .await;
 
         let mut body = encode(&heartbeat(
@@ -254,7 +254,7 @@
             let commands = field(&body, "orders").and_then(Value::as_array).map_or(0, Vec::len);
             assert!(status != 200 || commands == 0, "{status} {body:?}");
             fixture
-                .expect_unchanged("a token never given out", &records, lines, MACHINE)
+                .expect_unchanged("a token that was never issued", &records, lines, MACHINE)
                 .await;
         }
     });
@@ -303,7 +303,7 @@
         let commands = field(&body, "orders").and_then(Value::as_array).map_or(0, Vec::len);
         assert_eq!(commands, 0, "{body:?}");
         fixture
-            .expect_unchanged("a session that goes back", &records, lines, MACHINE)
+            .expect_unchanged("a report of an earlier session", &records, lines, MACHINE)
             .await;
     });
 }
--- a/tests/log_pages.rs
+++ b/tests/log_pages.rs
@@ -55,7 +55,7 @@
     assert_eq!(
         packer.add_task_range(whole.clone()),
         Some(0),
-        "alone, it gets the segments that it needs"
+        "a task range alone may exceed the budget"
     );
     let segments = segments(packer);
     assert!(segments.len() > 2);
@@ -332,12 +332,12 @@
 #[test]
 fn live_segments_are_limited_to_three_times_the_size_of_the_open_jobs() {
     let large = 32 * 1024;
+    assert_eq!(segments_allowed(large, 0, 0), 48, "the least number of segments");
     assert_eq!(
-        segments_allowed(large, 0, 0),
-        48,
-        "at least so many, however little is open"
+        segments_allowed(VALUE_BYTES, 0, 0),
+        128,
+        "at least 256 KiB of small segments"
     );
-    assert_eq!(segments_allowed(VALUE_BYTES, 0, 0), 128, "or 256 KiB in small ones");
     assert_eq!(segments_allowed(0, 0, 0), 256, "a value without a size counts as 1 KiB");
     assert_eq!(segments_allowed(VALUE_BYTES, 1000, 20_000), 3 * (1_200_000 / 2048));
 }
--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -405,7 +405,10 @@
         send_raw(public, b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n".to_vec()).await,
         Some((200, _, _))
     ) {
-        assert!(began.elapsed() < Duration::from_secs(20), "never ready");
+        assert!(
+            began.elapsed() < Duration::from_secs(20),
+            "the controller never became ready"
+        );
         Timer::after(Duration::from_millis(50)).await;
     }
 }
--- a/tests/sim/answers.rs
+++ b/tests/sim/answers.rs
@@ -312,9 +312,9 @@
     #[test]
     fn an_older_answer_is_reported() {
         let mut a = answers();
-        assert!(!contradicts(&mut a, 1, 2, 404, None), "nobody accepted it");
+        assert!(!contradicts(&mut a, 1, 2, 404, None), "the job was never accepted");
         assert!(!contradicts(&mut a, 1, 10, 201, Some(Phase::Pending)));
-        assert!(!contradicts(&mut a, 9, 11, 404, None), "asked before it was accepted");
+        assert!(!contradicts(&mut a, 9, 11, 404, None), "sent before the acceptance");
         assert!(contradicts(&mut a, 11, 12, 404, None));
         assert!(contradicts(&mut a, 11, 12, 422, None));
         assert!(!contradicts(&mut a, 12, 20, 200, Some(Phase::Cancelled)));
@@ -323,7 +323,10 @@
             "asked before the end"
         );
         assert!(contradicts(&mut a, 21, 22, 200, Some(Phase::Running)));
-        assert!(contradicts(&mut a, 19, 22, 200, Some(Phase::Done)), "two ends");
+        assert!(
+            contradicts(&mut a, 19, 22, 200, Some(Phase::Done)),
+            "two different final phases"
+        );
     }
 
     #[test]
@@ -340,11 +343,11 @@
         a.written(&[put(keys::accepted("node-0", 0), to_value(&page))], 5);
         assert!(
             !contradicts(&mut a, 4, 9, 404, None),
-            "asked before the page was written"
+            "sent before the page was written"
         );
         assert!(
             contradicts(&mut a, 6, 9, 404, None),
-            "no user was told, and it was accepted"
+            "accepted, though no user had been informed"
         );
         assert!(contradicts(&mut a, 6, 9, 422, None));
         let over = JobValue {
@@ -358,7 +361,7 @@
         );
         assert!(
             contradicts(&mut a, 11, 14, 201, Some(Phase::Pending)),
-            "no user was told of the end"
+            "final, though no user had been informed"
         );
         assert!(contradicts(&mut a, 11, 14, 200, Some(Phase::Running)));
         assert!(!contradicts(&mut a, 11, 14, 200, Some(Phase::Cancelled)));
--- a/tests/sim/lease_renewal.rs
+++ b/tests/sim/lease_renewal.rs
@@ -30,21 +30,27 @@
     let mut attestations = CancellationAttestations::new(at(0));
     attestations.begin_round(7, others(), at(1000));
     assert!(!attestations.on_answer(&election, "node-1", 7, 0));
-    assert!(!attestations.on_answer(&election, "node-1", 7, 0), "twice is not two");
-    assert!(!attestations.on_answer(&election, "node-9", 7, 0), "a stranger");
+    assert!(
+        !attestations.on_answer(&election, "node-1", 7, 0),
+        "two answers of the same controller"
+    );
+    assert!(
+        !attestations.on_answer(&election, "node-9", 7, 0),
+        "not a member of the cluster"
+    );
     assert!(
         !attestations.on_answer(&election, "node-2", 6, 0),
-        "for an earlier question"
+        "for an earlier round"
     );
     assert!(
         !attestations.on_answer(&election, "node-2", 7, 1),
-        "it knows a later term"
+        "the controller has seen a later term"
     );
     assert!(attestations.on_answer(&election, "node-2", 7, 0));
     attestations.begin_round(8, others(), at(2000));
     assert!(
         !attestations.on_answer(&election, "node-2", 7, 0),
-        "a copy of the last one"
+        "a copy for the previous round"
     );
     assert!(!attestations.on_answer(&election, "node-1", 8, 0));
 }
@@ -90,12 +96,15 @@
     let mut leader = leader_with_unseen_start();
     leader.cancel("run-000001", at(1000));
     leader.update_unsettled_machines(at(3000));
-    assert!(leader.new_term_reason.is_none(), "its next report may tell");
+    assert!(
+        leader.new_term_reason.is_none(),
+        "the next report may show whether the start arrived"
+    );
     leader.update_unsettled_machines(at(5000));
     assert!(leader.new_term_reason.is_some());
     leader.term_raised(2);
     leader.update_unsettled_machines(at(9000));
-    assert!(leader.new_term_reason.is_none(), "once is enough");
+    assert!(leader.new_term_reason.is_none(), "the term was raised already");
 }
 
 #[test]
@@ -114,10 +123,13 @@
     assert!(must_lapse(&leader, 31_000, &[]));
     assert!(
         !must_lapse(&leader, 31_000, &["run-000001/0"]),
-        "it is there, and stopped"
+        "the task was reported and is being stopped"
     );
     leader.term_raised(2);
-    assert!(!must_lapse(&leader, 31_000, &[]), "the answer's fence refuses it");
+    assert!(
+        !must_lapse(&leader, 31_000, &[]),
+        "the fencing token of the answer voids the start"
+    );
 }
 
 /// A report with a token that was never issued does not void a placement.
--- a/tests/sim/outbox.rs
+++ b/tests/sim/outbox.rs
@@ -63,7 +63,7 @@
     assert!(is_placed(&leader), "the start under token 2 may be on its way");
     leader.term_raised(3);
     leader.apply_heartbeat(&cluster(), &fenced(4, 3), None, at(700), at(700));
-    assert!(!is_placed(&leader), "it is refused from here on");
+    assert!(!is_placed(&leader), "the start under token 2 is refused from now on");
 }
 
 /// A queued start is not sent if its record was freed or its task was stopped or its job cancelled.
@@ -76,7 +76,7 @@
 
     let mut stopped = leader_with_unsent_start();
     stopped.stop("run-000001", 0, 5.0, at(100));
-    assert!(!is_placed(&stopped), "nothing was sent: no word is needed");
+    assert!(!is_placed(&stopped), "nothing was sent, so no confirmation is needed");
     assert!(pushed_commands(&mut stopped, 1, &api).is_empty());
 
     let mut cancelled = leader_with_unsent_start();
@@ -95,9 +95,16 @@
 fn a_start_for_a_releasing_or_restarted_machine_is_not_sent() {
     let api = JobApi::new("node-0");
     let mut releasing = leader_with_unsent_start();
-    releasing.machines.get_mut("n-000001").expect("it reported").state = MachineState::Releasing;
+    releasing
+        .machines
+        .get_mut("n-000001")
+        .expect("the machine reported")
+        .state = MachineState::Releasing;
     assert!(pushed_commands(&mut releasing, 1, &api).is_empty());
-    assert!(!is_placed(&releasing), "it was never sent, and may start elsewhere");
+    assert!(
+        !is_placed(&releasing),
+        "the start was never sent, so the task may start elsewhere"
+    );
 
     let mut restarted = leader_with_unsent_start();
     let next_session = Heartbeat {
@@ -169,7 +176,7 @@
     let mut sent = leader_with_unsent_start();
     assert_eq!(pushed_commands(&mut sent, 1, &JobApi::new("node-0")).len(), 1);
     sent.free(&id, 0, VoidProof::NeverSent, at(100));
-    assert!(is_placed(&sent), "its start has left");
+    assert!(is_placed(&sent), "the start was sent");
     sent.free(&id, 0, VoidProof::MachineReleased, at(100));
     assert!(!is_placed(&sent));
 }
@@ -186,7 +193,7 @@
     leader.term_raised(2);
     let due = leader.apply_heartbeat(&cluster(), &fenced(2, 1), None, at(100), at(100));
     assert!(due.starts.is_empty(), "{due:?}");
-    assert!(due.wants_heartbeat, "nobody asks the machine for a report");
+    assert!(due.wants_heartbeat, "no report is requested from the machine");
     assert!(pushed_commands(&mut leader, 2, &JobApi::new("node-0")).is_empty());
     assert!(is_placed(&leader), "an earlier token proves nothing");
     leader.apply_heartbeat(&cluster(), &fenced(3, 2), None, at(200), at(200));
--- a/tests/sim/process_restarts.rs
+++ b/tests/sim/process_restarts.rs
@@ -86,7 +86,7 @@
         } => Some(*id),
         _ => None,
     });
-    forwarded.expect("the report is passed on")
+    forwarded.expect("the report is forwarded")
 }
 
 /// Delivers the leader's response to the forwarded report, and returns the number of answers that
@@ -110,9 +110,13 @@
         assert_eq!(
             deliver_response(&mut controller, earlier),
             0,
-            "orders for one worker are given to another"
+            "commands for one worker are sent to another"
+        );
+        assert_eq!(
+            deliver_response(&mut controller, own),
+            1,
+            "the worker's own answer is forwarded"
         );
-        assert_eq!(deliver_response(&mut controller, own), 1, "its own answer is handed on");
     }
 }
 
@@ -164,7 +168,7 @@
         restored: false,
     };
     job.placements.insert(0, placement);
-    let machine = leader.machines.get_mut("n-000001").expect("it reported");
+    let machine = leader.machines.get_mut("n-000001").expect("the machine reported");
     machine.add_task(&job.id, 0, &job.spec);
     leader.jobs.insert(job.id.clone(), job);
 }
--- a/tests/sim/stranded_jobs.rs
+++ b/tests/sim/stranded_jobs.rs
@@ -168,8 +168,8 @@
             world.rules.broken.len()
         };
         assert_eq!(play(|_| {}, true), 1);
-        assert_eq!(play(|_| {}, false), 0, "it was not accepted");
-        assert_eq!(play(|s| s.cpus = 2.0, true), 0, "its team is at its limit");
+        assert_eq!(play(|_| {}, false), 0, "the job was not accepted");
+        assert_eq!(play(|s| s.cpus = 2.0, true), 0, "the team is at its limit");
         assert_eq!(play(|s| s.zone = Some("z".into()), true), 0, "no machine fits");
         assert_eq!(play(|s| s.memory = 64.0, true), 0, "no machine has room");
     }
--- a/tests/two_versions.rs
+++ b/tests/two_versions.rs
@@ -227,7 +227,7 @@
         ) {
             assert!(
                 began.elapsed() < Duration::from_secs(20),
-                "worker-{n} is never ready:\n{}",
+                "worker-{n} never became ready:\n{}",
                 self.logs()
             );
             Timer::after(Duration::from_millis(50)).await;
@@ -254,7 +254,7 @@
     async fn phase(&self, n: usize, id: &str) -> Option<String> {
         let (status, body) = send_request(self.public[n], "GET", &format!("/v2/runs/{id}"), vec![]).await;
         if status == 404 {
-            panic!("worker-{n} has forgotten {id}:\n{}", self.logs());
+            panic!("worker-{n} answered 404 for {id}:\n{}", self.logs());
         }
         text(&body, "phase")
     }
@@ -269,7 +269,7 @@
             }
             assert!(
                 began.elapsed() < Duration::from_secs(30),
-                "worker-{n} calls {id} {now:?}, not {phase}:\n{}",
+                "worker-{n} reports {id} as {now:?}, not {phase}:\n{}",
                 self.logs()
             );
             Timer::after(Duration::from_millis(100)).await;
@@ -406,7 +406,7 @@
             while terms(&store).0 == term {
                 assert!(
                     began.elapsed() < Duration::from_secs(20),
-                    "nobody leads:\n{}",
+                    "no controller leads:\n{}",
                     cluster.logs()
                 );
                 Timer::after(Duration::from_millis(50)).await;
@@ -419,7 +419,10 @@
             cluster.start(n, if is_new[n] { &new } else { &old });
             cluster.ready(n).await;
         }
-        assert!(both(&leaders_new), "not in both orders: {leaders_new:?}");
+        assert!(
+            both(&leaders_new),
+            "leadership did not pass in both directions: {leaders_new:?}"
+        );
         // The update is completed: all processes are new.
         for n in 0..2 {
             cluster.start(n, &new);
