--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -37,8 +37,8 @@
 ///
 /// Controllers are given by index and by `life`, the number of starts of the process when the
 /// event was scheduled: an event for an earlier process is dropped. The life `u64::MAX` is that of
-/// no process, so that the answer to a late message reaches nobody; the report number `u64::MAX`
-/// marks a copy, whose answer is ignored.
+/// no process, so that the answer to a late message is dropped; the report number `u64::MAX` marks
+/// a copy or a late report, whose answer is ignored.
 pub(crate) enum ScheduledEvent {
     Tick(usize, u64),
     Event(usize, u64, Event),
@@ -93,7 +93,8 @@
     /// Controllers whose requests the state service refuses and whose watches it holds back.
     pub state_deaf: BTreeMap<usize, usize>,
     pub cloud_out: BTreeSet<usize>,
-    /// Machines that no controller can reach; messages to and from them are held back.
+    /// Machines that no controller can reach. Commands to them are held back, and so are their
+    /// reports if the script has `held-packets`.
     pub cut: BTreeMap<usize, BTreeSet<String>>,
     /// Pairs of zones that cannot reach each other.
     pub zones: BTreeMap<usize, (String, String)>,
@@ -101,8 +102,8 @@
     pub zone_off: BTreeMap<usize, String>,
     /// The zone of each controller.
     pub zone_of: Vec<String>,
-    /// Answers to all transactions are lost. Where the delay isn't 0, about half of the
-    /// transactions are executed only after it.
+    /// Answers to all transactions with changes are lost. Where the delay isn't 0, about half of
+    /// these transactions are executed only after it.
     pub lose_txn: BTreeMap<usize, u64>,
     /// Delays of commands on their way to a machine.
     pub hold_direct: BTreeMap<usize, u64>,
