--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -77,7 +77,7 @@
         }
         let (known, sent) = (user.accepted.is_some(), user.sent);
         if self.record_job_answer(job, asked, sent, left, &answer) {
-            return self.user_goes_on(job, asked, answer.status);
+            return self.schedule_next_request(job, asked, answer.status);
         }
         let Some(user) = self.users.get_mut(job) else { return };
         match answer.status {
@@ -92,7 +92,7 @@
                 }
             }
         }
-        self.user_goes_on(job, asked, answer.status);
+        self.schedule_next_request(job, asked, answer.status);
     }
 
     /// Checks and records an answer about a job, and returns whether it states the job's phase.
@@ -111,13 +111,13 @@
         if status == 503 && answer.retry_after_s.is_none() {
             self.rules.broken.push(format!("{job}: refused without Retry-After"));
         }
-        let told = Answer {
+        let observed = Answer {
             asked: sent,
             left,
             status,
             phase: state.as_ref().map(|s| s.phase),
         };
-        self.rules.broken.extend(self.answers.check_answer(job, &told));
+        self.rules.broken.extend(self.answers.check_answer(job, &observed));
         let (Some(user), Some(state)) = (self.users.get(job), state) else {
             return false;
         };
@@ -143,7 +143,7 @@
     }
 
     /// Schedules the user's next request.
-    fn user_goes_on(&mut self, job: &str, asked: Asked, status: u16) {
+    fn schedule_next_request(&mut self, job: &str, asked: Asked, status: u16) {
         let user = &self.users[job];
         let pause = match asked {
             _ if status == 503 => SEC,
