--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -1,7 +1,7 @@
-//! What tests through real sockets share: HTTP by hand, a stand-in for the state service,
-//! processes that end with the test.
+//! Fixtures of the tests through real sockets: a minimal HTTP client and server, a fake state
+//! service and cloud, and child processes that are killed at the end of a test.
 #![allow(dead_code)]
-// A test is one story from beginning to end.
+// A test runs one scenario from beginning to end.
 #![allow(clippy::too_many_lines)]
 
 use async_io::{Async, Timer};
@@ -36,7 +36,7 @@
     field(value, name)?.as_integer().and_then(|i| u64::try_from(i).ok())
 }
 
-/// Reads one HTTP message: its first line and its body.
+/// Reads one HTTP message, and returns its start line with the headers, and its body.
 pub(crate) async fn read_message(stream: &mut Async<TcpStream>) -> Option<(String, Vec<u8>)> {
     let mut data = vec![];
     let mut buf = [0u8; 4096];
@@ -67,13 +67,17 @@
     Some((headers, body))
 }
 
+/// The content of the fake state service.
 #[derive(Default)]
 pub(crate) struct Store {
+    /// Values and the revisions at which they were written, by key.
     pub keys: BTreeMap<String, (Value, u64)>,
     pub revision: u64,
-    /// Leases: how long they last, and until when; and the keys attached to them.
+    /// Duration and end of each lease, by lease ID.
     leases: BTreeMap<u64, (Duration, Instant)>,
+    /// The lease that each attached key belongs to.
     attached: BTreeMap<String, u64>,
+    /// Keys removed because their lease ended, and the revisions of their removal.
     deleted: Vec<(String, u64)>,
 }
 
@@ -95,6 +99,7 @@
         }
     }
 
+    /// Executes a request, given by its start line and body, and returns status and body.
     pub(crate) fn answer(&mut self, line: &str, body: &[u8]) -> (u16, Value) {
         self.expire();
         let mut words = line.split_whitespace();
@@ -133,10 +138,10 @@
             let puts = puts.map(|(k, (v, s))| (*s, cbor!({"put" => k, "value" => v, "stamp" => s}).unwrap()));
             let deletes = self.deleted.iter().filter(|(k, s)| within(k, *s));
             let deletes = deletes.map(|(k, s)| (*s, cbor!({"delete" => k, "stamp" => s}).unwrap()));
-            let mut news: Vec<(u64, Value)> = puts.chain(deletes).collect();
-            news.sort_by_key(|n| n.0);
-            let news: Vec<Value> = news.into_iter().map(|n| n.1).collect();
-            return (200, cbor!({"epoch" => revision, "news" => news}).unwrap());
+            let mut events: Vec<(u64, Value)> = puts.chain(deletes).collect();
+            events.sort_by_key(|n| n.0);
+            let events: Vec<Value> = events.into_iter().map(|n| n.1).collect();
+            return (200, cbor!({"epoch" => revision, "news" => events}).unwrap());
         }
         if let Some(key) = path.strip_prefix("/kv/") {
             return match self.keys.get(key) {
@@ -145,8 +150,8 @@
             };
         }
         if path == "/holds" {
-            let asked: Value = ciborium::from_reader(body).unwrap();
-            let life = Duration::from_millis(number(&asked, "life_ms").unwrap_or(1000));
+            let grant: Value = ciborium::from_reader(body).unwrap();
+            let life = Duration::from_millis(number(&grant, "life_ms").unwrap_or(1000));
             self.revision += 1;
             self.leases.insert(self.revision, (life, Instant::now() + life));
             return (200, cbor!({"grant" => self.revision}).unwrap());
@@ -197,6 +202,8 @@
     }
 }
 
+/// Serves HTTP requests with the given handler, which gets the head and body of each. Answers to
+/// watches are delayed by 20 ms.
 pub(crate) async fn serve(
     listener: Async<TcpListener>,
     answer: impl Fn(&str, &[u8]) -> (u16, Value) + Send + Sync + 'static,
@@ -229,26 +236,27 @@
     .await
 }
 
-/// Ports for processes under test lie below those that the system gives to outgoing connections:
-/// one of those could take a port between its choice and the start of the process.
+/// First port for processes under test. The range lies below the ephemeral ports: an outgoing
+/// connection could otherwise take a port between its choice and the start of the process.
 const FIRST_PORT: u32 = 12_000;
-const PORTS: u32 = 18_000;
+const PORT_COUNT: u32 = 18_000;
 
-/// Ports chosen so far by this process.
-static CHOSEN: AtomicU32 = AtomicU32::new(0);
+/// Number of ports that this process has tried.
+static PORTS_TRIED: AtomicU32 = AtomicU32::new(0);
 
-/// A port on which nothing listens, and that this process has not chosen before.
+/// Returns a port on which nothing listens and that this process has not returned before.
 pub(crate) fn free_port() -> u16 {
     let first = std::process::id().wrapping_mul(97);
     loop {
-        let number = first.wrapping_add(CHOSEN.fetch_add(1, Ordering::Relaxed));
-        let port = u16::try_from(FIRST_PORT + number % PORTS).unwrap();
+        let number = first.wrapping_add(PORTS_TRIED.fetch_add(1, Ordering::Relaxed));
+        let port = u16::try_from(FIRST_PORT + number % PORT_COUNT).unwrap();
         if TcpListener::bind(("127.0.0.1", port)).is_ok() {
             return port;
         }
     }
 }
 
+/// A child process that is killed on drop.
 pub(crate) struct Process(pub Child);
 
 impl Drop for Process {
@@ -258,33 +266,40 @@
     }
 }
 
-/// Sends raw bytes and reads one answer: status and body.
-pub(crate) async fn raw(port: u16, request: Vec<u8>) -> Option<(u16, String, Vec<u8>)> {
-    let work = async {
+/// Sends raw bytes to a new connection, and returns status, lower-case head and body of the
+/// answer; `None` if no whole answer arrives within 8 s.
+pub(crate) async fn send_raw(port: u16, request: Vec<u8>) -> Option<(u16, String, Vec<u8>)> {
+    let exchange = async {
         let mut stream = Async::<TcpStream>::connect(([127, 0, 0, 1], port)).await.ok()?;
         stream.write_all(&request).await.ok()?;
         let (head, body) = read_message(&mut stream).await?;
         let status = head.split_whitespace().nth(1)?.parse().ok()?;
         Some((status, head.to_ascii_lowercase(), body))
     };
-    let late = async {
+    let timeout = async {
         Timer::after(Duration::from_secs(8)).await;
         None
     };
-    work.or(late).await
+    exchange.or(timeout).await
 }
 
-pub(crate) async fn ask(port: u16, method: &str, path: &str, body: Vec<u8>) -> (u16, Value) {
+/// Sends a request and returns the answer's status and decoded body, `Null` if it is no CBOR.
+///
+/// # Panics
+///
+/// Panics if there is no answer.
+pub(crate) async fn send_request(port: u16, method: &str, path: &str, body: Vec<u8>) -> (u16, Value) {
     let mut request = format!(
         "{method} {path} HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n",
         body.len()
     )
     .into_bytes();
     request.extend_from_slice(&body);
-    let (status, _, body) = raw(port, request).await.expect("an answer");
+    let (status, _, body) = send_raw(port, request).await.expect("an answer");
     (status, ciborium::from_reader(&body[..]).unwrap_or(Value::Null))
 }
 
+/// Returns the submission of a job.
 pub(crate) fn job(id: &str, pieces: u64, cores: f64) -> Value {
     cbor!({
         "ref" => id, "jobclass" => "train", "owner" => "blue", "shape" => "array", "rank" => "standard",
@@ -295,7 +310,8 @@
     .unwrap()
 }
 
-pub(crate) fn with(mut value: Value, name: &str, new: Value) -> Value {
+/// Returns the map with one field set.
+pub(crate) fn with_field(mut value: Value, name: &str, new: Value) -> Value {
     if let Value::Map(map) = &mut value {
         map.retain(|(k, _)| k.as_text() != Some(name));
         map.push((Value::Text(name.into()), new));
@@ -303,25 +319,26 @@
     value
 }
 
-pub(crate) fn without(mut value: Value, name: &str) -> Value {
+/// Returns the map without one field.
+pub(crate) fn without_field(mut value: Value, name: &str) -> Value {
     if let Value::Map(map) = &mut value {
         map.retain(|(k, _)| k.as_text() != Some(name));
     }
     value
 }
 
-/// Stand-ins on loopback for the state service and a cloud of one machine type without
-/// capacity: what the one holds, and the ports of both.
-pub(crate) fn stand_ins(cores: f64, boot_s: f64) -> (Arc<Mutex<Store>>, u16, u16) {
+/// Starts a fake state service and a fake cloud on loopback. The cloud has one machine type and
+/// no capacity. Returns the content of the state service and the ports of both.
+pub(crate) fn start_fake_services(cores: f64, boot_s: f64) -> (Arc<Mutex<Store>>, u16, u16) {
     let listen = || Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let (state, cloud) = (listen(), listen());
     let port = |l: &Async<TcpListener>| l.get_ref().local_addr().unwrap().port();
     let ports = (port(&state), port(&cloud));
     let store = Arc::new(Mutex::new(Store::default()));
-    let for_state = store.clone();
+    let state_store = store.clone();
     std::thread::spawn(move || {
         future::block_on(serve(state, move |head, body| {
-            for_state.lock().unwrap().answer(head, body)
+            state_store.lock().unwrap().answer(head, body)
         }))
     });
     std::thread::spawn(move || {
@@ -344,8 +361,8 @@
     (store, ports.0, ports.1)
 }
 
-/// Settings of one node that serves alone, by its ports and those of its services.
-pub(crate) fn settings(public: u16, peer: u16, state: u16, cloud: u16) -> String {
+/// Returns the settings of a cluster of one controller, given its ports and those of its services.
+pub(crate) fn single_node_settings(public: u16, peer: u16, state: u16, cloud: u16) -> String {
     format!(
         r#"
 node = "worker-0"
@@ -381,14 +398,17 @@
     )
 }
 
-/// Waits until the node that listens here can take requests.
-pub(crate) async fn ready(public: u16) {
+/// Waits until the controller with this public port is ready.
+pub(crate) async fn wait_until_ready(public: u16) {
     let began = Instant::now();
     while !matches!(
-        raw(public, b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n".to_vec()).await,
+        send_raw(public, b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n".to_vec()).await,
         Some((200, _, _))
     ) {
-        assert!(began.elapsed() < Duration::from_secs(20), "never ready");
+        assert!(
+            began.elapsed() < Duration::from_secs(20),
+            "the controller never became ready"
+        );
         Timer::after(Duration::from_millis(50)).await;
     }
 }
--- a/tests/sim/close_queries.rs
+++ b/tests/sim/close_queries.rs
@@ -1,6 +1,7 @@
-//! Questions of users beside the ones that they ask in turn: several nodes are asked within
-//! milliseconds, submissions are repeated, jobs are called off at awkward moments, and
-//! requests come that no user should send.
+//! Requests of users in addition to those that they send in turn.
+//!
+//! Several controllers are queried about a job within milliseconds, submissions are repeated,
+//! jobs are cancelled close to their acceptance or end, and invalid requests are sent.
 
 use super::answers::REQUIRED;
 use super::script::plain_spec;
@@ -13,40 +14,44 @@
 use glenhaven_fakes::user::job_of;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// When all nodes are asked, after something has happened to a job.
+/// Delays after a change of a job, in microseconds, at which all controllers are queried about it.
 const QUERY_DELAYS: [u64; 4] = [0, 3 * MS, 12 * MS, 60 * MS];
-/// Most machines that hang while jobs on them are cancelled.
-const MOST_HANG: usize = 8;
-/// A task with less to go is not worth calling off.
-const LONG: u64 = 30 * SEC;
-/// How long users wait for an answer.
-const WAIT: u64 = 5 * SEC;
-/// Jobs that can't be accepted are numbered from here on.
-const ODD_JOBS: u64 = 900_000;
+/// Largest number of machines that hang while jobs on them are cancelled.
+const MAX_HUNG_MACHINES: usize = 8;
+/// Least remaining run time of a task whose job is cancelled.
+const MIN_REMAINING: u64 = 30 * SEC;
+/// Time after which an answer is ignored.
+const ANSWER_TIMEOUT: u64 = 5 * SEC;
+/// Number of the first job that must be refused.
+const FIRST_INVALID_JOB: u64 = 900_000;
 
-/// A question beside those that a user asks in turn.
+/// A request in addition to those that a user sends in turn.
 pub(super) struct Query {
     job: String,
     asked: Asked,
     sent: u64,
-    /// A submission that must be refused.
-    odd: Option<Vec<u8>>,
+    /// The submission that must be refused, if the request is about one.
+    invalid: Option<Vec<u8>>,
 }
 
-/// Users' troubles that go on, by the step that began them.
+/// The additional requests that are switched on, keyed by the index of the script's step that
+/// began them, and those in flight.
 #[derive(Default)]
-pub(crate) struct Troubles {
+pub(crate) struct CloseQueries {
+    /// Each change of a job is followed by queries to all controllers.
     pub close_looks: BTreeSet<usize>,
+    /// Share of the jobs that are cancelled as their last task completes.
     pub cancel_at_end: BTreeMap<usize, f64>,
+    /// Invalid and repeated requests are sent regularly.
     pub odd_requests: BTreeSet<usize>,
-    odd_jobs: u64,
-    looks: BTreeMap<u64, Query>,
+    invalid_jobs: u64,
+    pending: BTreeMap<u64, Query>,
 }
 
-impl Troubles {
-    /// The job that an unanswered look is about.
+impl CloseQueries {
+    /// Returns the job that an unanswered request is about.
     pub(crate) fn job_of(&self, query: u64) -> Option<&str> {
-        self.looks.get(&query).map(|query| query.job.as_str())
+        self.pending.get(&query).map(|query| query.job.as_str())
     }
 
     pub(crate) fn heal(&mut self, step: usize) {
@@ -56,16 +61,16 @@
     }
 }
 
-/// What becomes of a job that its users look at closely.
+/// A change of a job after which all controllers are queried about it.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum Moment {
+pub(crate) enum JobChange {
     Accepted,
     Ended,
     Cancelled,
 }
 
 impl World {
-    /// Asks one node about a job, whatever else its user asks.
+    /// Sends a request about a job to one controller, independent of its user's own requests.
     pub(crate) fn ask(&mut self, job: &str, asked: Asked, n: usize) {
         let Some(user) = self.users.get_mut(job) else { return };
         user.wants_abort |= asked == Asked::Abort;
@@ -76,14 +81,14 @@
                 job: job.into(),
                 asked,
                 sent: self.now,
-                odd: None,
+                invalid: None,
             },
             body,
         );
     }
 
     fn send(&mut self, n: usize, query: Query, body: Vec<u8>) {
-        if self.nodes[n].controller.is_none() || self.active_faults.cut_off(n, "users") {
+        if self.nodes[n].controller.is_none() || self.active_faults.is_cut_off(n, "users") {
             return;
         }
         let request = match query.asked {
@@ -92,27 +97,27 @@
             Asked::Abort => UserRequest::Abort(query.job.clone()),
         };
         let (id, number) = (self.id(), self.id());
-        self.one_way_faults.looks.insert(number, query);
+        self.one_way_faults.pending.insert(number, query);
         self.origins.insert(id, Origin::Query(number));
         let (hop, life) = (self.hop(), self.nodes[n].life);
         self.after(hop, ScheduledEvent::Event(n, life, Event::User { id, request }));
     }
 
-    pub(crate) fn look_answered(&mut self, number: u64, left: u64, answer: &Outgoing) {
-        let Some(query) = self.one_way_faults.looks.remove(&number) else {
+    pub(crate) fn query_answered(&mut self, number: u64, left: u64, answer: &Outgoing) {
+        let Some(query) = self.one_way_faults.pending.remove(&number) else {
             return;
         };
-        if self.now > query.sent + WAIT {
+        if self.now > query.sent + ANSWER_TIMEOUT {
             return;
         }
-        let Some(body) = &query.odd else {
-            self.heard(&query.job, query.asked, query.sent, left, answer);
+        let Some(body) = &query.invalid else {
+            self.record_job_answer(&query.job, query.asked, query.sent, left, answer);
             return;
         };
-        let told = from_cbor::<JobState>(&answer.body).is_ok();
+        let is_known = from_cbor::<JobState>(&answer.body).is_ok();
         match answer.status {
-            200 | 201 if query.asked == Asked::Submit => self.rules.broken.extend(self.answers.accepted(body)),
-            200 if told => self
+            200 | 201 if query.asked == Asked::Submit => self.rules.broken.extend(self.answers.check_acceptance(body)),
+            200 if is_known => self
                 .rules
                 .broken
                 .push(format!("invented: {} was refused, and is known", query.job)),
@@ -120,7 +125,7 @@
         }
     }
 
-    /// A task has completed; its job may have ended with it.
+    /// Reacts to the completion of a task if it completes the job.
     pub(crate) fn task_ended(&mut self, task: &str) {
         let job = job_of(task).to_string();
         let Some(user) = self.users.get(&job) else { return };
@@ -131,19 +136,20 @@
         let share = self.one_way_faults.cancel_at_end.values().copied().fold(0.0, f64::max);
         if share > 0.0 && self.rng.f64() < share {
             let pause = self.rng.u64(0..6 * MS);
-            self.ask_some(&job, Asked::Abort, pause);
+            self.ask_random_node(&job, Asked::Abort, pause);
         }
-        self.look_closely(&job, Moment::Ended);
+        self.query_all_nodes(&job, JobChange::Ended);
     }
 
-    /// Asks some node in a moment.
-    fn ask_some(&mut self, job: &str, asked: Asked, pause: u64) {
+    /// Sends a request about a job to a random controller after a pause.
+    fn ask_random_node(&mut self, job: &str, asked: Asked, pause: u64) {
         let n = self.rng.usize(0..self.nodes.len());
         self.after(pause, ScheduledEvent::Ask(job.into(), asked, n));
     }
 
-    /// Users ask at all nodes, again and again, and repeat the submission.
-    pub(crate) fn look_closely(&mut self, job: &str, moment: Moment) {
+    /// Queries all controllers about a job several times and repeats its submission, if that is
+    /// switched on. A quarter of the jobs that were just accepted are cancelled.
+    pub(crate) fn query_all_nodes(&mut self, job: &str, change: JobChange) {
         if self.one_way_faults.close_looks.is_empty() {
             return;
         }
@@ -153,19 +159,20 @@
                 self.after(pause, ScheduledEvent::Ask(job.into(), Asked::Poll, n));
             }
             let pause = pause + self.rng.u64(0..5 * MS);
-            self.ask_some(job, Asked::Submit, pause);
+            self.ask_random_node(job, Asked::Submit, pause);
         }
-        if moment == Moment::Accepted && self.rng.u32(0..4) == 0 {
+        if change == JobChange::Accepted && self.rng.u32(0..4) == 0 {
             let pause = self.rng.u64(0..20 * MS);
-            self.ask_some(job, Asked::Abort, pause);
+            self.ask_random_node(job, Asked::Abort, pause);
         }
     }
 
-    /// Jobs that run and have long to go are called off within a fifth of a second.
+    /// Cancels up to `count` running jobs with at least [`MIN_REMAINING`] to go, within 200 ms.
+    /// Some of their machines hang for `hangs` microseconds.
     pub(crate) fn cancel_now(&mut self, count: usize, hangs: Option<u64>) {
         let mut running: Vec<(String, String)> = vec![];
         for worker in self.workers.values().filter(|w| w.up) {
-            for job in worker.long_to_go(self.now + LONG).map(job_of) {
+            for job in worker.long_to_go(self.now + MIN_REMAINING).map(job_of) {
                 running.push((job.into(), worker.name.clone()));
             }
         }
@@ -177,13 +184,13 @@
                 .users
                 .get(&job)
                 .is_some_and(|u| !u.wants_abort && u.accepted.is_some());
-            if wanted && jobs.len() < count && jobs.insert(job) && hang.len() < MOST_HANG {
+            if wanted && jobs.len() < count && jobs.insert(job) && hang.len() < MAX_HUNG_MACHINES {
                 hang.insert(machine);
             }
         }
         for job in jobs {
             let pause = self.rng.u64(0..SEC / 5);
-            self.ask_some(&job, Asked::Abort, pause);
+            self.ask_random_node(&job, Asked::Abort, pause);
         }
         let Some(hangs) = hangs else { return };
         for machine in hang {
@@ -191,8 +198,8 @@
         }
     }
 
-    /// Repeats an unfinished job's submission, cancels one that is done, submits one that
-    /// can't be accepted and asks about it.
+    /// Repeats the submission of an unfinished job, cancels a job that is done, and submits,
+    /// polls and cancels a job that must be refused. Repeats itself four times a second.
     pub(crate) fn odd_requests(&mut self, step: usize) {
         if !self.one_way_faults.odd_requests.contains(&step) {
             return;
@@ -202,20 +209,20 @@
             (!jobs.is_empty()).then(|| jobs[self.rng.usize(0..jobs.len())].clone())
         };
         let unfinished = pick(|u| u.accepted.is_some() && u.done.is_none() && u.cancelled.is_none());
-        // Its user knows that it is done, so that this cancels nothing.
+        // The job's user has been informed that it is done, so the request cancels nothing.
         let done = pick(|u| u.done.is_some());
         if let Some(job) = unfinished {
-            self.ask_some(&job, Asked::Submit, 0);
+            self.ask_random_node(&job, Asked::Submit, 0);
         }
         if let Some(job) = done {
             let n = self.rng.usize(0..self.nodes.len());
             let query = self.query(&job, Asked::Abort, None);
             self.send(n, query, vec![]);
         }
-        self.one_way_faults.odd_jobs += 1;
-        let number = self.one_way_faults.odd_jobs;
-        let job = format!("run-{}", ODD_JOBS + number);
-        let body = self.odd_submission(&job, number);
+        self.one_way_faults.invalid_jobs += 1;
+        let number = self.one_way_faults.invalid_jobs;
+        let job = format!("run-{}", FIRST_INVALID_JOB + number);
+        let body = self.invalid_submission(&job, number);
         for asked in [Asked::Submit, Asked::Poll, Asked::Abort] {
             let n = self.rng.usize(0..self.nodes.len());
             let query = self.query(&job, asked, Some(body.clone()));
@@ -224,17 +231,18 @@
         self.after(SEC / 4, ScheduledEvent::OddRequests(step));
     }
 
-    fn query(&self, job: &str, asked: Asked, odd: Option<Vec<u8>>) -> Query {
+    fn query(&self, job: &str, asked: Asked, invalid: Option<Vec<u8>>) -> Query {
         Query {
             job: job.into(),
             asked,
             sent: self.now,
-            odd,
+            invalid,
         }
     }
 
-    /// A submission that fits no machine, is over a limit, of nobody's team, or lacks a field.
-    fn odd_submission(&mut self, job: &str, number: u64) -> Vec<u8> {
+    /// Returns a submission that fits no machine, names an unknown machine type or team, or lacks
+    /// a field.
+    fn invalid_submission(&mut self, job: &str, number: u64) -> Vec<u8> {
         let mut spec = JobSpec {
             team: self.script.base.params.teams[0].name.clone(),
             ..plain_spec(job)
@@ -244,7 +252,8 @@
             1 => spec.types = Some(vec!["no such type".into()]),
             2 => spec.team = "no such team".into(),
             3 => {
-                // Of a team without a limit, each task fits no machine.
+                // The size refuses the job also where its team has no limit: no machine has
+                // enough memory for a task.
                 spec.shape = Shape::Service;
                 spec.tasks = 100_000;
                 spec.memory = 1e6;
--- a/tests/sim/lease_renewal.rs
+++ b/tests/sim/lease_renewal.rs
@@ -1,7 +1,7 @@
-//! Whether an answer may renew a worker's lease: what the other controllers say while the state
-//! service answers nobody, and starts of cancelled jobs that may still be on their way.
+//! Tests of whether an answer may renew a worker's lease: attestations of the other controllers
+//! while the state service is unreachable, and starts of cancelled jobs that may be in flight.
 
-use super::process_restarts::{at, cluster, life, place};
+use super::process_restarts::{at, cluster, follower, place};
 use super::script::Script;
 use glenhaven::coordination::election::Election;
 use glenhaven::coordination::lease_renewal::CancellationAttestations;
@@ -20,8 +20,8 @@
     super::process_restarts::heartbeat(sequence, tasks.iter().map(running).collect())
 }
 
-/// A leader's word for a question counts from all others, for this very question, and as long
-/// as none knows a later term.
+/// A round is complete with attestations for that round from all other controllers, none of
+/// which has seen a later term.
 #[test]
 fn only_attestations_of_all_others_for_this_round_count() {
     let settings = Script::parse("nodes a b a").unwrap().settings().remove(0);
@@ -30,38 +30,44 @@
     let mut attestations = CancellationAttestations::new(at(0));
     attestations.begin_round(7, others(), at(1000));
     assert!(!attestations.on_answer(&election, "node-1", 7, 0));
-    assert!(!attestations.on_answer(&election, "node-1", 7, 0), "twice is not two");
-    assert!(!attestations.on_answer(&election, "node-9", 7, 0), "a stranger");
+    assert!(
+        !attestations.on_answer(&election, "node-1", 7, 0),
+        "two answers of the same controller"
+    );
+    assert!(
+        !attestations.on_answer(&election, "node-9", 7, 0),
+        "not a member of the cluster"
+    );
     assert!(
         !attestations.on_answer(&election, "node-2", 6, 0),
-        "for an earlier question"
+        "for an earlier round"
     );
     assert!(
         !attestations.on_answer(&election, "node-2", 7, 1),
-        "it knows a later term"
+        "the controller has seen a later term"
     );
     assert!(attestations.on_answer(&election, "node-2", 7, 0));
     attestations.begin_round(8, others(), at(2000));
     assert!(
         !attestations.on_answer(&election, "node-2", 7, 0),
-        "a copy of the last one"
+        "a copy for the previous round"
     );
     assert!(!attestations.on_answer(&election, "node-1", 8, 0));
 }
 
-/// What this life of a process was told is all it can say: asked from before it began, it is
-/// silent, since an earlier life may have confirmed more.
+/// A process attests only what it has seen since its start. It doesn't answer a request that
+/// reaches further back, because the process before it may have confirmed more cancellations.
 #[test]
 fn a_restarted_process_attests_nothing_for_its_earlier_incarnations() {
-    let mut controller = life(3);
+    let mut controller = follower(3);
     let mut answers = |seen: u64, ms: u64| {
-        let question = PeerMessage::AttestationRequest {
+        let request = PeerMessage::AttestationRequest {
             node: "node-1".into(),
             round: 1,
             seen,
         };
-        let effects = controller.handle(at(ms), vec![Event::Peer(question)]);
-        let word = |e: &Effect| {
+        let effects = controller.handle(at(ms), vec![Event::Peer(request)]);
+        let is_attestation = |e: &Effect| {
             matches!(
                 e,
                 Effect::Peer {
@@ -70,15 +76,15 @@
                 }
             )
         };
-        effects.iter().filter(|e| word(e)).count()
+        effects.iter().filter(|e| is_attestation(e)).count()
     };
-    // It read the term's keys at revision 9.
+    // The process read the term's keys at revision 9.
     assert_eq!(answers(8, 100), 0);
     assert_eq!(answers(9, 120), 1);
 }
 
-/// A leader of term 1 whose cancelled job's start was sent and never seen.
-fn flying() -> LeaderState {
+/// Returns a leader of term 1 that has sent a start which no report has confirmed yet.
+fn leader_with_unseen_start() -> LeaderState {
     let mut leader = LeaderState::new(1, 1, at(0));
     leader.apply_heartbeat(&cluster(), &heartbeat(1, &[]), None, at(10), at(10));
     place(&mut leader, at(20));
@@ -87,40 +93,50 @@
 
 #[test]
 fn a_start_that_was_never_seen_raises_the_term_also_when_its_machine_is_not_heard() {
-    let mut leader = flying();
+    let mut leader = leader_with_unseen_start();
     leader.cancel("run-000001", at(1000));
     leader.update_unsettled_machines(at(3000));
-    assert!(leader.new_term_reason.is_none(), "its next report may tell");
+    assert!(
+        leader.new_term_reason.is_none(),
+        "the next report may show whether the start arrived"
+    );
     leader.update_unsettled_machines(at(5000));
     assert!(leader.new_term_reason.is_some());
     leader.term_raised(2);
     leader.update_unsettled_machines(at(9000));
-    assert!(leader.new_term_reason.is_none(), "once is enough");
+    assert!(leader.new_term_reason.is_none(), "the term was raised already");
 }
 
 #[test]
 fn a_lease_ends_in_time_where_a_cancelled_start_may_still_arrive() {
     let cluster = cluster();
-    let lapses = |leader: &LeaderState, ms: u64, tasks: &[&str]| {
+    let must_lapse = |leader: &LeaderState, ms: u64, tasks: &[&str]| {
         leader.must_let_lease_lapse(&cluster, &heartbeat(2, tasks), at(ms))
     };
-    let mut leader = flying();
+    let mut leader = leader_with_unseen_start();
     leader.cancellation_watermark = at(900);
     leader.cancel("run-000001", at(1000));
     leader.update_unsettled_machines(at(5000));
-    assert!(!lapses(&leader, 5000, &[]), "there is time to raise the term");
-    // 40 s after the cancellation, at the latest, nothing may begin: 10 s of lease before.
-    assert!(lapses(&leader, 31_000, &[]));
-    assert!(!lapses(&leader, 31_000, &["run-000001/0"]), "it is there, and stopped");
+    assert!(!must_lapse(&leader, 5000, &[]), "there is time to raise the term");
+    // From 40 s after the cancellation on no task may begin, so the 10 s lease may not be
+    // renewed after 30 s.
+    assert!(must_lapse(&leader, 31_000, &[]));
+    assert!(
+        !must_lapse(&leader, 31_000, &["run-000001/0"]),
+        "the task was reported and is being stopped"
+    );
     leader.term_raised(2);
-    assert!(!lapses(&leader, 31_000, &[]), "the answer's fence refuses it");
+    assert!(
+        !must_lapse(&leader, 31_000, &[]),
+        "the fencing token of the answer voids the start"
+    );
 }
 
-/// A token that nobody gave out proves nothing.
+/// A report with a token that was never issued does not void a placement.
 #[test]
 fn a_heartbeat_with_an_unissued_token_frees_nothing() {
     let cluster = cluster();
-    let mut leader = flying();
+    let mut leader = leader_with_unseen_start();
     let forged = Heartbeat {
         fencing_token: 99,
         ..heartbeat(2, &[])
@@ -130,7 +146,7 @@
         leader.jobs["run-000001"].placements.contains_key(&0),
         "the start may be on its way"
     );
-    // With a higher term of its own, the same report is a proof.
+    // Once the leader itself has raised its term, such a report voids the placement.
     leader.term_raised(2);
     let real = Heartbeat {
         fencing_token: 2,
@@ -140,13 +156,12 @@
     assert!(!leader.jobs["run-000001"].placements.contains_key(&0));
 }
 
-/// A start that was held up on its way to the node that is to hand it on, until its job was
-/// cancelled, goes no further.
+/// A start that reaches the relaying controller after its job was cancelled is not forwarded.
 #[test]
 fn a_start_delayed_until_its_job_was_cancelled_is_not_forwarded() {
-    let handed_on = |job: &str| {
-        let mut controller = life(3);
-        let word = PeerMessage::Attestation {
+    let relay_outcome = |job: &str| {
+        let mut controller = follower(3);
+        let attestation = PeerMessage::Attestation {
             node: "node-1".into(),
             round: 1,
             term: 3,
@@ -166,9 +181,9 @@
                 commands: vec![start],
             },
         };
-        let effects = controller.handle(at(100), vec![Event::Peer(word), Event::Peer(relay)]);
+        let effects = controller.handle(at(100), vec![Event::Peer(attestation), Event::Peer(relay)]);
         let sent = effects.iter().any(|e| matches!(e, Effect::PushedCommands { .. }));
-        let told = |e: &Effect| {
+        let is_not_sent_answer = |e: &Effect| {
             let message = match e {
                 Effect::Peer { message, .. } => message,
                 _ => return false,
@@ -181,8 +196,8 @@
                 }
             )
         };
-        (sent, effects.iter().any(told))
+        (sent, effects.iter().any(is_not_sent_answer))
     };
-    assert_eq!(handed_on("run-000008"), (true, false));
-    assert_eq!(handed_on("run-000007"), (false, true));
+    assert_eq!(relay_outcome("run-000008"), (true, false));
+    assert_eq!(relay_outcome("run-000007"), (false, true));
 }
--- a/tests/sim/stranded_jobs.rs
+++ b/tests/sim/stranded_jobs.rs
@@ -1,5 +1,5 @@
-//! Jobs left waiting, once all troubles are over, while a machine that fits has room and
-//! their team is under its limit. Worked out from machines and submissions alone.
+//! The check for stranded jobs: after all faults are over, no job may wait long while machines
+//! have room for it and its team is under its limit. The check uses machines and submissions only.
 
 use super::agents::Worker;
 use super::users::User;
@@ -8,21 +8,22 @@
 use glenhaven_fakes::user::job_of;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a job may wait like this.
-const MOST: u64 = 90 * SEC;
+/// How long a job may wait although it could begin.
+const MAX_WAIT: u64 = 90 * SEC;
 
 #[derive(Default)]
-pub(crate) struct Starving {
-    /// Since when a job has waited with room for it, all the time.
+pub(crate) struct StrandedJobs {
+    /// Since when each job has been waiting with room for it, without interruption.
     since: BTreeMap<String, u64>,
-    told: BTreeSet<String>,
+    /// Jobs that have been reported.
+    reported: BTreeSet<String>,
 }
 
 /// Where the tasks of all jobs are.
 struct Places<'a> {
-    /// Of each job, how many of its tasks are in each zone.
+    /// The number of tasks by job and zone.
     by_job: BTreeMap<&'a str, BTreeMap<&'a str, u32>>,
-    /// What each team's tasks take.
+    /// The CPUs that each team's tasks occupy.
     by_team: BTreeMap<&'a str, f64>,
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// How many more tasks of this job a machine has room for.
+/// Returns how many more tasks of this job a machine has room for.
 fn room(world: &World, worker: &Worker, spec: &JobSpec) -> u32 {
     let usable = worker.up && world.now >= worker.hangs_until && worker.taken.is_none() && !worker.faulty;
     let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&worker.machine_type))
@@ -58,32 +59,33 @@
     ((cpus + 1e-9) / spec.cpus).min((memory + 1e-9) / spec.memory.max(1e-9)) as u32
 }
 
-/// How many tasks of a job have completed.
-fn done(world: &World, job: &str) -> u32 {
+/// Returns how many tasks of a job have completed.
+fn completed_tasks(world: &World, job: &str) -> u32 {
     let all = world.results.range(format!("{job}/")..format!("{job}0"));
     all.count() as u32
 }
 
-/// Whether a job waits that could begin.
-fn waits(world: &World, user: &User) -> bool {
+/// Returns whether a job is accepted and unfinished, with all its dependencies completed.
+fn is_waiting(world: &World, user: &User) -> bool {
     let need_done = |need: &String| {
         let needed = world.users.get(need);
-        needed.is_some_and(|u| done(world, need) == u.spec.tasks)
+        needed.is_some_and(|u| completed_tasks(world, need) == u.spec.tasks)
     };
     let over = user.wants_abort || user.cancelled.is_some() || user.done.is_some() || user.mistake;
     user.accepted.is_some() && !over && user.spec.needs.iter().all(need_done)
 }
 
-/// Whether the machines have room for what waits of this job, its zones and team allow it.
+/// Returns whether some of the job's waiting tasks could begin: within the limit of its team and
+/// its zone rules, and with room on the machines.
 fn could_begin(world: &World, places: &Places, spec: &JobSpec) -> bool {
     let none = BTreeMap::new();
     let zones = places.by_job.get(spec.id.as_str()).unwrap_or(&none);
     let placed: u32 = zones.values().sum();
-    let waiting = spec.tasks.saturating_sub(placed + done(world, &spec.id));
+    let waiting = spec.tasks.saturating_sub(placed + completed_tasks(world, &spec.id));
     if waiting == 0 {
         return false;
     }
-    // A gang begins as a whole.
+    // All tasks of a gang begin together.
     let count = if spec.one_zone { waiting } else { 1 };
     let held = places.by_team.get(spec.team.as_str()).copied().unwrap_or(0.0);
     let limit = world.rules.limit(&spec.team);
@@ -103,33 +105,37 @@
 }
 
 impl World {
-    /// Once a second.
-    pub(crate) fn look_for_starving(&mut self) {
-        let mut starving = std::mem::take(&mut self.starving);
-        starving.query(self);
-        for job in starving.since.iter().filter(|(_, since)| self.now > **since + MOST) {
-            if starving.told.insert(job.0.clone()) {
+    /// Reports jobs that are stranded; called once a second.
+    pub(crate) fn check_stranded_jobs(&mut self) {
+        let mut stranded_jobs = std::mem::take(&mut self.stranded_jobs);
+        stranded_jobs.update(self);
+        for job in stranded_jobs
+            .since
+            .iter()
+            .filter(|(_, since)| self.now > **since + MAX_WAIT)
+        {
+            if stranded_jobs.reported.insert(job.0.clone()) {
                 self.rules
                     .broken
                     .push(format!("left waiting: {} since {} with room", job.0, job.1));
             }
         }
-        self.starving = starving;
+        self.stranded_jobs = stranded_jobs;
     }
 }
 
-impl Starving {
-    fn query(&mut self, world: &World) {
+impl StrandedJobs {
+    fn update(&mut self, world: &World) {
         if world.now < world.script.calm_from() {
             return;
         }
         let places = Places::of(world);
-        let begun = |id: &str| world.rules.last_start.get(id).copied().unwrap_or(0);
+        let last_start = |id: &str| world.rules.last_start.get(id).copied().unwrap_or(0);
         let mut waiting = BTreeMap::new();
-        for (id, user) in world.users.iter().filter(|(_, u)| waits(world, u)) {
+        for (id, user) in world.users.iter().filter(|(_, u)| is_waiting(world, u)) {
             if could_begin(world, &places, &user.spec) {
                 let since = self.since.get(id).copied().unwrap_or(world.now);
-                waiting.insert(id.clone(), since.max(begun(id)));
+                waiting.insert(id.clone(), since.max(last_start(id)));
             }
         }
         self.since = waiting;
@@ -141,7 +147,7 @@
     use super::super::script::Script;
     use super::*;
 
-    /// A job that nobody places although a machine has room for it.
+    /// A job is reported if it is not placed although a machine has room for it.
     #[test]
     fn a_stranded_job_is_reported() {
         let text =
@@ -157,13 +163,13 @@
             world.users.insert("run-000003".into(), user);
             for _ in 0..95 {
                 world.now += SEC;
-                world.look_for_starving();
+                world.check_stranded_jobs();
             }
             world.rules.broken.len()
         };
         assert_eq!(play(|_| {}, true), 1);
-        assert_eq!(play(|_| {}, false), 0, "it was not accepted");
-        assert_eq!(play(|s| s.cpus = 2.0, true), 0, "its team is at its limit");
+        assert_eq!(play(|_| {}, false), 0, "the job was not accepted");
+        assert_eq!(play(|s| s.cpus = 2.0, true), 0, "the team is at its limit");
         assert_eq!(play(|s| s.zone = Some("z".into()), true), 0, "no machine fits");
         assert_eq!(play(|s| s.memory = 64.0, true), 0, "no machine has room");
     }
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -1,7 +1,7 @@
-//! Users and the load balancer among simulated hosts.
+//! Simulated users, and the load balancer that sends each request to a random controller.
 
 use super::answers::Answer;
-use super::close_queries::Moment;
+use super::close_queries::JobChange;
 use super::{Origin, ScheduledEvent, World, SEC};
 use glenhaven::coordination::{Event, UserRequest};
 use glenhaven::protocol::users::{JobState, Phase};
@@ -10,10 +10,10 @@
 pub(crate) use glenhaven_fakes::user::{Asked, User};
 
 impl World {
-    /// Sends a user's next request, unless one is under way.
+    /// Sends a user's next request, unless one is in flight.
     pub(crate) fn user_acts(&mut self, job: &str) {
         let live: Vec<usize> = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].controller.is_some() && !self.active_faults.cut_off(*n, "users"))
+            .filter(|n| self.nodes[*n].controller.is_some() && !self.active_faults.is_cut_off(*n, "users"))
             .collect();
         let rid = self.id();
         let pick = if live.is_empty() {
@@ -21,7 +21,7 @@
         } else {
             Some(live[self.rng.usize(0..live.len())])
         };
-        // Users submit a job once those that it needs are accepted.
+        // A job is submitted after the jobs that it depends on have been accepted.
         let Some(user) = self.users.get(job) else { return };
         let early = |need: &String| *need != *job && self.users.get(need).is_some_and(|u| u.accepted.is_none());
         if !user.submitted && user.spec.needs.iter().any(early) {
@@ -37,7 +37,7 @@
             Asked::Poll => UserRequest::Poll(job.into()),
         };
         let limit = asked.limit();
-        self.after(limit, ScheduledEvent::UserLate(job.into(), rid));
+        self.after(limit, ScheduledEvent::UserTimeout(job.into(), rid));
         if let Some(n) = pick {
             let id = self.id();
             let life = self.nodes[n].life;
@@ -47,7 +47,7 @@
         }
     }
 
-    pub(crate) fn user_late(&mut self, job: &str, rid: u64) {
+    pub(crate) fn user_timed_out(&mut self, job: &str, rid: u64) {
         let now = self.now;
         let calm = self.script.calm_from();
         let Some(user) = self.users.get_mut(job) else { return };
@@ -76,8 +76,8 @@
             return;
         }
         let (known, sent) = (user.accepted.is_some(), user.sent);
-        if self.heard(job, asked, sent, left, &answer) {
-            return self.user_goes_on(job, asked, answer.status);
+        if self.record_job_answer(job, asked, sent, left, &answer) {
+            return self.schedule_next_request(job, asked, answer.status);
         }
         let Some(user) = self.users.get_mut(job) else { return };
         match answer.status {
@@ -92,11 +92,18 @@
                 }
             }
         }
-        self.user_goes_on(job, asked, answer.status);
+        self.schedule_next_request(job, asked, answer.status);
     }
 
-    /// Takes in any answer about a job: whether it says the job's state.
-    pub(crate) fn heard(&mut self, job: &str, asked: Asked, sent: u64, left: u64, answer: &Outgoing) -> bool {
+    /// Checks and records an answer about a job, and returns whether it states the job's phase.
+    pub(crate) fn record_job_answer(
+        &mut self,
+        job: &str,
+        asked: Asked,
+        sent: u64,
+        left: u64,
+        answer: &Outgoing,
+    ) -> bool {
         let now = self.now;
         let status = answer.status;
         let state: Option<JobState> = from_cbor(&answer.body).ok();
@@ -104,18 +111,20 @@
         if status == 503 && answer.retry_after_s.is_none() {
             self.rules.broken.push(format!("{job}: refused without Retry-After"));
         }
-        let told = Answer {
+        let observed = Answer {
             asked: sent,
             left,
             status,
             phase: state.as_ref().map(|s| s.phase),
         };
-        self.rules.broken.extend(self.answers.heard(job, &told));
+        self.rules.broken.extend(self.answers.check_answer(job, &observed));
         let (Some(user), Some(state)) = (self.users.get(job), state) else {
             return false;
         };
         if asked == Asked::Submit {
-            self.rules.broken.extend(self.answers.accepted(&to_cbor(&user.spec)));
+            self.rules
+                .broken
+                .extend(self.answers.check_acceptance(&to_cbor(&user.spec)));
         }
         self.rules
             .record_answer(now, job, state.phase, &self.results, user, &self.users);
@@ -126,15 +135,15 @@
         let cancelled = state.phase == Phase::Cancelled && user.cancelled.is_none();
         user.record_answer(now, left, state.phase);
         if cancelled {
-            self.look_closely(job, Moment::Cancelled);
+            self.query_all_nodes(job, JobChange::Cancelled);
         } else if accepted {
-            self.look_closely(job, Moment::Accepted);
+            self.query_all_nodes(job, JobChange::Accepted);
         }
         true
     }
 
-    /// The next question, after a while.
-    fn user_goes_on(&mut self, job: &str, asked: Asked, status: u16) {
+    /// Schedules the user's next request.
+    fn schedule_next_request(&mut self, job: &str, asked: Asked, status: u16) {
         let user = &self.users[job];
         let pause = match asked {
             _ if status == 503 => SEC,
