--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -353,8 +353,8 @@
 
     fn record_acceptances(&mut self, key: &str, value: &Value) {
         use glenhaven::storage::{keys, records};
-        if keys::parse_accepted(key).is_some() {
-            let page = records::from_value::<records::Accepted>(value).unwrap_or_default();
+        if keys::parse_acceptance_page(key).is_some() {
+            let page = records::from_value::<records::AcceptancePage>(value).unwrap_or_default();
             self.accepted.extend(page.jobs.into_iter().map(|spec| spec.id));
         }
     }
@@ -380,8 +380,12 @@
                     page.term
                 ));
             }
-        } else if keys::parse_accepted(key).is_some() {
-            let jobs = |v: &Value| records::from_value::<records::Accepted>(v).unwrap_or_default().jobs;
+        } else if keys::parse_acceptance_page(key).is_some() {
+            let jobs = |v: &Value| {
+                records::from_value::<records::AcceptancePage>(v)
+                    .unwrap_or_default()
+                    .jobs
+            };
             let stay: BTreeSet<String> = jobs(value).into_iter().map(|spec| spec.id).collect();
             for spec in before.map(jobs).unwrap_or_default() {
                 let own = keys::job(&spec.id);
@@ -438,9 +442,9 @@
                 .map(|v| v.phase);
             let pages = self
                 .keys
-                .range(keys::ACCEPTED.to_string()..)
-                .take_while(|(k, _)| k.starts_with(keys::ACCEPTED));
-            let mut accepted = pages.filter_map(|(_, e)| records::from_value::<records::Accepted>(&e.value));
+                .range(keys::ACCEPTANCE_PAGES.to_string()..)
+                .take_while(|(k, _)| k.starts_with(keys::ACCEPTANCE_PAGES));
+            let mut accepted = pages.filter_map(|(_, e)| records::from_value::<records::AcceptancePage>(&e.value));
             let named = accepted.find_map(|page| page.jobs.into_iter().find(|spec| spec.id == row.0));
             for need in named.iter().flat_map(|spec| &spec.needs) {
                 let key = keys::job(need);
--- a/crates/fakes/tests/checker.rs
+++ b/crates/fakes/tests/checker.rs
@@ -340,8 +340,8 @@
         assert!(matches!(answer, StoreResponse::Committed { .. }));
         StoredJob::of(&store, JOB)
     };
-    let page = records::Accepted { jobs: vec![job(1)] };
-    let held = put(keys::accepted("node-0", 0), records::to_value(&page));
+    let page = records::AcceptancePage { jobs: vec![job(1)] };
+    let held = put(keys::acceptance_page("node-0", 0), records::to_value(&page));
     assert_eq!((held.accepted, held.ended), (true, None));
     let end = records::JobValue {
         phase: Phase::Cancelled,
@@ -349,8 +349,8 @@
     };
     put(keys::job(JOB), records::to_value(&end));
     let held = put(
-        keys::accepted("node-0", 0),
-        records::to_value(&records::Accepted::default()),
+        keys::acceptance_page("node-0", 0),
+        records::to_value(&records::AcceptancePage::default()),
     );
     assert_eq!((held.accepted, held.ended), (true, Some(Phase::Cancelled)));
 }
--- a/src/coordination/agents/heartbeat_status.rs
+++ b/src/coordination/agents/heartbeat_status.rs
@@ -267,7 +267,7 @@
             let (incarnation, recorded) = (heartbeat.incarnation, placement.incarnation);
             let attempt = placement.attempt;
             tracing::debug!(job = %id, task, attempt, machine = %name, incarnation, recorded, "task lost: its agent has a new incarnation");
-            let proof = VoidProof::LaterSession { reported: incarnation };
+            let proof = VoidProof::LaterIncarnation { reported: incarnation };
             return self.free(id, task, proof, now);
         }
         match status {
@@ -441,14 +441,14 @@
             job.completed_runs.record(ran_s);
             self.slo.ran(&job.spec.class, job.spec.estimate_s, ran_s, now);
         }
-        if job.states[task as usize] == TaskState::Placed {
-            job.states[task as usize] = TaskState::Finished;
+        if job.task_states[task as usize] == TaskState::Placed {
+            job.task_states[task as usize] = TaskState::Finished;
             job.finished_tasks += 1;
             job.consecutive_failures = 0;
             job.failed_machines.clear();
             job.task_ranges.entry(range_index).or_default().completed.insert(task);
             if !job.is_service() && job.finished_tasks == job.spec.tasks {
-                self.log_writer.complete.insert(id.clone());
+                self.log_writer.completed.insert(id.clone());
                 self.record_objectives_met(id, now);
             }
             self.mark_task_range_changed(id, range_index, now);
--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -284,7 +284,7 @@
             match early.origin {
                 HeartbeatOrigin::Agent(id) => self.answer_heartbeat(id, heartbeat),
                 HeartbeatOrigin::Controller(node, id) => self.answer_forwarded_heartbeat(node, id, heartbeat),
-                HeartbeatOrigin::Memory(node) => self.apply_last_heartbeat(&node, &heartbeat, at),
+                HeartbeatOrigin::Cached(node) => self.apply_last_heartbeat(&node, &heartbeat, at),
             }
         }
     }
@@ -367,7 +367,7 @@
         }
         for received in self.heartbeat_proxy.last_heartbeats.values() {
             leader.early_heartbeats.push(EarlyHeartbeat {
-                origin: HeartbeatOrigin::Memory(node.clone()),
+                origin: HeartbeatOrigin::Cached(node.clone()),
                 heartbeat: received.heartbeat.clone(),
                 received_at: received.at,
             });
@@ -412,7 +412,7 @@
                 Some(leader) if !leader.is_loaded() => {
                     if leader.early_heartbeats.len() < MAX_EARLY_HEARTBEATS {
                         leader.early_heartbeats.push(EarlyHeartbeat {
-                            origin: HeartbeatOrigin::Memory(node.to_string()),
+                            origin: HeartbeatOrigin::Cached(node.to_string()),
                             heartbeat,
                             received_at: at,
                         });
--- a/src/coordination/api/acceptance.rs
+++ b/src/coordination/api/acceptance.rs
@@ -15,7 +15,7 @@
 use crate::protocol::store::{Change, Condition, StoreRequest, StoreResponse, Transaction, WatchEvent};
 use crate::protocol::users::{JobSpec, Phase, Shape};
 use crate::storage::keys;
-use crate::storage::records::{from_value, to_value, Accepted, JobValue};
+use crate::storage::records::{from_value, to_value, AcceptancePage, JobValue};
 use crate::time::Micros;
 use glenhaven_group_commit::{Batch, PageCapacity};
 
@@ -46,7 +46,7 @@
             let WatchEvent::Put { key, value, version } = event else {
                 continue;
             };
-            if keys::parse_accepted(key).is_some() {
+            if keys::parse_acceptance_page(key).is_some() {
                 self.apply_page(key, value, *version, true);
             } else if let Some(id) = key.strip_prefix(keys::JOBS) {
                 match from_value::<JobValue>(value) {
@@ -60,10 +60,10 @@
     /// Applies a page of acceptances. `new` means that the page was just written, so that none of
     /// its jobs had ended at its version.
     pub(super) fn apply_page(&mut self, key: &str, value: &ciborium::Value, version: u64, new: bool) {
-        let Some((node, slot)) = keys::parse_accepted(key) else {
+        let Some((node, slot)) = keys::parse_acceptance_page(key) else {
             return tracing::error!(key, "malformed key of a page of acceptances");
         };
-        let Some(page) = from_value::<Accepted>(value) else {
+        let Some(page) = from_value::<AcceptancePage>(value) else {
             tracing::error!(key, "malformed page of acceptances");
             if node == self.node {
                 // The page is recorded with an open job that can't exist, so that its slot is never
@@ -152,7 +152,7 @@
 
     /// Sends the write of a page, on condition that none of its jobs has a key of its own.
     fn write_page(&self, context: &mut Context, batch: Batch<Box<JobSpec>>) {
-        let key = keys::accepted(&self.node, batch.slot);
+        let key = keys::acceptance_page(&self.node, batch.slot);
         let mut conditions = vec![Condition {
             key: key.clone(),
             version: batch.version,
@@ -169,7 +169,7 @@
             jobs = batch.jobs.len(),
             "sent the write of a page of acceptances"
         );
-        let page = Accepted {
+        let page = AcceptancePage {
             jobs: batch.jobs.into_iter().map(|(_, spec)| *spec).collect(),
         };
         let txn = Transaction {
@@ -264,7 +264,7 @@
     fn on_page_conflict(&mut self, context: &mut Context, write: &PageWrite, failed: &[String]) {
         let ended: Vec<String> = failed
             .iter()
-            .filter(|key| keys::parse_accepted(key).is_none())
+            .filter(|key| keys::parse_acceptance_page(key).is_none())
             .filter_map(|key| key.strip_prefix(keys::JOBS))
             .map(str::to_string)
             .collect();
@@ -273,7 +273,7 @@
             let ids = self.submissions.remove(&job).unwrap_or_default();
             self.send_read(context, &job, ids, Micros::ZERO);
         }
-        let key = keys::accepted(&self.node, write.slot);
+        let key = keys::acceptance_page(&self.node, write.slot);
         if failed.contains(&key) {
             // The page was written by an earlier attempt at this write, or by an earlier
             // incarnation of this process.
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -265,7 +265,7 @@
         }
         let after = after.clone();
         let request = StoreRequest::List {
-            prefix: keys::ACCEPTED.into(),
+            prefix: keys::ACCEPTANCE_PAGES.into(),
             after: after.clone(),
         };
         self.page_scan = PageScan::InFlight(after);
--- a/src/coordination/audit.rs
+++ b/src/coordination/audit.rs
@@ -12,7 +12,7 @@
 use crate::protocol::store::{Row, StoreRequest, StoreResponse};
 use crate::protocol::users::Phase;
 use crate::storage::keys;
-use crate::storage::records::{from_value, Accepted, JobValue};
+use crate::storage::records::{from_value, AcceptancePage, JobValue};
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
@@ -72,7 +72,7 @@
 
     fn read_acceptances(&mut self, after: String) {
         let Some(leader) = self.leader.as_ref() else { return };
-        let prefix = keys::ACCEPTED.into();
+        let prefix = keys::ACCEPTANCE_PAGES.into();
         let continuation = Continuation::Log(leader.incarnation, LogContinuation::Audit);
         let request = StoreRequest::List { prefix, after };
         self.context
@@ -90,7 +90,7 @@
             return;
         };
         for Row { value, version, .. } in &rows.items {
-            for spec in from_value::<Accepted>(value).unwrap_or_default().jobs {
+            for spec in from_value::<AcceptancePage>(value).unwrap_or_default().jobs {
                 let id = spec.id.clone();
                 if leader.audit.wanted.remove(&id) {
                     let job = JobValue {
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -162,7 +162,7 @@
             Event::Store { id, answer } => self.on_store_event(id, answer),
             Event::Cloud { id, answer } => {
                 if let Some(answer) = self.take_own_cloud_answer(id, answer) {
-                    self.on_cloud(id, answer);
+                    self.on_cloud_response(id, answer);
                 }
             }
             Event::Link { node, link } => {
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -8,7 +8,7 @@
 //! the write-ahead log: every node, also a new leader, reads it from the pages of acceptances.
 
 use super::api::{DependentJob, JobApi};
-use super::log::queues::Undescribed;
+use super::log::queues::UndescribedJob;
 use super::state::{Job, LeaderState};
 use super::{ClusterConfig, Controller, JobId};
 use crate::protocol::users::{JobSpec, Priority};
@@ -127,7 +127,7 @@
             job.queue_order = order.max(job.queue_order);
         }
         tracing::debug!(job = %id, after_s = now.since(job.submitted_at).secs(), "job unblocked: its dependencies are done");
-        let entry = Undescribed::new(job.acceptance_revision, id.clone());
+        let entry = UndescribedJob::new(job.acceptance_revision, id.clone());
         if job.described_in.is_none() {
             self.log_writer.undescribed.insert(entry);
         }
@@ -146,7 +146,7 @@
             return;
         };
         tracing::debug!(job = %job.id, "job cancelled with a dependency");
-        self.log_writer.withdrawn.insert(id.clone());
+        self.log_writer.cancelled_by_dependency.insert(id.clone());
     }
 
     /// The estimated time from a job's start to its end.
@@ -238,7 +238,7 @@
         for id in ends.done {
             self.api.learn(&id, revision, crate::protocol::users::Phase::Done);
         }
-        for id in ends.withdrawn {
+        for id in ends.cancelled_by_dependency {
             self.api.learn(&id, revision, crate::protocol::users::Phase::Cancelled);
         }
     }
--- a/src/coordination/failure_detection/stragglers.rs
+++ b/src/coordination/failure_detection/stragglers.rs
@@ -62,7 +62,7 @@
 impl LeaderState {
     /// Detects stragglers, marks their machines as slow and stops tasks that are moved elsewhere.
     pub fn detect_stragglers(&mut self, cluster: &ClusterConfig, now: Micros) {
-        let silence = Self::work_silence(cluster);
+        let silence = Self::max_heartbeat_age(cluster);
         let suspects = self.machines_with_stragglers(now);
         self.mark_slow(&suspects, silence, now);
         for (id, task) in self.tasks_to_move(silence, now) {
--- a/src/coordination/failure_detection/zone_partition.rs
+++ b/src/coordination/failure_detection/zone_partition.rs
@@ -121,7 +121,7 @@
     pub fn machines_leaving_cut_zones(&self, cluster: &ClusterConfig, now: Micros) -> BTreeSet<MachineId> {
         let mut candidates = vec![];
         let mut free_cores = 0.0;
-        let silence = Self::work_silence(cluster);
+        let silence = Self::max_heartbeat_age(cluster);
         for machine in self.machines.values() {
             let machine_type = cluster.catalogue.get(&machine.machine_type);
             let cores = machine_type.map_or(0.0, |t| t.cpus);
--- a/src/coordination/log/compaction.rs
+++ b/src/coordination/log/compaction.rs
@@ -88,7 +88,7 @@
                 break;
             }
         }
-        for (id, value) in self.provisioning.claims_before(draft.compact_before) {
+        for (id, value) in self.provisioning.claims_in_segments_before(draft.compact_before) {
             draft.add_claim(id, value);
         }
         draft.pending.oldest = self.oldest_segment_after(draft);
@@ -148,7 +148,7 @@
                 }
             }
         }
-        let claimed = self.provisioning.oldest_claim(&claims);
+        let claimed = self.provisioning.oldest_claim_segment(&claims);
         oldest.min(claimed.unwrap_or(draft.first_seq))
     }
 }
--- a/src/coordination/log/mod.rs
+++ b/src/coordination/log/mod.rs
@@ -35,7 +35,7 @@
 use super::state::LeaderState;
 use super::JobId;
 use crate::time::Micros;
-use queues::{ChangedTaskRange, QueuedStarts, Undescribed, WriteCounters};
+use queues::{ChangedTaskRange, QueuedStarts, UndescribedJob, WriteCounters};
 use read_log::LogReader;
 use replay::{FreeSlot, LiveSegment};
 use std::collections::{BTreeSet, VecDeque};
@@ -102,13 +102,13 @@
     /// Task ranges that differ from the log, in the order in which they changed.
     pub changed: VecDeque<ChangedTaskRange>,
     /// Jobs whose description or cancellation is not in the log.
-    pub undescribed: BTreeSet<Undescribed>,
+    pub undescribed: BTreeSet<UndescribedJob>,
     /// Arrays all of whose tasks have completed, to be recorded as done.
-    pub complete: BTreeSet<JobId>,
+    pub completed: BTreeSet<JobId>,
     /// Jobs to be recorded as cancelled because a job that they depend on was cancelled.
-    pub withdrawn: BTreeSet<JobId>,
+    pub cancelled_by_dependency: BTreeSet<JobId>,
     /// Cancelled jobs without any placement left, to be removed from the log.
-    pub ended: BTreeSet<JobId>,
+    pub fully_cancelled: BTreeSet<JobId>,
     /// Totals for the periodic log message.
     pub written: WriteCounters,
 }
@@ -170,7 +170,7 @@
     /// Arrays that are done.
     pub done: Vec<JobId>,
     /// Jobs that were cancelled because a job that they depend on was cancelled.
-    pub withdrawn: Vec<JobId>,
+    pub cancelled_by_dependency: Vec<JobId>,
 }
 
 impl LeaderState {
--- a/src/coordination/log/outcome.rs
+++ b/src/coordination/log/outcome.rs
@@ -5,7 +5,7 @@
 
 use super::super::state::{LeaderState, PlacementPhase, TaskState};
 use super::super::{Context, JobId};
-use super::queues::{QueuedStarts, Undescribed};
+use super::queues::{QueuedStarts, UndescribedJob};
 use super::replay::{FreeSlot, LiveSegment};
 use super::transaction::{PendingTransaction, WrittenStart, WrittenTaskRange};
 use super::{LogWriter, RecordedEnds, MAX_SEGMENTS};
@@ -58,7 +58,7 @@
         for description in pending.descriptions {
             let job = self.jobs.get(&description.job);
             if let (true, Some(job)) = (description.was_due, job) {
-                let entry = Undescribed::new(job.acceptance_revision, description.job);
+                let entry = UndescribedJob::new(job.acceptance_revision, description.job);
                 self.log_writer.undescribed.insert(entry);
             }
         }
@@ -72,23 +72,23 @@
         for id in &pending.completed {
             let Some(job) = self.jobs.get_mut(id) else { continue };
             job.closing = false;
-            self.log_writer.complete.insert(id.clone());
+            self.log_writer.completed.insert(id.clone());
             if job.described_in.is_none() {
-                let entry = Undescribed::new(job.acceptance_revision, id.clone());
+                let entry = UndescribedJob::new(job.acceptance_revision, id.clone());
                 self.log_writer.undescribed.insert(entry);
             }
         }
         for id in &pending.cancelled_by_dependency {
             let Some(job) = self.jobs.get_mut(id) else { continue };
             job.closing = false;
-            self.log_writer.withdrawn.insert(id.clone());
+            self.log_writer.cancelled_by_dependency.insert(id.clone());
         }
         for id in &pending.fully_cancelled {
             if let Some(job) = self.jobs.get(id) {
-                let entry = Undescribed::new(job.acceptance_revision, id.clone());
+                let entry = UndescribedJob::new(job.acceptance_revision, id.clone());
                 self.log_writer.undescribed.insert(entry);
             }
-            self.log_writer.ended.insert(id.clone());
+            self.log_writer.fully_cancelled.insert(id.clone());
         }
     }
 
@@ -158,7 +158,7 @@
         self.provisioning.claims_dropped(&pending.settled);
         RecordedEnds {
             done: pending.completed,
-            withdrawn: pending.cancelled_by_dependency,
+            cancelled_by_dependency: pending.cancelled_by_dependency,
         }
     }
 
@@ -172,10 +172,10 @@
             task_range.recorded_in = Some(segment);
         }
         for task in written.done {
-            if job.states[task as usize] != TaskState::Finished {
+            if job.task_states[task as usize] != TaskState::Finished {
                 continue;
             }
-            job.states[task as usize] = TaskState::Recorded;
+            job.task_states[task as usize] = TaskState::Recorded;
             // The agent may discard the exited task now. Until it does, its heartbeats list the
             // task although the leader no longer has its placement.
             let Some(placed) = job.placements.remove(&task) else {
--- a/src/coordination/log/packing.rs
+++ b/src/coordination/log/packing.rs
@@ -97,7 +97,7 @@
 
     /// Adds an entry and returns the index of its segment; `None` if it doesn't fit.
     pub fn add(&mut self, entry: Entry) -> Option<usize> {
-        let submission_time = if entry.describes().is_some() {
+        let submission_time = if entry.job_spec().is_some() {
             SUBMISSION_TIME_BYTES
         } else {
             0
--- a/src/coordination/log/queues.rs
+++ b/src/coordination/log/queues.rs
@@ -50,17 +50,17 @@
 
 /// A job whose description or cancellation is not in the log, ordered by acceptance.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Undescribed {
+pub struct UndescribedJob {
     /// The revision at which the job was accepted.
     pub acceptance_revision: u64,
     /// The job.
     pub job: JobId,
 }
 
-impl Undescribed {
+impl UndescribedJob {
     /// Creates the entry of a job that was accepted at revision `acceptance_revision`.
-    pub fn new(acceptance_revision: u64, job: JobId) -> Undescribed {
-        Undescribed {
+    pub fn new(acceptance_revision: u64, job: JobId) -> UndescribedJob {
+        UndescribedJob {
             acceptance_revision,
             job,
         }
--- a/src/coordination/log/read_log.rs
+++ b/src/coordination/log/read_log.rs
@@ -9,7 +9,7 @@
 use crate::protocol::store::{Row, Rows, StoreRequest, StoreResponse, WatchEvent};
 use crate::protocol::users::{JobSpec, Phase};
 use crate::storage::keys;
-use crate::storage::records::{from_value, Accepted, JobValue, Segment};
+use crate::storage::records::{from_value, AcceptancePage, JobValue, Segment};
 use ciborium::Value;
 use std::collections::BTreeMap;
 
@@ -158,7 +158,7 @@
 
     /// Adds the content of a page of acceptances or of a job's own key.
     fn add_job_row(&mut self, key: &str, value: &Value, version: u64) {
-        if keys::parse_accepted(key).is_some() {
+        if keys::parse_acceptance_page(key).is_some() {
             self.add_acceptances(key, value, version);
             return;
         }
@@ -177,7 +177,7 @@
     }
 
     fn add_acceptances(&mut self, key: &str, value: &Value, version: u64) {
-        let Some(page) = from_value::<Accepted>(value) else {
+        let Some(page) = from_value::<AcceptancePage>(value) else {
             tracing::error!(key, "malformed page of acceptances");
             return;
         };
--- a/src/coordination/log/replay.rs
+++ b/src/coordination/log/replay.rs
@@ -44,7 +44,7 @@
     /// The segment that describes it.
     pub segment: u64,
     /// The revision at which it was accepted.
-    pub version: u64,
+    pub acceptance_revision: u64,
     /// The version of its own key; 0 if it was accepted in a page of acceptances.
     pub key_version: u64,
     /// Whether its user has cancelled it.
@@ -83,7 +83,7 @@
     /// Slots of segments that compaction has made obsolete.
     pub free_slots: Vec<FreeSlot>,
     /// The first slot after all that were read.
-    pub slots: u32,
+    pub slot_count: u32,
     /// The sequence number of the last segment; 0 if there is none.
     pub last_seq: u64,
     /// The log contains all changes of the jobs' keys up to this revision.
@@ -99,7 +99,7 @@
         segments.sort_by_key(|s| s.segment.seq);
         let oldest = segments.iter().map(|s| s.segment.oldest).max().unwrap_or(0);
         let mut replay = Replay {
-            slots: segments.iter().map(|s| s.slot + 1).max().unwrap_or(0),
+            slot_count: segments.iter().map(|s| s.slot + 1).max().unwrap_or(0),
             last_seq: segments.last().map_or(0, |s| s.segment.seq),
             seen_revision: newest_seen_revision(&segments),
             written_log_ms: segments
@@ -125,7 +125,7 @@
         let seq = segment.seq;
         let mut submission_times = segment.submitted_log_ms.into_iter();
         for entry in segment.entries {
-            let submitted_log_ms = match entry.describes() {
+            let submitted_log_ms = match entry.job_spec() {
                 Some(_) => submission_times.next().filter(|ms| *ms > 0),
                 None => None,
             };
@@ -136,7 +136,7 @@
     fn apply_entry(&mut self, seq: u64, entry: Entry, submitted_log_ms: Option<u64>) {
         let described = |version, key_version, cancelled, spec: Box<JobSpec>| ReplayedJob {
             segment: seq,
-            version,
+            acceptance_revision: version,
             key_version,
             cancelled,
             spec: *spec,
@@ -150,7 +150,7 @@
                 self.apply_job(described(version, 0, cancelled, spec));
             }
             Entry::TaskRangeRecord(record) => self.apply_task_range(seq, record),
-            Entry::Over(id) => {
+            Entry::Ended(id) => {
                 self.jobs.remove(&id);
                 self.task_ranges.remove(&id);
             }
--- a/src/coordination/log/restore.rs
+++ b/src/coordination/log/restore.rs
@@ -8,7 +8,7 @@
 use super::super::state::{Job, LeaderState, Machine, Placement, PlacementPhase, TaskRange, TaskState};
 use super::super::store_queue::Urgency;
 use super::super::{Context, Continuation};
-use super::queues::Undescribed;
+use super::queues::UndescribedJob;
 use super::read_log::JobChange;
 use super::replay::{Replay, ReplayedJob, ReplayedTaskRange};
 use super::LogContinuation;
@@ -96,7 +96,7 @@
         task_ranges: BTreeMap<u32, ReplayedTaskRange>,
         now: Micros,
     ) {
-        let (version, cancelled) = (replayed.version, replayed.cancelled);
+        let (version, cancelled) = (replayed.acceptance_revision, replayed.cancelled);
         self.last_acceptance_revision = self.last_acceptance_revision.max(version);
         let mut job = self.restored_job(id, replayed, now);
         for (range_index, task_range) in task_ranges {
@@ -107,11 +107,11 @@
         self.jobs.insert(key.clone(), job);
         if cancelled {
             self.cancel(id, now);
-            let entry = Undescribed::new(version, key.clone());
+            let entry = UndescribedJob::new(version, key.clone());
             self.log_writer.undescribed.remove(&entry);
         }
         if complete {
-            self.log_writer.complete.insert(key);
+            self.log_writer.completed.insert(key);
         }
     }
 
@@ -125,7 +125,7 @@
             }
             None => (replayed.spec, true),
         };
-        let mut job = Job::new(id, spec, replayed.version, replayed.key_version, now);
+        let mut job = Job::new(id, spec, replayed.acceptance_revision, replayed.key_version, now);
         job.blocked = blocked;
         job.described_in = Some(replayed.segment);
         job.restored = true;
@@ -155,11 +155,11 @@
 
     fn restore_placement(&mut self, job: &mut Job, row: PlacementRow, now: Micros) {
         let (task, attempt, machine, incarnation, fencing_token) = row;
-        if task >= job.spec.tasks || job.states[task as usize] == TaskState::Recorded {
+        if task >= job.spec.tasks || job.task_states[task as usize] == TaskState::Recorded {
             return;
         }
         let name: Rc<str> = machine.into();
-        job.states[task as usize] = TaskState::Placed;
+        job.task_states[task as usize] = TaskState::Placed;
         job.waiting.remove(&task);
         let placement = Placement {
             attempt,
@@ -214,7 +214,7 @@
                 machine.remove_task(&job.id, *task, &job.spec, placement);
             }
         }
-        self.log_writer.complete.remove(id);
+        self.log_writer.completed.remove(id);
         self.log_writer.remember_closed(id.into());
     }
 }
@@ -223,10 +223,10 @@
 fn restore_completed(job: &mut Job, from: u32, to: u32) {
     let last = to.min(job.spec.tasks.saturating_sub(1));
     for task in from..=last {
-        if job.states[task as usize] != TaskState::Waiting {
+        if job.task_states[task as usize] != TaskState::Waiting {
             continue;
         }
-        job.states[task as usize] = TaskState::Recorded;
+        job.task_states[task as usize] = TaskState::Recorded;
         job.waiting.remove(&task);
         job.finished_tasks += 1;
     }
@@ -241,7 +241,7 @@
         }
         self.last_seq = replay.last_seq;
         self.seen_revision = replay.seen_revision;
-        self.slot_count = replay.slots.max(first_slot_after_unreadable);
+        self.slot_count = replay.slot_count.max(first_slot_after_unreadable);
         self.segments = std::mem::take(&mut replay.live_segments);
         self.free_slots = std::mem::take(&mut replay.free_slots);
     }
--- a/src/coordination/log/transaction.rs
+++ b/src/coordination/log/transaction.rs
@@ -209,7 +209,7 @@
     /// Adds the end of a job: its final phase under its key, on condition that the key has this
     /// version, and an entry that removes it from the log. Returns false if they don't fit.
     pub(super) fn add_end(&mut self, job: &JobId, key_version: u64, phase: Phase) -> bool {
-        let end = Entry::Over(job.to_string());
+        let end = Entry::Ended(job.to_string());
         let segments = self.packer.segments_with(entry_bytes(&end));
         if !self.fits_job_end(segments) {
             return false;
--- a/src/coordination/log/write.rs
+++ b/src/coordination/log/write.rs
@@ -9,7 +9,7 @@
 use super::super::store_queue::Urgency;
 use super::super::{ClusterConfig, Context, Continuation, JobId};
 use super::packing::SegmentPacker;
-use super::queues::{ChangedTaskRange, QueuedStarts, Undescribed};
+use super::queues::{ChangedTaskRange, QueuedStarts, UndescribedJob};
 use super::transaction::{
     Draft, PendingTransaction, WrittenDescription, WrittenSegment, WrittenStart, WrittenTaskRange,
 };
@@ -80,7 +80,7 @@
         let log_writer = &self.log_writer;
         let first_start = log_writer.starting.first();
         let is_urgent = first_start.is_some_and(|s| s.priority() == Priority::Production);
-        let ends = !log_writer.complete.is_empty() || !log_writer.withdrawn.is_empty();
+        let ends = !log_writer.completed.is_empty() || !log_writer.cancelled_by_dependency.is_empty();
         let soon = first_start.is_some() || ends || !log_writer.undescribed.is_empty() || !claims.to_record.is_empty();
         let pause = match (is_urgent, soon) {
             (true, _) => Micros::ZERO,
@@ -92,14 +92,14 @@
         }
         let first_change = log_writer.changed.front();
         let outcome_due = first_change.is_some_and(|c| now.since(c.since) > MAX_OUTCOME_DELAY);
-        soon || outcome_due || !log_writer.ended.is_empty() || !claims.to_remove.is_empty()
+        soon || outcome_due || !log_writer.fully_cancelled.is_empty() || !claims.to_remove.is_empty()
     }
 
     /// Creates a draft with only the condition that this node leads the current term.
     fn begin_draft(&self, max_changes: usize, value_bytes: usize, election: &Election) -> Draft {
         let log_writer = &self.log_writer;
         // Ends of jobs take changes of their own: some changes are reserved for them.
-        let waiting_ends = log_writer.complete.len() + log_writer.withdrawn.len();
+        let waiting_ends = log_writer.completed.len() + log_writer.cancelled_by_dependency.len();
         let ends = waiting_ends.min((max_changes / 4).max(1));
         let segment_budget = MAX_SEGMENTS
             .min(max_changes * 3 / 4)
@@ -147,18 +147,18 @@
 
     /// Adds the ends of arrays all of whose tasks have completed.
     fn write_completed(&mut self, draft: &mut Draft) {
-        let complete: Vec<JobId> = self.log_writer.complete.iter().cloned().collect();
+        let complete: Vec<JobId> = self.log_writer.completed.iter().cloned().collect();
         for id in complete {
             let Some(job) = self.jobs.get_mut(&id).filter(|j| j.is_live()) else {
-                self.log_writer.complete.remove(&id);
+                self.log_writer.completed.remove(&id);
                 continue;
             };
             if !draft.add_end(&id, job.key_version, Phase::Done) {
                 break;
             }
             job.closing = true;
-            self.log_writer.complete.remove(&id);
-            let entry = Undescribed::new(job.acceptance_revision, id.clone());
+            self.log_writer.completed.remove(&id);
+            let entry = UndescribedJob::new(job.acceptance_revision, id.clone());
             self.log_writer.undescribed.remove(&entry);
             draft.pending.completed.push(id);
         }
@@ -166,17 +166,17 @@
 
     /// Adds the ends of jobs that are cancelled because a job that they depend on was cancelled.
     fn write_cancelled_by_dependency(&mut self, draft: &mut Draft) {
-        let cancelled: Vec<JobId> = self.log_writer.withdrawn.iter().cloned().collect();
+        let cancelled: Vec<JobId> = self.log_writer.cancelled_by_dependency.iter().cloned().collect();
         for id in cancelled {
             let Some(job) = self.jobs.get_mut(&id).filter(|j| j.is_live()) else {
-                self.log_writer.withdrawn.remove(&id);
+                self.log_writer.cancelled_by_dependency.remove(&id);
                 continue;
             };
             if !draft.add_end(&id, job.key_version, Phase::Cancelled) {
                 break;
             }
             job.closing = true;
-            self.log_writer.withdrawn.remove(&id);
+            self.log_writer.cancelled_by_dependency.remove(&id);
             draft.pending.cancelled_by_dependency.push(id);
         }
     }
@@ -198,19 +198,19 @@
 
     /// Adds the ends of cancelled jobs without any placement left.
     fn write_fully_cancelled(&mut self, draft: &mut Draft) {
-        let fully_cancelled: Vec<JobId> = self.log_writer.ended.iter().cloned().collect();
+        let fully_cancelled: Vec<JobId> = self.log_writer.fully_cancelled.iter().cloned().collect();
         let is_fully_cancelled = |job: &&Job| job.cancelled_at.is_some() && job.placements.is_empty();
         for id in fully_cancelled {
             let Some(job) = self.jobs.get(&id).filter(is_fully_cancelled) else {
-                self.log_writer.ended.remove(&id);
+                self.log_writer.fully_cancelled.remove(&id);
                 continue;
             };
-            if draft.add(Entry::Over(id.to_string())).is_none() {
+            if draft.add(Entry::Ended(id.to_string())).is_none() {
                 break;
             }
-            let entry = Undescribed::new(job.acceptance_revision, id.clone());
+            let entry = UndescribedJob::new(job.acceptance_revision, id.clone());
             self.log_writer.undescribed.remove(&entry);
-            self.log_writer.ended.remove(&id);
+            self.log_writer.fully_cancelled.remove(&id);
             draft.pending.fully_cancelled.push(id);
         }
     }
@@ -321,7 +321,7 @@
     /// compacted; returns false if it doesn't fit.
     pub(super) fn write_description(&mut self, draft: &mut Draft, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else { return true };
-        let entry = Undescribed::new(job.acceptance_revision, id.clone());
+        let entry = UndescribedJob::new(job.acceptance_revision, id.clone());
         let is_old = job.described_in.unwrap_or_default() < draft.compact_before;
         let due = self.log_writer.undescribed.contains(&entry) || is_old;
         if !due || job.closing || draft.describes(id) {
@@ -389,7 +389,7 @@
     /// Returns the revision up to which the log will contain all changes of the jobs' keys: the
     /// last one before the first change that still waits.
     fn seen_revision_after(&self, election: &Election) -> u64 {
-        let change_of = |entry: &Undescribed| {
+        let change_of = |entry: &UndescribedJob| {
             let job = self.jobs.get(&entry.job)?;
             let cancellation = job.cancel_version.filter(|_| job.cancelled_at.is_some());
             Some(cancellation.unwrap_or(entry.acceptance_revision))
@@ -404,7 +404,7 @@
     /// log's clock; 0 if the time is not known.
     fn submission_times(&self, entries: &[Entry]) -> Vec<u64> {
         let submission_time = |entry: &Entry| {
-            let job = self.jobs.get(entry.describes()?.id.as_str());
+            let job = self.jobs.get(entry.job_spec()?.id.as_str());
             let job = job.filter(|j| !j.arrival_unknown);
             Some(job.map_or(0, |j| self.log_writer.to_log_ms(j.arrived_at)))
         };
@@ -474,8 +474,8 @@
     };
     let from = range_index * tasks_per_range;
     let to = (from + tasks_per_range).min(job.spec.tasks);
-    let is_finished = |t: &u32| matches!(job.states[*t as usize], TaskState::Finished | TaskState::Recorded);
-    let is_placed = |t: u32| job.states[t as usize] == TaskState::Placed;
+    let is_finished = |t: &u32| matches!(job.task_states[*t as usize], TaskState::Finished | TaskState::Recorded);
+    let is_placed = |t: u32| job.task_states[t as usize] == TaskState::Placed;
     let placements = job
         .placements
         .range(from..to)
--- a/src/coordination/objectives.rs
+++ b/src/coordination/objectives.rs
@@ -7,7 +7,7 @@
 //!
 //! Invariant: an objective of a job is settled at most once.
 
-use super::scheduling::{team_use, TeamUsage};
+use super::scheduling::{usage_by_team, TeamUsage};
 use super::state::{Job, LeaderState, MachineState, Placement, PlacementPhase};
 use super::ClusterConfig;
 use crate::protocol::agents::TaskPhase;
@@ -157,7 +157,7 @@
     /// Accounts for new jobs, and settles the objectives that are met or missed at `now`.
     pub fn update_slo_accounting(&mut self, cluster: &ClusterConfig, now: Micros) {
         self.account_for_new_jobs(cluster, now);
-        let usage = team_use(&self.jobs);
+        let usage = usage_by_team(&self.jobs);
         let mut settled = vec![];
         for job in self.jobs.values_mut().filter(|j| !j.blocked && j.is_live()) {
             // A job that fails everywhere or waits for its own team's limit does not miss its
--- a/src/coordination/provisioning/calls.rs
+++ b/src/coordination/provisioning/calls.rs
@@ -88,7 +88,7 @@
 
 impl Controller {
     /// Requests the catalogue when it is due.
-    pub(in crate::coordination) fn run_cloud_calls(&mut self) {
+    pub(in crate::coordination) fn refresh_catalogue(&mut self) {
         let now = self.context.now;
         if now >= self.cloud_calls.next_catalogue_at && !self.cloud_calls.catalogue_in_flight {
             self.cloud_calls.catalogue_in_flight = self.cloud_calls.call(
@@ -103,7 +103,7 @@
 
     /// Handles the response to a call. Responses to calls that an earlier leadership of this
     /// controller made are dropped.
-    pub(in crate::coordination) fn on_cloud(&mut self, id: u64, answer: CloudResponse) {
+    pub(in crate::coordination) fn on_cloud_response(&mut self, id: u64, answer: CloudResponse) {
         let Some(continuation) = self.cloud_calls.pending.remove(&id) else {
             return;
         };
--- a/src/coordination/provisioning/claims.rs
+++ b/src/coordination/provisioning/claims.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns the unsettled claims whose records are in log segments before this one.
-    pub fn claims_before(&self, segment: u64) -> Vec<(String, ClaimValue)> {
+    pub fn claims_in_segments_before(&self, segment: u64) -> Vec<(String, ClaimValue)> {
         self.claims
             .iter()
             .filter(|c| c.segment.is_some_and(|s| s < segment) && !matches!(c.state, ClaimState::Settled))
@@ -89,7 +89,7 @@
     }
 
     /// Returns the oldest log segment that holds the record of a claim not in `except`.
-    pub fn oldest_claim(&self, except: &BTreeSet<&str>) -> Option<u64> {
+    pub fn oldest_claim_segment(&self, except: &BTreeSet<&str>) -> Option<u64> {
         self.claims
             .iter()
             .filter(|c| !except.contains(c.id.as_str()))
--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -9,7 +9,7 @@
 
 use super::effective_cores;
 use crate::coordination::objectives::JobObjective;
-use crate::coordination::scheduling::{is_best_effort, team_use, TeamUsage};
+use crate::coordination::scheduling::{is_best_effort, usage_by_team, TeamUsage};
 use crate::coordination::state::{Job, LeaderState, Machine, MachineState};
 use crate::coordination::{ClusterConfig, JobId};
 use crate::protocol::cloud::MachineType;
@@ -254,7 +254,7 @@
 
     /// Returns the queue entries for waiting jobs, within the limits of their teams.
     fn merged_queue(&self, waiting: &[WaitingJob<'a>]) -> Queue<'a> {
-        let usage = team_use(&self.leader.jobs);
+        let usage = usage_by_team(&self.leader.jobs);
         let mut left_of_limits: BTreeMap<&str, f64> = BTreeMap::new();
         let mut queue = Queue::default();
         for waiting_job in waiting {
@@ -373,7 +373,7 @@
             upcoming: vec![],
         };
         let zones = &self.leader.failures.zones;
-        let silence = LeaderState::work_silence(self.cluster);
+        let silence = LeaderState::max_heartbeat_age(self.cluster);
         for machine in self.leader.machines.values().filter(|m| !zones.is_cut(&m.zone)) {
             let Some(machine_type) = self.cluster.catalogue.get(&machine.machine_type) else {
                 continue;
--- a/src/coordination/provisioning/demand.rs
+++ b/src/coordination/provisioning/demand.rs
@@ -147,7 +147,7 @@
         // Only another controller still has contact with the machine: its tasks continue, but it
         // takes no new work.
         let is_proxied_only = machine.last_proxied_at > machine.last_heartbeat
-            && now.since(machine.last_heartbeat) > Self::work_silence(cluster);
+            && now.since(machine.last_heartbeat) > Self::max_heartbeat_age(cluster);
         machine.state != MachineState::Releasing
             && machine.interruption_at.is_none()
             && now >= machine.quarantined_until
--- a/src/coordination/provisioning/stuck.rs
+++ b/src/coordination/provisioning/stuck.rs
@@ -3,7 +3,7 @@
 //! Rules about zones or machine types, or fragmented free capacity, keep these jobs waiting; the
 //! periodic decision compares only totals and rents nothing for them.
 
-use super::super::scheduling::{allowed, is_best_effort, open_zones, team_use, TeamUsage};
+use super::super::scheduling::{allowed, is_best_effort, open_zones, usage_by_team, TeamUsage};
 use super::super::state::{Job, LeaderState, MachineState};
 use super::super::ClusterConfig;
 use super::demand::effective_cores;
@@ -119,7 +119,7 @@
         let mut zones: Vec<String> = cluster.catalogue.values().flat_map(|t| t.zones.clone()).collect();
         zones.sort();
         zones.dedup();
-        let usage = team_use(&self.jobs);
+        let usage = usage_by_team(&self.jobs);
         let mut stuck: Vec<StuckJob> = self
             .jobs
             .values()
--- a/src/coordination/replica_status.rs
+++ b/src/coordination/replica_status.rs
@@ -37,7 +37,7 @@
 impl LeaderState {
     /// Counts the replicas of live services by state.
     pub fn replicas(&self, cluster: &ClusterConfig, now: Micros) -> Replicas {
-        let silence = Self::work_silence(cluster);
+        let silence = Self::max_heartbeat_age(cluster);
         let mut all = Replicas::default();
         for job in self.jobs.values().filter(|j| j.is_service() && j.may_run()) {
             all.waiting += job.waiting.len() as u32;
--- a/src/coordination/reservation.rs
+++ b/src/coordination/reservation.rs
@@ -112,7 +112,7 @@
 
     /// The machines that become empty eventually, which excludes those with tasks of services.
     fn reservable_machines(&self, cluster: &ClusterConfig, now: Micros) -> Vec<ReservableMachine<MachineId>> {
-        let silence = Self::work_silence(cluster);
+        let silence = Self::max_heartbeat_age(cluster);
         let becomes_empty = |m: &&Machine| m.accepts_work(now, silence) && m.service_tasks == 0;
         let machines = self.machines.values().filter(becomes_empty);
         machines
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -48,7 +48,7 @@
     /// Returns the machines that accept new tasks now, with their free capacity, sorted by name.
     pub(super) fn candidates(&mut self, cluster: &ClusterConfig, now: Micros) -> Vec<CandidateMachine> {
         self.assign_kinds(cluster);
-        let max_silence = Self::work_silence(cluster);
+        let max_silence = Self::max_heartbeat_age(cluster);
         let mut candidates = Vec::with_capacity(self.machines.len());
         for machine in self.machines.values_mut() {
             machine.candidate_index = None;
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -30,7 +30,7 @@
 use pass::{Pass, SlotSource};
 use pools::{ClassKey, Estimate};
 use queue::JobQueue;
-pub use quota::{orphaned_attempt_specs, team_use, TeamUsage};
+pub use quota::{orphaned_attempt_specs, usage_by_team, TeamUsage};
 pub use rules::{allowed, is_best_effort, latest_start, open_zones};
 use starts::StartOutcome;
 use std::collections::{BTreeMap, BTreeSet};
@@ -122,7 +122,7 @@
 
 impl LeaderState {
     /// How long after its last heartbeat a machine still gets new work.
-    pub fn work_silence(cluster: &ClusterConfig) -> Micros {
+    pub fn max_heartbeat_age(cluster: &ClusterConfig) -> Micros {
         timing::no_new_work(&cluster.settings.params.workers)
     }
 
--- a/src/coordination/scheduling/pass.rs
+++ b/src/coordination/scheduling/pass.rs
@@ -109,9 +109,9 @@
     /// Charges the slots of one task.
     pub(super) fn take_slots(&mut self, class: &Rc<ClassKey>, source: SlotSource) {
         match source {
-            SlotSource::Pool => *self.pool_slots_used.entry(class.clone()).or_default() += class.need,
+            SlotSource::Pool => *self.pool_slots_used.entry(class.clone()).or_default() += class.slots_per_task,
             SlotSource::Helpers | SlotSource::Borrowed { .. } => {
-                *self.helper_slots_used.of_mut(class.gpu) += class.need;
+                *self.helper_slots_used.of_mut(class.gpu) += class.slots_per_task;
             }
         }
     }
@@ -144,9 +144,9 @@
         };
         for job in self.jobs.values().filter(|j| j.held_tasks > 0) {
             let class = &job.class;
-            *pass.helper_slots_used.of_mut(class.gpu) += job.held_helper_tasks * class.need;
+            *pass.helper_slots_used.of_mut(class.gpu) += job.held_helper_tasks * class.slots_per_task;
             *pass.pool_slots_used.entry(class.clone()).or_default() +=
-                (job.held_tasks - job.held_helper_tasks) * class.need;
+                (job.held_tasks - job.held_helper_tasks) * class.slots_per_task;
         }
         pass
     }
--- a/src/coordination/scheduling/pool_sizing.rs
+++ b/src/coordination/scheduling/pool_sizing.rs
@@ -38,7 +38,7 @@
             } else {
                 0
             };
-            let slots = (job.held_tasks as usize + waiting) as f64 * f64::from(job.class.need);
+            let slots = (job.held_tasks as usize + waiting) as f64 * f64::from(job.class.slots_per_task);
             *demanded.entry(job.class.clone()).or_default() += slots;
         }
         demanded
--- a/src/coordination/scheduling/pools.rs
+++ b/src/coordination/scheduling/pools.rs
@@ -26,7 +26,7 @@
     /// Name of the class.
     pub class: String,
     /// Slots that one task needs at once.
-    pub need: u32,
+    pub slots_per_task: u32,
 }
 
 /// The demand of one class.
@@ -153,7 +153,13 @@
                 let now = demanded_slots.get(class).copied().unwrap_or(0.0);
                 let load = average(*sum).max(now);
                 let load = if load > 0.0 { load } else { default_load };
-                (class.clone(), Demand { need: class.need, load })
+                (
+                    class.clone(),
+                    Demand {
+                        need: class.slots_per_task,
+                        load,
+                    },
+                )
             })
             .collect()
     }
--- a/src/coordination/scheduling/quota.rs
+++ b/src/coordination/scheduling/quota.rs
@@ -40,7 +40,9 @@
     /// Counts every placement that is not proven void, and every orphaned attempt that a machine
     /// reports.
     pub(super) fn of(jobs: &BTreeMap<JobId, Job>, machines: &BTreeMap<MachineId, Machine>) -> QuotaLedger {
-        let mut ledger = QuotaLedger { usage: team_use(jobs) };
+        let mut ledger = QuotaLedger {
+            usage: usage_by_team(jobs),
+        };
         for spec in orphaned_attempt_specs(jobs, machines) {
             ledger.charge(spec);
         }
@@ -71,7 +73,7 @@
 }
 
 /// What each team uses: CPUs and GPUs of every placement that is not proven void.
-pub fn team_use(jobs: &BTreeMap<JobId, Job>) -> BTreeMap<String, TeamUsage> {
+pub fn usage_by_team(jobs: &BTreeMap<JobId, Job>) -> BTreeMap<String, TeamUsage> {
     let mut usage: BTreeMap<String, TeamUsage> = BTreeMap::new();
     for job in jobs.values().filter(|j| j.held_tasks > 0) {
         // The name is copied for the first job of a team only.
--- a/src/coordination/scheduling/starts.rs
+++ b/src/coordination/scheduling/starts.rs
@@ -90,7 +90,7 @@
             };
             job.unplaceable_since = None;
             let team_usage = pass.quota.of_team(&job.spec.team);
-            slots_taken += job.class.need;
+            slots_taken += job.class.slots_per_task;
             self.charge_start(pass, id, fit, source, &mut plan);
             let start = Start {
                 job: id,
@@ -135,12 +135,12 @@
         match source {
             SlotSource::Pool => {
                 let pool = self.scheduler.pools.get(class).copied().unwrap_or(0);
-                pass.pool_slots_used(class) + class.need <= pool
+                pass.pool_slots_used(class) + class.slots_per_task <= pool
             }
             SlotSource::Helpers => {
-                pass.helper_slots_used.of(class.gpu) + class.need <= self.scheduler.helpers.of(class.gpu)
+                pass.helper_slots_used.of(class.gpu) + class.slots_per_task <= self.scheduler.helpers.of(class.gpu)
             }
-            SlotSource::Borrowed { max_slots } => slots_taken + class.need <= max_slots,
+            SlotSource::Borrowed { max_slots } => slots_taken + class.slots_per_task <= max_slots,
         }
     }
 
@@ -198,7 +198,7 @@
             restored: false,
         };
         job.waiting.remove(&task);
-        job.states[task as usize] = TaskState::Placed;
+        job.task_states[task as usize] = TaskState::Placed;
         let decided = log_start(job, &placement, cluster, start, self.term);
         self.invariants
             .decisions
--- a/src/coordination/state/job.rs
+++ b/src/coordination/state/job.rs
@@ -175,7 +175,7 @@
     /// Whether the end of the job is being committed.
     pub closing: bool,
     /// The state of each task, by task number.
-    pub states: Vec<TaskState>,
+    pub task_states: Vec<TaskState>,
     /// Tasks that may be placed.
     pub waiting: BTreeSet<u32>,
     /// The placements of the job's tasks, by task number.
@@ -252,7 +252,7 @@
             cancel_version: None,
             described_in: None,
             closing: false,
-            states: vec![TaskState::Waiting; tasks as usize],
+            task_states: vec![TaskState::Waiting; tasks as usize],
             waiting: (0..tasks).collect(),
             placements: BTreeMap::new(),
             held_tasks: 0,
@@ -260,7 +260,7 @@
             class: Rc::new(ClassKey {
                 gpu: spec.gpus > 0.0,
                 class: spec.class.clone(),
-                need: slots_per_task(&spec),
+                slots_per_task: slots_per_task(&spec),
             }),
             task_ranges: BTreeMap::new(),
             finished_tasks: 0,
@@ -304,7 +304,7 @@
         self.class = Rc::new(ClassKey {
             gpu: self.class.gpu,
             class: format!("{}{inherited}", self.spec.class),
-            need: self.class.need,
+            slots_per_task: self.class.slots_per_task,
         });
     }
 
@@ -380,7 +380,7 @@
     /// has none. The task may be placed again unless it has completed.
     pub fn remove_placement(&mut self, task: u32, tasks_per_range: u32) -> Option<Placement> {
         let placement = self.placements.remove(&task)?;
-        if let Some(state) = self.states.get_mut(task as usize) {
+        if let Some(state) = self.task_states.get_mut(task as usize) {
             if *state == TaskState::Placed {
                 *state = TaskState::Waiting;
                 self.waiting.insert(task);
--- a/src/coordination/state/job_events.rs
+++ b/src/coordination/state/job_events.rs
@@ -5,11 +5,11 @@
 //! ignored, so that several of these sources may report the same change.
 
 use super::{Job, LeaderState};
-use crate::coordination::log::queues::Undescribed;
+use crate::coordination::log::queues::UndescribedJob;
 use crate::protocol::store::WatchEvent;
 use crate::protocol::users::{JobSpec, Phase};
 use crate::storage::keys;
-use crate::storage::records::{from_record, from_value, Accepted, JobValue};
+use crate::storage::records::{from_record, from_value, AcceptancePage, JobValue};
 use crate::time::Micros;
 
 /// A change of a job that was received before the write-ahead log was read.
@@ -31,8 +31,8 @@
             let WatchEvent::Put { key, value, version } = event else {
                 continue;
             };
-            if keys::parse_accepted(&key).is_some() {
-                for spec in from_value::<Accepted>(&value).unwrap_or_default().jobs {
+            if keys::parse_acceptance_page(&key).is_some() {
+                for spec in from_value::<AcceptancePage>(&value).unwrap_or_default().jobs {
                     let id = spec.id.clone();
                     let phase = Phase::Pending;
                     let spec = Some(spec);
@@ -89,7 +89,7 @@
         job.submitted_at = self.submission_time(submitted_ms, now);
         self.log_writer
             .undescribed
-            .insert(Undescribed::new(version, job.id.clone()));
+            .insert(UndescribedJob::new(version, job.id.clone()));
         self.jobs.insert(job.id.clone(), job);
         self.needs_scheduling = true;
     }
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -126,7 +126,7 @@
     /// The named controller forwarded the heartbeat under this number.
     Controller(String, u64),
     /// The named controller had kept the agent's last heartbeat; no response is sent.
-    Memory(String),
+    Cached(String),
 }
 
 /// Why a leader must raise its term: only a higher fencing token proves that a start sent under
--- a/src/coordination/state/placements.rs
+++ b/src/coordination/state/placements.rs
@@ -12,7 +12,7 @@
 use super::{LeaderState, Machine, MachineId, Placement, PlacementPhase};
 use crate::coordination::decision_log::Decided;
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
-use crate::coordination::log::queues::Undescribed;
+use crate::coordination::log::queues::UndescribedJob;
 use crate::coordination::JobId;
 use crate::protocol::users::JobSpec;
 use crate::time::Micros;
@@ -49,10 +49,10 @@
         job.cancelled_at = Some(now);
         job.cancel_unconfirmed_until = self.cancellation_watermark;
         job.waiting.clear();
-        let entry = Undescribed::new(job.acceptance_revision, job.id.clone());
+        let entry = UndescribedJob::new(job.acceptance_revision, job.id.clone());
         self.log_writer.undescribed.insert(entry);
         if job.placements.is_empty() {
-            self.log_writer.ended.insert(job.id.clone());
+            self.log_writer.fully_cancelled.insert(job.id.clone());
         }
         let tasks: Vec<u32> = job.placements.keys().copied().collect();
         for task in tasks {
@@ -138,7 +138,7 @@
             job.waiting.remove(&task);
         }
         if job.cancelled_at.is_some() && job.placements.is_empty() {
-            self.log_writer.ended.insert(id.clone());
+            self.log_writer.fully_cancelled.insert(id.clone());
         }
         if placement.uses_resources() {
             job.release_task(placement.on_helper_machine);
--- a/src/coordination/state/void_proof.rs
+++ b/src/coordination/state/void_proof.rs
@@ -17,7 +17,7 @@
     NeverSent,
     /// The machine's agent has begun a later incarnation than the recorded one, and at its
     /// beginning killed the tasks of earlier ones.
-    LaterSession {
+    LaterIncarnation {
         /// The incarnation that the agent reported.
         reported: u64,
     },
@@ -39,7 +39,7 @@
         match self {
             VoidProof::NotRecorded => placement.phase == PlacementPhase::Committing && !placement.sent,
             VoidProof::NeverSent => placement.phase == PlacementPhase::Sent && !placement.sent && !placement.restored,
-            VoidProof::LaterSession { reported } => reported > placement.incarnation,
+            VoidProof::LaterIncarnation { reported } => reported > placement.incarnation,
             VoidProof::RefusedByToken { reported } => placement.sent && reported > placement.fencing_token,
             VoidProof::Exited(cause) => placement.phase == PlacementPhase::Exited(cause),
             VoidProof::MachineReleased => true,
--- a/src/coordination/summary.rs
+++ b/src/coordination/summary.rs
@@ -100,7 +100,7 @@
             inherited = self.unconfirmed_inherited_records(),
             unexplained = self.machines.values().map(|m| m.orphaned_attempts.len()).sum::<usize>(),
             helpers = self.scheduler.helpers.cores,
-            pools = ?self.scheduler.pools.iter().map(|(k, v)| format!("{}x{}={}", k.class, k.need, v)).collect::<Vec<_>>(),
+            pools = ?self.scheduler.pools.iter().map(|(k, v)| format!("{}x{}={}", k.class, k.slots_per_task, v)).collect::<Vec<_>>(),
             "fleet"
         );
     }
--- a/src/coordination/tick.rs
+++ b/src/coordination/tick.rs
@@ -37,7 +37,7 @@
             cluster: &self.cluster,
         };
         self.heartbeat_proxy.tick(&mut self.context, &renewer);
-        self.run_cloud_calls();
+        self.refresh_catalogue();
         self.run_leader();
         if now >= self.next_alive_at {
             self.next_alive_at = now + ALIVE_PERIOD;
--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -28,7 +28,7 @@
 /// The prefix of final phases and of pages of acceptances.
 pub const JOBS: &str = "job/";
 /// The prefix of pages of acceptances.
-pub const ACCEPTED: &str = "job/@";
+pub const ACCEPTANCE_PAGES: &str = "job/@";
 /// The prefix of segments of the write-ahead log.
 pub const LOG_SEGMENTS: &str = "open/";
 /// The prefix of the lists of machines that nodes proxy.
@@ -36,13 +36,13 @@
 
 /// Returns the key of a page of acceptances. The key has the prefix of the jobs' keys, so that one
 /// watch covers both; no job's id begins with `@`.
-pub fn accepted(node: &str, slot: u32) -> String {
-    format!("{ACCEPTED}{node}/{slot:06}")
+pub fn acceptance_page(node: &str, slot: u32) -> String {
+    format!("{ACCEPTANCE_PAGES}{node}/{slot:06}")
 }
 
 /// Returns the node and slot in the key of a page of acceptances; `None` for any other key.
-pub fn parse_accepted(key: &str) -> Option<(&str, u32)> {
-    let (node, slot) = key.strip_prefix(ACCEPTED)?.rsplit_once('/')?;
+pub fn parse_acceptance_page(key: &str) -> Option<(&str, u32)> {
+    let (node, slot) = key.strip_prefix(ACCEPTANCE_PAGES)?.rsplit_once('/')?;
     Some((node, slot.parse().ok()?))
 }
 
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -107,7 +107,7 @@
 /// A page of jobs that a node accepted together. The page is written when none of the jobs has
 /// ended, and overwritten once all of them have.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Accepted {
+pub struct AcceptancePage {
     /// The descriptions of the jobs, in their stored form.
     #[serde(rename = "a")]
     pub jobs: Vec<JobSpec>,
@@ -181,7 +181,7 @@
     TaskRangeRecord(TaskRangeRecord),
     /// The job with this id has ended, with no placement left.
     #[serde(rename = "x")]
-    Over(String),
+    Ended(String),
     /// A rental request and its id, recorded before the request is sent to the cloud.
     #[serde(rename = "c")]
     Claim(String, ClaimValue),
@@ -192,7 +192,7 @@
 
 impl Entry {
     /// Returns the job description that the entry contains; `None` if it contains none.
-    pub fn describes(&self) -> Option<&JobSpec> {
+    pub fn job_spec(&self) -> Option<&JobSpec> {
         match self {
             Entry::Open(_, _, spec) | Entry::Accepted(_, _, spec) => Some(spec),
             _ => None,
--- a/tests/log_pages.rs
+++ b/tests/log_pages.rs
@@ -83,7 +83,7 @@
 #[test]
 fn a_task_range_that_does_not_fit_leaves_the_packer_unchanged() {
     let mut packer = SegmentPacker::new(VALUE_BYTES, 2, 20);
-    packer.add(Entry::Over("run-000001".into())).expect("room");
+    packer.add(Entry::Ended("run-000001".into())).expect("room");
     assert_eq!(packer.add_task_range(task_range_record("run-000002", true, 200)), None);
     assert_eq!(
         packer.add_task_range(task_range_record("run-000003", true, 5)),
@@ -99,12 +99,12 @@
 fn entries_stay_within_the_segment_budget() {
     let mut packer = SegmentPacker::new(VALUE_BYTES, 2, 20);
     let mut added = 0;
-    while packer.add(Entry::Over(format!("run-{added:06}"))).is_some() {
+    while packer.add(Entry::Ended(format!("run-{added:06}"))).is_some() {
         added += 1;
     }
-    assert_eq!(packer.add(Entry::Over("run-999999".into())), None);
+    assert_eq!(packer.add(Entry::Ended("run-999999".into())), None);
     packer.raise_budget(3);
-    assert_eq!(packer.add(Entry::Over("run-999999".into())), Some(2));
+    assert_eq!(packer.add(Entry::Ended("run-999999".into())), Some(2));
     let segments = segments(packer);
     assert_eq!(segments.len(), 3);
     assert!(segments.iter().all(|p| json_size(p) <= VALUE_BYTES));
@@ -139,7 +139,7 @@
     let mut large = task_range_record("run-000001", true, 1);
     large.placements[0].2 = "n".repeat(400);
     assert_eq!(packer.add_task_range(large), None);
-    assert_eq!(packer.add(Entry::Over("x".repeat(400))), None);
+    assert_eq!(packer.add(Entry::Ended("x".repeat(400))), None);
     assert!(packer.is_empty());
 }
 
@@ -155,7 +155,7 @@
 
 /// A segment in the slot of the same number.
 fn stored(seq: u64, oldest: u64, entries: Vec<Entry>) -> StoredSegment {
-    let described = entries.iter().filter(|e| e.describes().is_some()).count();
+    let described = entries.iter().filter(|e| e.job_spec().is_some()).count();
     StoredSegment {
         slot: seq as u32,
         version: seq * 10,
@@ -183,7 +183,7 @@
             0,
             vec![
                 Entry::Open(5, false, job_of("run-000001")),
-                Entry::Over("run-000002".into()),
+                Entry::Ended("run-000002".into()),
             ],
         )
     };
@@ -207,7 +207,7 @@
         );
         let job = &replay.jobs["run-000002"];
         assert_eq!(
-            (job.version, job.key_version, job.submitted_log_ms),
+            (job.acceptance_revision, job.key_version, job.submitted_log_ms),
             (6, 0, Some(2001)),
             "accepted in a page: no key of its own"
         );
@@ -216,7 +216,7 @@
                 replay.last_seq,
                 replay.seen_revision,
                 replay.written_log_ms,
-                replay.slots
+                replay.slot_count
             ),
             (2, 200, Some(2000), 3)
         );
@@ -247,7 +247,7 @@
                 Entry::TaskRangeRecord(task_range_record("run-000001", true, 3)),
             ],
         ),
-        stored(2, 0, vec![Entry::Over("run-000001".into())]),
+        stored(2, 0, vec![Entry::Ended("run-000001".into())]),
     ]);
     assert!(replay.jobs.is_empty());
     assert!(replay.task_ranges.is_empty());
--- a/tests/sim/answers.rs
+++ b/tests/sim/answers.rs
@@ -14,7 +14,7 @@
 use glenhaven::protocol::users::{JobSpec, JobState, Phase, Shape};
 use glenhaven::settings::Team;
 use glenhaven::storage::keys;
-use glenhaven::storage::records::{from_value, Accepted, JobValue};
+use glenhaven::storage::records::{from_value, AcceptancePage, JobValue};
 use std::collections::BTreeMap;
 
 /// The fields of a submission that may not be absent.
@@ -118,8 +118,8 @@
             let Change::Put { key, value, .. } = change else {
                 continue;
             };
-            if keys::parse_accepted(key).is_some() {
-                for spec in from_value::<Accepted>(value).unwrap_or_default().jobs {
+            if keys::parse_acceptance_page(key).is_some() {
+                for spec in from_value::<AcceptancePage>(value).unwrap_or_default().jobs {
                     self.stored.entry(spec.id).or_default().accepted.get_or_insert(now);
                 }
                 continue;
@@ -323,10 +323,10 @@
             value,
             lease: None,
         };
-        let page = Accepted {
+        let page = AcceptancePage {
             jobs: vec![plain_spec(JOB)],
         };
-        a.written(&[put(keys::accepted("node-0", 0), to_value(&page))], 5);
+        a.written(&[put(keys::acceptance_page("node-0", 0), to_value(&page))], 5);
         assert!(!heard(&mut a, 4, 9, 404, None), "asked before the page was written");
         assert!(heard(&mut a, 6, 9, 404, None), "no user was told, and it was accepted");
         assert!(heard(&mut a, 6, 9, 422, None));
--- a/tests/sim/fault_injection.rs
+++ b/tests/sim/fault_injection.rs
@@ -296,15 +296,15 @@
             .iter()
             .any(|c| matches!(c, Change::Put { key, .. } if key.starts_with(prefix)))
     };
-    let (book, accepts) = (puts(keys::LOG_SEGMENTS), puts(keys::ACCEPTED));
+    let (book, accepts) = (puts(keys::LOG_SEGMENTS), puts(keys::ACCEPTANCE_PAGES));
     let own_keys = puts(keys::JOBS) && !accepts && !book;
-    let own = |key: &str| key.starts_with(keys::JOBS) && !key.starts_with(keys::ACCEPTED);
+    let own = |key: &str| key.starts_with(keys::JOBS) && !key.starts_with(keys::ACCEPTANCE_PAGES);
     match fault {
         Fault::StartsWhateverTheKey if book => txn.conditions.retain(|c| !own(&c.key)),
         Fault::WritesWhoeverLeads if book => txn.conditions.retain(|c| !c.key.starts_with(keys::TERM)),
         Fault::WritesOverPages => {
             txn.conditions
-                .retain(|c| !c.key.starts_with(keys::LOG_SEGMENTS) && !c.key.starts_with(keys::ACCEPTED));
+                .retain(|c| !c.key.starts_with(keys::LOG_SEGMENTS) && !c.key.starts_with(keys::ACCEPTANCE_PAGES));
         }
         Fault::CancelsWhateverTheKey if own_keys => txn.conditions.retain(|c| !own(&c.key)),
         _ => {}
--- a/tests/sim/outbox.rs
+++ b/tests/sim/outbox.rs
@@ -156,7 +156,7 @@
     let id = "run-000001".into();
     let in_vain = [
         VoidProof::NotRecorded,
-        VoidProof::LaterSession { reported: 1 },
+        VoidProof::LaterIncarnation { reported: 1 },
         VoidProof::RefusedByToken { reported: 9 },
         VoidProof::Exited(Cause::Stopped),
     ];
--- a/tests/sim/process_restarts.rs
+++ b/tests/sim/process_restarts.rs
@@ -145,7 +145,7 @@
 pub(super) fn place(leader: &mut LeaderState, since: Micros) {
     let mut job = Job::new("run-000001", super::script::plain_spec("run-000001"), 5, 0, since);
     job.waiting.clear();
-    job.states[0] = TaskState::Placed;
+    job.task_states[0] = TaskState::Placed;
     job.held_tasks = 1;
     let placement = Placement {
         attempt: 1,
--- a/tests/two_versions.rs
+++ b/tests/two_versions.rs
@@ -18,7 +18,7 @@
 use glenhaven::protocol::to_cbor;
 use glenhaven::protocol::users::JobSpec;
 use glenhaven::storage::records::{
-    from_record, from_value, to_record, to_value, Accepted, JobValue, ProxiedMachines, Segment, Term,
+    from_record, from_value, to_record, to_value, AcceptancePage, JobValue, ProxiedMachines, Segment, Term,
 };
 use net::*;
 use std::collections::BTreeMap;
@@ -57,7 +57,7 @@
         let value: Value = ciborium::from_reader(&bytes[..]).unwrap();
         let again = match kind {
             "term" => to_value(&from_value::<Term>(&value).unwrap()),
-            "accepted" => to_value(&from_value::<Accepted>(&value).unwrap()),
+            "accepted" => to_value(&from_value::<AcceptancePage>(&value).unwrap()),
             "job" => to_value(&from_value::<JobValue>(&value).unwrap()),
             "care" => to_value(&from_value::<ProxiedMachines>(&value).unwrap()),
             "page" => to_value(&from_value::<Segment>(&value).unwrap()),
@@ -68,7 +68,7 @@
 }
 
 fn chained_spec() -> JobSpec {
-    let mut spec: Accepted = serde_json::from_str(
+    let mut spec: AcceptancePage = serde_json::from_str(
         r#"{"a":[{"ref":"run-000500","jobclass":"train","owner":"vision","shape":"array","rank":"urgent","pieces":16,
         "cores":8.0,"cards":1.0,"mem_gb":64.0,"bundle":"img-07","size_gb":6.2,"flavors":["g8"],"yard":null,
         "together":false,"apart":false,"reclaimable":true,"expected_s":240.0,"snapshot_every_s":0.0,
@@ -83,7 +83,7 @@
 /// writes of it in turn is told from a job that any type would do for.
 #[test]
 fn production_starts_no_job_that_names_others() {
-    let record = Accepted {
+    let record = AcceptancePage {
         jobs: vec![to_record(&chained_spec(), 1_700_000_000_000, 2000).unwrap()],
     };
     let bytes = to_cbor(&to_value(&record));
@@ -94,7 +94,7 @@
     assert_eq!(unhex(include_str!("golden/chained.hex").trim()), bytes);
     let read = from_record(record.jobs[0].clone());
     assert_eq!(read, Some((chained_spec(), 1_700_000_000_000)));
-    let production: Accepted = serde_json::from_str(include_str!("golden/chained.production.json")).unwrap();
+    let production: AcceptancePage = serde_json::from_str(include_str!("golden/chained.production.json")).unwrap();
     assert_eq!(production.jobs[0].types, Some(vec![]));
     assert_eq!(from_record(production.jobs[0].clone()), None);
 }
