--- a/src/coordination/api/read_proof.rs
+++ b/src/coordination/api/read_proof.rs
@@ -1,8 +1,9 @@
 //! Proofs that an answer to a user is new enough.
 //!
-//! Invariant (safety core 2): an answer that reports a job as open, or as never accepted, is based
-//! on a read or write that the state service executed after the user's request had arrived. Only a
-//! final phase may be answered from memory, because it never changes.
+//! Invariant (rule 2 of the safety core in `docs/DESIGN.md`): an answer that reports a job as open,
+//! or as never accepted, is based on a read or write that the state service executed after the
+//! user's request had arrived. Only a final phase may be answered from memory, because it never
+//! changes.
 //!
 //! User requests are numbered in the order of their arrival. Each request to the state service
 //! records the number of the last user request that had arrived when it was sent. The state service
