--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use glenhaven::protocol::to_cbor;
 use glenhaven::protocol::users::JobSpec;
-use glenhaven::transport::server::Outgoing;
+use glenhaven::transport::server::HttpResponse;
 use glenhaven_fakes::http::{Connection, Request, Response};
 use glenhaven_fakes::user::{answered, Answered, Asked, User};
 use glenhaven_fakes::SEC;
@@ -101,7 +101,7 @@
     let now = cluster.now();
     match answer {
         Some(response) => {
-            let answer = Outgoing {
+            let answer = HttpResponse {
                 status: response.status,
                 body: response.body,
                 retry_after_s: response.retry_after_s,
--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -175,7 +175,10 @@
         let spec = &user.spec;
         if spec.zone.as_ref().is_some_and(|z| *z != w.zone)
             || (!spec.spot && w.spot)
-            || spec.types.as_ref().is_some_and(|t| !t.contains(&w.machine_type))
+            || spec
+                .machine_types
+                .as_ref()
+                .is_some_and(|t| !t.contains(&w.machine_type))
         {
             self.broken.push(format!(
                 "wrong_place: {task} is on {machine}, which its job does not allow"
@@ -209,12 +212,14 @@
     /// Checks, as a task begins, that all jobs on which its job depends are done.
     pub fn started_in_order(&mut self, task: &str, users: &BTreeMap<String, User>, results: &BTreeSet<String>) {
         let Some(user) = users.get(job_of(task)) else { return };
-        for need in &user.spec.needs {
-            let tasks = users.get(need).map_or(0, |u| u.spec.tasks);
-            let left = (0..tasks).filter(|t| !results.contains(&format!("{need}/{t}"))).count();
+        for dependency in &user.spec.dependencies {
+            let tasks = users.get(dependency).map_or(0, |u| u.spec.tasks);
+            let left = (0..tasks)
+                .filter(|t| !results.contains(&format!("{dependency}/{t}")))
+                .count();
             if left > 0 || tasks == 0 {
                 self.broken.push(format!(
-                    "too_early: {task} starts, but {need} has {left} of {tasks} tasks unfinished"
+                    "too_early: {task} starts, but {dependency} has {left} of {tasks} tasks unfinished"
                 ));
             }
         }
@@ -223,12 +228,12 @@
     /// Returns whether the user of any direct or indirect dependency of a job has asked to cancel
     /// the dependency.
     fn dependency_abort_requested(user: &User, users: &BTreeMap<String, User>) -> bool {
-        let mut rest: Vec<&String> = user.spec.needs.iter().collect();
+        let mut rest: Vec<&String> = user.spec.dependencies.iter().collect();
         while let Some(before) = rest.pop().and_then(|need| users.get(need)) {
             if before.wants_abort {
                 return true;
             }
-            rest.extend(&before.spec.needs);
+            rest.extend(&before.spec.dependencies);
         }
         false
     }
@@ -237,9 +242,9 @@
     /// told that the dependency is cancelled, among those whose users asked for that.
     fn dependency_cancelled_at(user: &User, users: &BTreeMap<String, User>) -> Option<u64> {
         let mut first = None;
-        let mut rest: Vec<&String> = user.spec.needs.iter().collect();
+        let mut rest: Vec<&String> = user.spec.dependencies.iter().collect();
         while let Some(before) = rest.pop().and_then(|need| users.get(need)) {
-            rest.extend(&before.spec.needs);
+            rest.extend(&before.spec.dependencies);
             let at = before.cancelled.filter(|_| before.wants_abort);
             first = first.into_iter().chain(at).min();
         }
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -446,15 +446,17 @@
                 .take_while(|(k, _)| k.starts_with(keys::ACCEPTANCE_PAGES));
             let mut accepted = pages.filter_map(|(_, e)| records::from_value::<records::AcceptancePage>(&e.value));
             let named = accepted.find_map(|page| page.jobs.into_iter().find(|spec| spec.id == row.0));
-            for need in named.iter().flat_map(|spec| &spec.needs) {
-                let key = keys::job(need);
+            for dependency in named.iter().flat_map(|spec| &spec.dependencies) {
+                let key = keys::job(dependency);
                 let value = self.keys.get(&key).map(|e| &e.value);
                 let done = value
                     .and_then(records::from_value::<records::JobValue>)
                     .map(|v| v.phase);
                 if done != Some(glenhaven::protocol::users::Phase::Done) && !ends.contains(&key) {
-                    self.problems
-                        .push(format!("a start of {} was recorded, but {need} is {done:?}", row.0));
+                    self.problems.push(format!(
+                        "a start of {} was recorded, but {dependency} is {done:?}",
+                        row.0
+                    ));
                 }
             }
             let named = named.is_some();
--- a/crates/fakes/src/user.rs
+++ b/crates/fakes/src/user.rs
@@ -4,7 +4,7 @@
 use crate::SEC;
 use glenhaven::protocol::from_cbor;
 use glenhaven::protocol::users::{JobSpec, JobState, Phase, Priority, Shape};
-use glenhaven::transport::server::Outgoing;
+use glenhaven::transport::server::HttpResponse;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The time, in microseconds, after which an accepted job counts as forgotten if no request about
@@ -188,7 +188,7 @@
     /// The kind of the request.
     pub asked: Asked,
     /// The answer.
-    pub answer: &'a Outgoing,
+    pub answer: &'a HttpResponse,
 }
 
 /// Delivers the answer to a user's pending request, and checks the rules for answers.
@@ -252,7 +252,7 @@
         cpus: 1.0,
         gpus: 0.0,
         memory: 1.0,
-        types: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         spread: false,
@@ -263,7 +263,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
-        needs: vec![],
+        dependencies: vec![],
         hidden_fields: None,
     }
 }
--- a/src/coordination/agents/heartbeat_proxy.rs
+++ b/src/coordination/agents/heartbeat_proxy.rs
@@ -15,7 +15,7 @@
 use crate::protocol::agents::{AgentCommand, Heartbeat, HeartbeatResponse, TaskPhase};
 use crate::protocol::store::{Change, StoreRequest, Transaction};
 use crate::protocol::{json_size, to_cbor};
-use crate::settings::Workers;
+use crate::settings::AgentTimes;
 use crate::storage::keys;
 use crate::storage::records::{to_value, ProxiedMachines};
 use crate::time::Micros;
@@ -123,7 +123,7 @@
 
 impl HeartbeatProxy {
     /// Creates a proxy to which no agent has reported yet.
-    pub fn new(workers: &Workers) -> HeartbeatProxy {
+    pub fn new(workers: &AgentTimes) -> HeartbeatProxy {
         HeartbeatProxy {
             unreachable_for: timing::unreachable_controller_timeout(workers),
             ..HeartbeatProxy::default()
--- a/src/coordination/agents/heartbeat_status.rs
+++ b/src/coordination/agents/heartbeat_status.rs
@@ -383,7 +383,7 @@
             let spec = &job.spec;
             self.slo.started(&spec.class, &spec.team, spec.cpus, waited, now);
         }
-        if !placement.restored && !job.spec.needs.is_empty() {
+        if !placement.restored && !job.spec.dependencies.is_empty() {
             self.blocked_jobs.record_wait(waited);
         }
         tracing::debug!(
--- a/src/coordination/api/dependencies.rs
+++ b/src/coordination/api/dependencies.rs
@@ -58,20 +58,22 @@
         let Some((spec, submitted_ms)) = from_record(spec) else {
             return;
         };
-        if spec.needs.is_empty() {
+        if spec.dependencies.is_empty() {
             return;
         }
-        let (id, needs) = (spec.id.clone(), spec.needs.clone());
+        let (id, dependencies) = (spec.id.clone(), spec.dependencies.clone());
         let dependent = DependentJob {
             spec,
             version,
             submitted_ms,
         };
-        self.dependency_graph.add(&id, &needs, dependent);
-        for need in &needs {
-            match self.statuses.get(need) {
-                Some(known) if known.phase.is_final() => self.dependency_graph.ended(need, known.phase == Phase::Done),
-                Some(known) if known.checked => self.dependency_graph.open(need),
+        self.dependency_graph.add(&id, &dependencies, dependent);
+        for dependency in &dependencies {
+            match self.statuses.get(dependency) {
+                Some(known) if known.phase.is_final() => {
+                    self.dependency_graph.ended(dependency, known.phase == Phase::Done)
+                }
+                Some(known) if known.checked => self.dependency_graph.open(dependency),
                 _ => {}
             }
         }
@@ -89,12 +91,12 @@
         };
         let is_service = |n: &&String| self.statuses.get(*n).is_some_and(|k| k.service);
         let is_unknown = |n: &&String| !self.statuses.contains_key(*n);
-        let refused = if spec.needs.iter().any(|n| is_service(&n)) {
+        let refused = if spec.dependencies.iter().any(|n| is_service(&n)) {
             Some(Refusal::DependsOnService)
-        } else if !spec.needs.iter().any(|n| is_unknown(&n)) {
+        } else if !spec.dependencies.iter().any(|n| is_unknown(&n)) {
             return true;
         } else if spec
-            .needs
+            .dependencies
             .iter()
             .filter(is_unknown)
             .all(|n| pending.missing_dependencies.contains(n))
@@ -104,9 +106,9 @@
             // accepted.
             pending.changes_read.then_some(Refusal::DependsOnUnknownJob)
         } else {
-            for need in spec.needs.iter().filter(is_unknown) {
-                if !pending.missing_dependencies.contains(need) {
-                    self.awaiting_compare.entry(need.clone()).or_default().push(id);
+            for dependency in spec.dependencies.iter().filter(is_unknown) {
+                if !pending.missing_dependencies.contains(dependency) {
+                    self.awaiting_compare.entry(dependency.clone()).or_default().push(id);
                 }
             }
             return false;
--- a/src/coordination/api/request.rs
+++ b/src/coordination/api/request.rs
@@ -78,14 +78,14 @@
     if !cluster.settings.params.teams.iter().any(|t| t.name == spec.team) {
         return Some(Refusal::UnknownTeam);
     }
-    if spec.needs.contains(&spec.id) {
+    if spec.dependencies.contains(&spec.id) {
         return Some(Refusal::DependsOnItself);
     }
     if cluster.catalogue.is_empty() {
         return Some(Refusal::CatalogueUnknown);
     }
     // A release without job dependencies would start the job at once.
-    if let (false, Some(node)) = (spec.needs.is_empty(), &cluster.outdated_peer) {
+    if let (false, Some(node)) = (spec.dependencies.is_empty(), &cluster.outdated_peer) {
         return Some(Refusal::LaggingController(node.clone()));
     }
     if is_over_limit(cluster, spec) {
@@ -115,7 +115,7 @@
         t.cpus >= spec.cpus
             && t.gpus >= spec.gpus
             && t.memory >= spec.memory
-            && spec.types.as_ref().is_none_or(|types| types.contains(&t.name))
+            && spec.machine_types.as_ref().is_none_or(|types| types.contains(&t.name))
             && spec.zone.as_ref().is_none_or(|zone| t.zones.contains(zone))
     })
 }
--- a/src/coordination/api/request_flow.rs
+++ b/src/coordination/api/request_flow.rs
@@ -13,7 +13,7 @@
 };
 use crate::protocol::json_size;
 use crate::protocol::store::{Change, Condition, StoreRequest, Transaction};
-use crate::protocol::users::{id_in, is_job_id, JobSpec, Phase};
+use crate::protocol::users::{extract_job_id, is_job_id, JobSpec, Phase};
 use crate::storage::keys;
 use crate::storage::records::{to_record, to_value, JobValue};
 use crate::time::Micros;
@@ -77,7 +77,7 @@
         let Some(pending) = self.pending.get(&id) else { return };
         let job = pending.job.clone();
         let status = self.statuses.get(&job).copied();
-        let has_dependencies = matches!(&pending.kind, RequestKind::Submit(spec) if !spec.needs.is_empty());
+        let has_dependencies = matches!(&pending.kind, RequestKind::Submit(spec) if !spec.dependencies.is_empty());
         if let Some(phase) = self.final_phase(&job) {
             self.pending.remove(&id);
             let proof = self.final_proof(&job);
@@ -165,7 +165,7 @@
         Err(why) => {
             tracing::warn!(%why, "malformed submission");
             let refusal = Refusal::Malformed(why.to_string());
-            match id_in(body) {
+            match extract_job_id(body) {
                 Some(job) => Ok((job, RequestKind::Refusable(refusal))),
                 None => Err(refusal),
             }
--- a/src/coordination/context.rs
+++ b/src/coordination/context.rs
@@ -7,7 +7,7 @@
 use super::store_queue::StoreQueue;
 use super::{Continuation, Effect};
 use crate::time::Micros;
-use crate::transport::server::Outgoing;
+use crate::transport::server::HttpResponse;
 use glenhaven_store_limits::Limits;
 
 /// The share of the state service's limits that a controller has until its role is determined.
@@ -67,7 +67,7 @@
     pub fn reply(&mut self, id: u64, status: u16, body: Vec<u8>, retry_after_s: Option<u32>) {
         self.effects.push(Effect::Reply {
             id,
-            answer: Outgoing {
+            answer: HttpResponse {
                 status,
                 body,
                 retry_after_s,
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -59,7 +59,7 @@
         let mut job = Job::new(&spec.id.clone(), spec, version, 0, now);
         job.blocked = true;
         job.submitted_at = self.submission_time(submitted_ms, now);
-        tracing::debug!(job = %job.id, class = job.spec.class, needs = ?job.spec.needs, "job blocked by its dependencies");
+        tracing::debug!(job = %job.id, class = job.spec.class, needs = ?job.spec.dependencies, "job blocked by its dependencies");
         self.last_acceptance_revision = self.last_acceptance_revision.max(version);
         self.blocked_jobs.to_check.insert(job.id.clone());
         self.jobs.insert(job.id.clone(), job);
--- a/src/coordination/events.rs
+++ b/src/coordination/events.rs
@@ -10,7 +10,7 @@
 use crate::protocol::peer::{Link, PeerMessage};
 use crate::protocol::store::{StoreRequest, StoreResponse};
 use crate::time::Micros;
-use crate::transport::server::Outgoing;
+use crate::transport::server::HttpResponse;
 use serde::{Deserialize, Serialize};
 
 /// A user's HTTP request.
@@ -121,7 +121,7 @@
         /// The number of the request that is answered.
         id: u64,
         /// The answer.
-        answer: Outgoing,
+        answer: HttpResponse,
     },
     /// Sends a request to the state service.
     Store {
--- a/src/coordination/forwarding.rs
+++ b/src/coordination/forwarding.rs
@@ -249,7 +249,7 @@
     /// at all.
     fn route_via(&self, host: &Host) -> Option<String> {
         match self.forwarder.link_table.route(host, self.context.now) {
-            Route::Via(node) if self.cluster.settings.operator.ways_by_others => Some(node),
+            Route::Via(node) if self.cluster.settings.operator.forwards_requests => Some(node),
             _ => None,
         }
     }
@@ -260,12 +260,12 @@
         self.forwarder.delegated.insert((service, id), until);
         let message = PeerMessage::ForwardRequest {
             node: self.cluster.settings.node.clone(),
-            life: self.forwarder.process_number,
+            process_number: self.forwarder.process_number,
             id,
-            at: self.context.now.0,
+            sent_at_us: self.context.now.0,
             term: self.election.term(),
             timeout_ms: (timeout.0 / 1000) as u32,
-            what: request,
+            body: request,
         };
         Effect::Peer { to, message }
     }
@@ -336,9 +336,9 @@
     /// Returns the answer to a forwarded request to the controller that forwarded it.
     fn return_forwarded(&mut self, request: ForwardedId, answer: ForwardedBody) {
         let message = PeerMessage::ForwardedResponse {
-            life: request.process_number,
+            process_number: request.process_number,
             id: request.id,
-            what: answer,
+            body: answer,
         };
         let to = request.node;
         self.context.effects.push(Effect::Peer { to, message });
@@ -364,8 +364,12 @@
     pub(super) fn on_forwarded(&mut self, message: PeerMessage) {
         match message {
             PeerMessage::ForwardRequest { .. } => self.on_forward_request(message),
-            PeerMessage::ForwardedResponse { life, id, what } if life == self.forwarder.process_number => {
-                self.on_forwarded_response(id, what);
+            PeerMessage::ForwardedResponse {
+                process_number,
+                id,
+                body,
+            } if process_number == self.forwarder.process_number => {
+                self.on_forwarded_response(id, body);
             }
             PeerMessage::RelayMessage { to, body } => {
                 let link = Host::Node(to.clone());
@@ -392,12 +396,12 @@
     fn on_forward_request(&mut self, message: PeerMessage) {
         let PeerMessage::ForwardRequest {
             node,
-            life,
+            process_number,
             id,
-            at,
+            sent_at_us,
             term,
             timeout_ms,
-            what,
+            body,
         } = message
         else {
             return;
@@ -405,30 +409,30 @@
         // A call to the cloud has no condition, so it is refused for a leader that is known to be
         // deposed. A request to the state service is conditional, and its answer informs the sender
         // of a later term.
-        let is_deposed = matches!(what, ForwardedBody::Cloud(_)) && term < self.election.term();
-        let is_allowed = self.cluster.settings.operator.ways_by_others && self.is_peer(&node);
+        let is_deposed = matches!(body, ForwardedBody::Cloud(_)) && term < self.election.term();
+        let is_allowed = self.cluster.settings.operator.forwards_requests && self.is_peer(&node);
         let is_refused = !is_allowed
             || self.forwarder.forwarded_requests() >= MAX_FORWARDED
             || is_deposed
-            || self.forwarder.is_late(&node, at, self.context.now);
+            || self.forwarder.is_late(&node, sent_at_us, self.context.now);
         let request = ForwardedId {
             node,
-            process_number: life,
+            process_number,
             id,
         };
         let timeout = Micros::from_millis(u64::from(timeout_ms));
         if is_refused {
-            self.refuse_forwarded(request, &what);
+            self.refuse_forwarded(request, &body);
             return;
         }
-        match what {
-            ForwardedBody::State(ref body) => match from_cbor::<StoreRequest>(body) {
+        match body {
+            ForwardedBody::State(ref encoded) => match from_cbor::<StoreRequest>(encoded) {
                 Ok(store_request) => self.forward_to_store(request, store_request, timeout),
-                Err(_) => self.refuse_forwarded(request, &what),
+                Err(_) => self.refuse_forwarded(request, &body),
             },
-            ForwardedBody::Cloud(ref body) => match from_cbor::<CloudRequest>(body) {
+            ForwardedBody::Cloud(ref encoded) => match from_cbor::<CloudRequest>(encoded) {
                 Ok(cloud_request) => self.forward_to_cloud(request, cloud_request, timeout),
-                Err(_) => self.refuse_forwarded(request, &what),
+                Err(_) => self.refuse_forwarded(request, &body),
             },
         }
     }
@@ -447,8 +451,8 @@
     }
 
     /// Refuses a forwarded request; a refusal means that the request was never executed.
-    fn refuse_forwarded(&mut self, request: ForwardedId, what: &ForwardedBody) {
-        let refusal = match what {
+    fn refuse_forwarded(&mut self, request: ForwardedId, body: &ForwardedBody) {
+        let refusal = match body {
             ForwardedBody::State(_) => ForwardedBody::State(to_cbor(&StoreResponse::Refused)),
             ForwardedBody::Cloud(_) => ForwardedBody::Cloud(to_cbor(&CloudResponse::Refused)),
         };
--- a/src/coordination/log/restore.rs
+++ b/src/coordination/log/restore.rs
@@ -122,7 +122,7 @@
         // A job that depends on others is blocked until the dependencies have been evaluated.
         let (spec, blocked) = match records::from_record(replayed.spec.clone()) {
             Some((spec, _)) => {
-                let blocked = !spec.needs.is_empty();
+                let blocked = !spec.dependencies.is_empty();
                 (spec, blocked)
             }
             None => (replayed.spec, true),
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -98,11 +98,11 @@
         let PeerMessage::Alive {
             node,
             term,
-            fresh,
+            store_verified,
             leads,
-            wants,
-            serves,
-            at,
+            changes_per_1000_s,
+            agent_count,
+            sent_at_us,
             links,
         } = message
         else {
@@ -110,16 +110,16 @@
         };
         let now = self.context.now;
         if self.is_peer(&node) {
-            self.forwarder.on_alive(&node, at, &links, now);
-            let same_incarnation = self.peers.get(&node).filter(|peer| peer.sender_clock <= at);
+            self.forwarder.on_alive(&node, sent_at_us, &links, now);
+            let same_incarnation = self.peers.get(&node).filter(|peer| peer.sender_clock <= sent_at_us);
             let status = PeerStatus {
                 last_contact: now,
-                store_is_current: fresh,
+                store_is_current: store_verified,
                 term,
                 leads,
-                wanted_changes_per_s: f64::from(wants) / 1000.0,
-                reporting_agents: serves,
-                sender_clock: at,
+                wanted_changes_per_s: f64::from(changes_per_1000_s) / 1000.0,
+                reporting_agents: agent_count,
+                sender_clock: sent_at_us,
                 known_since: same_incarnation.map_or(now, |peer| peer.known_since),
             };
             self.peers.insert(node, status);
--- a/src/coordination/provisioning/calls.rs
+++ b/src/coordination/provisioning/calls.rs
@@ -10,7 +10,7 @@
 use super::super::{CloudRequest, CloudResponse, ClusterConfig, Context, Controller, Effect};
 use super::MachineId;
 use crate::time::Micros;
-use crate::transport::rate_limit::Bucket;
+use crate::transport::rate_limit::TokenBucket;
 use std::collections::BTreeMap;
 
 /// Timeout of a call.
@@ -42,7 +42,7 @@
 
 /// Calls to the cloud that are in flight, and the rate limit for new ones.
 pub struct CloudCallTracker {
-    bucket: Option<Bucket>,
+    bucket: Option<TokenBucket>,
     pending: BTreeMap<u64, CloudContinuation>,
     next_catalogue_at: Micros,
     catalogue_in_flight: bool,
@@ -70,7 +70,7 @@
         reserve: f64,
     ) -> bool {
         let rate = cluster.settings.params.cloud.rps * RATE_SHARE;
-        let bucket = self.bucket.get_or_insert_with(|| Bucket::new(rate, context.now));
+        let bucket = self.bucket.get_or_insert_with(|| TokenBucket::new(rate, context.now));
         if !bucket.allows(1.0, reserve, context.now) {
             return false;
         }
--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -427,7 +427,7 @@
 }
 
 /// Returns the value per second of all jobs of a class meeting one objective: the total cost per
-/// second, multiplied by the operators' `in_time_worth`. Every objective of a class is assumed to
+/// second, multiplied by the operators' `objective_value`. Every objective of a class is assumed to
 /// have the same value, and each job of the class has its share of it.
 fn value_per_s(leader: &LeaderState, cluster: &ClusterConfig, market: &Market) -> f64 {
     let (mut rent, mut demanded_cores) = (0.0, 0.0);
@@ -446,7 +446,7 @@
         let tasks = f64::from(job.held_tasks) + job.waiting.len() as f64;
         demanded_cores += tasks * effective_cores(&job.spec, cluster);
     }
-    rent.max(demanded_cores * market.spot_price) * cluster.settings.operator.in_time_worth
+    rent.max(demanded_cores * market.spot_price) * cluster.settings.operator.objective_value
 }
 
 /// A job with waiting tasks.
--- a/src/coordination/provisioning/stuck.rs
+++ b/src/coordination/provisioning/stuck.rs
@@ -159,7 +159,7 @@
 /// Returns whether a job has fit on no machine for long enough that a machine is rented for it.
 fn is_stuck(job: &Job, now: Micros, is_total_sufficient: bool) -> bool {
     let spec = &job.spec;
-    let is_constrained = spec.one_zone || spec.spread || spec.zone.is_some() || spec.types.is_some();
+    let is_constrained = spec.one_zone || spec.spread || spec.zone.is_some() || spec.machine_types.is_some();
     let stuck_after = Micros::from_secs(if is_constrained {
         STUCK_AFTER_IF_CONSTRAINED_S
     } else {
--- a/src/coordination/scheduling/rules.rs
+++ b/src/coordination/scheduling/rules.rs
@@ -22,7 +22,10 @@
 pub fn allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
     !machine_type.is_empty()
         && (spec.spot || !spot)
-        && spec.types.as_ref().is_none_or(|t| t.iter().any(|t| t == machine_type))
+        && spec
+            .machine_types
+            .as_ref()
+            .is_none_or(|t| t.iter().any(|t| t == machine_type))
         && spec.zone.as_ref().is_none_or(|z| z == zone)
 }
 
--- a/src/coordination/state/job_events.rs
+++ b/src/coordination/state/job_events.rs
@@ -80,7 +80,7 @@
             return;
         }
         let (spec, submitted_ms) = match from_record(spec.clone()) {
-            Some((spec, submitted_ms)) if spec.needs.is_empty() => (spec, submitted_ms),
+            Some((spec, submitted_ms)) if spec.dependencies.is_empty() => (spec, submitted_ms),
             found => return self.block_until_dependencies_done(found.unwrap_or((spec, 0)), version, now),
         };
         tracing::debug!(job = id, class = spec.class, tasks = spec.tasks, "job arrived");
--- a/src/coordination/store_queue.rs
+++ b/src/coordination/store_queue.rs
@@ -9,7 +9,7 @@
 
 use crate::protocol::store::StoreRequest;
 use crate::time::Micros;
-use crate::transport::rate_limit::Bucket;
+use crate::transport::rate_limit::TokenBucket;
 use glenhaven_group_commit::{Waited, Waits};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -53,7 +53,7 @@
 
 /// A rate that grows while nothing is refused, and the token bucket that enforces it.
 struct AdaptiveRate {
-    bucket: Bucket,
+    bucket: TokenBucket,
     bounds: RateBounds,
     current: f64,
 }
@@ -61,7 +61,7 @@
 impl AdaptiveRate {
     fn new(rate: f64, now: Micros) -> AdaptiveRate {
         AdaptiveRate {
-            bucket: Bucket::new(rate, now),
+            bucket: TokenBucket::new(rate, now),
             bounds: RateBounds { min: rate, max: rate },
             current: rate,
         }
@@ -86,7 +86,7 @@
 
     /// Lowers the rate after a refusal, and removes one token from the bucket.
     fn on_refusal(&mut self, now: Micros) {
-        self.bucket.spill(1.0, now);
+        self.bucket.take_available(1.0, now);
         self.set((self.current * REFUSAL_FACTOR).max(self.bounds.min), now);
     }
 }
--- a/src/coordination/tick.rs
+++ b/src/coordination/tick.rs
@@ -59,11 +59,11 @@
         let message = PeerMessage::Alive {
             node: self.cluster.settings.node.clone(),
             term: self.election.term(),
-            fresh: now.since(self.election.verified_at()) < STORE_CURRENT_AGE,
+            store_verified: now.since(self.election.verified_at()) < STORE_CURRENT_AGE,
             leads,
-            wants: (self.update_change_share() * 1000.0).min(4e9) as u32,
-            serves: self.heartbeat_proxy.agent_count(now, leads),
-            at: now.0,
+            changes_per_1000_s: (self.update_change_share() * 1000.0).min(4e9) as u32,
+            agent_count: self.heartbeat_proxy.agent_count(now, leads),
+            sent_at_us: now.0,
             links: self.observed_links(),
         };
         self.broadcast(&message);
--- a/src/coordination/timing.rs
+++ b/src/coordination/timing.rs
@@ -7,7 +7,7 @@
 //! Invariant: a timeout proves nothing; a placement, a machine or a term is never given up because
 //! of elapsed time alone.
 
-use crate::settings::Workers;
+use crate::settings::AgentTimes;
 use crate::time::Micros;
 
 /// The time within which an agent fails over to another controller. By the protocol, an agent gives
@@ -51,39 +51,39 @@
 const HEARTBEAT_SLACK: Micros = Micros::from_millis(3_000);
 
 /// The time without a heartbeat after which a machine is silent.
-pub fn silence_timeout(workers: &Workers) -> Micros {
+pub fn silence_timeout(workers: &AgentTimes) -> Micros {
     Micros::from_secs(workers.report_s * 3.0) + HEARTBEAT_SLACK
 }
 
 /// The time without a heartbeat after which a due heartbeat has certainly been missed: it has not
 /// arrived here, nor at the next controller if the agent's controller failed.
-pub fn missed_heartbeat_timeout(workers: &Workers) -> Micros {
+pub fn missed_heartbeat_timeout(workers: &AgentTimes) -> Micros {
     Micros::from_secs(workers.report_s * 1.25 + 1.5) + Micros(AGENT_FAILOVER.0 / 2)
 }
 
 /// The time without a heartbeat after which a machine gets no new work. A healthy machine has sent
 /// another heartbeat by then, even if one was lost.
-pub fn no_new_work_timeout(workers: &Workers) -> Micros {
+pub fn no_new_work_timeout(workers: &AgentTimes) -> Micros {
     Micros::from_secs(workers.report_s * 2.0 + 1.0)
 }
 
 /// The time without a heartbeat after which a silent machine's lease is about to end. Work that is
 /// not known to be on a spot machine is left there until then: it most likely still runs, and could
 /// not start elsewhere any sooner.
-pub fn lease_end_timeout(workers: &Workers) -> Micros {
+pub fn lease_end_timeout(workers: &AgentTimes) -> Micros {
     silence_timeout(workers).max(Micros::from_secs(workers.lease_s - 1.0))
 }
 
 /// How long a machine is kept while only another controller receives its heartbeats. Nothing new
 /// starts on such a machine, so it is not kept indefinitely. The time within which a cancelled task
 /// must end, `cancel_s`, is longer than any short partition.
-pub fn proxied_machine_timeout(workers: &Workers) -> Micros {
+pub fn proxied_machine_timeout(workers: &AgentTimes) -> Micros {
     Micros::from_secs(workers.cancel_s)
 }
 
 /// How long agents are not redirected to a controller that agents could not reach: until every agent
 /// that was redirected there has returned, or has lost its lease and restarted.
-pub fn unreachable_controller_timeout(workers: &Workers) -> Micros {
+pub fn unreachable_controller_timeout(workers: &AgentTimes) -> Micros {
     Micros::from_secs(workers.lease_s) + AGENT_FAILOVER + AGENT_FAILOVER
 }
 
@@ -99,7 +99,7 @@
             (0.5, 1.0, 2.0),
             (30.0, 38.0, 39.0),
         ] {
-            let w = Workers {
+            let w = AgentTimes {
                 report_s,
                 lease_s,
                 cancel_s,
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -28,17 +28,17 @@
         /// The current term, as known to the sender.
         term: u64,
         /// Whether the sender has recently verified its copy of the state service's data.
-        fresh: bool,
+        store_verified: bool,
         /// Whether the sender leads this term.
         leads: bool,
         /// The rate at which the sender wants to change the state service, in changes per 1000
         /// seconds.
-        wants: u32,
+        changes_per_1000_s: u32,
         /// The number of agents that send their heartbeats to the sender.
-        serves: u32,
+        agent_count: u32,
         /// The sender's monotonic clock, in microseconds. It is never compared with another clock;
         /// the differences between messages show how much later messages were delayed.
-        at: u64,
+        sent_at_us: u64,
         /// The state of the sender's links.
         links: Vec<LinkObservation>,
     },
@@ -97,26 +97,26 @@
         node: String,
         /// The number of the sender's process incarnation, which distinguishes the request from
         /// those of earlier incarnations with the same `id`.
-        life: u64,
+        process_number: u64,
         /// The sender's number for the request.
         id: u64,
         /// The sender's monotonic clock, as in `Alive`.
-        at: u64,
+        sent_at_us: u64,
         /// The current term, as known to the sender.
         term: u64,
         /// The time for which the sender waits for the answer, in milliseconds.
         timeout_ms: u32,
         /// The request.
-        what: ForwardedBody,
+        body: ForwardedBody,
     },
     /// The answer to a forwarded request.
     ForwardedResponse {
         /// The number of the process incarnation that made the request.
-        life: u64,
+        process_number: u64,
         /// The receiver's number for the request.
         id: u64,
         /// The answer.
-        what: ForwardedBody,
+        body: ForwardedBody,
     },
     /// A message for another controller that the sender can't reach. The receiver sends it there
     /// directly or drops it.
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -68,7 +68,7 @@
     pub memory: f64,
     /// The machine types on which the job may run; `None` for all.
     #[serde(rename = "flavors", default)]
-    pub types: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     /// The only zone in which the job may run; `None` for all.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
@@ -106,7 +106,7 @@
         deserialize_with = "optional_list",
         skip_serializing_if = "Vec::is_empty"
     )]
-    pub needs: Vec<String>,
+    pub dependencies: Vec<String>,
     /// Fields that earlier releases must not read. Set only in stored records; ignored in
     /// submissions.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
@@ -121,7 +121,7 @@
 pub struct HiddenFields {
     /// The machine types of the description.
     #[serde(rename = "flavors", default, skip_serializing_if = "Option::is_none")]
-    pub types: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     /// The time of submission, in milliseconds since 1970; 0 if unknown.
     #[serde(rename = "at", default)]
     pub submitted_ms: u64,
@@ -188,7 +188,7 @@
             }
         }
         if spec
-            .types
+            .machine_types
             .as_ref()
             .is_some_and(|t| t.len() > 64 || t.iter().any(|t| t.len() > 100))
         {
@@ -197,12 +197,12 @@
         if spec.zone.as_ref().is_some_and(|z| z.len() > 100) {
             return invalid("yard");
         }
-        if !spec.needs.iter().all(|id| is_job_id(id)) {
+        if !spec.dependencies.iter().all(|id| is_job_id(id)) {
             return invalid("waits_on");
         }
         // A dependency that is listed twice counts once.
-        spec.needs.sort();
-        spec.needs.dedup();
+        spec.dependencies.sort();
+        spec.dependencies.dedup();
         Ok(spec)
     }
 }
@@ -212,7 +212,7 @@
 ///
 /// With the id, a job that was accepted before can be found, so that a malformed repetition of its
 /// submission is not refused.
-pub fn id_in(body: &[u8]) -> Option<String> {
+pub fn extract_job_id(body: &[u8]) -> Option<String> {
     #[derive(Deserialize)]
     struct IdOnly {
         r#ref: String,
--- a/src/runtime/process.rs
+++ b/src/runtime/process.rs
@@ -14,7 +14,7 @@
 use crate::protocol::store::StoreResponse;
 use crate::settings::{Peer, Settings};
 use crate::time::Micros;
-use crate::transport::server::{Incoming, Outgoing};
+use crate::transport::server::{HttpRequest, HttpResponse};
 use crate::transport::{peers, server};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -62,8 +62,8 @@
 
 /// Returns the answer of a controller that can't handle a request now: status 503 with
 /// `retry-after`.
-pub(super) fn retry_later() -> Outgoing {
-    Outgoing {
+pub(super) fn retry_later() -> HttpResponse {
+    HttpResponse {
         status: 503,
         body: vec![],
         retry_after_s: Some(1),
@@ -166,7 +166,7 @@
     /// Accepts requests of users, agents and the load balancer.
     fn listen_for_requests(&self, settings: &Settings, failure: &Failure) -> Result<(), RuntimeError> {
         let (replies, events) = (self.replies.clone(), self.events.clone());
-        let handler = move |request: Incoming| routes::answer(request, replies.clone(), events.clone());
+        let handler = move |request: HttpRequest| routes::answer(request, replies.clone(), events.clone());
         let setting = "public_addr";
         let address = parse_address(setting, &settings.public_addr)?;
         let limit = (f64::from(settings.params.resources.sockets) * PUBLIC_SOCKETS) as usize;
@@ -304,7 +304,7 @@
             events.try_send(Event::Link { node, link }).ok();
         }
     };
-    executor.spawn(peers::send(address, queue, on_change)).detach();
+    executor.spawn(peers::send_messages(address, queue, on_change)).detach();
     messages
 }
 
--- a/src/runtime/replies.rs
+++ b/src/runtime/replies.rs
@@ -3,7 +3,7 @@
 //! Invariant: a request's id stays registered until the request is answered or its connection is
 //! dropped; dropping the connection's [`PendingReply`] removes the id.
 
-use crate::transport::server::Outgoing;
+use crate::transport::server::HttpResponse;
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,7 +15,7 @@
     /// The time at which the answer was given.
     pub given_at: Instant,
     /// The answer.
-    pub answer: Outgoing,
+    pub answer: HttpResponse,
 }
 
 /// The waiting requests, by id. Clones share the same requests.
@@ -40,7 +40,7 @@
     }
 
     /// Sends the answer to a request, if the request still waits.
-    pub(super) fn complete(&self, id: u64, answer: Outgoing) {
+    pub(super) fn complete(&self, id: u64, answer: HttpResponse) {
         if let Some(sender) = self.waiting.borrow_mut().remove(&id) {
             let given_at = Instant::now();
             sender.try_send(TimedReply { given_at, answer }).ok();
--- a/src/runtime/routes.rs
+++ b/src/runtime/routes.rs
@@ -7,7 +7,7 @@
 use crate::coordination::{Event, UserRequest};
 use crate::protocol::agents::Heartbeat;
 use crate::protocol::from_cbor;
-use crate::transport::server::{Incoming, Outgoing};
+use crate::transport::server::{HttpRequest, HttpResponse};
 use async_channel::Sender;
 use http_types::Method;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 }
 
 /// Returns the route of a request, or the HTTP status with which the request is refused.
-fn route(request: Incoming) -> Result<Route, u16> {
+fn route(request: HttpRequest) -> Result<Route, u16> {
     let method = request.method;
     let is_get = method == Method::Get;
     let is_post = method == Method::Post;
@@ -50,13 +50,13 @@
 }
 
 /// Passes a request to the controller and waits for its answer.
-pub(super) async fn answer(request: Incoming, replies: PendingReplies, events: Sender<Event>) -> Outgoing {
+pub(super) async fn answer(request: HttpRequest, replies: PendingReplies, events: Sender<Event>) -> HttpResponse {
     let route = match route(request) {
         Ok(route) => route,
         Err(status) => {
-            return Outgoing {
+            return HttpResponse {
                 status,
-                ..Outgoing::default()
+                ..HttpResponse::default()
             }
         }
     };
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -96,7 +96,7 @@
 
 /// Time limits and periods of agents, in seconds.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Workers {
+pub struct AgentTimes {
     /// The period of an agent's heartbeats.
     pub report_s: f64,
     /// How long an agent keeps running its tasks after sending the last heartbeat that was
@@ -119,12 +119,12 @@
     pub txn_ops: usize,
     /// Announced lower limits that will apply later.
     #[serde(default)]
-    pub next: Option<NextState>,
+    pub next: Option<AnnouncedLimits>,
 }
 
 /// Announced limits of the state service; limits that are not set stay as they are.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct NextState {
+pub struct AnnouncedLimits {
     /// Changes per second, of all controllers together.
     #[serde(default)]
     pub write_rps: Option<f64>,
@@ -188,7 +188,7 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Time limits and periods of agents.
-    pub workers: Workers,
+    pub workers: AgentTimes,
     /// The limits of the state service.
     pub state: StateLimits,
     /// The limits of the cloud.
@@ -240,11 +240,11 @@
     /// Value of all jobs of a class meeting one of its objectives, as a multiple of the total
     /// spending.
     #[serde(rename = "in-time-worth")]
-    pub in_time_worth: f64,
+    pub objective_value: f64,
     /// Whether other controllers forward requests to a service that this controller can't reach,
     /// and whether this controller forwards theirs.
     #[serde(rename = "ways-by-others")]
-    pub ways_by_others: bool,
+    pub forwards_requests: bool,
 }
 
 impl Default for OperatorSettings {
@@ -255,8 +255,8 @@
             headroom: 0.0,
             borrow_after_s: 30.0,
             estimate_s: 60.0,
-            in_time_worth: 1.5,
-            ways_by_others: true,
+            objective_value: 1.5,
+            forwards_requests: true,
         }
     }
 }
@@ -288,7 +288,7 @@
         within("headroom", operator.headroom, 0.0, 10.0)?;
         within("borrow-after-s", operator.borrow_after_s, 0.0, 3600.0)?;
         within("estimate-s", operator.estimate_s, 1.0, 3600.0)?;
-        within("in-time-worth", operator.in_time_worth, 0.0, 1000.0)?;
+        within("in-time-worth", operator.objective_value, 0.0, 1000.0)?;
         Ok(operator)
     }
 }
@@ -394,6 +394,6 @@
         assert!(OperatorSettings::parse("((in-time-worth . -1.0))").is_err());
         assert!(OperatorSettings::parse("((in-time . 1.0))").is_err());
         assert!(OperatorSettings::parse("((ways-by-others . 1.0))").is_err());
-        assert!(OperatorSettings::parse("((ways-by-others . #f))").is_ok_and(|o| !o.ways_by_others));
+        assert!(OperatorSettings::parse("((ways-by-others . #f))").is_ok_and(|o| !o.forwards_requests));
     }
 }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -45,11 +45,11 @@
 /// machine type in the fields that these releases read, so that they start none of its tasks.
 pub fn to_record(spec: &JobSpec, submitted_ms: u64, max_bytes: usize) -> Option<JobSpec> {
     let mut plain = spec.clone();
-    if !spec.needs.is_empty() {
-        let types = plain.types.replace(vec![]);
+    if !spec.dependencies.is_empty() {
+        let machine_types = plain.machine_types.replace(vec![]);
         let packed = None;
         plain.hidden_fields = Some(Box::new(HiddenFields {
-            types,
+            machine_types,
             submitted_ms,
             packed,
         }));
@@ -59,12 +59,12 @@
         return Some(plain);
     }
     let mut stub = spec.clone();
-    stub.needs.clear();
-    stub.types = Some(vec![]);
+    stub.dependencies.clear();
+    stub.machine_types = Some(vec![]);
     let hidden_fields = |packed| {
-        let types = None;
+        let machine_types = None;
         Some(Box::new(HiddenFields {
-            types,
+            machine_types,
             submitted_ms,
             packed,
         }))
@@ -85,11 +85,11 @@
     let Some(hidden_fields) = spec.hidden_fields.take() else {
         // A submission with an empty list of machine types is refused, so that an empty list here
         // shows that the hidden fields were lost.
-        let bare = spec.types.as_ref().is_some_and(Vec::is_empty);
+        let bare = spec.machine_types.as_ref().is_some_and(Vec::is_empty);
         return (!bare).then_some((spec, 0));
     };
     match hidden_fields.packed {
-        None => spec.types = hidden_fields.types,
+        None => spec.machine_types = hidden_fields.machine_types,
         Some(text) => {
             let whole = glenhaven_compression::unpack::<u8>(&text).ok();
             match whole.and_then(|bytes| from_cbor::<JobSpec>(&bytes).ok()) {
@@ -289,16 +289,16 @@
         let mut rng = fastrand::Rng::with_seed(5);
         let mut fits = 0;
         for count in (10..2000).step_by(10) {
-            spec.needs = (0..count)
+            spec.dependencies = (0..count)
                 .map(|_| format!("run-{:06}", rng.u32(0..1_000_000)))
                 .collect();
-            spec.needs.sort();
-            spec.needs.dedup();
+            spec.dependencies.sort();
+            spec.dependencies.dedup();
             let Some(record) = to_record(&spec, 1_700_000_000_000, 1748) else {
                 break;
             };
             assert!(json_size(&record) <= 1748);
-            assert_eq!(record.types, Some(vec![]));
+            assert_eq!(record.machine_types, Some(vec![]));
             assert_eq!(from_record(record), Some((spec.clone(), 1_700_000_000_000)));
             fits = count;
         }
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -61,7 +61,7 @@
 
 /// Sends queued messages to one controller until the queue is closed. Messages are lost while the
 /// link is down, which is safe because every message is either repeated or has a time limit.
-pub async fn send(address: SocketAddr, queue: Receiver<PeerMessage>, on_link_state: impl Fn(Link)) {
+pub async fn send_messages(address: SocketAddr, queue: Receiver<PeerMessage>, on_link_state: impl Fn(Link)) {
     let mut sender = LinkSender {
         address,
         queue,
--- a/src/transport/rate_limit.rs
+++ b/src/transport/rate_limit.rs
@@ -5,7 +5,7 @@
 
 /// A token bucket that holds the calls of one second, and at least one call.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     /// Calls per second.
     rate: f64,
     /// The maximum number of calls that the bucket holds.
@@ -16,11 +16,11 @@
     filled_at: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Creates a full bucket that allows `rate` calls per second.
-    pub fn new(rate: f64, now: Micros) -> Bucket {
+    pub fn new(rate: f64, now: Micros) -> TokenBucket {
         let capacity = rate.max(1.0);
-        Bucket {
+        TokenBucket {
             rate,
             capacity,
             tokens: capacity,
@@ -58,7 +58,7 @@
     /// Takes up to `cost` calls from the bucket without making the rest negative, so that the
     /// bucket recovers quickly. Otherwise the refused calls of an outage of one minute would hold
     /// back other calls for minutes.
-    pub fn spill(&mut self, cost: f64, now: Micros) {
+    pub fn take_available(&mut self, cost: f64, now: Micros) {
         self.fill(now);
         self.tokens = (self.tokens - cost).max(self.tokens.min(0.0));
     }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -18,7 +18,7 @@
 use crate::protocol::BODY_LIMIT;
 
 /// A request, reduced to the parts that handlers use.
-pub struct Incoming {
+pub struct HttpRequest {
     /// The HTTP method.
     pub method: Method,
     /// The path of the URL, without the query.
@@ -29,7 +29,7 @@
 
 /// A response to a request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Outgoing {
+pub struct HttpResponse {
     /// The HTTP status.
     pub status: u16,
     /// The response's body.
@@ -45,7 +45,7 @@
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Reads a whole request; on failure, returns the HTTP status with which it is refused.
-async fn read(request: Request) -> Result<Incoming, u16> {
+async fn read(request: Request) -> Result<HttpRequest, u16> {
     let path = request.url().path().to_string();
     let whole = read_whole(request).await;
     if let Err(status) = whole {
@@ -54,7 +54,7 @@
     whole
 }
 
-async fn read_whole(mut request: Request) -> Result<Incoming, u16> {
+async fn read_whole(mut request: Request) -> Result<HttpRequest, u16> {
     if request.len().is_some_and(|n| n > BODY_LIMIT) {
         return Err(413);
     }
@@ -67,7 +67,7 @@
     if body.len() > BODY_LIMIT {
         return Err(413);
     }
-    Ok(Incoming {
+    Ok(HttpRequest {
         method: request.method(),
         path: request.url().path().to_string(),
         body,
@@ -82,7 +82,7 @@
 }
 
 /// Builds the HTTP response for an answer.
-fn response(answer: Outgoing, closes: bool) -> Response {
+fn response(answer: HttpResponse, closes: bool) -> Response {
     let status = StatusCode::try_from(answer.status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
     if let Some(seconds) = answer.retry_after_s {
@@ -99,8 +99,8 @@
 /// Serves one connection until either side closes it.
 async fn serve<H, F>(stream: TcpStream, handler: H)
 where
-    H: Fn(Incoming) -> F,
-    F: Future<Output = Outgoing>,
+    H: Fn(HttpRequest) -> F,
+    F: Future<Output = HttpResponse>,
 {
     let Ok(stream) = Async::new(stream) else { return };
     let mut stream = Stream::new(stream);
@@ -114,11 +114,11 @@
         let method = request.method();
         let is_last = has_close_header(&request);
         let (answer, is_refused) = match read(request).await {
-            Ok(incoming) => (handler(incoming).await, false),
+            Ok(request) => (handler(request).await, false),
             Err(status) => (
-                Outgoing {
+                HttpResponse {
                     status,
-                    ..Outgoing::default()
+                    ..HttpResponse::default()
                 },
                 true,
             ),
@@ -141,8 +141,8 @@
 /// Returns the system's error if the address can't be listened on.
 pub async fn listen<H, F, S>(address: SocketAddr, max_connections: usize, handler: H, spawn: S) -> std::io::Result<()>
 where
-    H: Fn(Incoming) -> F + Clone + 'static,
-    F: Future<Output = Outgoing> + 'static,
+    H: Fn(HttpRequest) -> F + Clone + 'static,
+    F: Future<Output = HttpResponse> + 'static,
     S: Fn(std::pin::Pin<Box<dyn Future<Output = ()>>>),
 {
     let listener = Async::<TcpListener>::bind(address)?;
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -47,11 +47,11 @@
         PeerMessage::Alive {
             node: "worker-1".into(),
             term: 41,
-            fresh: true,
+            store_verified: true,
             leads: false,
-            wants: 1500,
-            serves: 17,
-            at: 86_400_123_456,
+            changes_per_1000_s: 1500,
+            agent_count: 17,
+            sent_at_us: 86_400_123_456,
             links: vec![],
         },
         PeerMessage::Progress(vec![Progress {
@@ -96,17 +96,17 @@
         },
         PeerMessage::ForwardRequest {
             node: "worker-1".into(),
-            life: 77,
+            process_number: 77,
             id: 12,
-            at: 86_400_123_456,
+            sent_at_us: 86_400_123_456,
             term: 41,
             timeout_ms: 700,
-            what: ForwardedBody::State(vec![1, 2, 3]),
+            body: ForwardedBody::State(vec![1, 2, 3]),
         },
         PeerMessage::ForwardedResponse {
-            life: 77,
+            process_number: 77,
             id: 12,
-            what: ForwardedBody::Cloud(vec![4, 5]),
+            body: ForwardedBody::Cloud(vec![4, 5]),
         },
         PeerMessage::RelayMessage {
             to: "worker-2".into(),
--- a/tests/sim/agents.rs
+++ b/tests/sim/agents.rs
@@ -4,7 +4,7 @@
 use super::{ScheduledEvent, World, SEC};
 use glenhaven::coordination::{Event, PushResult};
 use glenhaven::protocol::agents::{AgentCommand, PushedCommands};
-use glenhaven::transport::server::Outgoing;
+use glenhaven::transport::server::HttpResponse;
 use glenhaven_fakes::worker::Executed;
 pub(crate) use glenhaven_fakes::worker::Worker;
 
@@ -105,7 +105,7 @@
         }
     }
 
-    pub(crate) fn report_answered(&mut self, name: &str, rid: u64, answer: Outgoing) {
+    pub(crate) fn report_answered(&mut self, name: &str, rid: u64, answer: HttpResponse) {
         let now = self.now;
         let nodes = self.nodes.len();
         let Some(w) = self.workers.get_mut(name) else { return };
--- a/tests/sim/answers.rs
+++ b/tests/sim/answers.rs
@@ -268,7 +268,7 @@
             t.cpus >= spec.cpus
                 && t.gpus >= spec.gpus
                 && t.memory >= spec.memory
-                && spec.types.as_ref().is_none_or(|types| types.contains(&t.name))
+                && spec.machine_types.as_ref().is_none_or(|types| types.contains(&t.name))
                 && spec.zone.as_ref().is_none_or(|zone| t.zones.contains(zone))
         };
         (!self.types.iter().any(fits)).then_some("fits no allowed machine type")
@@ -388,7 +388,7 @@
             |s| s.cpus = 9.0,
             |s| s.shape = Shape::Service,
             |s| s.memory = 65.0,
-            |s| s.types = Some(vec!["none".into()]),
+            |s| s.machine_types = Some(vec!["none".into()]),
             |s| s.zone = Some("z".into()),
         ];
         for (n, bad) in changes.into_iter().enumerate() {
--- a/tests/sim/close_queries.rs
+++ b/tests/sim/close_queries.rs
@@ -9,7 +9,7 @@
 use glenhaven::coordination::{Event, UserRequest};
 use glenhaven::protocol::users::{JobSpec, JobState, Shape};
 use glenhaven::protocol::{from_cbor, to_cbor};
-use glenhaven::transport::server::Outgoing;
+use glenhaven::transport::server::HttpResponse;
 use glenhaven_fakes::user::job_of;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -98,7 +98,7 @@
         self.after(hop, ScheduledEvent::Event(n, life, Event::User { id, request }));
     }
 
-    pub(crate) fn look_answered(&mut self, number: u64, left: u64, answer: &Outgoing) {
+    pub(crate) fn look_answered(&mut self, number: u64, left: u64, answer: &HttpResponse) {
         let Some(query) = self.one_way_faults.looks.remove(&number) else {
             return;
         };
@@ -241,7 +241,7 @@
         };
         match number % 5 {
             0 => spec.cpus = 1e6,
-            1 => spec.types = Some(vec!["no such type".into()]),
+            1 => spec.machine_types = Some(vec!["no such type".into()]),
             2 => spec.team = "no such team".into(),
             3 => {
                 // Of a team without a limit, each task fits no machine.
--- a/tests/sim/fairness.rs
+++ b/tests/sim/fairness.rs
@@ -13,8 +13,8 @@
 /// When a job could begin: accepted, and all it needs done.
 fn from(world: &World, user: &User) -> Option<u64> {
     let mut from = user.accepted?;
-    for need in &user.spec.needs {
-        from = from.max(world.users.get(need)?.done?);
+    for dependency in &user.spec.dependencies {
+        from = from.max(world.users.get(dependency)?.done?);
     }
     Some(from)
 }
--- a/tests/sim/fault_injection.rs
+++ b/tests/sim/fault_injection.rs
@@ -7,9 +7,9 @@
 use glenhaven::protocol::agents::{AgentCommand, Heartbeat, HeartbeatResponse, PushedCommands};
 use glenhaven::protocol::peer::PeerMessage;
 use glenhaven::protocol::store::{Change, StoreRequest, Transaction};
-use glenhaven::protocol::users::{id_in, JobState, Phase};
+use glenhaven::protocol::users::{extract_job_id, JobState, Phase};
 use glenhaven::protocol::{from_cbor, to_cbor};
-use glenhaven::transport::server::Outgoing;
+use glenhaven::transport::server::HttpResponse;
 use glenhaven_fakes::user::job_of;
 use std::collections::BTreeMap;
 
@@ -83,7 +83,7 @@
 pub(crate) type Joined = BTreeMap<(usize, u64, String), (u64, Vec<u64>)>;
 
 /// What each node last said of a job, and when.
-pub(crate) type Cache = BTreeMap<(usize, String), (u64, Outgoing)>;
+pub(crate) type Cache = BTreeMap<(usize, String), (u64, HttpResponse)>;
 
 impl World {
     /// A copy of an earlier session's report, made to look like a later one's.
@@ -140,7 +140,7 @@
                 Event::User {
                     id,
                     request: UserRequest::Submit(body),
-                } => id_in(body).map(|job| (*id, job)),
+                } => extract_job_id(body).map(|job| (*id, job)),
                 _ => None,
             };
             let Some((id, job)) = submitted else {
@@ -159,7 +159,7 @@
     }
 
     /// The answers to the submissions that wait for the one that this is the answer to.
-    fn plant_joined(&mut self, answered: u64, answer: &Outgoing) -> Vec<Effect> {
+    fn plant_joined(&mut self, answered: u64, answer: &HttpResponse) -> Vec<Effect> {
         let found = self.planted_joined.iter().find(|(_, (id, _))| *id == answered);
         let Some(key) = found.map(|(key, _)| key.clone()) else {
             return vec![];
@@ -173,7 +173,7 @@
     }
 
     /// Answers a question beside those that users ask in turn.
-    fn plant_look(&mut self, n: usize, number: u64, fault: Fault, answer: &mut Outgoing) {
+    fn plant_look(&mut self, n: usize, number: u64, fault: Fault, answer: &mut HttpResponse) {
         let Some(job) = self.one_way_faults.job_of(number).map(str::to_string) else {
             return;
         };
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -27,7 +27,7 @@
 use glenhaven::protocol::store::StoreRequest;
 use glenhaven::settings::Settings;
 use glenhaven::time::Micros;
-use glenhaven::transport::server::Outgoing;
+use glenhaven::transport::server::HttpResponse;
 pub(crate) use glenhaven_fakes::{rules, store, MS, SEC};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -41,16 +41,16 @@
     WatchEnds(u64),
     Worker(String),
     Heartbeat(String, usize, u64, Heartbeat),
-    ReportAnswer(String, u64, Outgoing),
+    ReportAnswer(String, u64, HttpResponse),
     ReportLate(String, u64),
     Boot(String),
     User(String),
     /// The answer to a user's request, and when it left the controller.
-    UserAnswer(String, u64, u64, Outgoing),
+    UserAnswer(String, u64, u64, HttpResponse),
     UserLate(String, u64),
     /// A question to one node beside those that a user asks in turn, and its answer.
     Ask(String, users::Asked, usize),
-    QueryAnswer(u64, u64, Outgoing),
+    QueryAnswer(u64, u64, HttpResponse),
     OddRequests(usize),
     Step(usize),
     Heal(usize),
@@ -540,7 +540,7 @@
     }
 
     /// Reads the orders or the new node from an answer to a report.
-    pub(crate) fn read_answer(answer: &Outgoing) -> Result<HeartbeatResponse, Option<String>> {
+    pub(crate) fn read_answer(answer: &HttpResponse) -> Result<HeartbeatResponse, Option<String>> {
         match answer.status {
             200 => from_cbor(&answer.body).map_err(|_| None),
             421 => Err(from_cbor::<Redirect>(&answer.body).ok().and_then(|e| e.report_to)),
--- a/tests/sim/process_restarts.rs
+++ b/tests/sim/process_restarts.rs
@@ -53,11 +53,11 @@
     let alive = Event::Peer(PeerMessage::Alive {
         node: "node-1".into(),
         term: 3,
-        fresh: true,
+        store_verified: true,
         leads: true,
-        wants: 0,
-        serves: 0,
-        at: 5,
+        changes_per_1000_s: 0,
+        agent_count: 0,
+        sent_at_us: 5,
         links: vec![],
     });
     controller.handle(at(10), vec![Event::Store { id, answer }, alive, link]);
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -4,7 +4,7 @@
 use super::SEC;
 use glenhaven::protocol::cloud::MachineType;
 use glenhaven::protocol::users::{JobSpec, Priority, Shape};
-use glenhaven::settings::{NextState, Peer, Settings, Team};
+use glenhaven::settings::{AnnouncedLimits, Peer, Settings, Team};
 use glenhaven_fakes::cloud::Cloud;
 pub(crate) use glenhaven_fakes::user::plain_spec;
 use std::collections::BTreeMap;
@@ -327,7 +327,7 @@
             }
             // What is announced for later.
             "state-next" => {
-                p.state.next = Some(NextState {
+                p.state.next = Some(AnnouncedLimits {
                     write_rps: Some(w.num("writes", p.state.write_rps)?),
                     value_kb: Some(w.num("value_kb", p.state.value_kb)?),
                     txn_ops: Some(w.num("ops", p.state.txn_ops)?),
@@ -414,7 +414,7 @@
                             spec.id = format!("run-{:06}", number + copy);
                             // Of copies that form a chain, each waits for the one before.
                             if w.has("chained") && copy > 0 {
-                                spec.needs = vec![format!("run-{:06}", number + copy - 1)];
+                                spec.dependencies = vec![format!("run-{:06}", number + copy - 1)];
                             }
                         }
                         if let Act::Abort(job) = &mut act {
@@ -477,7 +477,7 @@
         spec.team = w.named.get("team").unwrap_or(&"blue").to_string();
         spec.image = w.named.get("image").unwrap_or(&"img-1").to_string();
         spec.zone = w.named.get("zone").map(|z| z.to_string());
-        spec.types = w.named.get("types").map(|t| t.split(',').map(str::to_string).collect());
+        spec.machine_types = w.named.get("types").map(|t| t.split(',').map(str::to_string).collect());
         spec.tasks = w.num("pieces", 1)?;
         spec.cpus = w.num("cores", 1.0)?;
         spec.memory = w.num("mem", 1.0)?;
@@ -496,10 +496,10 @@
                             .parse::<u32>()
                             .map_err(|_| "a range of jobs")
                     };
-                    spec.needs
+                    spec.dependencies
                         .extend((number(from)?..=number(to)?).map(|n| format!("run-{n:06}")));
                 }
-                None => spec.needs.push(named.to_string()),
+                None => spec.dependencies.push(named.to_string()),
             }
         }
         spec.deadline_s = w.named.get("due").and_then(|d| d.parse().ok());
--- a/tests/sim/stranded_jobs.rs
+++ b/tests/sim/stranded_jobs.rs
@@ -48,7 +48,10 @@
 /// How many more tasks of this job a machine has room for.
 fn room(world: &World, worker: &Worker, spec: &JobSpec) -> u32 {
     let usable = worker.up && world.now >= worker.hangs_until && worker.taken.is_none() && !worker.faulty;
-    let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&worker.machine_type))
+    let allowed = spec
+        .machine_types
+        .as_ref()
+        .is_none_or(|t| t.contains(&worker.machine_type))
         && spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone)
         && (spec.spot || !worker.spot);
     if !usable || !allowed {
@@ -71,7 +74,7 @@
         needed.is_some_and(|u| done(world, need) == u.spec.tasks)
     };
     let over = user.wants_abort || user.cancelled.is_some() || user.done.is_some() || user.mistake;
-    user.accepted.is_some() && !over && user.spec.needs.iter().all(need_done)
+    user.accepted.is_some() && !over && user.spec.dependencies.iter().all(need_done)
 }
 
 /// Whether the machines have room for what waits of this job, its zones and team allow it.
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -6,7 +6,7 @@
 use glenhaven::coordination::{Event, UserRequest};
 use glenhaven::protocol::users::{JobState, Phase};
 use glenhaven::protocol::{from_cbor, to_cbor};
-use glenhaven::transport::server::Outgoing;
+use glenhaven::transport::server::HttpResponse;
 pub(crate) use glenhaven_fakes::user::{Asked, User};
 
 impl World {
@@ -24,7 +24,7 @@
         // Users submit a job once those that it needs are accepted.
         let Some(user) = self.users.get(job) else { return };
         let early = |need: &String| *need != *job && self.users.get(need).is_some_and(|u| u.accepted.is_none());
-        if !user.submitted && user.spec.needs.iter().any(early) {
+        if !user.submitted && user.spec.dependencies.iter().any(early) {
             return self.after(SEC / 50, ScheduledEvent::User(job.into()));
         }
         let Some(user) = self.users.get_mut(job) else { return };
@@ -58,7 +58,7 @@
         }
     }
 
-    pub(crate) fn user_answered(&mut self, job: &str, rid: u64, left: u64, answer: Outgoing) {
+    pub(crate) fn user_answered(&mut self, job: &str, rid: u64, left: u64, answer: HttpResponse) {
         let now = self.now;
         let calm = self.script.calm_from();
         let Some(user) = self.users.get_mut(job) else { return };
@@ -96,7 +96,7 @@
     }
 
     /// Takes in any answer about a job: whether it says the job's state.
-    pub(crate) fn heard(&mut self, job: &str, asked: Asked, sent: u64, left: u64, answer: &Outgoing) -> bool {
+    pub(crate) fn heard(&mut self, job: &str, asked: Asked, sent: u64, left: u64, answer: &HttpResponse) -> bool {
         let now = self.now;
         let status = answer.status;
         let state: Option<JobState> = from_cbor(&answer.body).ok();
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -177,7 +177,7 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let (to, queue) = async_channel::bounded(64);
-    std::thread::spawn(move || async_io::block_on(glenhaven::transport::peers::send(addr, queue, |_| {})));
+    std::thread::spawn(move || async_io::block_on(glenhaven::transport::peers::send_messages(addr, queue, |_| {})));
     let (opened, links) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         // Held open, never read, never acknowledged.
@@ -188,14 +188,14 @@
     let mut held = vec![];
     for _ in 0..60 {
         to.try_send(PeerMessage::Alive {
-            at: 0,
+            sent_at_us: 0,
             links: vec![],
             node: "node-0".into(),
             term: 1,
-            fresh: true,
+            store_verified: true,
             leads: true,
-            wants: 0,
-            serves: 0,
+            changes_per_1000_s: 0,
+            agent_count: 0,
         })
         .ok();
         held.extend(links.try_recv().ok());
--- a/tests/two_versions.rs
+++ b/tests/two_versions.rs
@@ -95,7 +95,7 @@
     let read = from_record(record.jobs[0].clone());
     assert_eq!(read, Some((chained_spec(), 1_700_000_000_000)));
     let production: AcceptancePage = serde_json::from_str(include_str!("golden/chained.production.json")).unwrap();
-    assert_eq!(production.jobs[0].types, Some(vec![]));
+    assert_eq!(production.jobs[0].machine_types, Some(vec![]));
     assert_eq!(from_record(production.jobs[0].clone()), None);
 }
 
