--- a/crates/connectivity/src/handover.rs
+++ b/crates/connectivity/src/handover.rs
@@ -160,7 +160,7 @@
 
 impl HandoverPolicy {
     /// Resets the considered handover when this controller begins to lead.
-    pub fn on_lead_began(&mut self) {
+    pub fn on_leadership_began(&mut self) {
         self.candidate = None;
     }
 
@@ -249,7 +249,7 @@
 
     /// Whether this controller gave up the leadership a moment ago; it then lets the others go
     /// first in the election.
-    pub fn gave_up_recently(&self, now: Micros) -> bool {
+    pub fn handed_over_recently(&self, now: Micros) -> bool {
         self.handovers
             .back()
             .is_some_and(|at| now.since(*at) < MIN_REASON_DURATION + MIN_REASON_DURATION)
--- a/crates/connectivity/tests/connectivity.rs
+++ b/crates/connectivity/tests/connectivity.rs
@@ -209,7 +209,7 @@
     assert_eq!(policy.decide(&table, 4, || 100, Micros::ZERO, at(14.0)), None);
     let found = policy.decide(&table, 4, || 100, Micros::ZERO, at(18.0)).unwrap();
     assert_eq!((found.to, found.reason), (None, HandoverReason::Isolated));
-    assert!(policy.gave_up_recently(at(19.0)) && !policy.gave_up_recently(at(25.0)));
+    assert!(policy.handed_over_recently(at(19.0)) && !policy.handed_over_recently(at(25.0)));
 }
 
 #[test]
--- a/crates/dependencies/src/inheritance.rs
+++ b/crates/dependencies/src/inheritance.rs
@@ -11,7 +11,7 @@
     /// The highest priority among the dependents.
     pub priority: P,
     /// The time by which the job has to be done; `None` if no dependent has a deadline.
-    pub due: Option<Micros>,
+    pub deadline: Option<Micros>,
 }
 
 impl<P: Ord + Copy> Inherited<P> {
@@ -19,7 +19,7 @@
     fn join(self, other: Inherited<P>) -> Inherited<P> {
         Inherited {
             priority: self.priority.max(other.priority),
-            due: match (self.due, other.due) {
+            deadline: match (self.deadline, other.deadline) {
                 (Some(a), Some(b)) => Some(a.min(b)),
                 (a, b) => a.or(b),
             },
@@ -60,9 +60,9 @@
                 let total = inherited
                     .get(id)
                     .map_or(own, |from_dependents| own.join(*from_dependents));
-                let due = total.due.map(|due| due - run_time(id, job));
+                let deadline = total.deadline.map(|deadline| deadline - run_time(id, job));
                 let priority = total.priority;
-                Inherited { priority, due }
+                Inherited { priority, deadline }
             });
             for dependency_id in &node.dependencies {
                 let Some((dependency_id, dependency)) = self.nodes.get_key_value(dependency_id) else {
--- a/crates/dependencies/src/lib.rs
+++ b/crates/dependencies/src/lib.rs
@@ -12,9 +12,9 @@
 //! let mut graph = DependencyGraph::new();
 //! graph.add("run-2", &["run-1".into()], ());
 //! assert_eq!(graph.state("run-2"), Some(DependencyState::Undetermined), "nothing is known of run-1");
-//! graph.open("run-1");
+//! graph.mark_open("run-1");
 //! assert_eq!(graph.state("run-2"), Some(DependencyState::Blocked));
-//! graph.ended("run-1", true);
+//! graph.mark_ended("run-1", true);
 //! assert_eq!(graph.state("run-2"), Some(DependencyState::Ready));
 //! assert_eq!(graph.take_changes(), [DependencyChange::Ready("run-2".into())]);
 //! ```
@@ -148,7 +148,7 @@
     }
 
     /// Records that a job was accepted and has not ended.
-    pub fn open(&mut self, id: &str) {
+    pub fn mark_open(&mut self, id: &str) {
         if let Some(node) = self.nodes.get_mut(id).filter(|node| node.phase == Phase::Unknown) {
             node.phase = Phase::Open;
             self.unknown.remove(id);
@@ -156,7 +156,7 @@
     }
 
     /// Records that a job has ended: as done if `done` is true, otherwise as cancelled.
-    pub fn ended(&mut self, id: &str, done: bool) {
+    pub fn mark_ended(&mut self, id: &str, done: bool) {
         let Some(node) = self.nodes.get_mut(id) else { return };
         if matches!(node.phase, Phase::Done | Phase::Cancelled) {
             return;
@@ -216,7 +216,7 @@
     }
 
     /// Removes all jobs, before the caller adds them again.
-    pub fn forget(&mut self) {
+    pub fn clear(&mut self) {
         *self = DependencyGraph::new();
     }
 
@@ -266,7 +266,7 @@
     }
 
     /// Whether an open job directly depends on this one.
-    pub fn is_needed(&self, id: &str) -> bool {
+    pub fn has_dependents(&self, id: &str) -> bool {
         self.nodes.get(id).is_some_and(|node| !node.dependents.is_empty())
     }
 
--- a/crates/dependencies/tests/dependencies.rs
+++ b/crates/dependencies/tests/dependencies.rs
@@ -131,13 +131,13 @@
                         // caller does after reading it.
                         if let Some(done) = model.ends.get(n).copied() {
                             graph.add(&name(j), &needs, j);
-                            graph.ended(&name(*n), done);
+                            graph.mark_ended(&name(*n), done);
                         }
                     }
                     graph.add(&name(j), &needs, j);
                     for n in &edges[j] {
                         if model.open.contains(n) && !model.ends.contains_key(n) {
-                            graph.open(&name(*n));
+                            graph.mark_open(&name(*n));
                         }
                     }
                     model.needs.entry(j).or_insert_with(|| {
@@ -148,7 +148,7 @@
                     });
                 }
                 Fact::Open(j) => {
-                    graph.open(&name(j));
+                    graph.mark_open(&name(j));
                     model.open.insert(j);
                 }
                 Fact::End(j, done) => {
@@ -156,7 +156,7 @@
                     // time.
                     let may_end = !done || model.needs.get(&j).is_none_or(|_| model.state(j) == Some(DependencyState::Ready));
                     if may_end && !model.ends.contains_key(&j) {
-                        graph.ended(&name(j), done);
+                        graph.mark_ended(&name(j), done);
                         model.ends.insert(j, done);
                     }
                 }
@@ -178,11 +178,11 @@
                 prop_assert_eq!(state == Some(DependencyState::Cancelled), reported.contains(&(j, false)) && state.is_some());
             }
             let inherited = graph.inherit(
-                |_, j| Inherited { priority: own_requirements(*j).0, due: Some(own_requirements(*j).1) },
+                |_, j| Inherited { priority: own_requirements(*j).0, deadline: Some(own_requirements(*j).1) },
                 |_, j| run_time(*j),
             );
             for j in 0..JOBS {
-                let got = inherited.get(name(j).as_str()).map(|inherited| (inherited.priority, inherited.due.expect("all have one")));
+                let got = inherited.get(name(j).as_str()).map(|inherited| (inherited.priority, inherited.deadline.expect("all have one")));
                 let want = model.inherited(j).filter(|_| !model.ends.contains_key(&j));
                 prop_assert_eq!(got, want, "inherited by {}", j);
             }
@@ -202,23 +202,26 @@
     for i in 1000..6000 {
         graph.add(&name(i), &[name(0), name(999)], ());
     }
-    graph.open(&name(0));
+    graph.mark_open(&name(0));
     assert_eq!(graph.state(&name(5999)), Some(DependencyState::Blocked));
     let inherited = graph.inherit(
         |_, ()| Inherited {
             priority: 1,
-            due: Some(Micros::from_millis(5_000_000)),
+            deadline: Some(Micros::from_millis(5_000_000)),
         },
         |_, ()| Micros::from_millis(1000),
     );
     // 1000 jobs of one second each run one after the other: 999 of the chain and a dependent of it.
-    assert_eq!(inherited[name(0).as_str()].due, Some(Micros::from_millis(4_000_000)));
-    graph.ended(&name(0), false);
+    assert_eq!(
+        inherited[name(0).as_str()].deadline,
+        Some(Micros::from_millis(4_000_000))
+    );
+    graph.mark_ended(&name(0), false);
     assert_eq!(graph.take_changes().len(), 5999);
     assert_eq!(graph.state(&name(5999)), Some(DependencyState::Cancelled));
     for i in 1..6000 {
-        graph.ended(&name(i), false);
+        graph.mark_ended(&name(i), false);
     }
     assert_eq!(graph.jobs().count() + graph.unknown().count(), 0);
-    assert!(!graph.is_needed(&name(0)));
+    assert!(!graph.has_dependents(&name(0)));
 }
--- a/crates/emulator/tests/small_run.rs
+++ b/crates/emulator/tests/small_run.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_missing_program_and_a_port_in_use_are_said() {
+fn a_missing_program_and_a_port_in_use_are_reported() {
     let dir = Dir::new("refused");
     let network = network(1);
     let experiment = dir.experiment(network);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_wrong_experiment_is_said() {
+fn an_invalid_experiment_is_reported() {
     let dir = Dir::new("wrong");
     let experiment = dir.experiment(network(2));
     let good = std::fs::read_to_string(&experiment).unwrap();
@@ -117,7 +117,7 @@
 const FEW_FILES: u32 = 100;
 
 #[test]
-fn a_machine_that_is_too_small_is_said() {
+fn a_machine_that_is_too_small_is_reported() {
     let dir = Dir::new("too-small");
     let experiment = dir.experiment(network(3));
     let command = dir.command(&experiment, &controllers());
--- a/crates/emulator/tests/soak.rs
+++ b/crates/emulator/tests/soak.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn what_cannot_be_played_is_said_in_one_line() {
+fn invalid_plans_and_options_are_reported() {
     let dir = Dir::new("refused");
     let refused = |command: &mut Command, why: &str| {
         let output = command.output().unwrap();
--- a/crates/group-commit/src/lib.rs
+++ b/crates/group-commit/src/lib.rs
@@ -30,7 +30,7 @@
 
 mod waits;
 
-pub use waits::{Waited, Waits};
+pub use waits::{WaitHistogram, Waited};
 
 use glenhaven_time::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -322,7 +322,7 @@
 
     /// Discards the content of all pages, before the caller reports them again. Waiting jobs stay,
     /// and jobs in flight that are still wanted wait again.
-    pub fn forget_pages(&mut self) {
+    pub fn clear_pages(&mut self) {
         for number in self.in_flight.keys().copied().collect::<Vec<_>>() {
             self.failed(number, &[]);
         }
--- a/crates/group-commit/src/waits.rs
+++ b/crates/group-commit/src/waits.rs
@@ -6,7 +6,7 @@
 /// The longest recorded wait, a day; longer waits are recorded as this one.
 const MAX_WAIT_MS: u64 = 24 * 3600 * 1000;
 
-/// The distribution of the waits since the last call of [`Waits::take`].
+/// The distribution of the waits since the last call of [`WaitHistogram::take`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Waited {
     /// The number of waits.
@@ -19,19 +19,19 @@
     pub most_ms: u64,
 }
 
-/// A histogram of waits, which is empty after each call of [`Waits::take`].
-pub struct Waits(Option<Histogram<u64>>);
+/// A histogram of waits, which is empty after each call of [`WaitHistogram::take`].
+pub struct WaitHistogram(Option<Histogram<u64>>);
 
-impl Default for Waits {
+impl Default for WaitHistogram {
     fn default() -> Self {
         // The range is fixed: with automatic resizing, `saturating_record` would not resize and
         // would lower every longer wait to the initial, smallest bound. Without a histogram nothing
         // is recorded.
-        Waits(Histogram::new_with_bounds(1, MAX_WAIT_MS, 2).ok())
+        WaitHistogram(Histogram::new_with_bounds(1, MAX_WAIT_MS, 2).ok())
     }
 }
 
-impl Waits {
+impl WaitHistogram {
     /// Records one wait.
     pub fn record(&mut self, waited: Micros) {
         if let Some(histogram) = &mut self.0 {
@@ -60,7 +60,7 @@
     /// Guards against automatic resizing, with which the histogram recorded 2 ms for every wait.
     #[test]
     fn waits_are_recorded_unchanged() {
-        let mut waits = Waits::default();
+        let mut waits = WaitHistogram::default();
         assert_eq!(waits.take(), None);
         for ms in [5, 40, 900, 84_300, 1_000_000_000] {
             waits.record(Micros::from_millis(ms));
--- a/crates/group-commit/tests/group_commit.rs
+++ b/crates/group-commit/tests/group_commit.rs
@@ -1,7 +1,7 @@
 //! Tests group commit against a simulated store: transactions are lost, refused or delayed, or
 //! executed without an answer; jobs end, and the controller restarts.
 
-use glenhaven_group_commit::{Batch, GroupCommit, PageCapacity, Waits};
+use glenhaven_group_commit::{Batch, GroupCommit, PageCapacity, WaitHistogram};
 use glenhaven_time::Micros;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -246,7 +246,7 @@
     let mut group_commit = GroupCommit::new();
     group_commit.offer("run-0", 200, (), Micros::ZERO);
     let first = group_commit.next(CAPACITY, Micros::ZERO).map(|b| b.number);
-    group_commit.forget_pages();
+    group_commit.clear_pages();
     let second = group_commit.next(CAPACITY, Micros::ZERO).map(|b| b.number);
     assert!(first.is_some() && second.is_some() && first != second);
     // The answer to the first batch must not accept the jobs of the second.
@@ -259,7 +259,7 @@
 
 #[test]
 fn waits_are_reported_once() {
-    let mut waits = Waits::default();
+    let mut waits = WaitHistogram::default();
     assert_eq!(waits.take(), None);
     for ms in 1..=100 {
         waits.record(Micros::from_millis(ms));
--- a/crates/objectives/src/account.rs
+++ b/crates/objectives/src/account.rs
@@ -111,7 +111,7 @@
 
 impl Account {
     /// Records the arrival of a job; the job's age reduces its weight.
-    pub(crate) fn arrived(&mut self, cores: f64, run_s: f64, age: Micros, half_life: Micros, now: Micros) {
+    pub(crate) fn record_arrival(&mut self, cores: f64, run_s: f64, age: Micros, half_life: Micros, now: Micros) {
         let weight = 0.5f64.powf(age.secs() / half_life.secs().max(1e-6));
         self.jobs.add(weight, half_life, now);
         self.requested_cores.add(cores * weight, half_life, now);
@@ -119,25 +119,25 @@
     }
 
     /// Records the start of a task.
-    pub(crate) fn started(&mut self, cores: f64, waited: Micros, half_life: Micros, now: Micros) {
+    pub(crate) fn record_start(&mut self, cores: f64, waited: Micros, half_life: Micros, now: Micros) {
         self.started_cores.add(cores, half_life, now);
         self.waits.add(waited, half_life, now);
     }
 
     /// Records whether a job met an objective that a projection predicted it would meet.
-    pub(crate) fn commitment_settled(&mut self, met: bool, half_life: Micros, now: Micros) {
+    pub(crate) fn record_commitment_outcome(&mut self, met: bool, half_life: Micros, now: Micros) {
         self.commitments.add(1.0, half_life, now);
         self.commitments_met.add(if met { 1.0 } else { 0.0 }, half_life, now);
     }
 
     /// Returns the share of commitments that were met, including [`PRIOR_COMMITMENTS`].
-    pub(crate) fn trust(&self, half_life: Micros, now: Micros) -> f64 {
+    pub(crate) fn met_commitment_share(&self, half_life: Micros, now: Micros) -> f64 {
         let with_prior = |sum: &Decayed| sum.get(half_life, now) + PRIOR_COMMITMENTS;
         (with_prior(&self.commitments_met) / with_prior(&self.commitments)).min(1.0)
     }
 
     /// Records whether a job met an objective; objectives above [`MAX_OBJECTIVES`] are ignored.
-    pub(crate) fn settled(&mut self, number: usize, met: bool, half_life: Micros, now: Micros) {
+    pub(crate) fn record_outcome(&mut self, number: usize, met: bool, half_life: Micros, now: Micros) {
         if number >= MAX_OBJECTIVES {
             return;
         }
@@ -158,7 +158,7 @@
     }
 
     /// Records the estimated and the actual run time of a completed task.
-    pub(crate) fn ran(&mut self, estimated_s: f64, ran_s: f64, half_life: Micros, now: Micros) {
+    pub(crate) fn record_run(&mut self, estimated_s: f64, ran_s: f64, half_life: Micros, now: Micros) {
         if estimated_s > 0.0 && ran_s.is_finite() {
             self.completed_estimated_s.add(estimated_s, half_life, now);
             self.completed_actual_s.add(ran_s.max(0.0), half_life, now);
@@ -167,7 +167,7 @@
     }
 
     /// Returns the ratio of actual to estimated run times, within bounds; 1 if too few tasks ran.
-    pub(crate) fn bias(&self) -> f64 {
+    pub(crate) fn run_time_bias(&self) -> f64 {
         // The three sums decay equally, so their ratios don't depend on the time.
         let undecayed = |sum: &Decayed| sum.get(Micros(u64::MAX), Micros::ZERO);
         let estimated_s = undecayed(&self.completed_estimated_s);
--- a/crates/objectives/src/lib.rs
+++ b/crates/objectives/src/lib.rs
@@ -15,9 +15,9 @@
 //!
 //! let mut slo = SloAccounting::new(Micros::from_secs(120.0));
 //! let now = Micros::from_secs(10.0);
-//! slo.arrived("scan", "blue", 40.0, 12.0, Micros::ZERO, now);
-//! slo.settled("scan", 0, false, now);
-//! slo.settled("scan", 0, true, now);
+//! slo.record_arrival("scan", "blue", 40.0, 12.0, Micros::ZERO, now);
+//! slo.record_outcome("scan", 0, false, now);
+//! slo.record_outcome("scan", 0, true, now);
 //! // Half of the jobs missed the objective: its urgency is at the maximum.
 //! assert_eq!(slo.urgency("scan", 0, 0.9, now), 4.0);
 //! let objectives = [Objective { class: "scan".into(), number: 0, share: 0.9 }];
@@ -119,47 +119,47 @@
 
     /// Records a job that arrived `age` ago, whose tasks take `cores` cores in total and are
     /// estimated to run for `run_s` seconds.
-    pub fn arrived(&mut self, class: &str, team: &str, cores: f64, run_s: f64, age: Micros, now: Micros) {
+    pub fn record_arrival(&mut self, class: &str, team: &str, cores: f64, run_s: f64, age: Micros, now: Micros) {
         let half_life = self.half_life;
         for account in self.accounts_of(class, team) {
-            account.arrived(cores, run_s, age, half_life, now);
+            account.record_arrival(cores, run_s, age, half_life, now);
         }
     }
 
     /// Records the start of a task that takes `cores` cores and `waited` before its start.
-    pub fn started(&mut self, class: &str, team: &str, cores: f64, waited: Micros, now: Micros) {
+    pub fn record_start(&mut self, class: &str, team: &str, cores: f64, waited: Micros, now: Micros) {
         let half_life = self.half_life;
         for account in self.accounts_of(class, team) {
-            account.started(cores, waited, half_life, now);
+            account.record_start(cores, waited, half_life, now);
         }
     }
 
     /// Records that a job has met, or missed, one of its class's objectives.
-    pub fn settled(&mut self, class: &str, number: usize, met: bool, now: Micros) {
-        Self::account(&mut self.classes, class).settled(number, met, self.half_life, now);
+    pub fn record_outcome(&mut self, class: &str, number: usize, met: bool, now: Micros) {
+        Self::account(&mut self.classes, class).record_outcome(number, met, self.half_life, now);
     }
 
     /// Records that a job has met, or missed, an objective that a projection predicted to be met.
-    pub fn commitment_settled(&mut self, class: &str, met: bool, now: Micros) {
-        Self::account(&mut self.classes, class).commitment_settled(met, self.half_life, now);
+    pub fn record_commitment_outcome(&mut self, class: &str, met: bool, now: Micros) {
+        Self::account(&mut self.classes, class).record_commitment_outcome(met, self.half_life, now);
     }
 
     /// Returns the share of commitments to a class that were recently met; 1 if there are none.
-    pub fn trust(&self, class: &str, now: Micros) -> f64 {
+    pub fn met_commitment_share(&self, class: &str, now: Micros) -> f64 {
         let account = self.classes.get(class);
-        account.map_or(1.0, |account| account.trust(self.half_life, now))
+        account.map_or(1.0, |account| account.met_commitment_share(self.half_life, now))
     }
 
     /// Records that a task of this class, estimated to run for `estimated_s` seconds, ran for
     /// `ran_s` seconds.
-    pub fn ran(&mut self, class: &str, estimated_s: f64, ran_s: f64, now: Micros) {
-        Self::account(&mut self.classes, class).ran(estimated_s, ran_s, self.half_life, now);
+    pub fn record_run(&mut self, class: &str, estimated_s: f64, ran_s: f64, now: Micros) {
+        Self::account(&mut self.classes, class).record_run(estimated_s, ran_s, self.half_life, now);
     }
 
     /// Returns the ratio of actual to estimated run times of the class's tasks, within bounds; 1 if
     /// too few tasks have completed.
-    pub fn bias(&self, class: &str) -> f64 {
-        self.classes.get(class).map_or(1.0, Account::bias)
+    pub fn run_time_bias(&self, class: &str) -> f64 {
+        self.classes.get(class).map_or(1.0, Account::run_time_bias)
     }
 
     /// Returns the rates at which work arrives, for each class with an account.
--- a/crates/objectives/tests/accounting.rs
+++ b/crates/objectives/tests/accounting.rs
@@ -12,7 +12,7 @@
 fn an_old_burst_is_forgotten() {
     let mut slo = SloAccounting::new(at(60.0));
     for _ in 0..100 {
-        slo.arrived("scan", "blue", 10.0, 5.0, Micros::ZERO, at(1.0));
+        slo.record_arrival("scan", "blue", 10.0, 5.0, Micros::ZERO, at(1.0));
     }
     let early = slo.inflow("scan", at(1.0)).cores_per_s;
     let late = slo.inflow("scan", at(601.0)).cores_per_s;
@@ -24,7 +24,7 @@
 fn steady_arrivals_give_their_rate() {
     let mut slo = SloAccounting::new(at(60.0));
     for i in 0..2000 {
-        slo.arrived("scan", "blue", 30.0, 8.0, Micros::ZERO, at(f64::from(i) * 0.5));
+        slo.record_arrival("scan", "blue", 30.0, 8.0, Micros::ZERO, at(f64::from(i) * 0.5));
     }
     let inflow = slo.inflow("scan", at(1000.0));
     assert!((inflow.cores_per_s - 60.0).abs() < 2.0, "{inflow:?}");
@@ -35,9 +35,9 @@
 fn the_greatest_shortfall_comes_first() {
     let mut slo = SloAccounting::new(at(60.0));
     for i in 0..10 {
-        slo.settled("thin", 0, i % 2 == 0, at(1.0));
-        slo.settled("flood", 0, i > 1, at(1.0));
-        slo.settled("fine", 0, true, at(1.0));
+        slo.record_outcome("thin", 0, i % 2 == 0, at(1.0));
+        slo.record_outcome("flood", 0, i > 1, at(1.0));
+        slo.record_outcome("fine", 0, true, at(1.0));
     }
     let objective = |class: &str| Objective {
         class: class.into(),
@@ -58,21 +58,21 @@
 #[test]
 fn a_bias_needs_some_runs_and_has_bounds() {
     let mut slo = SloAccounting::new(at(60.0));
-    slo.ran("scan", 10.0, 100.0, at(1.0));
-    assert_eq!(slo.bias("scan"), 1.0);
+    slo.record_run("scan", 10.0, 100.0, at(1.0));
+    assert_eq!(slo.run_time_bias("scan"), 1.0);
     for _ in 0..10 {
-        slo.ran("scan", 10.0, 100.0, at(2.0));
+        slo.record_run("scan", 10.0, 100.0, at(2.0));
     }
-    assert_eq!(slo.bias("scan"), 2.5);
-    assert_eq!(slo.bias("unheard of"), 1.0);
+    assert_eq!(slo.run_time_bias("scan"), 2.5);
+    assert_eq!(slo.run_time_bias("unheard of"), 1.0);
 }
 
 #[test]
 fn waits_of_the_last_half_lives_count() {
     let mut slo = SloAccounting::new(at(60.0));
-    slo.started("scan", "blue", 1.0, at(100.0), at(1.0));
+    slo.record_start("scan", "blue", 1.0, at(100.0), at(1.0));
     for i in 0..99 {
-        slo.started("scan", "blue", 1.0, at(2.0), at(70.0 + f64::from(i) * 0.01));
+        slo.record_start("scan", "blue", 1.0, at(2.0), at(70.0 + f64::from(i) * 0.01));
     }
     let summary = slo.classes(at(72.0)).remove(0);
     assert!(
@@ -80,7 +80,7 @@
         "{summary:?}"
     );
     for i in 0..3 {
-        slo.started("scan", "blue", 1.0, at(2.0), at(200.0 + f64::from(i) * 70.0));
+        slo.record_start("scan", "blue", 1.0, at(2.0), at(200.0 + f64::from(i) * 70.0));
     }
     assert!(
         slo.teams(at(341.0))[0].wait_p99_s < 3.0,
@@ -98,13 +98,13 @@
         let mut slo = SloAccounting::new(at(60.0));
         for (i, name) in names.iter().enumerate() {
             let now = at(i as f64);
-            slo.arrived(name, name, 1.0, run_s, at(run_s), now);
-            slo.started(name, name, 1.0, at(run_s), now);
-            slo.settled(name, i, i % 2 == 0, now);
-            slo.ran(name, 1.0, run_s, now);
+            slo.record_arrival(name, name, 1.0, run_s, at(run_s), now);
+            slo.record_start(name, name, 1.0, at(run_s), now);
+            slo.record_outcome(name, i, i % 2 == 0, now);
+            slo.record_run(name, 1.0, run_s, now);
             let urgency = slo.urgency(name, i % 4, 0.9, now);
             prop_assert!((0.0..=4.0).contains(&urgency));
-            prop_assert!(slo.bias(name).is_finite());
+            prop_assert!(slo.run_time_bias(name).is_finite());
         }
         let now = at(1000.0);
         prop_assert!(slo.classes(now).len() <= 65 && slo.teams(now).len() <= 65);
--- a/crates/store-limits/src/lib.rs
+++ b/crates/store-limits/src/lib.rs
@@ -15,9 +15,9 @@
 //! let present = Bounds { value_kb: 8.0, changes: 24, changes_per_s: 50.0 };
 //! let announced = Bounds { value_kb: 2.0, changes: 8, changes_per_s: 35.0 };
 //! let mut limits = Limits::new(200.0, present, Some(announced));
-//! assert_eq!((limits.value_bytes(), limits.changes(), limits.conditions()), (2048, 8, 32));
+//! assert_eq!((limits.max_value_bytes(), limits.max_changes(), limits.max_conditions()), (2048, 8, 32));
 //! assert_eq!(limits.changes_per_s(), 50.0);
-//! assert!(limits.lower());
+//! assert!(limits.apply_announced());
 //! assert_eq!(limits.changes_per_s(), 35.0);
 //! ```
 #![forbid(unsafe_code)]
@@ -73,23 +73,23 @@
     }
 
     /// Returns the maximum size of a written value, in bytes as JSON.
-    pub fn value_bytes(&self) -> usize {
+    pub fn max_value_bytes(&self) -> usize {
         (self.lower_of(|b| b.value_kb) * 1024.0) as usize
     }
 
     /// Returns the maximum size of a transaction, in bytes as JSON.
-    pub fn txn_bytes(&self) -> usize {
+    pub fn max_txn_bytes(&self) -> usize {
         MAX_TRANSACTION_BYTES
     }
 
     /// Returns the maximum number of puts and deletes in a transaction.
-    pub fn changes(&self) -> usize {
+    pub fn max_changes(&self) -> usize {
         self.lower_of(|b| b.changes)
     }
 
     /// Returns the maximum number of conditions in a transaction.
-    pub fn conditions(&self) -> usize {
-        CONDITIONS_PER_CHANGE * self.changes()
+    pub fn max_conditions(&self) -> usize {
+        CONDITIONS_PER_CHANGE * self.max_changes()
     }
 
     /// Returns the maximum requests per second, of all controllers together.
@@ -108,7 +108,7 @@
 
     /// Returns the changes per second that all controllers together may use, slightly below the
     /// limit.
-    pub fn changes_used(&self) -> f64 {
+    pub fn usable_changes_per_s(&self) -> f64 {
         self.changes_per_s() * USED_SHARE
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Returns whether limits are announced that are not known to apply yet.
-    pub fn may_lower(&self) -> bool {
+    pub fn is_announcement_pending(&self) -> bool {
         self.announced.is_some() && !self.is_lowered
     }
 
@@ -131,7 +131,7 @@
 
     /// Applies the announced limits from now on. Returns whether this changed the state: false if
     /// none are announced or they applied already.
-    pub fn lower(&mut self) -> bool {
+    pub fn apply_announced(&mut self) -> bool {
         self.announced.is_some() && !std::mem::replace(&mut self.is_lowered, true)
     }
 }
--- a/crates/store-limits/tests/limits.rs
+++ b/crates/store-limits/tests/limits.rs
@@ -11,8 +11,8 @@
 #[test]
 fn nothing_announced_changes_nothing() {
     let mut limits = Limits::new(200.0, PRESENT, None);
-    assert!(!limits.may_lower() && !limits.lower());
-    assert_eq!((limits.value_bytes(), limits.changes()), (8192, 24));
+    assert!(!limits.is_announcement_pending() && !limits.apply_announced());
+    assert_eq!((limits.max_value_bytes(), limits.max_changes()), (8192, 24));
     assert_eq!(limits.changes_per_s(), 50.0);
 }
 
@@ -25,8 +25,8 @@
         changes_per_s: 80.0,
     };
     let mut limits = Limits::new(200.0, PRESENT, Some(announced));
-    assert!(limits.lower() && !limits.lower());
-    assert_eq!((limits.value_bytes(), limits.changes()), (8192, 8));
+    assert!(limits.apply_announced() && !limits.apply_announced());
+    assert_eq!((limits.max_value_bytes(), limits.max_changes()), (8192, 8));
     assert_eq!(limits.changes_per_s(), 50.0);
     assert_eq!(limits.present_value_bytes(), 8192.0);
 }
--- a/crates/zone-health/src/lib.rs
+++ b/crates/zone-health/src/lib.rs
@@ -21,7 +21,7 @@
 //! };
 //! let now = Micros::from_secs(110.0);
 //! zones.update(&[zone("north", 109.9), zone("south", 100.0)], &times, Micros::ZERO, now);
-//! assert!(zones.is_cut("south") && !zones.is_cut("north"));
+//! assert!(zones.is_cut_off("south") && !zones.is_cut_off("north"));
 //! assert_eq!(zones.evacuation("south", &times, now), Evacuation::Services);
 //! ```
 #![forbid(unsafe_code)]
@@ -178,7 +178,7 @@
         let mut changes = vec![];
         for zone in zones {
             let is_silent = zone.is_silent(times, listening_since, now);
-            let change = if self.is_cut(&zone.zone) {
+            let change = if self.is_cut_off(&zone.zone) {
                 self.recovery(zone, is_silent, times, now)
             } else {
                 // If no other zone is in contact either, the leader itself is cut off. A leader is
@@ -188,8 +188,8 @@
                         && other.last_contact_at() >= listening_since
                         && !other.is_silent(times, listening_since, now)
                 });
-                let is_cut = is_silent && has_other_contact && zone.machines >= MIN_MACHINES && !zone.is_own;
-                is_cut.then(|| self.cut(zone, listening_since))
+                let is_cut_off = is_silent && has_other_contact && zone.machines >= MIN_MACHINES && !zone.is_own;
+                is_cut_off.then(|| self.cut(zone, listening_since))
             };
             changes.extend(change);
         }
@@ -234,17 +234,17 @@
     }
 
     /// Whether a zone is cut off, so that nothing new may start there.
-    pub fn is_cut(&self, zone: &str) -> bool {
+    pub fn is_cut_off(&self, zone: &str) -> bool {
         self.cuts.contains_key(zone)
     }
 
     /// Whether any zone is cut off.
-    pub fn any_cut(&self) -> bool {
+    pub fn any_cut_off(&self) -> bool {
         !self.cuts.is_empty()
     }
 
     /// Time since which a zone has been cut off; `None` if it is not.
-    pub fn cut_since(&self, zone: &str) -> Option<Micros> {
+    pub fn cut_off_since(&self, zone: &str) -> Option<Micros> {
         self.cuts.get(zone).map(|c| c.since)
     }
 
--- a/crates/zone-health/tests/zone_health.rs
+++ b/crates/zone-health/tests/zone_health.rs
@@ -39,7 +39,7 @@
     assert_eq!(zones.evacuation("north", &times, at(113.0)), Evacuation::Nothing);
     let back = update(&mut zones, 120.0, 119.9);
     assert!(matches!(&back[..], [ZoneChange::Recovered { .. }]));
-    assert!(!zones.any_cut());
+    assert!(!zones.any_cut_off());
 }
 
 #[test]
@@ -48,9 +48,9 @@
     let mut zones = ZoneMonitor::default();
     let observations = [zone("north", 200, 111.0), zone("south", 4, 100.0)];
     zones.update(&observations, &times, Micros::ZERO, at(111.0));
-    assert!(!zones.is_cut("south"), "the next heartbeat may be on its way");
+    assert!(!zones.is_cut_off("south"), "the next heartbeat may be on its way");
     zones.update(&observations, &times, Micros::ZERO, at(111.6));
-    assert!(zones.is_cut("south"));
+    assert!(zones.is_cut_off("south"));
 }
 
 #[test]
@@ -59,7 +59,7 @@
     let mut zones = ZoneMonitor::default();
     let observations = [zone("north", 200, 100.0), zone("south", 200, 100.0)];
     zones.update(&observations, &times, Micros::ZERO, at(120.0));
-    assert!(!zones.any_cut());
+    assert!(!zones.any_cut_off());
 }
 
 #[test]
@@ -71,7 +71,7 @@
     south.controller_contact_at = at(107.5);
     zones.update(&[zone("north", 50, 108.0), south], &times, Micros::ZERO, at(108.0));
     assert!(
-        !zones.any_cut(),
+        !zones.any_cut_off(),
         "all its machines lost power, or a filter is in the way"
     );
 }
@@ -83,7 +83,7 @@
     let mut south = zone("south", 50, 100.0);
     south.proxied_at = at(108.0);
     zones.update(&[zone("north", 50, 110.0), south], &times, Micros::ZERO, at(110.0));
-    assert!(zones.is_cut("south"));
+    assert!(zones.is_cut_off("south"));
     assert_eq!(zones.evacuation("south", &times, at(110.0)), Evacuation::Nothing);
     assert_eq!(
         zones.evacuation("south", &times, at(113.5)),
@@ -98,9 +98,9 @@
     let mut zones = ZoneMonitor::default();
     let observations = [zone("north", 50, 200.5), zone("south", 50, 0.0)];
     zones.update(&observations, &times, at(200.0), at(201.0));
-    assert!(!zones.any_cut());
+    assert!(!zones.any_cut_off());
     zones.update(&observations, &times, at(200.0), at(201.9));
-    assert_eq!(zones.cut_since("south"), Some(at(200.0)));
+    assert_eq!(zones.cut_off_since("south"), Some(at(200.0)));
 }
 
 #[test]
@@ -115,10 +115,10 @@
     );
     let empty = [zone("north", 9, 118.0), zone("south", 0, 100.0)];
     zones.update(&empty, &times, Micros::ZERO, at(118.0));
-    assert!(zones.is_cut("south"));
+    assert!(zones.is_cut_off("south"));
     let empty = [zone("north", 9, 121.0), zone("south", 0, 100.0)];
     zones.update(&empty, &times, Micros::ZERO, at(121.0));
-    assert!(!zones.any_cut());
+    assert!(!zones.any_cut_off());
 }
 
 proptest! {
@@ -147,7 +147,7 @@
                 .fold(0.0, f64::max);
             let observations = [zone("near", 50, now), zone("far", phases.len(), heard)];
             zones.update(&observations, &times, at(900.0), at(now));
-            prop_assert!(!zones.any_cut(), "at {now}, last heard {heard}");
+            prop_assert!(!zones.any_cut_off(), "at {now}, last heard {heard}");
         }
     }
 
--- a/src/coordination/agents/heartbeat_proxy.rs
+++ b/src/coordination/agents/heartbeat_proxy.rs
@@ -198,7 +198,7 @@
     fn proxied_machine_lists(&mut self, cluster: &ClusterConfig) -> Vec<ProxiedMachines> {
         self.published.retain(|machine, _| self.proxied.contains_key(machine));
         let names: Vec<String> = self.proxied.keys().take(MAX_PUBLISHED).cloned().collect();
-        let half = cluster.limits.value_bytes() / 2;
+        let half = cluster.limits.max_value_bytes() / 2;
         let (mut lists, mut size) = (vec![], half);
         for name in names {
             let bytes = name.len() + 3;
@@ -211,7 +211,7 @@
                 list.push(name);
             }
         }
-        lists.truncate(cluster.limits.changes());
+        lists.truncate(cluster.limits.max_changes());
         let with_heartbeats = |machines| self.proxied_machine_list(cluster, machines);
         lists.into_iter().map(with_heartbeats).collect()
     }
@@ -222,7 +222,7 @@
         let received = machines.iter().filter_map(|name| self.last_heartbeats.get(name));
         let mut heartbeats: Vec<&Heartbeat> = received.map(|r| &r.heartbeat).filter(has_ended_tasks).collect();
         heartbeats.sort_by_key(|h| self.published.get(&h.machine) == Some(&HeartbeatNumber::of(h)));
-        let value_bytes = cluster.limits.value_bytes();
+        let value_bytes = cluster.limits.max_value_bytes();
         let free_bytes = value_bytes.saturating_sub(json_size(&machines) + 300);
         let heartbeats: Vec<Heartbeat> = heartbeats.into_iter().cloned().collect();
         let (packed, packed_count) = glenhaven_compression::pack(&heartbeats, free_bytes);
--- a/src/coordination/agents/heartbeat_status.rs
+++ b/src/coordination/agents/heartbeat_status.rs
@@ -381,7 +381,7 @@
         let waited = now.since(job.arrived_at);
         if !placement.restored && !job.arrival_unknown {
             let spec = &job.spec;
-            self.slo.started(&spec.class, &spec.team, spec.cpus, waited, now);
+            self.slo.record_start(&spec.class, &spec.team, spec.cpus, waited, now);
         }
         if !placement.restored && !job.spec.dependencies.is_empty() {
             self.blocked_jobs.record_wait(waited);
@@ -439,7 +439,7 @@
             let ran_s = now.since(since).secs();
             tracing::debug!(job = %id, task, machine = %name, ran_s, "task completed");
             job.completed_runs.record(ran_s);
-            self.slo.ran(&job.spec.class, job.spec.estimate_s, ran_s, now);
+            self.slo.record_run(&job.spec.class, job.spec.estimate_s, ran_s, now);
         }
         if job.task_states[task as usize] == TaskState::Placed {
             job.task_states[task as usize] = TaskState::Finished;
--- a/src/coordination/agents/machines.rs
+++ b/src/coordination/agents/machines.rs
@@ -66,7 +66,7 @@
         let now = context.now;
         let max_silence = Self::max_heartbeat_age(cluster);
         let is_silent = |m: &Machine| m.incarnation > 0 && now.since(m.last_heartbeat) > max_silence;
-        let wanted = self.failures.zones.any_cut() || self.machines.values().any(is_silent);
+        let wanted = self.failures.zones.any_cut_off() || self.machines.values().any(is_silent);
         if !wanted || now < self.agents.next_proxied_read {
             return;
         }
--- a/src/coordination/api/acceptance.rs
+++ b/src/coordination/api/acceptance.rs
@@ -97,12 +97,12 @@
             }
             status.repeated |= status.page != version;
             if status.checked && !status.phase.is_final() {
-                self.dependency_graph.open(&job);
+                self.dependency_graph.mark_open(&job);
             }
             return;
         }
         if checked {
-            self.dependency_graph.open(&job);
+            self.dependency_graph.mark_open(&job);
         } else {
             // The next compare shows whether the job has ended.
             self.awaiting_compare.entry(job.clone()).or_default();
@@ -128,10 +128,14 @@
         }
         // The transaction contains the page and a condition for each job. Where the limit of a
         // value is high, the limit of the transaction is the lower one.
-        let jobs = cluster.limits.conditions().saturating_sub(1).clamp(1, MAX_JOBS_IN_PAGE);
+        let jobs = cluster
+            .limits
+            .max_conditions()
+            .saturating_sub(1)
+            .clamp(1, MAX_JOBS_IN_PAGE);
         let bytes = cluster
             .limits
-            .value_bytes()
+            .max_value_bytes()
             .min(TRANSACTION_BYTES - jobs * CONDITION_BYTES);
         let capacity = PageCapacity {
             bytes: bytes.saturating_sub(PAGE_FRAME_BYTES),
--- a/src/coordination/api/answers.rs
+++ b/src/coordination/api/answers.rs
@@ -92,7 +92,7 @@
     /// dependency graph needs its phase.
     fn on_key_differs(&mut self, context: &mut Context, job: &str, requests: Vec<u64>) {
         let unchecked = self.statuses.get(job).is_some_and(|k| !k.checked);
-        let needed = self.dependency_graph.is_needed(job) || self.dependency_graph.job(job).is_some();
+        let needed = self.dependency_graph.has_dependents(job) || self.dependency_graph.job(job).is_some();
         if unchecked && requests.is_empty() && !needed {
             // The job has ended; its final phase is read when a user requests it.
             self.statuses.remove(job);
@@ -263,7 +263,7 @@
         }
         if version == 0 && self.statuses.get(job).is_none_or(|k| !k.phase.is_final()) {
             // A job without its own key has not ended, whichever node accepted it.
-            self.dependency_graph.open(job);
+            self.dependency_graph.mark_open(job);
         }
         for id in ids {
             let dependent = self.pending.get_mut(&id).filter(|p| p.job != job);
--- a/src/coordination/api/dependencies.rs
+++ b/src/coordination/api/dependencies.rs
@@ -71,9 +71,9 @@
         for dependency in &dependencies {
             match self.statuses.get(dependency) {
                 Some(known) if known.phase.is_final() => {
-                    self.dependency_graph.ended(dependency, known.phase == Phase::Done)
+                    self.dependency_graph.mark_ended(dependency, known.phase == Phase::Done)
                 }
-                Some(known) if known.checked => self.dependency_graph.open(dependency),
+                Some(known) if known.checked => self.dependency_graph.mark_open(dependency),
                 _ => {}
             }
         }
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -41,7 +41,7 @@
 use crate::storage::keys;
 use crate::time::Micros;
 use glenhaven_dependencies::DependencyGraph;
-use glenhaven_group_commit::{GroupCommit, Waited, Waits};
+use glenhaven_group_commit::{GroupCommit, WaitHistogram, Waited};
 use request::PendingRequest;
 use status::JobStatus;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -189,7 +189,7 @@
     /// The number of requests refused with 503 since the last summary in the log, by reason.
     refusals: BTreeMap<Refusal, u32>,
     /// The waiting times of submissions accepted since the last summary in the log.
-    waits: Waits,
+    waits: WaitHistogram,
     /// The number of answers since the last summary in the log, by the source of their proof.
     answers_by_source: BTreeMap<ProofSource, u32>,
     /// The number of user requests since the last summary in the log that had arrived after the
@@ -226,7 +226,7 @@
             counts: BTreeMap::new(),
             refused_since: None,
             refusals: BTreeMap::new(),
-            waits: Waits::default(),
+            waits: WaitHistogram::default(),
             answers_by_source: BTreeMap::new(),
             stale_proofs: 0,
         }
@@ -307,7 +307,7 @@
         while self.compares_in_flight < MAX_COMPARES && !self.awaiting_compare.is_empty() && now >= self.next_compare_at
         {
             self.next_compare_at = now + BATCH_DELAY;
-            let jobs = self.take_jobs_to_compare(cluster.limits.conditions());
+            let jobs = self.take_jobs_to_compare(cluster.limits.max_conditions());
             let condition = |compared: &ComparedJob| Condition {
                 key: keys::job(&compared.job),
                 version: compared.version,
@@ -383,5 +383,5 @@
 /// Returns the maximum size of a job's description in bytes. The rest of a value is left for what a
 /// page of acceptances or a segment of the write-ahead log stores in addition.
 fn max_description_bytes(cluster: &ClusterConfig) -> usize {
-    cluster.limits.value_bytes().saturating_sub(300)
+    cluster.limits.max_value_bytes().saturating_sub(300)
 }
--- a/src/coordination/api/status.rs
+++ b/src/coordination/api/status.rs
@@ -69,9 +69,9 @@
         if phase.is_final() {
             self.counts.remove(job);
             self.group_commit.job_ended(job);
-            self.dependency_graph.ended(job, phase == Phase::Done);
+            self.dependency_graph.mark_ended(job, phase == Phase::Done);
         } else {
-            self.dependency_graph.open(job);
+            self.dependency_graph.mark_open(job);
         }
     }
 
@@ -94,8 +94,8 @@
     pub fn clear_open_statuses(&mut self) {
         self.statuses.retain(|_, s| s.phase.is_final());
         self.counts.clear();
-        self.dependency_graph.forget();
-        self.group_commit.forget_pages();
+        self.dependency_graph.clear();
+        self.group_commit.clear_pages();
         self.page_scan = PageScan::From(String::new());
         self.scan_generation += 1;
     }
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -14,7 +14,7 @@
 use crate::protocol::users::{JobSpec, Priority};
 use crate::time::Micros;
 use glenhaven_dependencies::{DependencyChange, DependencyState, Inherited};
-use glenhaven_group_commit::{Waited, Waits};
+use glenhaven_group_commit::{WaitHistogram, Waited};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Inherited priorities and deadlines are recomputed this often, and when the graph changes.
@@ -37,7 +37,7 @@
     inheriting: BTreeSet<JobId>,
     /// How long tasks of jobs with dependencies waited from the end of the last dependency to their
     /// start.
-    waits: Waits,
+    waits: WaitHistogram,
 }
 
 impl BlockedJobs {
@@ -156,7 +156,7 @@
             .values()
             .map(|t| t.fetch_gb_per_s)
             .fold(0.05, f64::max);
-        let run_s = spec.estimate_s * self.slo.bias(&spec.class) * LONGEST_TASK_FACTOR;
+        let run_s = spec.estimate_s * self.slo.run_time_bias(&spec.class) * LONGEST_TASK_FACTOR;
         Micros::from_secs(run_s + spec.image_gb / rate + STAGE_OVERHEAD_S)
     }
 
@@ -167,7 +167,7 @@
         let inherited: BTreeMap<&str, Inherited<Priority>> = api.dependency_graph().inherit(
             |id, dependent| Inherited {
                 priority: dependent.spec.priority,
-                due: self.jobs.get(id).and_then(|j| due(&j.spec, j.submitted_at)),
+                deadline: self.jobs.get(id).and_then(|j| due(&j.spec, j.submitted_at)),
             },
             |_, dependent| self.stage_duration(cluster, &dependent.spec),
         );
@@ -179,7 +179,7 @@
                 job.set_priority(priority);
                 self.needs_scheduling = true;
             }
-            job.inherited_deadline = inherited.due;
+            job.inherited_deadline = inherited.deadline;
             inheriting.insert(job.id.clone());
         }
         for id in self.blocked_jobs.inheriting.difference(&inheriting) {
--- a/src/coordination/election/announce.rs
+++ b/src/coordination/election/announce.rs
@@ -41,7 +41,7 @@
     /// Applies the lower limits of the state service once a node has announced them.
     fn apply_lower_limits(&mut self) {
         let limits = &mut self.cluster.limits;
-        if self.election.limits_lowered && limits.lower() {
+        if self.election.limits_lowered && limits.apply_announced() {
             tracing::warn!(
                 changes_per_s = limits.changes_per_s(),
                 "the lower limits of the state service apply"
--- a/src/coordination/failure_detection/zone_partition.rs
+++ b/src/coordination/failure_detection/zone_partition.rs
@@ -125,7 +125,7 @@
         for machine in self.machines.values() {
             let machine_type = cluster.catalogue.get(&machine.machine_type);
             let cores = machine_type.map_or(0.0, |t| t.cpus);
-            if !self.failures.zones.is_cut(&machine.zone) {
+            if !self.failures.zones.is_cut_off(&machine.zone) {
                 if machine.accepts_work(now, silence) {
                     free_cores += cores - machine.used.cpus;
                 }
@@ -158,7 +158,7 @@
     fn cut_off_service_cores(&self) -> f64 {
         let machines = self.machines.values();
         machines
-            .filter(|m| m.service_tasks > 0 && self.failures.zones.is_cut(&m.zone))
+            .filter(|m| m.service_tasks > 0 && self.failures.zones.is_cut_off(&m.zone))
             .map(|m| m.used.cpus)
             .sum()
     }
--- a/src/coordination/forwarding.rs
+++ b/src/coordination/forwarding.rs
@@ -605,7 +605,7 @@
             Some(at) => at,
             None => {
                 self.forwarder.led_since = Some(now);
-                self.forwarder.handover.on_lead_began();
+                self.forwarder.handover.on_leadership_began();
                 now
             }
         };
@@ -624,7 +624,7 @@
 
     /// Whether this controller gave up the leadership recently.
     pub(super) fn gave_up_lead_recently(&self) -> bool {
-        self.forwarder.handover.gave_up_recently(self.context.now)
+        self.forwarder.handover.handed_over_recently(self.context.now)
     }
 }
 
--- a/src/coordination/log/write.rs
+++ b/src/coordination/log/write.rs
@@ -64,8 +64,8 @@
         if !self.is_write_due(&claims, now) {
             return;
         }
-        let value_bytes = cluster.limits.value_bytes();
-        let mut draft = self.begin_draft(cluster.limits.changes(), value_bytes, election);
+        let value_bytes = cluster.limits.max_value_bytes();
+        let mut draft = self.begin_draft(cluster.limits.max_changes(), value_bytes, election);
         let starts = self.add_changes(&mut draft, claims, now);
         self.compact(&mut draft, value_bytes);
         if draft.packer.is_empty() {
--- a/src/coordination/objectives.rs
+++ b/src/coordination/objectives.rs
@@ -184,14 +184,15 @@
                 now.since(job.arrived_at)
             };
             self.slo
-                .arrived(&spec.class, &spec.team, cores, spec.estimate_s, age, now);
+                .record_arrival(&spec.class, &spec.team, cores, spec.estimate_s, age, now);
         }
     }
 
     fn account_for_settled(&mut self, settled: &Settled, now: Micros) {
-        self.slo.settled(&settled.class, settled.number, settled.met, now);
+        self.slo
+            .record_outcome(&settled.class, settled.number, settled.met, now);
         if settled.committed {
-            self.slo.commitment_settled(&settled.class, settled.met, now);
+            self.slo.record_commitment_outcome(&settled.class, settled.met, now);
         }
     }
 
@@ -237,7 +238,7 @@
                 name = summary.name,
                 requested_cores_s = summary.requested_cores_per_s,
                 started_cores_s = summary.started_cores_per_s,
-                trust = self.slo.trust(&summary.name, now),
+                trust = self.slo.met_commitment_share(&summary.name, now),
                 wait_p50_s = summary.wait_p50_s,
                 wait_p99_s = summary.wait_p99_s,
                 "account"
@@ -267,7 +268,7 @@
             MissedReason::NothingWaits
         } else if waiting.iter().all(|j| j.is_suspect(now)) {
             MissedReason::FailsEverywhere
-        } else if self.failures.zones.any_cut() {
+        } else if self.failures.zones.any_cut_off() {
             MissedReason::ZoneCutOff
         } else if self.machines.values().any(|m| m.state == MachineState::Booting) {
             MissedReason::MachinesBooting
--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -45,7 +45,7 @@
 /// estimate.
 const MIN_RUNS: u32 = 3;
 /// Projections for a class are used while at least this share of the recent commitments was met.
-const MIN_TRUST: f64 = 0.5;
+const MIN_MET_COMMITMENT_SHARE: f64 = 0.5;
 /// Upper limit of the mean time between arrivals of a class, for the value of one job.
 const MAX_ARRIVAL_INTERVAL_S: f64 = 20.0;
 /// Seconds in an hour; prices in the catalogue are per hour.
@@ -76,7 +76,7 @@
         if job.completed_runs.count >= MIN_RUNS {
             job.completed_runs.mean_s()
         } else {
-            job.spec.estimate_s * self.slo.bias(&job.spec.class)
+            job.spec.estimate_s * self.slo.run_time_bias(&job.spec.class)
         }
     }
 
@@ -84,12 +84,12 @@
     /// let it meet.
     ///
     /// This is the case if an objective limits the waiting time of the class, while rentals meet at
-    /// least `MIN_TRUST` of their commitments. Other work gets on-demand machines for its
-    /// backlog, which costs far less for each job that is in time.
+    /// least `MIN_MET_COMMITMENT_SHARE` of their commitments. Other work gets on-demand machines
+    /// for its backlog, which costs far less for each job that is in time.
     pub fn is_latency_sensitive(&self, cluster: &ClusterConfig, class: &str, now: Micros) -> bool {
         let mut objectives = cluster.settings.params.objectives.iter();
         let has_wait_objective = objectives.any(|o| o.class == class && o.kind == "wait");
-        has_wait_objective && self.slo.trust(class, now) >= MIN_TRUST
+        has_wait_objective && self.slo.met_commitment_share(class, now) >= MIN_MET_COMMITMENT_SHARE
     }
 
     /// Returns the number of on-demand cores to rent now for work that may use spot machines, when
@@ -129,7 +129,7 @@
         let usable: Vec<&MachineType> = cluster
             .catalogue
             .values()
-            .filter(|t| t.zones.iter().any(|z| !leader.failures.zones.is_cut(z)))
+            .filter(|t| t.zones.iter().any(|z| !leader.failures.zones.is_cut_off(z)))
             .collect();
         let per_core = |price: f64, cpus: f64| price / cpus.max(1.0) / HOUR_S;
         let on_demand_prices = usable.iter().map(|t| per_core(t.price, t.cpus));
@@ -345,7 +345,7 @@
         }
         for (class, job) in youngest {
             let inflow = self.leader.slo.inflow(class, self.now);
-            let run_s = inflow.run_s * self.leader.slo.bias(class) + self.fetch_s(job);
+            let run_s = inflow.run_s * self.leader.slo.run_time_bias(class) + self.fetch_s(job);
             let mut arrival_s = EXPECTED_STEP_S / 2.0;
             while arrival_s < EXPECTED_HORIZON_S {
                 let deadlines = job.objectives.iter().flatten().map(|objective| {
@@ -374,7 +374,7 @@
         };
         let zones = &self.leader.failures.zones;
         let silence = LeaderState::max_heartbeat_age(self.cluster);
-        for machine in self.leader.machines.values().filter(|m| !zones.is_cut(&m.zone)) {
+        for machine in self.leader.machines.values().filter(|m| !zones.is_cut_off(&m.zone)) {
             let Some(machine_type) = self.cluster.catalogue.get(&machine.machine_type) else {
                 continue;
             };
@@ -386,7 +386,7 @@
             }
         }
         let claims = self.leader.provisioning.unanswered_claims();
-        for claim in claims.filter(|c| !zones.is_cut(&c.zone)) {
+        for claim in claims.filter(|c| !zones.is_cut_off(&c.zone)) {
             if let Some(machine_type) = self.cluster.catalogue.get(&claim.machine_type) {
                 let cores = machine_type.cpus * f64::from(claim.count);
                 let at_s = machine_type.boot_s * BOOT_FACTOR;
--- a/src/coordination/provisioning/demand.rs
+++ b/src/coordination/provisioning/demand.rs
@@ -134,7 +134,7 @@
             }
         }
         let claims = self.provisioning.unanswered_claims();
-        for claim in claims.filter(|c| !self.failures.zones.is_cut(&c.zone)) {
+        for claim in claims.filter(|c| !self.failures.zones.is_cut_off(&c.zone)) {
             if let Some(machine_type) = cluster.catalogue.get(&claim.machine_type) {
                 *supply.of_mut(claim.spot) += machine_type.cpus * f64::from(claim.count);
             }
@@ -154,7 +154,7 @@
             && now >= machine.slow_until
             && !machine.is_asymmetrically_partitioned()
             && !is_proxied_only
-            && !self.failures.zones.is_cut(&machine.zone)
+            && !self.failures.zones.is_cut_off(&machine.zone)
     }
 
     /// Returns the cores missing for work that may use spot machines and is not
@@ -189,7 +189,7 @@
         let evacuations: BTreeMap<&str, Evacuation> = self
             .machines
             .values()
-            .filter(|m| self.failures.zones.is_cut(&m.zone))
+            .filter(|m| self.failures.zones.is_cut_off(&m.zone))
             .map(|m| (&*m.zone, self.evacuation(cluster, &m.zone, now)))
             .collect();
         let mut staying = CoresByCapacityType::default();
--- a/src/coordination/provisioning/failed_machines.rs
+++ b/src/coordination/provisioning/failed_machines.rs
@@ -137,9 +137,9 @@
         let mut by_controller: BTreeMap<Option<Rc<str>>, MachineCounts> = BTreeMap::new();
         // Silent machines in a cut-off zone are no evidence against the controller that was in
         // contact with them.
-        let is_cut = |m: &Machine| self.failures.zones.is_cut(&m.zone);
+        let is_cut_off = |m: &Machine| self.failures.zones.is_cut_off(&m.zone);
         let up = self.machines.values().filter(|m| m.state == MachineState::Up);
-        for machine in up.filter(|m| !is_cut(m)) {
+        for machine in up.filter(|m| !is_cut_off(m)) {
             let counts_from = self.silence_counts_from(machine, now);
             let last_contact = machine.last_heartbeat.max(machine.last_proxied_at).max(counts_from);
             let counts = by_controller.entry(machine.heartbeat_proxy.clone()).or_default();
@@ -186,8 +186,8 @@
         check
     }
 
-    fn is_cut(&self, machine: &Machine) -> bool {
-        self.leader.failures.zones.is_cut(&machine.zone)
+    fn is_cut_off(&self, machine: &Machine) -> bool {
+        self.leader.failures.zones.is_cut_off(&machine.zone)
     }
 
     fn has_unreliable_controller(&self, machine: &Machine) -> bool {
@@ -204,7 +204,7 @@
     /// a cut-off zone, an unreliable controller, or contact through another controller.
     fn silence_by_itself(&self, machine: &Machine) -> Option<Micros> {
         let is_independent =
-            !self.is_cut(machine) && !self.has_unreliable_controller(machine) && !self.is_proxied(machine);
+            !self.is_cut_off(machine) && !self.has_unreliable_controller(machine) && !self.is_proxied(machine);
         let counts_from = self.leader.silence_counts_from(machine, self.now);
         is_independent.then(|| self.now.since(machine.last_heartbeat.max(counts_from)))
     }
@@ -222,7 +222,7 @@
             Micros::ZERO
         };
         // In a cut-off zone, the machine's lease runs from its last heartbeat.
-        let is_lease_running = self.is_cut(machine) && machine.last_heartbeat > Micros::ZERO;
+        let is_lease_running = self.is_cut_off(machine) && machine.last_heartbeat > Micros::ZERO;
         let counts_from = if is_lease_running { Micros::ZERO } else { counts_from };
         self.now.since(machine.last_heartbeat.max(proxied_at).max(counts_from))
     }
@@ -251,7 +251,7 @@
     /// cloud's list would show it.
     fn may_have_contact_in_cut_zone(&self, machine: &Machine) -> bool {
         let mut peers = self.cluster.settings.peers.iter();
-        machine.service_tasks > 0 && self.is_cut(machine) && peers.any(|p| p.zone == machine.zone)
+        machine.service_tasks > 0 && self.is_cut_off(machine) && peers.any(|p| p.zone == machine.zone)
     }
 
     fn release_reason(&self, machine: &Machine) -> Option<ReleaseReason> {
@@ -280,7 +280,7 @@
         let workers = &self.cluster.settings.params.workers;
         let silence = self.silence(machine);
         let max_silence = self.max_silence(machine);
-        let is_conclusive = self.is_cut(machine)
+        let is_conclusive = self.is_cut_off(machine)
             || !self.has_unreliable_controller(machine)
             || silence > max_silence + Micros::from_secs(workers.lease_s);
         let is_interrupted = machine.interruption_at.is_some_and(|at| self.now > at);
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -149,7 +149,7 @@
     fn is_available(&self, machine_type: &MachineType, zone: &str, spot: bool, now: Micros) -> bool {
         let key = (machine_type.name.clone(), zone.to_string(), spot);
         let no_capacity_until = self.provisioning.no_capacity_until.get(&key);
-        !self.failures.zones.is_cut(zone) && no_capacity_until.is_none_or(|until| now >= *until)
+        !self.failures.zones.is_cut_off(zone) && no_capacity_until.is_none_or(|until| now >= *until)
     }
 
     fn machines_in_zone(&self, zone: &str, spot: bool) -> usize {
--- a/src/coordination/replica_status.rs
+++ b/src/coordination/replica_status.rs
@@ -44,7 +44,7 @@
             for placement in job.placements.values() {
                 let machine = self.machines.get(&placement.machine);
                 let is_unreachable =
-                    |m: &Machine| now.since(m.last_heartbeat) > silence || self.failures.zones.is_cut(&m.zone);
+                    |m: &Machine| now.since(m.last_heartbeat) > silence || self.failures.zones.is_cut_off(&m.zone);
                 *match (machine, placement) {
                     (None, _) => &mut all.leaving,
                     (Some(m), _) if m.state == MachineState::Releasing => &mut all.leaving,
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -52,7 +52,7 @@
         let mut candidates = Vec::with_capacity(self.machines.len());
         for machine in self.machines.values_mut() {
             machine.candidate_index = None;
-            if !machine.accepts_work(now, max_silence) || self.failures.zones.is_cut(&machine.zone) {
+            if !machine.accepts_work(now, max_silence) || self.failures.zones.is_cut_off(&machine.zone) {
                 continue;
             }
             let Some(kind) = machine.kind_index else { continue };
--- a/src/coordination/store_queue.rs
+++ b/src/coordination/store_queue.rs
@@ -10,7 +10,7 @@
 use crate::protocol::store::StoreRequest;
 use crate::time::Micros;
 use crate::transport::rate_limit::TokenBucket;
-use glenhaven_group_commit::{Waited, Waits};
+use glenhaven_group_commit::{WaitHistogram, Waited};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How urgent a request is; the first is the most urgent.
@@ -149,7 +149,7 @@
     in_flight: BTreeMap<u64, InFlight<W>>,
     watches_in_flight: usize,
     /// The round-trip times of the requests answered since the last log, not counting watches.
-    round_trips: Waits,
+    round_trips: WaitHistogram,
     last_id: u64,
     demand: ChangeDemand,
     /// The number of changes that wait outside this queue until they may be sent.
@@ -175,7 +175,7 @@
             delayed: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             watches_in_flight: 0,
-            round_trips: Waits::default(),
+            round_trips: WaitHistogram::default(),
             last_id: 1,
             demand: ChangeDemand {
                 pushed: 0.0,
--- a/src/coordination/store_rates.rs
+++ b/src/coordination/store_rates.rs
@@ -79,7 +79,7 @@
     /// This controller's share of the changes for a demand of `own`, both in changes a second.
     fn change_share(&self, own: f64) -> f64 {
         let now = self.context.now;
-        let all = self.cluster.limits.changes_used();
+        let all = self.cluster.limits.usable_changes_per_s();
         let others = (self.cluster.nodes() - 1).max(1) as f64;
         let even = all * 0.5 / others;
         let is_known = |peer: &&PeerStatus| now.since(peer.last_contact) < DEMAND_MAX_AGE;
@@ -125,7 +125,7 @@
         {
             self.limited_at.pop_front();
         }
-        if self.limited_at.len() >= LIMIT_REFUSALS && self.cluster.limits.lower() {
+        if self.limited_at.len() >= LIMIT_REFUSALS && self.cluster.limits.apply_announced() {
             tracing::warn!(
                 changes_per_s = self.cluster.limits.changes_per_s(),
                 "changes are refused: the lower limits of the state service apply"
