--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -119,7 +119,7 @@
         self.history.note(now, || format!("{name} is gone"));
         self.cloud.terminate(now, name);
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.dies();
+            worker.power_off();
         }
         self.handles.remove(name);
     }
@@ -155,7 +155,7 @@
                 format!("{machine} forgets {task} attempt {attempt} token {fencing_token}")
             });
         }
-        for (task, attempt) in &executed.taken_again {
+        for (task, attempt) in &executed.repeated_starts {
             let text =
                 format!("started_again: {machine} takes {task} attempt {attempt}, which it had forgotten, at {now}");
             self.rules.broken.push(text);
@@ -173,7 +173,7 @@
         let open = |u: &&User| u.accepted.is_some() && u.done.is_none() && u.cancelled.is_none();
         Counts {
             machines: up().count(),
-            running: up().map(|w| w.on_machine().count()).sum(),
+            running: up().map(|w| w.running_tasks().count()).sum(),
             open_jobs: self.users.values().filter(open).count(),
             starts: self.rules.starts,
         }
--- a/crates/emulator/src/machines.rs
+++ b/crates/emulator/src/machines.rs
@@ -149,12 +149,12 @@
         let progress = worker.run_tasks(now, &fleet.users, &mut fleet.results);
         fleet.rules.failures += progress.failures;
         let node = worker.node;
-        let due = worker.due_report(now);
+        let due = worker.due_heartbeat(now);
         if due.is_some() {
             let factor = 1.0 - REPORT_JITTER + 2.0 * REPORT_JITTER * fleet.rng.f64();
-            worker.report_next(now + (settings.report_s * factor * SEC as f64) as u64);
+            worker.schedule_heartbeat(now + (settings.report_s * factor * SEC as f64) as u64);
         }
-        let pause = worker.wakes_at(now, lease).saturating_sub(now);
+        let pause = worker.next_action_at(now, lease).saturating_sub(now);
         for (task, attempt) in &progress.started {
             fleet
                 .history
@@ -248,22 +248,22 @@
         };
         // A machine that hangs reads the response only after the hang, which is too late.
         let answer = answer.filter(|_| now >= worker.hangs_until);
-        let Some((_, sent, incarnation)) = worker.flying.filter(|flying| flying.0 == rid) else {
+        let Some((_, sent, incarnation)) = worker.pending_heartbeat.filter(|pending| pending.0 == rid) else {
             return;
         };
-        worker.flying = None;
+        worker.pending_heartbeat = None;
         match read_answer(answer) {
             Answer::Commands(commands) if worker.accepts(commands.fencing_token, incarnation) => {
-                let executed = worker.take_orders(now, sent, &commands, &fleet.users);
+                let executed = worker.execute_response(now, sent, &commands, &fleet.users);
                 fleet.record_fencing_token(now, commands.fencing_token);
                 fleet.record_executed(now, &self.name, commands.fencing_token, &executed);
             }
             Answer::Commands(_) => {}
             Answer::Redirect(to) => {
                 let to = self.cluster.nodes.iter().position(|node| node.name == to);
-                worker.redirected(now, to, nodes);
+                worker.follow_redirect(now, to, nodes);
             }
-            Answer::None => worker.tries_next(now, nodes),
+            Answer::None => worker.try_next_controller(now, nodes),
         }
         wake(fleet, &self.name);
     }
@@ -338,7 +338,7 @@
                 let Ok(body) = from_cbor::<PushedCommands>(&request.body) else {
                     return Some(wire::malformed());
                 };
-                match worker.take_direct(now, &body, &fleet.users) {
+                match worker.execute_pushed(now, &body, &fleet.users) {
                     Some(executed) => {
                         fleet.record_executed(now, &self.name, body.fencing_token, &executed);
                         200
--- a/crates/emulator/src/soak/run.rs
+++ b/crates/emulator/src/soak/run.rs
@@ -14,7 +14,7 @@
 use crate::{forward, preflight};
 use async_io::Timer;
 use futures_lite::FutureExt;
-use glenhaven_fakes::user::{Asked, User};
+use glenhaven_fakes::user::{RequestKind, User};
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -260,7 +260,7 @@
                     let cluster = cluster.clone();
                     let executor = cluster.clone();
                     executor.executor.spawn(async move {
-                        let answer = ask(&cluster, &job, node, Asked::Poll).await;
+                        let answer = ask(&cluster, &job, node, RequestKind::Poll).await;
                         answer.is_none().then_some((node, job))
                     })
                 })
--- a/crates/emulator/src/soak/stranded.rs
+++ b/crates/emulator/src/soak/stranded.rs
@@ -38,7 +38,10 @@
 /// Returns the open jobs that have no task on a machine although one could start.
 fn startable_jobs(fleet: &Fleet) -> BTreeSet<String> {
     let machines = fleet.workers.values().filter(|worker| !worker.dead);
-    let live: BTreeSet<&str> = machines.flat_map(|worker| worker.live()).map(job_of).collect();
+    let live: BTreeSet<&str> = machines
+        .flat_map(|worker| worker.unfinished_tasks())
+        .map(job_of)
+        .collect();
     let open = |user: &&User| {
         let closed = user.done.is_some() || user.cancelled.is_some() || user.wants_abort;
         user.accepted.is_some() && !closed && !live.contains(user.spec.id.as_str())
--- a/crates/emulator/src/soak/users.rs
+++ b/crates/emulator/src/soak/users.rs
@@ -14,7 +14,7 @@
 use glenhaven::protocol::users::{JobState, Phase};
 use glenhaven_fakes::answer_check::{CheckedAnswer, StoredJob};
 use glenhaven_fakes::http::Response;
-use glenhaven_fakes::user::{Asked, User};
+use glenhaven_fakes::user::{RequestKind, User};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -42,7 +42,7 @@
     users: plan::Users,
 ) {
     let job = user.spec.id.clone();
-    let run = Duration::from_micros(user.run);
+    let run = Duration::from_micros(user.run_time);
     cluster.fleet().users.insert(job.clone(), user);
     let follows_up = cluster.fleet().rng.f64() < users.close_questions;
     let began = Instant::now();
@@ -73,11 +73,11 @@
 }
 
 /// Returns the next request of a user.
-fn next_request(cluster: &EmulatedCluster, job: &str, cancel_at: Option<Instant>) -> Asked {
+fn next_request(cluster: &EmulatedCluster, job: &str, cancel_at: Option<Instant>) -> RequestKind {
     let mut fleet = cluster.fleet();
     let now = cluster.now();
     let Some(user) = fleet.users.get_mut(job) else {
-        return Asked::Poll;
+        return RequestKind::Poll;
     };
     if cancel_at.is_some_and(|at| Instant::now() >= at) && user.accepted.is_some() {
         user.wants_abort = true;
@@ -85,16 +85,16 @@
     if user.accepted.is_none() {
         user.submitted = true;
         user.first_asked.get_or_insert(now);
-        Asked::Submit
+        RequestKind::Submit
     } else if user.wants_abort && user.cancelled.is_none() && user.done.is_none() {
-        Asked::Abort
+        RequestKind::Abort
     } else {
-        Asked::Poll
+        RequestKind::Poll
     }
 }
 
 /// Sends a request to a random controller.
-async fn ask_any_controller(cluster: &Arc<EmulatedCluster>, job: &str, asked: Asked) -> Option<Phase> {
+async fn ask_any_controller(cluster: &Arc<EmulatedCluster>, job: &str, asked: RequestKind) -> Option<Phase> {
     let node = cluster.fleet().rng.usize(0..cluster.nodes.len());
     ask(cluster, job, node, asked).await
 }
@@ -108,9 +108,9 @@
             let follow_up = async move {
                 Timer::after(after).await;
                 let asked = if cluster.fleet().rng.bool() {
-                    Asked::Poll
+                    RequestKind::Poll
                 } else {
-                    Asked::Submit
+                    RequestKind::Submit
                 };
                 ask(&cluster, &job, node, asked).await;
             };
@@ -120,7 +120,7 @@
 }
 
 /// Sends one request and returns the phase in its response, if there is an accepted one in time.
-pub(super) async fn ask(cluster: &Arc<EmulatedCluster>, job: &str, node: usize, asked: Asked) -> Option<Phase> {
+pub(super) async fn ask(cluster: &Arc<EmulatedCluster>, job: &str, node: usize, asked: RequestKind) -> Option<Phase> {
     let spec = cluster.fleet().users.get(job)?.spec.clone();
     let before = StoredJob::of(&cluster.store(), job);
     let request = request(asked, &spec);
@@ -134,7 +134,7 @@
         cluster.faults.wait_to_pass(&route.back(), "").await;
         answer
     };
-    let answer = with_timeout(Duration::from_micros(asked.limit()), exchange).await;
+    let answer = with_timeout(Duration::from_micros(asked.answer_timeout()), exchange).await;
     let (_, response) = answer?;
     check_answer(cluster, job, asked, before, &response, node)
 }
@@ -143,7 +143,7 @@
 fn check_answer(
     cluster: &EmulatedCluster,
     job: &str,
-    asked: Asked,
+    asked: RequestKind,
     before: StoredJob,
     response: &Response,
     node: usize,
--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -9,7 +9,7 @@
 use glenhaven::protocol::users::JobSpec;
 use glenhaven::transport::server::HttpResponse;
 use glenhaven_fakes::http::{Connection, Request, Response};
-use glenhaven_fakes::user::{answered, Answered, Asked, User};
+use glenhaven_fakes::user::{deliver_answer, ReceivedAnswer, RequestKind, User};
 use glenhaven_fakes::SEC;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -19,11 +19,11 @@
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Builds a user's HTTP request.
-pub(crate) fn request(asked: Asked, spec: &JobSpec) -> Request {
+pub(crate) fn request(asked: RequestKind, spec: &JobSpec) -> Request {
     let (method, path, body) = match asked {
-        Asked::Submit => ("POST", "/v2/runs".to_string(), to_cbor(spec)),
-        Asked::Poll => ("GET", format!("/v2/runs/{}", spec.id), vec![]),
-        Asked::Abort => ("POST", format!("/v2/runs/{}/abort", spec.id), vec![]),
+        RequestKind::Submit => ("POST", "/v2/runs".to_string(), to_cbor(spec)),
+        RequestKind::Poll => ("GET", format!("/v2/runs/{}", spec.id), vec![]),
+        RequestKind::Abort => ("POST", format!("/v2/runs/{}/abort", spec.id), vec![]),
     };
     Request {
         method: method.into(),
@@ -56,7 +56,10 @@
             let mut fleet = cluster.fleet();
             let rid = fleet.request_number();
             let now = cluster.now();
-            fleet.users.get_mut(&spec.id).and_then(|user| user.asks(now, rid, node))
+            fleet
+                .users
+                .get_mut(&spec.id)
+                .and_then(|user| user.next_request(now, rid, node))
         };
         let Some(asked) = asked else { return };
         let answer = ask(&cluster, &mut reused, node, asked, &spec).await;
@@ -66,7 +69,7 @@
         }
         let pause = match retry {
             true => RETRY_DELAY,
-            false => Duration::from_micros(asked.pause()),
+            false => Duration::from_micros(asked.request_interval()),
         };
         let until_cancel = cancels_at.map(|at| Duration::from_micros(at.saturating_sub(cluster.now())));
         let pause = until_cancel
@@ -81,13 +84,13 @@
     cluster: &EmulatedCluster,
     reused: &mut ReusedConnection,
     node: Option<usize>,
-    asked: Asked,
+    asked: RequestKind,
     spec: &JobSpec,
 ) -> Option<Response> {
     let node = node?;
     let connection = reused.take().map(|(_, connection)| connection);
     let request = request(asked, spec);
-    let limit = Duration::from_micros(asked.limit());
+    let limit = Duration::from_micros(asked.answer_timeout());
     let exchange = exchange(cluster, connection, node, Side::Users, &request);
     let (connection, response) = with_timeout(limit, exchange).await?;
     *reused = connection.map(|connection| (node, connection));
@@ -95,7 +98,7 @@
 }
 
 /// Records the result of a request. Returns whether the user has no further requests.
-fn handle_response(cluster: &EmulatedCluster, job: &str, asked: Asked, answer: Option<Response>) -> bool {
+fn handle_response(cluster: &EmulatedCluster, job: &str, asked: RequestKind, answer: Option<Response>) -> bool {
     let mut fleet = cluster.fleet();
     let fleet = &mut *fleet;
     let now = cluster.now();
@@ -106,14 +109,14 @@
                 body: response.body,
                 retry_after_s: response.retry_after_s,
             };
-            let exchange_result = Answered {
+            let exchange_result = ReceivedAnswer {
                 now,
                 left: now,
-                calm: 0,
+                faults_over_at: 0,
                 asked,
                 answer: &answer,
             };
-            answered(
+            deliver_answer(
                 &mut fleet.users,
                 &fleet.results,
                 &mut fleet.rules,
@@ -123,8 +126,8 @@
         }
         None => {
             if let Some(user) = fleet.users.get_mut(job) {
-                user.asked = None;
-                user.unanswered(now, 0);
+                user.pending_request = None;
+                user.record_failed_request(now, 0);
             }
         }
     }
@@ -163,10 +166,10 @@
     let mut reused: ReusedConnection = None;
     let mut answered = 0;
     for spec in asked.iter() {
-        let answer = ask(&cluster, &mut reused, Some(node), Asked::Poll, spec).await;
+        let answer = ask(&cluster, &mut reused, Some(node), RequestKind::Poll, spec).await;
         if answer.is_some() {
             answered += 1;
-            handle_response(&cluster, &spec.id, Asked::Poll, answer);
+            handle_response(&cluster, &spec.id, RequestKind::Poll, answer);
         }
     }
     answered
@@ -176,5 +179,5 @@
 pub(crate) fn longest_silence(cluster: &EmulatedCluster) -> u64 {
     let fleet = cluster.fleet();
     let known = fleet.users.values().filter(|u| u.accepted.is_some());
-    known.map(|u| u.silent / SEC).max().unwrap_or(0)
+    known.map(|u| u.longest_unanswered / SEC).max().unwrap_or(0)
 }
--- a/crates/fakes/src/answer_check.rs
+++ b/crates/fakes/src/answer_check.rs
@@ -2,7 +2,7 @@
 //! the answer arrived.
 
 use crate::store::Store;
-use crate::user::{Asked, User};
+use crate::user::{RequestKind, User};
 use glenhaven::protocol::from_cbor;
 use glenhaven::protocol::users::{JobState, Phase, Shape};
 use std::collections::BTreeSet;
@@ -35,7 +35,7 @@
     /// The user that sent the request.
     pub user: &'a User,
     /// The kind of the request.
-    pub asked: Asked,
+    pub asked: RequestKind,
     /// What was stored when the request was sent.
     pub before: StoredJob,
     /// What was stored when the answer had arrived.
--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -101,7 +101,7 @@
         users: &BTreeMap<String, User>,
     ) {
         let Some(user) = users.get(job_of(task)) else { return };
-        let held = team_use(&user.spec.team, workers, users, |w| w.live().collect());
+        let held = team_use(&user.spec.team, workers, users, |w| w.unfinished_tasks().collect());
         self.check_limit(now, &user.spec.team, held, "with tasks that fetch their image");
     }
 
@@ -112,7 +112,7 @@
         workers: &BTreeMap<String, Worker>,
         users: &BTreeMap<String, User>,
     ) -> bool {
-        let mut held = team_use(&spec.team, workers, users, |w| w.live().collect());
+        let mut held = team_use(&spec.team, workers, users, |w| w.unfinished_tasks().collect());
         held.add(spec);
         self.limits.get(&spec.team).is_none_or(|limit| !held.exceeds(limit))
     }
@@ -132,7 +132,7 @@
     pub fn check_services(&mut self, now: u64, workers: &BTreeMap<String, Worker>, users: &BTreeMap<String, User>) {
         let mut on: BTreeMap<&str, u64> = BTreeMap::new();
         let runs = |w: &&Worker| w.up && now >= w.hangs_until;
-        for task in workers.values().filter(runs).flat_map(|w| w.on_machine()) {
+        for task in workers.values().filter(runs).flat_map(|w| w.running_tasks()) {
             *on.entry(job_of(task)).or_default() += 1;
         }
         for (job, user) in users.iter().filter(|(_, u)| u.spec.shape == Shape::Service) {
@@ -161,7 +161,7 @@
         self.first_start.entry(task.into()).or_insert(now);
         self.last_start.insert(job_of(task).into(), now);
         for w in workers.values().filter(|w| w.name != machine) {
-            if w.on_machine().any(|t| t == task) {
+            if w.running_tasks().any(|t| t == task) {
                 self.broken.push(format!(
                     "ran_twice: {task} starts on {machine} while on {} at {now}",
                     w.name
@@ -186,7 +186,7 @@
         }
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         for other in workers.values() {
-            for t in other.on_machine().filter(|t| job_of(t) == spec.id) {
+            for t in other.running_tasks().filter(|t| job_of(t) == spec.id) {
                 let _ = t;
                 *zones.entry(&other.zone).or_default() += 1;
             }
@@ -205,7 +205,7 @@
             self.broken.push(format!("ran_cancelled: {task} starts"));
         }
         self.starts_after_cancellation += u64::from(user.cancelled.is_some());
-        let held = team_use(&spec.team, workers, users, |w| w.on_machine().collect());
+        let held = team_use(&spec.team, workers, users, |w| w.running_tasks().collect());
         self.check_limit(now, &spec.team, held, "as a task starts");
     }
 
@@ -255,7 +255,7 @@
     pub fn check(&mut self, now: u64, workers: &BTreeMap<String, Worker>, users: &BTreeMap<String, User>) {
         let mut held: BTreeMap<&str, ResourceUse> = BTreeMap::new();
         for w in workers.values().filter(|w| !w.tasks.is_empty()) {
-            for task in w.on_machine() {
+            for task in w.running_tasks() {
                 let Some(user) = users.get(job_of(task)) else { continue };
                 held.entry(&user.spec.team).or_default().add(&user.spec);
                 if user.cancelled.is_some_and(|at| now > at + self.cancel_limit)
--- a/crates/fakes/src/user.rs
+++ b/crates/fakes/src/user.rs
@@ -13,7 +13,7 @@
 
 /// The kind of a user's request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Asked {
+pub enum RequestKind {
     /// Submits the job.
     Submit,
     /// Requests the job's state.
@@ -22,21 +22,21 @@
     Abort,
 }
 
-impl Asked {
+impl RequestKind {
     /// Returns how long the user waits for an answer.
-    pub fn limit(self) -> u64 {
+    pub fn answer_timeout(self) -> u64 {
         match self {
-            Asked::Submit | Asked::Abort => 5 * SEC,
-            Asked::Poll => 2 * SEC,
+            RequestKind::Submit | RequestKind::Abort => 5 * SEC,
+            RequestKind::Poll => 2 * SEC,
         }
     }
 
     /// Returns the time between an answer and the user's next request, unless a scenario shortens
     /// it.
-    pub fn pause(self) -> u64 {
+    pub fn request_interval(self) -> u64 {
         match self {
-            Asked::Submit | Asked::Abort => SEC / 10,
-            Asked::Poll => 5 * SEC,
+            RequestKind::Submit | RequestKind::Abort => SEC / 10,
+            RequestKind::Poll => 5 * SEC,
         }
     }
 }
@@ -46,9 +46,9 @@
     /// The job's description, as it is submitted.
     pub spec: JobSpec,
     /// The run time of each task, in microseconds.
-    pub run: u64,
+    pub run_time: u64,
     /// Whether the job's tasks fail on every machine.
-    pub mistake: bool,
+    pub always_fails: bool,
     /// Whether the job was submitted. Workers can read its description from the first submission
     /// on.
     pub submitted: bool,
@@ -72,7 +72,7 @@
     /// When the user first received an answer that the job is running.
     pub first_running: Option<u64>,
     /// The number and kind of the request that awaits its answer.
-    pub asked: Option<(u64, Asked)>,
+    pub pending_request: Option<(u64, RequestKind)>,
     /// When the last request was sent.
     pub sent: u64,
     /// The number of the controller that got the last request.
@@ -80,16 +80,16 @@
     /// When the first of the requests without an answer since the last answer failed.
     unanswered_since: Option<u64>,
     /// The longest time for which requests went unanswered after the last injected fault was over.
-    pub silent: u64,
+    pub longest_unanswered: u64,
 }
 
 impl User {
     /// Creates the user of a job that has not been submitted yet.
-    pub fn new(spec: JobSpec, run_s: f64, mistake: bool) -> User {
+    pub fn new(spec: JobSpec, run_s: f64, always_fails: bool) -> User {
         User {
-            mistake,
+            always_fails,
             spec,
-            run: (run_s * SEC as f64) as u64,
+            run_time: (run_s * SEC as f64) as u64,
             submitted: false,
             wants_abort: false,
             resubmit: false,
@@ -100,17 +100,17 @@
             cancelled: None,
             done: None,
             first_running: None,
-            asked: None,
+            pending_request: None,
             sent: 0,
             node: None,
             unanswered_since: None,
-            silent: 0,
+            longest_unanswered: 0,
         }
     }
 
     /// Returns the number of the request that awaits an answer of controller `n`.
-    pub fn asked_of(&self, n: usize) -> Option<u64> {
-        self.asked.filter(|_| self.node == Some(n)).map(|a| a.0)
+    pub fn pending_request_to(&self, n: usize) -> Option<u64> {
+        self.pending_request.filter(|_| self.node == Some(n)).map(|a| a.0)
     }
 
     /// Creates a user that polls a job that was never submitted.
@@ -125,32 +125,35 @@
 
     /// Begins the next request and returns its kind; `None` if one awaits its answer or the job was
     /// refused.
-    pub fn asks(&mut self, now: u64, rid: u64, node: Option<usize>) -> Option<Asked> {
-        if self.asked.is_some() || self.refused.is_some() {
+    pub fn next_request(&mut self, now: u64, rid: u64, node: Option<usize>) -> Option<RequestKind> {
+        if self.pending_request.is_some() || self.refused.is_some() {
             return None;
         }
         let asked = if self.resubmit {
             self.resubmit = false;
-            Asked::Submit
+            RequestKind::Submit
         } else if self.accepted.is_none() && !self.never_submitted {
             self.submitted = true;
             self.first_asked.get_or_insert(now);
-            Asked::Submit
+            RequestKind::Submit
         } else if self.wants_abort && self.cancelled.is_none() && self.done.is_none() {
-            Asked::Abort
+            RequestKind::Abort
         } else {
-            Asked::Poll
+            RequestKind::Poll
         };
-        self.asked = Some((rid, asked));
+        self.pending_request = Some((rid, asked));
         self.sent = now;
         self.node = node;
         Some(asked)
     }
 
-    /// Records that a request got no usable answer; `calm` is when the last injected fault is over.
-    pub fn unanswered(&mut self, now: u64, calm: u64) {
+    /// Records that a request got no usable answer; `faults_over_at` is when the last
+    /// injected fault is over.
+    pub fn record_failed_request(&mut self, now: u64, faults_over_at: u64) {
         let since = *self.unanswered_since.get_or_insert(now);
-        self.silent = self.silent.max(now.saturating_sub(since.max(calm)));
+        self.longest_unanswered = self
+            .longest_unanswered
+            .max(now.saturating_sub(since.max(faults_over_at)));
     }
 
     /// Returns whether the job is accepted and requests about it went unanswered for too long.
@@ -178,29 +181,29 @@
 }
 
 /// An answer that a user receives.
-pub struct Answered<'a> {
+pub struct ReceivedAnswer<'a> {
     /// When the answer arrives.
     pub now: u64,
     /// When the answer left its controller.
     pub left: u64,
     /// When the last injected fault is over.
-    pub calm: u64,
+    pub faults_over_at: u64,
     /// The kind of the request.
-    pub asked: Asked,
+    pub asked: RequestKind,
     /// The answer.
     pub answer: &'a HttpResponse,
 }
 
 /// Delivers the answer to a user's pending request, and checks the rules for answers.
-pub fn answered(
+pub fn deliver_answer(
     users: &mut BTreeMap<String, User>,
     results: &BTreeSet<String>,
     rules: &mut Rules,
     job: &str,
-    received: &Answered,
+    received: &ReceivedAnswer,
 ) {
     let Some(user) = users.get_mut(job) else { return };
-    user.asked = None;
+    user.pending_request = None;
     let state: Option<JobState> = from_cbor(&received.answer.body).ok();
     let status = received.answer.status;
     if status == 503 && received.answer.retry_after_s.is_none() {
@@ -227,7 +230,7 @@
         (400 | 422, _) if known => rules.broken.push(format!("forgotten: {job} answered {status}")),
         (400 | 422, _) => user.refused = Some(status),
         _ => {
-            user.unanswered(received.now, received.calm);
+            user.record_failed_request(received.now, received.faults_over_at);
             if user.is_forgotten(received.now) {
                 rules.broken.push(format!("forgotten: {job} not answered for 90 s"));
             }
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -32,7 +32,7 @@
     pub taken: Vec<(String, u64)>,
     /// Accepted starts of attempts that the worker had forgotten in this session, which must not be
     /// started again.
-    pub taken_again: Vec<(String, u64)>,
+    pub repeated_starts: Vec<(String, u64)>,
 }
 
 /// A task on a machine.
@@ -72,7 +72,7 @@
     /// Until when it hangs.
     pub hangs_until: u64,
     /// When the cloud reclaims it, if that was announced.
-    pub taken: Option<u64>,
+    pub reclaimed_at: Option<u64>,
     incarnation: u64,
     sequence: u64,
     fencing_token: u64,
@@ -87,7 +87,7 @@
     /// The number of the controller that gets its heartbeats.
     pub node: usize,
     /// The heartbeat that awaits its answer: its number, when it was sent, and its session.
-    pub flying: Option<(u64, u64, u64)>,
+    pub pending_heartbeat: Option<(u64, u64, u64)>,
     next_heartbeat: u64,
     last_sent: u64,
     /// The fencing token in the last heartbeat.
@@ -112,7 +112,7 @@
             faulty: false,
             slowdown: 1,
             hangs_until: 0,
-            taken: None,
+            reclaimed_at: None,
             incarnation: 1,
             sequence: 0,
             fencing_token: 0,
@@ -121,7 +121,7 @@
             images: BTreeSet::new(),
             lease_start: 0,
             node: 0,
-            flying: None,
+            pending_heartbeat: None,
             next_heartbeat: 0,
             last_sent: 0,
             reported_token: 0,
@@ -140,7 +140,7 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             fencing_token: self.fencing_token,
-            notice_s: self.taken.map(|t| t.saturating_sub(now) as f64 / SEC as f64),
+            notice_s: self.reclaimed_at.map(|t| t.saturating_sub(now) as f64 / SEC as f64),
             tasks: self
                 .tasks
                 .iter()
@@ -161,7 +161,7 @@
 
     /// Brings the next heartbeat forward after a change, to half a second after the last one or
     /// now.
-    pub fn changed(&mut self, now: u64) {
+    pub fn expedite_heartbeat(&mut self, now: u64) {
         self.next_heartbeat = self.next_heartbeat.min((self.last_sent + SEC / 2).max(now));
     }
 
@@ -175,21 +175,21 @@
     }
 
     /// Returns the running tasks that end after `until`.
-    pub fn long_to_go(&self, until: u64) -> impl Iterator<Item = &str> {
+    pub fn running_beyond(&self, until: u64) -> impl Iterator<Item = &str> {
         let runs = move |t: &Task| t.phase == TaskPhase::Running && t.until > until;
         let long = self.tasks.iter().filter(move |(_, t)| runs(t));
         long.map(|((task, _), _)| task.as_str())
     }
 
     /// Returns the tasks that have not exited.
-    pub fn live(&self) -> impl Iterator<Item = &str> {
+    pub fn unfinished_tasks(&self) -> impl Iterator<Item = &str> {
         let live = self.tasks.iter().filter(|(_, t)| t.phase != TaskPhase::Exited);
         live.map(|((task, _), _)| task.as_str())
     }
 
     /// Returns the cores and memory that tasks which have not exited leave free.
     pub fn free(&self, users: &BTreeMap<String, User>) -> (f64, f64) {
-        let specs = self.live().filter_map(|task| users.get(job_of(task)));
+        let specs = self.unfinished_tasks().filter_map(|task| users.get(job_of(task)));
         specs.fold((self.cpus, self.memory), |(cpus, memory), user| {
             (cpus - user.spec.cpus, memory - user.spec.memory)
         })
@@ -202,12 +202,12 @@
     }
 
     fn free_gpus(&self, users: &BTreeMap<String, User>) -> f64 {
-        let specs = self.live().filter_map(|task| users.get(job_of(task)));
+        let specs = self.unfinished_tasks().filter_map(|task| users.get(job_of(task)));
         self.gpus - specs.map(|user| user.spec.gpus).sum::<f64>()
     }
 
     /// Returns the tasks that have their image and have not exited.
-    pub fn on_machine(&self) -> impl Iterator<Item = &str> {
+    pub fn running_tasks(&self) -> impl Iterator<Item = &str> {
         self.tasks
             .iter()
             .filter(|(_, t)| matches!(t.phase, TaskPhase::Running | TaskPhase::Saving))
@@ -223,7 +223,7 @@
     }
 
     /// Removes the machine with everything on it.
-    pub fn dies(&mut self) {
+    pub fn power_off(&mut self) {
         self.up = false;
         self.dead = true;
         self.tasks.clear();
@@ -240,8 +240,8 @@
         self.forgotten.clear();
         self.incarnation += 1;
         self.lease_start = now;
-        self.flying = None;
-        self.changed(now);
+        self.pending_heartbeat = None;
+        self.expedite_heartbeat(now);
         Some(killed)
     }
 
@@ -268,17 +268,17 @@
                     t.phase = TaskPhase::Running;
                     progress.started.push((task.clone(), *attempt));
                     t.until = match user {
-                        Some(u) if u.spec.shape == Shape::Array => now + u.run * self.slowdown,
+                        Some(u) if u.spec.shape == Shape::Array => now + u.run_time * self.slowdown,
                         _ => u64::MAX,
                     };
-                    if self.faulty || user.is_some_and(|u| u.mistake) {
+                    if self.faulty || user.is_some_and(|u| u.always_fails) {
                         t.until = now + SEC;
                     }
                 }
                 TaskPhase::Running => {
                     changed = true;
                     t.phase = TaskPhase::Exited;
-                    let fails = self.faulty || user.is_some_and(|u| u.mistake);
+                    let fails = self.faulty || user.is_some_and(|u| u.always_fails);
                     progress.failures += usize::from(fails);
                     t.cause = Some(if fails { Cause::Error } else { Cause::Done });
                     if !fails {
@@ -295,37 +295,37 @@
             }
         }
         if changed {
-            self.changed(now);
+            self.expedite_heartbeat(now);
         }
         progress
     }
 
     /// Returns the heartbeat that is due, with its number. The caller has to schedule the next one
-    /// by `report_next`.
-    pub fn due_report(&mut self, now: u64) -> Option<(u64, Heartbeat)> {
-        if now < self.next_heartbeat || self.flying.is_some() {
+    /// by `schedule_heartbeat`.
+    pub fn due_heartbeat(&mut self, now: u64) -> Option<(u64, Heartbeat)> {
+        if now < self.next_heartbeat || self.pending_heartbeat.is_some() {
             return None;
         }
         let rid = self.sequence + 1;
-        self.flying = Some((rid, now, self.incarnation));
+        self.pending_heartbeat = Some((rid, now, self.incarnation));
         self.last_sent = now;
         self.reported_token = self.fencing_token;
         Some((rid, self.heartbeat(now)))
     }
 
     /// Schedules the next heartbeat at this time; a change brings it forward.
-    pub fn report_next(&mut self, at: u64) {
+    pub fn schedule_heartbeat(&mut self, at: u64) {
         self.next_heartbeat = at;
     }
 
     /// Returns when the worker next acts without a command, a millisecond from now at the earliest.
-    pub fn wakes_at(&self, now: u64, lease: u64) -> u64 {
+    pub fn next_action_at(&self, now: u64, lease: u64) -> u64 {
         self.tasks
             .values()
             .filter(|t| t.phase != TaskPhase::Exited)
             .map(|t| t.until)
             .chain([self.lease_start + lease + 1])
-            .chain(self.flying.is_none().then_some(self.next_heartbeat))
+            .chain(self.pending_heartbeat.is_none().then_some(self.next_heartbeat))
             .min()
             .unwrap_or(now + SEC)
             .max(now + MS)
@@ -337,7 +337,7 @@
     }
 
     /// Executes the commands in the answer to a heartbeat that was sent at `sent`.
-    pub fn take_orders(
+    pub fn execute_response(
         &mut self,
         now: u64,
         sent: u64,
@@ -348,14 +348,19 @@
         self.fencing_token = commands.fencing_token;
         let executed = self.execute(now, &commands.commands, users);
         if self.fencing_token > self.reported_token {
-            self.changed(now);
+            self.expedite_heartbeat(now);
         }
         executed
     }
 
     /// Executes commands that were pushed to the machine; `None` if their fencing token or session
     /// is outdated.
-    pub fn take_direct(&mut self, now: u64, body: &PushedCommands, users: &BTreeMap<String, User>) -> Option<Executed> {
+    pub fn execute_pushed(
+        &mut self,
+        now: u64,
+        body: &PushedCommands,
+        users: &BTreeMap<String, User>,
+    ) -> Option<Executed> {
         if !self.accepts(body.fencing_token, body.incarnation) {
             return None;
         }
@@ -365,18 +370,18 @@
 
     /// Follows a redirect to controller `to`; tries the next controller if `to` is unknown or is
     /// the one that sent the redirect.
-    pub fn redirected(&mut self, now: u64, to: Option<usize>, nodes: usize) {
+    pub fn follow_redirect(&mut self, now: u64, to: Option<usize>, nodes: usize) {
         match to {
             Some(n) if n != self.node => {
                 self.node = n;
                 self.next_heartbeat = now + MS;
             }
-            _ => self.tries_next(now, nodes),
+            _ => self.try_next_controller(now, nodes),
         }
     }
 
     /// Switches to the next controller after the current one gave no usable answer.
-    pub fn tries_next(&mut self, now: u64, nodes: usize) {
+    pub fn try_next_controller(&mut self, now: u64, nodes: usize) {
         self.node = (self.node + 1) % nodes;
         self.next_heartbeat = now + SEC;
     }
@@ -391,7 +396,7 @@
                     let key = (task.clone(), *attempt);
                     if self.start(now, task, *attempt, users) {
                         let again = self.forgotten.contains(&key);
-                        executed.taken_again.extend(again.then(|| key.clone()));
+                        executed.repeated_starts.extend(again.then(|| key.clone()));
                         executed.taken.push(key);
                     }
                 }
@@ -410,7 +415,7 @@
             }
         }
         if !commands.is_empty() || before != self.tasks.len() {
-            self.changed(now);
+            self.expedite_heartbeat(now);
         }
         executed
     }
--- a/crates/fakes/tests/checker.rs
+++ b/crates/fakes/tests/checker.rs
@@ -10,7 +10,7 @@
 use glenhaven_fakes::answer_check::{CheckedAnswer, StoredJob};
 use glenhaven_fakes::rules::Rules;
 use glenhaven_fakes::store::Store;
-use glenhaven_fakes::user::{plain_spec, Asked, User};
+use glenhaven_fakes::user::{plain_spec, RequestKind, User};
 use glenhaven_fakes::worker::{Executed, Worker};
 use glenhaven_fakes::SEC;
 use std::collections::{BTreeMap, BTreeSet};
@@ -73,7 +73,7 @@
             incarnation: worker.incarnation(),
             commands: vec![order],
         };
-        worker.take_direct(0, &body, &self.users).expect("taken")
+        worker.execute_pushed(0, &body, &self.users).expect("taken")
     }
 
     fn start(&mut self, machine: &str, task: u32, attempt: u64) -> Executed {
@@ -198,7 +198,7 @@
 fn an_attempt_that_begins_again_after_it_was_forgotten_is_seen() {
     let mut world = World::new(0.0, 0.0, job(1));
     let task = format!("{JOB}/0");
-    assert!(world.start("n-1", 0, 1).taken_again.is_empty());
+    assert!(world.start("n-1", 0, 1).repeated_starts.is_empty());
     let (stopped, grace_s) = (task.clone(), 0.0);
     world.order(
         "n-1",
@@ -220,18 +220,18 @@
             attempt: 1,
         },
     );
-    assert!(world.start("n-1", 0, 2).taken_again.is_empty());
+    assert!(world.start("n-1", 0, 2).repeated_starts.is_empty());
     let stopped = AgentCommand::Stop {
         task: task.clone(),
         attempt: 2,
         grace_s,
     };
     world.order("n-1", stopped);
-    assert_eq!(world.start("n-1", 0, 1).taken_again, [(task, 1)]);
+    assert_eq!(world.start("n-1", 0, 1).repeated_starts, [(task, 1)]);
 }
 
 /// Checks an answer, given what was stored when the request was sent and when the answer arrived.
-fn checked(before: StoredJob, after: StoredJob, asked: Asked, status: u16, phase: Phase) -> Option<String> {
+fn checked(before: StoredJob, after: StoredJob, asked: RequestKind, status: u16, phase: Phase) -> Option<String> {
     let mut user = User::new(job(1), 1.0, false);
     user.wants_abort = phase == Phase::Cancelled;
     let state = JobState {
@@ -269,26 +269,38 @@
         assert!(problem.as_ref().is_some_and(|p| p.starts_with(with)), "{problem:?}");
     };
     // Correct answers.
-    assert_eq!(checked(nothing, open, Asked::Submit, 201, Phase::Pending), None);
-    assert_eq!(checked(open, cancelled, Asked::Poll, 200, Phase::Running), None);
-    assert_eq!(checked(open, cancelled, Asked::Abort, 200, Phase::Cancelled), None);
-    assert_eq!(checked(done, done, Asked::Poll, 200, Phase::Done), None);
-    assert_eq!(checked(nothing, open, Asked::Poll, 404, Phase::Pending), None);
-    assert_eq!(checked(done, done, Asked::Poll, 503, Phase::Pending), None);
+    assert_eq!(checked(nothing, open, RequestKind::Submit, 201, Phase::Pending), None);
+    assert_eq!(checked(open, cancelled, RequestKind::Poll, 200, Phase::Running), None);
+    assert_eq!(
+        checked(open, cancelled, RequestKind::Abort, 200, Phase::Cancelled),
+        None
+    );
+    assert_eq!(checked(done, done, RequestKind::Poll, 200, Phase::Done), None);
+    assert_eq!(checked(nothing, open, RequestKind::Poll, 404, Phase::Pending), None);
+    assert_eq!(checked(done, done, RequestKind::Poll, 503, Phase::Pending), None);
     // Wrong answers.
     starts(
-        checked(cancelled, cancelled, Asked::Submit, 200, Phase::Pending),
+        checked(cancelled, cancelled, RequestKind::Submit, 200, Phase::Pending),
         "went_back",
     );
-    starts(checked(done, done, Asked::Poll, 200, Phase::Cancelled), "went_back");
-    starts(checked(open, open, Asked::Abort, 200, Phase::Cancelled), "went_back");
-    starts(checked(open, open, Asked::Poll, 200, Phase::Done), "went_back");
     starts(
-        checked(nothing, nothing, Asked::Submit, 201, Phase::Pending),
+        checked(done, done, RequestKind::Poll, 200, Phase::Cancelled),
+        "went_back",
+    );
+    starts(
+        checked(open, open, RequestKind::Abort, 200, Phase::Cancelled),
+        "went_back",
+    );
+    starts(checked(open, open, RequestKind::Poll, 200, Phase::Done), "went_back");
+    starts(
+        checked(nothing, nothing, RequestKind::Submit, 201, Phase::Pending),
         "invented",
     );
-    starts(checked(open, open, Asked::Poll, 404, Phase::Pending), "forgotten");
-    starts(checked(done, done, Asked::Submit, 422, Phase::Pending), "forgotten");
+    starts(checked(open, open, RequestKind::Poll, 404, Phase::Pending), "forgotten");
+    starts(
+        checked(done, done, RequestKind::Submit, 422, Phase::Pending),
+        "forgotten",
+    );
 }
 
 #[test]
@@ -307,7 +319,7 @@
         };
         let checked = CheckedAnswer {
             user: &user,
-            asked: Asked::Poll,
+            asked: RequestKind::Poll,
             before: held(phase),
             after: held(phase),
             status: 200,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -16,10 +16,10 @@
     let mut wrong: Vec<String> = world.rules.broken.clone();
     wrong.extend(sim::fairness::below_half(world));
     for (job, user) in world.users.iter().filter(|(_, u)| u.accepted.is_some()) {
-        if user.silent > FORGOTTEN_S * SEC {
+        if user.longest_unanswered > FORGOTTEN_S * SEC {
             wrong.push(format!(
                 "forgotten: no question about {job} was answered for {} s",
-                user.silent / SEC
+                user.longest_unanswered / SEC
             ));
         }
     }
@@ -42,7 +42,7 @@
                     .workers
                     .values()
                     .filter(|w| w.up)
-                    .flat_map(|w| w.on_machine())
+                    .flat_map(|w| w.running_tasks())
                     .filter(|t| on(t));
                 found.count() == *count
             }
@@ -185,7 +185,7 @@
     let machine = world
         .workers
         .values()
-        .find(|w| w.on_machine().any(|t| t == task))
+        .find(|w| w.running_tasks().any(|t| t == task))
         .unwrap()
         .name
         .clone();
--- a/tests/sim/agents.rs
+++ b/tests/sim/agents.rs
@@ -33,8 +33,8 @@
         let now = self.now;
         if let Some(w) = self.workers.get_mut(name) {
             if w.up {
-                w.taken = Some(now + seconds * SEC);
-                w.changed(now);
+                w.reclaimed_at = Some(now + seconds * SEC);
+                w.expedite_heartbeat(now);
                 self.after(1, ScheduledEvent::Worker(name.into()));
                 self.after(seconds * SEC, ScheduledEvent::Worker(name.into()));
             }
@@ -49,7 +49,7 @@
         if !w.up || now < w.hangs_until {
             return;
         }
-        if w.taken.is_some_and(|t| now >= t) {
+        if w.reclaimed_at.is_some_and(|t| now >= t) {
             return self.machine_dies(name);
         }
         if let Some(killed) = w.expire_lease(now, lease) {
@@ -58,7 +58,7 @@
         }
         let progress = w.run_tasks(now, &self.users, &mut self.results);
         self.rules.failures += progress.failures;
-        let (node, mut due) = (w.node, w.due_report(now));
+        let (node, mut due) = (w.node, w.due_heartbeat(now));
         let report_s = self.script.base.params.workers.report_s;
         if due
             .as_ref()
@@ -69,7 +69,7 @@
         if let Some((rid, heartbeat)) = due {
             let pause = (report_s * (0.75 + 0.5 * self.rng.f64()) * SEC as f64) as u64;
             if let Some(w) = self.workers.get_mut(name) {
-                w.report_next(now + pause);
+                w.schedule_heartbeat(now + pause);
             }
             self.keep_for_next(&heartbeat);
             let hop = self.hop();
@@ -99,7 +99,7 @@
             self.rules.started_in_order(&task, &self.users, &self.results);
         }
         let Some(w) = self.workers.get(name) else { return };
-        let next = w.wakes_at(now, lease);
+        let next = w.next_action_at(now, lease);
         if next < self.script.until {
             self.after(next - now, ScheduledEvent::Worker(name.into()));
         }
@@ -109,28 +109,28 @@
         let now = self.now;
         let nodes = self.nodes.len();
         let Some(w) = self.workers.get_mut(name) else { return };
-        let Some((flying, sent, incarnation)) = w.flying else {
+        let Some((pending, sent, incarnation)) = w.pending_heartbeat else {
             return;
         };
-        if flying == rid && w.up && now < w.hangs_until {
+        if pending == rid && w.up && now < w.hangs_until {
             // It lies there until the machine goes on, if its time is not over by then.
             let pause = w.hangs_until - now + 1;
             return self.after(pause, ScheduledEvent::ReportAnswer(name.into(), rid, answer));
         }
-        if flying != rid || !w.up {
+        if pending != rid || !w.up {
             return;
         }
-        w.flying = None;
+        w.pending_heartbeat = None;
         match World::read_answer(&answer) {
             Ok(commands) if w.accepts(commands.fencing_token, incarnation) => {
-                let executed = w.take_orders(now, sent, &commands, &self.users);
+                let executed = w.execute_response(now, sent, &commands, &self.users);
                 let carrier = Carrier::Answer(name.into(), rid);
                 self.note_executed(&carrier, name, &commands.commands, executed);
             }
             Ok(_) => {}
             Err(other) => {
                 let other = other.and_then(|o| self.nodes.iter().position(|n| n.settings.node == o));
-                w.redirected(now, other, nodes);
+                w.follow_redirect(now, other, nodes);
             }
         }
         self.after(1, ScheduledEvent::Worker(name.into()));
@@ -142,7 +142,7 @@
         for (task, _) in &executed.taken {
             self.rules.start_taken(self.now, task, &self.workers, &self.users);
         }
-        for (task, attempt) in &executed.taken_again {
+        for (task, attempt) in &executed.repeated_starts {
             let text = format!("started_again: {machine} takes {task} attempt {attempt}, which it had forgotten");
             self.rules.broken.push(text);
         }
@@ -156,9 +156,9 @@
         let nodes = self.nodes.len();
         let now = self.now;
         let Some(w) = self.workers.get_mut(name) else { return };
-        if w.flying.is_some_and(|f| f.0 == rid) {
-            w.flying = None;
-            w.tries_next(now, nodes);
+        if w.pending_heartbeat.is_some_and(|f| f.0 == rid) {
+            w.pending_heartbeat = None;
+            w.try_next_controller(now, nodes);
             self.after(SEC, ScheduledEvent::Worker(name.into()));
         }
     }
@@ -196,7 +196,7 @@
                 ScheduledEvent::PushedCommands(n, life, id, addr.into(), body.clone()),
             );
         }
-        let executed = w.take_direct(now, body, &self.users);
+        let executed = w.execute_pushed(now, body, &self.users);
         let heartbeat = w.heartbeat(now);
         let answer = if executed.is_some() {
             PushResult::Done(heartbeat)
--- a/tests/sim/close_queries.rs
+++ b/tests/sim/close_queries.rs
@@ -4,7 +4,7 @@
 
 use super::answers::REQUIRED;
 use super::script::plain_spec;
-use super::users::Asked;
+use super::users::RequestKind;
 use super::{Origin, ScheduledEvent, World, MS, SEC};
 use glenhaven::coordination::{Event, UserRequest};
 use glenhaven::protocol::users::{JobSpec, JobState, Shape};
@@ -27,7 +27,7 @@
 /// A question beside those that a user asks in turn.
 pub(super) struct Query {
     job: String,
-    asked: Asked,
+    asked: RequestKind,
     sent: u64,
     /// A submission that must be refused.
     odd: Option<Vec<u8>>,
@@ -66,9 +66,9 @@
 
 impl World {
     /// Asks one node about a job, whatever else its user asks.
-    pub(crate) fn ask(&mut self, job: &str, asked: Asked, n: usize) {
+    pub(crate) fn ask(&mut self, job: &str, asked: RequestKind, n: usize) {
         let Some(user) = self.users.get_mut(job) else { return };
-        user.wants_abort |= asked == Asked::Abort;
+        user.wants_abort |= asked == RequestKind::Abort;
         let body = to_cbor(&user.spec);
         self.send(
             n,
@@ -87,9 +87,9 @@
             return;
         }
         let request = match query.asked {
-            Asked::Submit => UserRequest::Submit(body),
-            Asked::Poll => UserRequest::Poll(query.job.clone()),
-            Asked::Abort => UserRequest::Abort(query.job.clone()),
+            RequestKind::Submit => UserRequest::Submit(body),
+            RequestKind::Poll => UserRequest::Poll(query.job.clone()),
+            RequestKind::Abort => UserRequest::Abort(query.job.clone()),
         };
         let (id, number) = (self.id(), self.id());
         self.one_way_faults.looks.insert(number, query);
@@ -111,7 +111,7 @@
         };
         let told = from_cbor::<JobState>(&answer.body).is_ok();
         match answer.status {
-            200 | 201 if query.asked == Asked::Submit => self.rules.broken.extend(self.answers.accepted(body)),
+            200 | 201 if query.asked == RequestKind::Submit => self.rules.broken.extend(self.answers.accepted(body)),
             200 if told => self
                 .rules
                 .broken
@@ -131,13 +131,13 @@
         let share = self.one_way_faults.cancel_at_end.values().copied().fold(0.0, f64::max);
         if share > 0.0 && self.rng.f64() < share {
             let pause = self.rng.u64(0..6 * MS);
-            self.ask_some(&job, Asked::Abort, pause);
+            self.ask_some(&job, RequestKind::Abort, pause);
         }
         self.look_closely(&job, Moment::Ended);
     }
 
     /// Asks some node in a moment.
-    fn ask_some(&mut self, job: &str, asked: Asked, pause: u64) {
+    fn ask_some(&mut self, job: &str, asked: RequestKind, pause: u64) {
         let n = self.rng.usize(0..self.nodes.len());
         self.after(pause, ScheduledEvent::Ask(job.into(), asked, n));
     }
@@ -150,14 +150,14 @@
         for pause in QUERY_DELAYS {
             for n in 0..self.nodes.len() {
                 let pause = pause + self.rng.u64(0..2 * MS);
-                self.after(pause, ScheduledEvent::Ask(job.into(), Asked::Poll, n));
+                self.after(pause, ScheduledEvent::Ask(job.into(), RequestKind::Poll, n));
             }
             let pause = pause + self.rng.u64(0..5 * MS);
-            self.ask_some(job, Asked::Submit, pause);
+            self.ask_some(job, RequestKind::Submit, pause);
         }
         if moment == Moment::Accepted && self.rng.u32(0..4) == 0 {
             let pause = self.rng.u64(0..20 * MS);
-            self.ask_some(job, Asked::Abort, pause);
+            self.ask_some(job, RequestKind::Abort, pause);
         }
     }
 
@@ -165,7 +165,7 @@
     pub(crate) fn cancel_now(&mut self, count: usize, hangs: Option<u64>) {
         let mut running: Vec<(String, String)> = vec![];
         for worker in self.workers.values().filter(|w| w.up) {
-            for job in worker.long_to_go(self.now + LONG).map(job_of) {
+            for job in worker.running_beyond(self.now + LONG).map(job_of) {
                 running.push((job.into(), worker.name.clone()));
             }
         }
@@ -183,7 +183,7 @@
         }
         for job in jobs {
             let pause = self.rng.u64(0..SEC / 5);
-            self.ask_some(&job, Asked::Abort, pause);
+            self.ask_some(&job, RequestKind::Abort, pause);
         }
         let Some(hangs) = hangs else { return };
         for machine in hang {
@@ -205,18 +205,18 @@
         // Its user knows that it is done, so that this cancels nothing.
         let done = pick(|u| u.done.is_some());
         if let Some(job) = unfinished {
-            self.ask_some(&job, Asked::Submit, 0);
+            self.ask_some(&job, RequestKind::Submit, 0);
         }
         if let Some(job) = done {
             let n = self.rng.usize(0..self.nodes.len());
-            let query = self.query(&job, Asked::Abort, None);
+            let query = self.query(&job, RequestKind::Abort, None);
             self.send(n, query, vec![]);
         }
         self.one_way_faults.odd_jobs += 1;
         let number = self.one_way_faults.odd_jobs;
         let job = format!("run-{}", ODD_JOBS + number);
         let body = self.odd_submission(&job, number);
-        for asked in [Asked::Submit, Asked::Poll, Asked::Abort] {
+        for asked in [RequestKind::Submit, RequestKind::Poll, RequestKind::Abort] {
             let n = self.rng.usize(0..self.nodes.len());
             let query = self.query(&job, asked, Some(body.clone()));
             self.send(n, query, body.clone());
@@ -224,7 +224,7 @@
         self.after(SEC / 4, ScheduledEvent::OddRequests(step));
     }
 
-    fn query(&self, job: &str, asked: Asked, odd: Option<Vec<u8>>) -> Query {
+    fn query(&self, job: &str, asked: RequestKind, odd: Option<Vec<u8>>) -> Query {
         Query {
             job: job.into(),
             asked,
--- a/tests/sim/cloud.rs
+++ b/tests/sim/cloud.rs
@@ -70,7 +70,7 @@
     pub(crate) fn machine_dies(&mut self, name: &str) {
         self.cloud.terminate(self.now, name);
         if let Some(w) = self.workers.get_mut(name) {
-            w.dies();
+            w.power_off();
         }
     }
 }
--- a/tests/sim/fairness.rs
+++ b/tests/sim/fairness.rs
@@ -23,7 +23,7 @@
 pub(crate) fn below_half(world: &World) -> Vec<String> {
     let mut shares: BTreeMap<String, (usize, usize)> = BTreeMap::new();
     let mut wrong = vec![];
-    let counts = |u: &&User| !u.mistake && !u.wants_abort && u.cancelled.is_none();
+    let counts = |u: &&User| !u.always_fails && !u.wants_abort && u.cancelled.is_none();
     let mut sizes: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     for user in world.users.values().filter(counts) {
         let size = f64::from(user.spec.tasks) * user.spec.cpus;
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -49,7 +49,7 @@
     UserAnswer(String, u64, u64, HttpResponse),
     UserLate(String, u64),
     /// A question to one node beside those that a user asks in turn, and its answer.
-    Ask(String, users::Asked, usize),
+    Ask(String, users::RequestKind, usize),
     QueryAnswer(u64, u64, HttpResponse),
     OddRequests(usize),
     Step(usize),
@@ -261,8 +261,12 @@
         self.nodes[n].controller = None;
         self.nodes[n].inbox.clear();
         let heartbeats = self.workers.iter().filter(|(_, w)| w.node == n);
-        let heartbeats = heartbeats.filter_map(|(name, w)| Some(ScheduledEvent::ReportLate(name.clone(), w.flying?.0)));
-        let asked = self.users.iter().filter_map(|(job, u)| Some((job, u.asked_of(n)?)));
+        let heartbeats =
+            heartbeats.filter_map(|(name, w)| Some(ScheduledEvent::ReportLate(name.clone(), w.pending_heartbeat?.0)));
+        let asked = self
+            .users
+            .iter()
+            .filter_map(|(job, u)| Some((job, u.pending_request_to(n)?)));
         let lost: Vec<ScheduledEvent> = heartbeats
             .chain(asked.map(|(job, rid)| ScheduledEvent::UserLate(job.clone(), rid)))
             .collect();
--- a/tests/sim/stranded_jobs.rs
+++ b/tests/sim/stranded_jobs.rs
@@ -33,7 +33,7 @@
             by_team: BTreeMap::new(),
         };
         for worker in world.workers.values().filter(|w| !w.dead) {
-            for job in worker.live().map(job_of) {
+            for job in worker.unfinished_tasks().map(job_of) {
                 let zones = places.by_job.entry(job).or_default();
                 *zones.entry(&worker.zone).or_default() += 1;
                 if let Some(user) = world.users.get(job) {
@@ -47,7 +47,7 @@
 
 /// How many more tasks of this job a machine has room for.
 fn room(world: &World, worker: &Worker, spec: &JobSpec) -> u32 {
-    let usable = worker.up && world.now >= worker.hangs_until && worker.taken.is_none() && !worker.faulty;
+    let usable = worker.up && world.now >= worker.hangs_until && worker.reclaimed_at.is_none() && !worker.faulty;
     let allowed = spec
         .machine_types
         .as_ref()
@@ -73,7 +73,7 @@
         let needed = world.users.get(need);
         needed.is_some_and(|u| done(world, need) == u.spec.tasks)
     };
-    let over = user.wants_abort || user.cancelled.is_some() || user.done.is_some() || user.mistake;
+    let over = user.wants_abort || user.cancelled.is_some() || user.done.is_some() || user.always_fails;
     user.accepted.is_some() && !over && user.spec.dependencies.iter().all(need_done)
 }
 
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -7,7 +7,7 @@
 use glenhaven::protocol::users::{JobState, Phase};
 use glenhaven::protocol::{from_cbor, to_cbor};
 use glenhaven::transport::server::HttpResponse;
-pub(crate) use glenhaven_fakes::user::{Asked, User};
+pub(crate) use glenhaven_fakes::user::{RequestKind, User};
 
 impl World {
     /// Sends a user's next request, unless one is under way.
@@ -28,15 +28,15 @@
             return self.after(SEC / 50, ScheduledEvent::User(job.into()));
         }
         let Some(user) = self.users.get_mut(job) else { return };
-        let Some(asked) = user.asks(self.now, rid, pick) else {
+        let Some(asked) = user.next_request(self.now, rid, pick) else {
             return;
         };
         let request = match asked {
-            Asked::Submit => UserRequest::Submit(to_cbor(&user.spec)),
-            Asked::Abort => UserRequest::Abort(job.into()),
-            Asked::Poll => UserRequest::Poll(job.into()),
+            RequestKind::Submit => UserRequest::Submit(to_cbor(&user.spec)),
+            RequestKind::Abort => UserRequest::Abort(job.into()),
+            RequestKind::Poll => UserRequest::Poll(job.into()),
         };
-        let limit = asked.limit();
+        let limit = asked.answer_timeout();
         self.after(limit, ScheduledEvent::UserLate(job.into(), rid));
         if let Some(n) = pick {
             let id = self.id();
@@ -51,9 +51,9 @@
         let now = self.now;
         let calm = self.script.calm_from();
         let Some(user) = self.users.get_mut(job) else { return };
-        if user.asked.is_some_and(|a| a.0 == rid) {
-            user.asked = None;
-            user.unanswered(now, calm);
+        if user.pending_request.is_some_and(|a| a.0 == rid) {
+            user.pending_request = None;
+            user.record_failed_request(now, calm);
             self.after(SEC, ScheduledEvent::User(job.into()));
         }
     }
@@ -62,10 +62,10 @@
         let now = self.now;
         let calm = self.script.calm_from();
         let Some(user) = self.users.get_mut(job) else { return };
-        let Some((_, asked)) = user.asked.filter(|a| a.0 == rid) else {
+        let Some((_, asked)) = user.pending_request.filter(|a| a.0 == rid) else {
             return;
         };
-        user.asked = None;
+        user.pending_request = None;
         if user.never_submitted {
             if answer.status == 503 && answer.retry_after_s.is_none() {
                 self.rules.broken.push(format!("{job}: refused without Retry-After"));
@@ -84,7 +84,7 @@
             400 | 422 if !known => user.refused = Some(answer.status),
             400 | 404 | 422 if known => {}
             _ => {
-                user.unanswered(now, calm);
+                user.record_failed_request(now, calm);
                 if user.is_forgotten(now) {
                     self.rules
                         .broken
@@ -96,7 +96,7 @@
     }
 
     /// Takes in any answer about a job: whether it says the job's state.
-    pub(crate) fn heard(&mut self, job: &str, asked: Asked, sent: u64, left: u64, answer: &HttpResponse) -> bool {
+    pub(crate) fn heard(&mut self, job: &str, asked: RequestKind, sent: u64, left: u64, answer: &HttpResponse) -> bool {
         let now = self.now;
         let status = answer.status;
         let state: Option<JobState> = from_cbor(&answer.body).ok();
@@ -114,7 +114,7 @@
         let (Some(user), Some(state)) = (self.users.get(job), state) else {
             return false;
         };
-        if asked == Asked::Submit {
+        if asked == RequestKind::Submit {
             self.rules.broken.extend(self.answers.accepted(&to_cbor(&user.spec)));
         }
         self.rules
@@ -134,12 +134,14 @@
     }
 
     /// The next question, after a while.
-    fn user_goes_on(&mut self, job: &str, asked: Asked, status: u16) {
+    fn user_goes_on(&mut self, job: &str, asked: RequestKind, status: u16) {
         let user = &self.users[job];
         let pause = match asked {
             _ if status == 503 => SEC,
-            Asked::Poll => asked.pause() / self.active_faults.storm.values().copied().max().unwrap_or(1),
-            _ => asked.pause(),
+            RequestKind::Poll => {
+                asked.request_interval() / self.active_faults.storm.values().copied().max().unwrap_or(1)
+            }
+            _ => asked.request_interval(),
         };
         if user.refused.is_none() {
             self.after(pause, ScheduledEvent::User(job.into()));
