--- a/crates/emulator/src/cloud_service.rs
+++ b/crates/emulator/src/cloud_service.rs
@@ -55,5 +55,5 @@
         machines::create(cluster, &mut fleet, &rent.zone, rent.spot, boot)
     });
     let names = names.collect();
-    fleet.cloud.rented_as(rent, names)
+    fleet.cloud.fulfil_rental(rent, names)
 }
--- a/crates/emulator/src/cluster.rs
+++ b/crates/emulator/src/cluster.rs
@@ -164,8 +164,8 @@
             services.txn_ops,
             services.value_kb,
         );
-        store.page = crate::state_service::PAGE_SIZE;
-        store.audits = experiment.audit_records;
+        store.page_size = crate::state_service::PAGE_SIZE;
+        store.checks_placements = experiment.audit_records;
         let node = |n: usize| Node::new(node_name(n), experiment.zone_of(n).to_string());
         EmulatedCluster {
             addresses: Addresses::new(experiment.network),
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -91,7 +91,7 @@
         let in_a_zone = experiment.workers.count.div_ceil(kind.zones.len().max(1)) as u32;
         let lag = (experiment.services.list_lag_s * SEC as f64) as u64;
         let mut cloud = Cloud::new(vec![kind], in_a_zone, 0, lag);
-        cloud.page = crate::cloud_service::PAGE_SIZE;
+        cloud.page_size = crate::cloud_service::PAGE_SIZE;
         Fleet {
             cloud,
             workers: BTreeMap::new(),
@@ -144,11 +144,11 @@
     /// Checks the commands that a worker has executed, and records them.
     pub(crate) fn record_executed(&mut self, now: u64, machine: &str, fencing_token: u64, executed: &Executed) {
         self.rules.stops += executed.stops;
-        for (task, attempt) in &executed.taken {
+        for (task, attempt) in &executed.accepted_starts {
             self.history.note(now, || {
                 format!("{machine} takes {task} attempt {attempt} token {fencing_token}")
             });
-            self.rules.start_taken(now, task, &self.workers, &self.users);
+            self.rules.check_accepted_start(now, task, &self.workers, &self.users);
         }
         for (task, attempt) in &executed.forgotten {
             self.history.note(now, || {
--- a/crates/emulator/src/machines.rs
+++ b/crates/emulator/src/machines.rs
@@ -159,8 +159,10 @@
             fleet
                 .history
                 .note(now, || format!("{} runs {task} attempt {attempt}", self.name));
-            fleet.rules.started(now, &self.name, task, &fleet.workers, &fleet.users);
-            fleet.rules.started_in_order(task, &fleet.users, &fleet.results);
+            fleet
+                .rules
+                .check_start(now, &self.name, task, &fleet.workers, &fleet.users);
+            fleet.rules.check_dependencies(task, &fleet.users, &fleet.results);
         }
         let due = due.map(|(rid, heartbeat)| Outgoing { rid, node, heartbeat });
         Some((due, Duration::from_micros(pause)))
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -269,7 +269,7 @@
         ("takeover", times(takeovers)),
     ];
     let seconds = cluster.now() as f64 / 1e6;
-    let requests: u64 = store.by_second.values().sum();
+    let requests: u64 = store.requests_by_second.values().sum();
     Report {
         name: experiment.name.clone(),
         experiment: experiment.clone(),
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -5,7 +5,7 @@
 use crate::faults::{Delivery, Party, Route};
 use async_io::{Async, Timer};
 use glenhaven_fakes::http::{Connection, Request, Response};
-use glenhaven_fakes::wire::refusal;
+use glenhaven_fakes::wire::unavailable;
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -66,7 +66,7 @@
         let delivery = cluster.faults.delivery(&route, "");
         let response = match delivery {
             Delivery::Reset => return,
-            Delivery::Refuse => Some(refusal()),
+            Delivery::Refuse => Some(unavailable()),
             Delivery::Late(after) => {
                 Timer::after(after).await;
                 handler(cluster.clone(), node, request).await;
--- a/crates/emulator/src/soak/inject.rs
+++ b/crates/emulator/src/soak/inject.rs
@@ -43,10 +43,10 @@
         }
         Fault::Outage => {
             let now = cluster.now();
-            cluster.store().outage(true, now);
+            cluster.store().set_unavailable(true, now);
             Timer::after(lasts).await;
             let now = cluster.now();
-            cluster.store().outage(false, now);
+            cluster.store().set_unavailable(false, now);
         }
         Fault::Hang { count } => hang(&cluster, count, lasts),
         Fault::MachineDeaths { count } => {
--- a/crates/emulator/src/state_service.rs
+++ b/crates/emulator/src/state_service.rs
@@ -50,7 +50,7 @@
     let before = store.revision;
     let answer = store.answer(request, now);
     if store.revision != before {
-        store.keep_changes(KEPT_CHANGES);
+        store.compact(KEPT_CHANGES);
         cluster.store_changed.notify(usize::MAX);
     }
     Some(answer)
@@ -66,8 +66,8 @@
             if store.is_compacted(after) {
                 return StoreResponse::Compacted;
             }
-            if store.has_news(prefix, after) || Instant::now() >= ends {
-                return StoreResponse::Events(store.news(prefix, after));
+            if store.has_events_since(prefix, after) || Instant::now() >= ends {
+                return StoreResponse::Events(store.events_since(prefix, after));
             }
         }
         let late = async {
--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -37,7 +37,7 @@
     /// at the same time.
     pub capacity: u32,
     /// Machines in one page of the list.
-    pub page: usize,
+    pub page_size: usize,
     lag: u64,
     last_number: u64,
     failed_boots: u32,
@@ -56,7 +56,7 @@
             claims: BTreeMap::new(),
             machines: BTreeMap::new(),
             capacity,
-            page: DEFAULT_PAGE_SIZE,
+            page_size: DEFAULT_PAGE_SIZE,
             lag,
             last_number: 0,
             failed_boots,
@@ -66,7 +66,7 @@
     }
 
     /// Returns the number of machines ever rented.
-    pub fn rented_in_all(&self) -> usize {
+    pub fn total_rented(&self) -> usize {
         self.machines.len()
     }
 
@@ -141,7 +141,7 @@
     }
 
     /// Records the machines that were created for a rental request and returns its answer.
-    pub fn rented_as(&mut self, rent: ProvisionRequest, names: Vec<String>) -> CloudResponse {
+    pub fn fulfil_rental(&mut self, rent: ProvisionRequest, names: Vec<String>) -> CloudResponse {
         self.claims.insert(rent.claim.clone(), (rent, names.clone()));
         CloudResponse::Rented(names)
     }
@@ -169,9 +169,9 @@
                 age_s: (now - m.rented_at) as f64 / SEC as f64,
             })
             .collect();
-        let more = rows.len() > self.page;
+        let more = rows.len() > self.page_size;
         ListPage {
-            machines: rows.into_iter().take(self.page).collect(),
+            machines: rows.into_iter().take(self.page_size).collect(),
             more,
         }
     }
--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -30,7 +30,7 @@
     pub last_start: BTreeMap<String, u64>,
     /// The replica seconds missed by each service, counted from when all its replicas first ran
     /// together.
-    pub missed: BTreeMap<String, u64>,
+    pub missed_replica_seconds: BTreeMap<String, u64>,
     /// Starts of tasks whose user had already received the cancellation of the job. No rule forbids
     /// them within the time that a cancellation may take.
     pub starts_after_cancellation: u64,
@@ -77,7 +77,7 @@
             stops: 0,
             first_start: BTreeMap::new(),
             last_start: BTreeMap::new(),
-            missed: BTreeMap::new(),
+            missed_replica_seconds: BTreeMap::new(),
             starts_after_cancellation: 0,
             limits: teams.iter().map(|t| (t.name.clone(), limit_of(t))).collect(),
             cancel_limit: (cancel_s * SEC as f64) as u64,
@@ -93,7 +93,7 @@
     /// Checks a team's limit after a worker has accepted a start. All attempts on machines, also
     /// those that still fetch their image, are covered by placement records and count towards the
     /// limit.
-    pub fn start_taken(
+    pub fn check_accepted_start(
         &mut self,
         now: u64,
         task: &str,
@@ -140,16 +140,16 @@
             let there = on.get(job.as_str()).copied().unwrap_or(0);
             let over = user.wants_abort || user.cancelled.is_some();
             if there >= all {
-                self.missed.entry(job.clone()).or_default();
+                self.missed_replica_seconds.entry(job.clone()).or_default();
             }
-            if let Some(missed) = self.missed.get_mut(job).filter(|_| !over) {
+            if let Some(missed) = self.missed_replica_seconds.get_mut(job).filter(|_| !over) {
                 *missed += all.saturating_sub(there);
             }
         }
     }
 
     /// Records that a task, with its image fetched, begins to run, and checks the rules for starts.
-    pub fn started(
+    pub fn check_start(
         &mut self,
         now: u64,
         machine: &str,
@@ -210,7 +210,7 @@
     }
 
     /// Checks, as a task begins, that all jobs on which its job depends are done.
-    pub fn started_in_order(&mut self, task: &str, users: &BTreeMap<String, User>, results: &BTreeSet<String>) {
+    pub fn check_dependencies(&mut self, task: &str, users: &BTreeMap<String, User>, results: &BTreeSet<String>) {
         let Some(user) = users.get(job_of(task)) else { return };
         for dependency in &user.spec.dependencies {
             let tasks = users.get(dependency).map_or(0, |u| u.spec.tasks);
@@ -283,7 +283,7 @@
     }
 
     /// Checks the phase in an answer to a user.
-    pub fn record_answer(
+    pub fn check_answer(
         &mut self,
         now: u64,
         job: &str,
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -33,19 +33,19 @@
     /// Changes up to this revision are no longer in the log.
     compacted: u64,
     /// Rows in one page of a list.
-    pub page: usize,
+    pub page_size: usize,
     /// Whether each written segment of the write-ahead log is compared with all others. The cost
     /// grows with their number.
-    pub audits: bool,
+    pub checks_placements: bool,
     /// Whether the service is unavailable.
-    pub out: bool,
+    pub unavailable: bool,
     rps: f64,
     write_rps: f64,
     txn_ops: usize,
     value_kb: f64,
     /// The lower limits that are announced: KiB of a value, operations of a transaction, and
     /// changes a second.
-    pub next: Option<(f64, usize, f64)>,
+    pub announced_limits: Option<(f64, usize, f64)>,
     /// The tokens left for requests and for changes, and when they were computed.
     tokens: (f64, f64, u64),
     /// Requests refused by the rate limits.
@@ -53,7 +53,7 @@
     /// Changes made.
     pub changes: u64,
     /// The number of requests in each second, also of those refused.
-    pub by_second: BTreeMap<u64, u64>,
+    pub requests_by_second: BTreeMap<u64, u64>,
     /// Requests that break the protocol or the rules of records, as text.
     pub problems: Vec<String>,
     /// The jobs that a page of acceptances has ever named.
@@ -69,18 +69,18 @@
             leases: BTreeMap::new(),
             log: vec![],
             compacted: 0,
-            page: DEFAULT_PAGE_SIZE,
-            audits: true,
-            out: false,
+            page_size: DEFAULT_PAGE_SIZE,
+            checks_placements: true,
+            unavailable: false,
             rps,
             write_rps,
             txn_ops,
             value_kb,
-            next: None,
+            announced_limits: None,
             tokens: (rps, write_rps, 0),
             refused: 0,
             changes: 0,
-            by_second: BTreeMap::new(),
+            requests_by_second: BTreeMap::new(),
             problems: vec![],
             accepted: BTreeSet::new(),
         }
@@ -88,13 +88,13 @@
 
     /// Returns the number of segments of the write-ahead log ever used; their keys are never
     /// removed.
-    pub fn log_pages(&self) -> usize {
+    pub fn log_segments(&self) -> usize {
         use glenhaven::storage::keys;
         self.keys.keys().filter(|k| k.starts_with(keys::LOG_SEGMENTS)).count()
     }
 
     /// Returns whether a job's own key records it as cancelled.
-    pub fn says_withdrawn(&self, job: &str) -> bool {
+    pub fn is_cancelled(&self, job: &str) -> bool {
         use glenhaven::storage::{keys, records};
         let entry = self.keys.get(&keys::job(job));
         let value = entry.and_then(|e| records::from_value::<records::JobValue>(&e.value));
@@ -115,14 +115,14 @@
     }
 
     /// Puts the announced lower limits into effect.
-    pub fn lower(&mut self) {
-        if let Some((value_kb, ops, writes)) = self.next.take() {
+    pub fn apply_announced_limits(&mut self) {
+        if let Some((value_kb, ops, writes)) = self.announced_limits.take() {
             (self.value_kb, self.txn_ops, self.write_rps) = (value_kb, ops, writes);
         }
     }
 
     /// Stores an open job as earlier releases accepted jobs: under a key of its own.
-    pub fn inherit(&mut self, spec: &glenhaven::protocol::users::JobSpec) {
+    pub fn put_inherited_job(&mut self, spec: &glenhaven::protocol::users::JobSpec) {
         use glenhaven::storage::{keys, records};
         let value = records::to_value(&records::JobValue {
             phase: glenhaven::protocol::users::Phase::Pending,
@@ -140,7 +140,7 @@
     }
 
     /// Stores the record with which a controller of the previous release announces itself.
-    pub fn old_release(&mut self, node: &str) {
+    pub fn put_old_release(&mut self, node: &str) {
         use glenhaven::storage::{keys, records};
         let value = records::to_value(&records::Release {
             release: records::CURRENT_RELEASE - 1,
@@ -159,7 +159,7 @@
     }
 
     /// Writes a value that is malformed for every type of record.
-    pub fn garbage(&mut self, key: String) {
+    pub fn put_malformed(&mut self, key: String) {
         let value = Value::Array(vec![Value::Text("what is this?".into()), Value::Null]);
         let put = Change::Put {
             key,
@@ -190,18 +190,18 @@
     }
 
     /// Begins or ends an outage. At the end of an outage every lease gets its full duration again.
-    pub fn outage(&mut self, out: bool, now: u64) {
-        if self.out && !out {
+    pub fn set_unavailable(&mut self, unavailable: bool, now: u64) {
+        if self.unavailable && !unavailable {
             for lease in self.leases.values_mut() {
                 lease.expires_at = now + lease.ttl;
             }
         }
-        self.out = out;
+        self.unavailable = unavailable;
     }
 
     /// Ends the expired leases and deletes the keys bound to them; does nothing during an outage.
     pub fn expire(&mut self, now: u64) {
-        if self.out {
+        if self.unavailable {
             return;
         }
         let over: BTreeSet<u64> = self
@@ -232,7 +232,7 @@
     ///
     /// Returns `Limited` for a request with changes, and `Refused` for any other.
     pub fn allow(&mut self, writes: f64, now: u64) -> Result<(), StoreResponse> {
-        *self.by_second.entry(now / SEC).or_default() += 1;
+        *self.requests_by_second.entry(now / SEC).or_default() += 1;
         let span = (now - self.tokens.2) as f64 / SEC as f64;
         self.tokens.0 = (self.tokens.0 + span * self.rps).min(self.rps);
         self.tokens.1 = (self.tokens.1 + span * self.write_rps).min(self.write_rps);
@@ -322,7 +322,7 @@
             .collect();
         for change in &txn.changes {
             if let Change::Put { key, value, .. } = change {
-                if self.audits {
+                if self.checks_placements {
                     self.check_placements(key, value, &done);
                 }
                 self.check_overwrite(key, value, txn);
@@ -469,7 +469,7 @@
     }
 
     /// Executes a request and returns its answer. A watch is answered as malformed: the caller has
-    /// to serve watches, by `has_news` and `news`.
+    /// to serve watches, by `has_events_since` and `events_since`.
     pub fn answer(&mut self, request: &StoreRequest, now: u64) -> StoreResponse {
         match request {
             StoreRequest::Get { key } => match self.keys.get(key) {
@@ -493,9 +493,9 @@
                         version: e.version,
                     })
                     .collect();
-                let more = rows.len() > self.page;
+                let more = rows.len() > self.page_size;
                 StoreResponse::Rows(Rows {
-                    items: rows.into_iter().take(self.page).collect(),
+                    items: rows.into_iter().take(self.page_size).collect(),
                     more,
                     revision: self.revision,
                 })
@@ -534,7 +534,7 @@
     }
 
     /// Removes all but the latest `most` changes from the log; see `is_compacted`.
-    pub fn keep_changes(&mut self, most: usize) {
+    pub fn compact(&mut self, most: usize) {
         let over = self.log.len().saturating_sub(most);
         if let Some(last) = over.checked_sub(1) {
             self.compacted = event_version(&self.log[last]);
@@ -549,12 +549,12 @@
     }
 
     /// Returns whether a key with this prefix has changed since a revision.
-    pub fn has_news(&self, prefix: &str, after: u64) -> bool {
+    pub fn has_events_since(&self, prefix: &str, after: u64) -> bool {
         self.changes_since(after).any(|e| event_key(e).starts_with(prefix))
     }
 
     /// Returns the changes of keys with this prefix since a revision, oldest first.
-    pub fn news(&self, prefix: &str, after: u64) -> WatchEvents {
+    pub fn events_since(&self, prefix: &str, after: u64) -> WatchEvents {
         let of_prefix = self.changes_since(after).filter(|e| event_key(e).starts_with(prefix));
         let mut events: Vec<WatchEvent> = of_prefix.cloned().collect();
         events.reverse();
--- a/crates/fakes/src/user.rs
+++ b/crates/fakes/src/user.rs
@@ -219,7 +219,7 @@
     match (status, state) {
         (200 | 201, Some(state)) => {
             rules.check_final_phase(job, state.phase, &users[job]);
-            rules.record_answer(received.now, job, state.phase, results, &users[job], users);
+            rules.check_answer(received.now, job, state.phase, results, &users[job], users);
             if let Some(user) = users.get_mut(job) {
                 user.record_answer(received.now, received.left, state.phase);
             }
--- a/crates/fakes/src/wire.rs
+++ b/crates/fakes/src/wire.rs
@@ -23,7 +23,7 @@
 }
 
 /// Creates the answer of a service that is unavailable.
-pub fn refusal() -> Response {
+pub fn unavailable() -> Response {
     error_response(503, "trouble")
 }
 
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -29,7 +29,7 @@
     /// Tasks and attempts that the worker has forgotten.
     pub forgotten: Vec<(String, u64)>,
     /// Tasks and attempts whose start the worker has accepted; it fetches their images.
-    pub taken: Vec<(String, u64)>,
+    pub accepted_starts: Vec<(String, u64)>,
     /// Accepted starts of attempts that the worker had forgotten in this session, which must not be
     /// started again.
     pub repeated_starts: Vec<(String, u64)>,
@@ -397,7 +397,7 @@
                     if self.start(now, task, *attempt, users) {
                         let again = self.forgotten.contains(&key);
                         executed.repeated_starts.extend(again.then(|| key.clone()));
-                        executed.taken.push(key);
+                        executed.accepted_starts.push(key);
                     }
                 }
                 AgentCommand::Stop { task, attempt, grace_s } => {
--- a/crates/fakes/tests/checker.rs
+++ b/crates/fakes/tests/checker.rs
@@ -79,8 +79,8 @@
     fn start(&mut self, machine: &str, task: u32, attempt: u64) -> Executed {
         let task = format!("{JOB}/{task}");
         let executed = self.order(machine, AgentCommand::Start { task, attempt });
-        for (task, _) in &executed.taken {
-            self.rules.start_taken(0, task, &self.workers, &self.users);
+        for (task, _) in &executed.accepted_starts {
+            self.rules.check_accepted_start(0, task, &self.workers, &self.users);
         }
         executed
     }
@@ -91,7 +91,7 @@
             let worker = self.workers.get_mut(name).expect("a machine");
             let progress = worker.run_tasks(now, &self.users, &mut self.results);
             for (task, _) in progress.started {
-                self.rules.started(now, name, &task, &self.workers, &self.users);
+                self.rules.check_start(now, name, &task, &self.workers, &self.users);
             }
         }
     }
@@ -209,7 +209,7 @@
         },
     );
     assert!(
-        world.start("n-1", 0, 1).taken.is_empty(),
+        world.start("n-1", 0, 1).accepted_starts.is_empty(),
         "the worker has not forgotten the attempt"
     );
     let forgotten = task.clone();
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -33,8 +33,8 @@
         let good = match expect {
             Expect::Done(job, by) => within(world.users[job].done, *by),
             Expect::Cancelled(job, by) => within(world.users[job].cancelled, *by),
-            Expect::Book(most) => world.store.log_pages() <= *most,
-            Expect::Withdrawn(job) => world.store.says_withdrawn(job),
+            Expect::Book(most) => world.store.log_segments() <= *most,
+            Expect::Withdrawn(job) => world.store.is_cancelled(job),
             Expect::Started(task, by) => within(world.rules.first_start.get(task).copied(), *by),
             Expect::Replicas(job, count) => {
                 let on = |t: &str| t.rsplit_once('/').is_some_and(|x| x.0 == job);
@@ -47,7 +47,7 @@
                 found.count() == *count
             }
             Expect::Refused(job, status) => world.users[job].refused == Some(*status),
-            Expect::Missed(job, most) => world.rules.missed.get(job).is_some_and(|m| m <= most),
+            Expect::Missed(job, most) => world.rules.missed_replica_seconds.get(job).is_some_and(|m| m <= most),
             Expect::AcceptedWithin(seconds) => world.users.values().all(|u| {
                 let waited = u.accepted.zip(u.first_asked).map(|(at, from)| at - from);
                 u.refused.is_some() || waited.is_some_and(|w| w <= seconds * SEC)
@@ -59,14 +59,14 @@
             Expect::Failures(most) => world.rules.failures <= *most,
             Expect::TermsAtMost(most) => world.last_term() <= *most,
             Expect::Terms(least) => world.last_term() >= *least,
-            Expect::RentedInAll(most) => world.cloud.rented_in_all() <= *most,
+            Expect::RentedInAll(most) => world.cloud.total_rented() <= *most,
             Expect::Changes(most) => world.store.changes <= *most,
             Expect::CloudCalls(most) => world.cloud.calls <= *most,
             Expect::Met(least) => world.active_faults.lasting.met >= *least,
         };
         if !good {
-            let counted = (world.store.changes, world.cloud.calls, world.cloud.rented_in_all());
-            let (failures, missed) = (world.rules.failures, &world.rules.missed);
+            let counted = (world.store.changes, world.cloud.calls, world.cloud.total_rented());
+            let (failures, missed) = (world.rules.failures, &world.rules.missed_replica_seconds);
             let met = world.active_faults.lasting.met;
             if let Expect::AcceptedWithin(seconds) = expect {
                 for (id, u) in &world.users {
@@ -191,7 +191,7 @@
         .clone();
     world
         .rules
-        .started(world.now, "n-999999", task, &world.workers, &world.users);
+        .check_start(world.now, "n-999999", task, &world.workers, &world.users);
     assert!(
         world.rules.broken.iter().any(|b| b.starts_with("ran_twice")),
         "{machine}"
@@ -203,7 +203,7 @@
     assert!(world.rules.broken.iter().any(|b| b.starts_with("ran_cancelled")));
     world.rules.broken.clear();
     let user = &world.users["run-000001"];
-    world.rules.record_answer(
+    world.rules.check_answer(
         world.now,
         "run-000001",
         glenhaven::protocol::users::Phase::Done,
--- a/tests/sim/agents.rs
+++ b/tests/sim/agents.rs
@@ -95,8 +95,8 @@
         }
         for (task, attempt) in progress.started {
             self.rules.broken.extend(self.answers.started(name, &task, attempt));
-            self.rules.started(now, name, &task, &self.workers, &self.users);
-            self.rules.started_in_order(&task, &self.users, &self.results);
+            self.rules.check_start(now, name, &task, &self.workers, &self.users);
+            self.rules.check_dependencies(&task, &self.users, &self.results);
         }
         let Some(w) = self.workers.get(name) else { return };
         let next = w.next_action_at(now, lease);
@@ -139,8 +139,9 @@
     /// Notes what a worker did by the orders that it got.
     fn note_executed(&mut self, carrier: &Carrier, machine: &str, commands: &[AgentCommand], executed: Executed) {
         self.rules.stops += executed.stops;
-        for (task, _) in &executed.taken {
-            self.rules.start_taken(self.now, task, &self.workers, &self.users);
+        for (task, _) in &executed.accepted_starts {
+            self.rules
+                .check_accepted_start(self.now, task, &self.workers, &self.users);
         }
         for (task, attempt) in &executed.repeated_starts {
             let text = format!("started_again: {machine} takes {task} attempt {attempt}, which it had forgotten");
--- a/tests/sim/cloud.rs
+++ b/tests/sim/cloud.rs
@@ -63,7 +63,7 @@
         let names: Vec<String> = (0..count)
             .map(|_| self.create(&rent.machine_type, &rent.zone, rent.spot))
             .collect();
-        self.cloud.rented_as(rent, names)
+        self.cloud.fulfil_rental(rent, names)
     }
 
     /// The machine and everything on it is gone.
--- a/tests/sim/matrix.rs
+++ b/tests/sim/matrix.rs
@@ -100,7 +100,7 @@
         wrong.push(format!("a job started after {started_s} s"));
     }
     let healed = BEGINS + lasts;
-    let of_second = |s: u64| world.store.by_second.get(&s).copied().unwrap_or(0);
+    let of_second = |s: u64| world.store.requests_by_second.get(&s).copied().unwrap_or(0);
     let after = (healed..healed + 10).map(of_second).max().unwrap_or(0);
     if after > RPS {
         wrong.push(format!("{after} requests in a second after the links came back"));
@@ -116,7 +116,12 @@
         started_s,
         after,
         terms: world.last_term(),
-        missed: world.rules.missed.get("run-000001").copied().unwrap_or(0),
+        missed: world
+            .rules
+            .missed_replica_seconds
+            .get("run-000001")
+            .copied()
+            .unwrap_or(0),
         wrong,
     }
 }
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -189,7 +189,7 @@
             .collect();
         let state = &script.base.params.state;
         let mut store = store::Store::new(state.rps, state.write_rps, state.txn_ops, state.value_kb);
-        store.next = state.next.as_ref().map(|n| {
+        store.announced_limits = state.next.as_ref().map(|n| {
             let (writes, value_kb) = (
                 n.write_rps.unwrap_or(state.write_rps),
                 n.value_kb.unwrap_or(state.value_kb),
--- a/tests/sim/state_service.rs
+++ b/tests/sim/state_service.rs
@@ -42,9 +42,9 @@
         let mut lost = false;
         // What comes late was taken in long ago: it is executed whatever happens meanwhile.
         let late = life == u64::MAX && matches!(request, StoreRequest::Transaction(_));
-        let answer = if late && !self.store.out {
+        let answer = if late && !self.store.unavailable {
             self.store.answer(&request, now)
-        } else if self.store.out || self.deaf(n) {
+        } else if self.store.unavailable || self.deaf(n) {
             StoreResponse::Refused
         } else {
             let writes = match &request {
@@ -113,14 +113,14 @@
 
     /// Answers the watches that have news; an outage holds them.
     pub(crate) fn tell_watches(&mut self) {
-        if self.store.out {
+        if self.store.unavailable {
             return;
         }
         let ready: Vec<u64> = self
             .watches
             .iter()
             .filter(|(_, w)| !self.deaf(w.node))
-            .filter(|(_, w)| self.store.has_news(&w.prefix, w.after))
+            .filter(|(_, w)| self.store.has_events_since(&w.prefix, w.after))
             .map(|(id, _)| *id)
             .collect();
         for watch in ready {
@@ -132,7 +132,7 @@
         let Some(w) = self.watches.get(&watch) else {
             return;
         };
-        if self.store.out || self.deaf(w.node) {
+        if self.store.unavailable || self.deaf(w.node) {
             // Open watches stay open.
             self.after(100 * MS, ScheduledEvent::WatchEnds(watch));
             return;
@@ -148,7 +148,7 @@
         let Some(w) = self.watches.remove(&watch) else {
             return;
         };
-        let answer = StoreResponse::Events(self.store.news(&w.prefix, w.after));
+        let answer = StoreResponse::Events(self.store.events_since(&w.prefix, w.after));
         let hop = self.hop();
         if self.passes(&End::State, &End::Node(w.node)) {
             self.after(
--- a/tests/sim/steps.rs
+++ b/tests/sim/steps.rs
@@ -24,7 +24,7 @@
                 self.event(ScheduledEvent::User(id));
             }
             Act::Inherit(spec) => {
-                self.store.inherit(&spec);
+                self.store.put_inherited_job(&spec);
                 let mut user = users::User::new(*spec.clone(), step.run_s, step.mistake);
                 user.submitted = true;
                 user.accepted = Some(self.now);
@@ -62,7 +62,7 @@
             Act::CrashOn(key) => self.active_faults.ends_on.push((key, step.lasts.unwrap_or(3 * SEC))),
             Act::StateOut => {
                 self.active_faults.state_out.insert(i);
-                self.store.outage(true, self.now);
+                self.store.set_unavailable(true, self.now);
             }
             Act::StateDeaf(n) => {
                 let n = if n == usize::MAX { self.leader().unwrap_or(0) } else { n };
@@ -165,14 +165,14 @@
                 self.active_faults.boots.insert(i, factor);
             }
             Act::OldRelease(node) => {
-                self.store.old_release(&node);
+                self.store.put_old_release(&node);
                 self.tell_watches();
             }
             Act::Garbage(key) => {
-                self.store.garbage(key);
+                self.store.put_malformed(key);
                 self.tell_watches();
             }
-            Act::StateLimits => self.store.lower(),
+            Act::StateLimits => self.store.apply_announced_limits(),
             Act::CancelNow(count, hangs) => self.cancel_now(count, hangs),
             Act::CancelAtEnd(share) => {
                 self.one_way_faults.cancel_at_end.insert(i, share);
@@ -245,7 +245,7 @@
         b.storm.remove(&i);
         b.lasting.heal(i);
         if self.active_faults.state_out.is_empty() {
-            self.store.outage(false, self.now);
+            self.store.set_unavailable(false, self.now);
         }
         // What was held back arrives now, in order.
         for (_, ev) in std::mem::take(&mut self.held) {
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -118,7 +118,7 @@
             self.rules.broken.extend(self.answers.accepted(&to_cbor(&user.spec)));
         }
         self.rules
-            .record_answer(now, job, state.phase, &self.results, user, &self.users);
+            .check_answer(now, job, state.phase, &self.results, user, &self.users);
         let Some(user) = self.users.get_mut(job) else {
             return true;
         };
