--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -91,7 +91,7 @@
         let in_a_zone = experiment.workers.count.div_ceil(kind.zones.len().max(1)) as u32;
         let lag = (experiment.services.list_lag_s * SEC as f64) as u64;
         let mut cloud = Cloud::new(vec![kind], in_a_zone, 0, lag);
-        cloud.page = crate::cloud_service::PAGE_SIZE;
+        cloud.page_size = crate::cloud_service::PAGE_SIZE;
         Fleet {
             cloud,
             workers: BTreeMap::new(),
@@ -119,7 +119,7 @@
         self.history.note(now, || format!("{name} is gone"));
         self.cloud.terminate(now, name);
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.dies();
+            worker.power_off();
         }
         self.handles.remove(name);
     }
@@ -144,18 +144,18 @@
     /// Checks the commands that a worker has executed, and records them.
     pub(crate) fn record_executed(&mut self, now: u64, machine: &str, fencing_token: u64, executed: &Executed) {
         self.rules.stops += executed.stops;
-        for (task, attempt) in &executed.taken {
+        for (task, attempt) in &executed.accepted_starts {
             self.history.note(now, || {
                 format!("{machine} takes {task} attempt {attempt} token {fencing_token}")
             });
-            self.rules.start_taken(now, task, &self.workers, &self.users);
+            self.rules.check_accepted_start(now, task, &self.workers, &self.users);
         }
         for (task, attempt) in &executed.forgotten {
             self.history.note(now, || {
                 format!("{machine} forgets {task} attempt {attempt} token {fencing_token}")
             });
         }
-        for (task, attempt) in &executed.taken_again {
+        for (task, attempt) in &executed.repeated_starts {
             let text =
                 format!("started_again: {machine} takes {task} attempt {attempt}, which it had forgotten, at {now}");
             self.rules.broken.push(text);
@@ -173,7 +173,7 @@
         let open = |u: &&User| u.accepted.is_some() && u.done.is_none() && u.cancelled.is_none();
         Counts {
             machines: up().count(),
-            running: up().map(|w| w.on_machine().count()).sum(),
+            running: up().map(|w| w.running_tasks().count()).sum(),
             open_jobs: self.users.values().filter(open).count(),
             starts: self.rules.starts,
         }
--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -30,7 +30,7 @@
     pub last_start: BTreeMap<String, u64>,
     /// The replica seconds missed by each service, counted from when all its replicas first ran
     /// together.
-    pub missed: BTreeMap<String, u64>,
+    pub missed_replica_seconds: BTreeMap<String, u64>,
     /// Starts of tasks whose user had already received the cancellation of the job. No rule forbids
     /// them within the time that a cancellation may take.
     pub starts_after_cancellation: u64,
@@ -77,7 +77,7 @@
             stops: 0,
             first_start: BTreeMap::new(),
             last_start: BTreeMap::new(),
-            missed: BTreeMap::new(),
+            missed_replica_seconds: BTreeMap::new(),
             starts_after_cancellation: 0,
             limits: teams.iter().map(|t| (t.name.clone(), limit_of(t))).collect(),
             cancel_limit: (cancel_s * SEC as f64) as u64,
@@ -93,7 +93,7 @@
     /// Checks a team's limit after a worker has accepted a start. All attempts on machines, also
     /// those that still fetch their image, are covered by placement records and count towards the
     /// limit.
-    pub fn start_taken(
+    pub fn check_accepted_start(
         &mut self,
         now: u64,
         task: &str,
@@ -101,7 +101,7 @@
         users: &BTreeMap<String, User>,
     ) {
         let Some(user) = users.get(job_of(task)) else { return };
-        let held = team_use(&user.spec.team, workers, users, |w| w.live().collect());
+        let held = team_use(&user.spec.team, workers, users, |w| w.unfinished_tasks().collect());
         self.check_limit(now, &user.spec.team, held, "with tasks that fetch their image");
     }
 
@@ -112,7 +112,7 @@
         workers: &BTreeMap<String, Worker>,
         users: &BTreeMap<String, User>,
     ) -> bool {
-        let mut held = team_use(&spec.team, workers, users, |w| w.live().collect());
+        let mut held = team_use(&spec.team, workers, users, |w| w.unfinished_tasks().collect());
         held.add(spec);
         self.limits.get(&spec.team).is_none_or(|limit| !held.exceeds(limit))
     }
@@ -132,7 +132,7 @@
     pub fn check_services(&mut self, now: u64, workers: &BTreeMap<String, Worker>, users: &BTreeMap<String, User>) {
         let mut on: BTreeMap<&str, u64> = BTreeMap::new();
         let runs = |w: &&Worker| w.up && now >= w.hangs_until;
-        for task in workers.values().filter(runs).flat_map(|w| w.on_machine()) {
+        for task in workers.values().filter(runs).flat_map(|w| w.running_tasks()) {
             *on.entry(job_of(task)).or_default() += 1;
         }
         for (job, user) in users.iter().filter(|(_, u)| u.spec.shape == Shape::Service) {
@@ -140,16 +140,16 @@
             let there = on.get(job.as_str()).copied().unwrap_or(0);
             let over = user.wants_abort || user.cancelled.is_some();
             if there >= all {
-                self.missed.entry(job.clone()).or_default();
+                self.missed_replica_seconds.entry(job.clone()).or_default();
             }
-            if let Some(missed) = self.missed.get_mut(job).filter(|_| !over) {
+            if let Some(missed) = self.missed_replica_seconds.get_mut(job).filter(|_| !over) {
                 *missed += all.saturating_sub(there);
             }
         }
     }
 
     /// Records that a task, with its image fetched, begins to run, and checks the rules for starts.
-    pub fn started(
+    pub fn check_start(
         &mut self,
         now: u64,
         machine: &str,
@@ -161,7 +161,7 @@
         self.first_start.entry(task.into()).or_insert(now);
         self.last_start.insert(job_of(task).into(), now);
         for w in workers.values().filter(|w| w.name != machine) {
-            if w.on_machine().any(|t| t == task) {
+            if w.running_tasks().any(|t| t == task) {
                 self.broken.push(format!(
                     "ran_twice: {task} starts on {machine} while on {} at {now}",
                     w.name
@@ -175,7 +175,10 @@
         let spec = &user.spec;
         if spec.zone.as_ref().is_some_and(|z| *z != w.zone)
             || (!spec.spot && w.spot)
-            || spec.types.as_ref().is_some_and(|t| !t.contains(&w.machine_type))
+            || spec
+                .machine_types
+                .as_ref()
+                .is_some_and(|t| !t.contains(&w.machine_type))
         {
             self.broken.push(format!(
                 "wrong_place: {task} is on {machine}, which its job does not allow"
@@ -183,7 +186,7 @@
         }
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         for other in workers.values() {
-            for t in other.on_machine().filter(|t| job_of(t) == spec.id) {
+            for t in other.running_tasks().filter(|t| job_of(t) == spec.id) {
                 let _ = t;
                 *zones.entry(&other.zone).or_default() += 1;
             }
@@ -202,19 +205,21 @@
             self.broken.push(format!("ran_cancelled: {task} starts"));
         }
         self.starts_after_cancellation += u64::from(user.cancelled.is_some());
-        let held = team_use(&spec.team, workers, users, |w| w.on_machine().collect());
+        let held = team_use(&spec.team, workers, users, |w| w.running_tasks().collect());
         self.check_limit(now, &spec.team, held, "as a task starts");
     }
 
     /// Checks, as a task begins, that all jobs on which its job depends are done.
-    pub fn started_in_order(&mut self, task: &str, users: &BTreeMap<String, User>, results: &BTreeSet<String>) {
+    pub fn check_dependencies(&mut self, task: &str, users: &BTreeMap<String, User>, results: &BTreeSet<String>) {
         let Some(user) = users.get(job_of(task)) else { return };
-        for need in &user.spec.needs {
-            let tasks = users.get(need).map_or(0, |u| u.spec.tasks);
-            let left = (0..tasks).filter(|t| !results.contains(&format!("{need}/{t}"))).count();
+        for dependency in &user.spec.dependencies {
+            let tasks = users.get(dependency).map_or(0, |u| u.spec.tasks);
+            let left = (0..tasks)
+                .filter(|t| !results.contains(&format!("{dependency}/{t}")))
+                .count();
             if left > 0 || tasks == 0 {
                 self.broken.push(format!(
-                    "too_early: {task} starts, but {need} has {left} of {tasks} tasks unfinished"
+                    "too_early: {task} starts, but {dependency} has {left} of {tasks} tasks unfinished"
                 ));
             }
         }
@@ -223,12 +228,12 @@
     /// Returns whether the user of any direct or indirect dependency of a job has asked to cancel
     /// the dependency.
     fn dependency_abort_requested(user: &User, users: &BTreeMap<String, User>) -> bool {
-        let mut rest: Vec<&String> = user.spec.needs.iter().collect();
+        let mut rest: Vec<&String> = user.spec.dependencies.iter().collect();
         while let Some(before) = rest.pop().and_then(|need| users.get(need)) {
             if before.wants_abort {
                 return true;
             }
-            rest.extend(&before.spec.needs);
+            rest.extend(&before.spec.dependencies);
         }
         false
     }
@@ -237,9 +242,9 @@
     /// told that the dependency is cancelled, among those whose users asked for that.
     fn dependency_cancelled_at(user: &User, users: &BTreeMap<String, User>) -> Option<u64> {
         let mut first = None;
-        let mut rest: Vec<&String> = user.spec.needs.iter().collect();
+        let mut rest: Vec<&String> = user.spec.dependencies.iter().collect();
         while let Some(before) = rest.pop().and_then(|need| users.get(need)) {
-            rest.extend(&before.spec.needs);
+            rest.extend(&before.spec.dependencies);
             let at = before.cancelled.filter(|_| before.wants_abort);
             first = first.into_iter().chain(at).min();
         }
@@ -250,7 +255,7 @@
     pub fn check(&mut self, now: u64, workers: &BTreeMap<String, Worker>, users: &BTreeMap<String, User>) {
         let mut held: BTreeMap<&str, ResourceUse> = BTreeMap::new();
         for w in workers.values().filter(|w| !w.tasks.is_empty()) {
-            for task in w.on_machine() {
+            for task in w.running_tasks() {
                 let Some(user) = users.get(job_of(task)) else { continue };
                 held.entry(&user.spec.team).or_default().add(&user.spec);
                 if user.cancelled.is_some_and(|at| now > at + self.cancel_limit)
@@ -278,7 +283,7 @@
     }
 
     /// Checks the phase in an answer to a user.
-    pub fn record_answer(
+    pub fn check_answer(
         &mut self,
         now: u64,
         job: &str,
--- a/src/coordination/agents/heartbeat_proxy.rs
+++ b/src/coordination/agents/heartbeat_proxy.rs
@@ -15,7 +15,7 @@
 use crate::protocol::agents::{AgentCommand, Heartbeat, HeartbeatResponse, TaskPhase};
 use crate::protocol::store::{Change, StoreRequest, Transaction};
 use crate::protocol::{json_size, to_cbor};
-use crate::settings::Workers;
+use crate::settings::AgentTimes;
 use crate::storage::keys;
 use crate::storage::records::{to_value, ProxiedMachines};
 use crate::time::Micros;
@@ -123,9 +123,9 @@
 
 impl HeartbeatProxy {
     /// Creates a proxy to which no agent has reported yet.
-    pub fn new(workers: &Workers) -> HeartbeatProxy {
+    pub fn new(workers: &AgentTimes) -> HeartbeatProxy {
         HeartbeatProxy {
-            unreachable_for: timing::unreachable_controller(workers),
+            unreachable_for: timing::unreachable_controller_timeout(workers),
             ..HeartbeatProxy::default()
         }
     }
@@ -198,7 +198,7 @@
     fn proxied_machine_lists(&mut self, cluster: &ClusterConfig) -> Vec<ProxiedMachines> {
         self.published.retain(|machine, _| self.proxied.contains_key(machine));
         let names: Vec<String> = self.proxied.keys().take(MAX_PUBLISHED).cloned().collect();
-        let half = cluster.limits.value_bytes() / 2;
+        let half = cluster.limits.max_value_bytes() / 2;
         let (mut lists, mut size) = (vec![], half);
         for name in names {
             let bytes = name.len() + 3;
@@ -211,7 +211,7 @@
                 list.push(name);
             }
         }
-        lists.truncate(cluster.limits.changes());
+        lists.truncate(cluster.limits.max_changes());
         let with_heartbeats = |machines| self.proxied_machine_list(cluster, machines);
         lists.into_iter().map(with_heartbeats).collect()
     }
@@ -222,7 +222,7 @@
         let received = machines.iter().filter_map(|name| self.last_heartbeats.get(name));
         let mut heartbeats: Vec<&Heartbeat> = received.map(|r| &r.heartbeat).filter(has_ended_tasks).collect();
         heartbeats.sort_by_key(|h| self.published.get(&h.machine) == Some(&HeartbeatNumber::of(h)));
-        let value_bytes = cluster.limits.value_bytes();
+        let value_bytes = cluster.limits.max_value_bytes();
         let free_bytes = value_bytes.saturating_sub(json_size(&machines) + 300);
         let heartbeats: Vec<Heartbeat> = heartbeats.into_iter().cloned().collect();
         let (packed, packed_count) = glenhaven_compression::pack(&heartbeats, free_bytes);
@@ -261,7 +261,7 @@
         let late: Vec<u64> = self
             .forwarded
             .iter()
-            .filter(|(_, f)| now.since(f.at) > timing::HEARTBEAT_FORWARD)
+            .filter(|(_, f)| now.since(f.at) > timing::HEARTBEAT_FORWARD_TIMEOUT)
             .map(|(id, _)| *id)
             .collect();
         for id in late {
@@ -292,7 +292,7 @@
             });
         }
         let txn = Transaction {
-            conditions: vec![renewer.election.condition()],
+            conditions: vec![renewer.election.term_condition()],
             changes,
         };
         let continuation = Continuation::Election(ElectionContinuation::Unacknowledged);
--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -150,7 +150,7 @@
         }
         self.read_unknown_jobs(&heartbeat);
         let known = self.election.leader().map(str::to_string);
-        match self.later_leader().or(known) {
+        match self.leader_of_later_term().or(known) {
             Some(leader) if self.reaches_node(&leader) => self.forward_heartbeat(id, leader, heartbeat),
             Some(leader) => self.answer_cut_off(id, leader, &heartbeat),
             // There is no leader at present; a new one is elected soon.
@@ -205,7 +205,7 @@
 
     /// Forwards a heartbeat to the leader.
     fn forward_heartbeat(&mut self, id: u64, leader: String, heartbeat: Heartbeat) {
-        let number = self.context.id();
+        let number = self.context.next_id();
         let message = PeerMessage::Heartbeat {
             node: self.cluster.settings.node.clone(),
             id: number,
@@ -284,7 +284,7 @@
             match early.origin {
                 HeartbeatOrigin::Agent(id) => self.answer_heartbeat(id, heartbeat),
                 HeartbeatOrigin::Controller(node, id) => self.answer_forwarded_heartbeat(node, id, heartbeat),
-                HeartbeatOrigin::Memory(node) => self.apply_last_heartbeat(&node, &heartbeat, at),
+                HeartbeatOrigin::Cached(node) => self.apply_last_heartbeat(&node, &heartbeat, at),
             }
         }
     }
@@ -367,7 +367,7 @@
         }
         for received in self.heartbeat_proxy.last_heartbeats.values() {
             leader.early_heartbeats.push(EarlyHeartbeat {
-                origin: HeartbeatOrigin::Memory(node.clone()),
+                origin: HeartbeatOrigin::Cached(node.clone()),
                 heartbeat: received.heartbeat.clone(),
                 received_at: received.at,
             });
@@ -412,7 +412,7 @@
                 Some(leader) if !leader.is_loaded() => {
                     if leader.early_heartbeats.len() < MAX_EARLY_HEARTBEATS {
                         leader.early_heartbeats.push(EarlyHeartbeat {
-                            origin: HeartbeatOrigin::Memory(node.to_string()),
+                            origin: HeartbeatOrigin::Cached(node.to_string()),
                             heartbeat,
                             received_at: at,
                         });
@@ -445,7 +445,7 @@
             self.context.effects.push(Effect::Peer { to: node, message });
             return;
         }
-        let own = self.context.id();
+        let own = self.context.next_id();
         let push = RelayedPush {
             requester: node,
             request_id: id,
--- a/src/coordination/api/status.rs
+++ b/src/coordination/api/status.rs
@@ -49,7 +49,7 @@
     }
 
     /// Records the version and phase of a job's own key, unless a newer version is known.
-    pub fn learn(&mut self, job: &str, version: u64, phase: Phase) {
+    pub fn record_phase(&mut self, job: &str, version: u64, phase: Phase) {
         let new = JobStatus {
             version,
             phase,
@@ -69,9 +69,9 @@
         if phase.is_final() {
             self.counts.remove(job);
             self.group_commit.job_ended(job);
-            self.dependency_graph.ended(job, phase == Phase::Done);
+            self.dependency_graph.mark_ended(job, phase == Phase::Done);
         } else {
-            self.dependency_graph.open(job);
+            self.dependency_graph.mark_open(job);
         }
     }
 
@@ -91,11 +91,11 @@
 
     /// Drops everything that may have changed without this node's notice and starts a new scan of
     /// all pages. Final phases are kept.
-    pub fn forget_open(&mut self) {
+    pub fn clear_open_statuses(&mut self) {
         self.statuses.retain(|_, s| s.phase.is_final());
         self.counts.clear();
-        self.dependency_graph.forget();
-        self.group_commit.forget_pages();
+        self.dependency_graph.clear();
+        self.group_commit.clear_pages();
         self.page_scan = PageScan::From(String::new());
         self.scan_generation += 1;
     }
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -8,13 +8,13 @@
 //! the write-ahead log: every node, also a new leader, reads it from the pages of acceptances.
 
 use super::api::{DependentJob, JobApi};
-use super::log::queues::Undescribed;
+use super::log::queues::UndescribedJob;
 use super::state::{Job, LeaderState};
 use super::{ClusterConfig, Controller, JobId};
 use crate::protocol::users::{JobSpec, Priority};
 use crate::time::Micros;
 use glenhaven_dependencies::{DependencyChange, DependencyState, Inherited};
-use glenhaven_group_commit::{Waited, Waits};
+use glenhaven_group_commit::{WaitHistogram, Waited};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Inherited priorities and deadlines are recomputed this often, and when the graph changes.
@@ -37,7 +37,7 @@
     inheriting: BTreeSet<JobId>,
     /// How long tasks of jobs with dependencies waited from the end of the last dependency to their
     /// start.
-    waits: Waits,
+    waits: WaitHistogram,
 }
 
 impl BlockedJobs {
@@ -59,7 +59,7 @@
         let mut job = Job::new(&spec.id.clone(), spec, version, 0, now);
         job.blocked = true;
         job.submitted_at = self.submission_time(submitted_ms, now);
-        tracing::debug!(job = %job.id, class = job.spec.class, needs = ?job.spec.needs, "job blocked by its dependencies");
+        tracing::debug!(job = %job.id, class = job.spec.class, needs = ?job.spec.dependencies, "job blocked by its dependencies");
         self.last_acceptance_revision = self.last_acceptance_revision.max(version);
         self.blocked_jobs.to_check.insert(job.id.clone());
         self.jobs.insert(job.id.clone(), job);
@@ -127,7 +127,7 @@
             job.queue_order = order.max(job.queue_order);
         }
         tracing::debug!(job = %id, after_s = now.since(job.submitted_at).secs(), "job unblocked: its dependencies are done");
-        let entry = Undescribed::new(job.acceptance_revision, id.clone());
+        let entry = UndescribedJob::new(job.acceptance_revision, id.clone());
         if job.described_in.is_none() {
             self.log_writer.undescribed.insert(entry);
         }
@@ -146,7 +146,7 @@
             return;
         };
         tracing::debug!(job = %job.id, "job cancelled with a dependency");
-        self.log_writer.withdrawn.insert(id.clone());
+        self.log_writer.cancelled_by_dependency.insert(id.clone());
     }
 
     /// The estimated time from a job's start to its end.
@@ -156,7 +156,7 @@
             .values()
             .map(|t| t.fetch_gb_per_s)
             .fold(0.05, f64::max);
-        let run_s = spec.estimate_s * self.slo.bias(&spec.class) * LONGEST_TASK_FACTOR;
+        let run_s = spec.estimate_s * self.slo.run_time_bias(&spec.class) * LONGEST_TASK_FACTOR;
         Micros::from_secs(run_s + spec.image_gb / rate + STAGE_OVERHEAD_S)
     }
 
@@ -167,7 +167,7 @@
         let inherited: BTreeMap<&str, Inherited<Priority>> = api.dependency_graph().inherit(
             |id, dependent| Inherited {
                 priority: dependent.spec.priority,
-                due: self.jobs.get(id).and_then(|j| due(&j.spec, j.submitted_at)),
+                deadline: self.jobs.get(id).and_then(|j| due(&j.spec, j.submitted_at)),
             },
             |_, dependent| self.stage_duration(cluster, &dependent.spec),
         );
@@ -179,7 +179,7 @@
                 job.set_priority(priority);
                 self.needs_scheduling = true;
             }
-            job.inherited_deadline = inherited.due;
+            job.inherited_deadline = inherited.deadline;
             inheriting.insert(job.id.clone());
         }
         for id in self.blocked_jobs.inheriting.difference(&inheriting) {
@@ -236,10 +236,12 @@
     /// are unblocked or cancelled at once.
     pub(super) fn learn_recorded_ends(&mut self, ends: super::log::RecordedEnds, revision: u64) {
         for id in ends.done {
-            self.api.learn(&id, revision, crate::protocol::users::Phase::Done);
+            self.api
+                .record_phase(&id, revision, crate::protocol::users::Phase::Done);
         }
-        for id in ends.withdrawn {
-            self.api.learn(&id, revision, crate::protocol::users::Phase::Cancelled);
+        for id in ends.cancelled_by_dependency {
+            self.api
+                .record_phase(&id, revision, crate::protocol::users::Phase::Cancelled);
         }
     }
 }
--- a/src/coordination/failure_detection/zone_partition.rs
+++ b/src/coordination/failure_detection/zone_partition.rs
@@ -121,11 +121,11 @@
     pub fn machines_leaving_cut_zones(&self, cluster: &ClusterConfig, now: Micros) -> BTreeSet<MachineId> {
         let mut candidates = vec![];
         let mut free_cores = 0.0;
-        let silence = Self::work_silence(cluster);
+        let silence = Self::max_heartbeat_age(cluster);
         for machine in self.machines.values() {
             let machine_type = cluster.catalogue.get(&machine.machine_type);
             let cores = machine_type.map_or(0.0, |t| t.cpus);
-            if !self.failures.zones.is_cut(&machine.zone) {
+            if !self.failures.zones.is_cut_off(&machine.zone) {
                 if machine.accepts_work(now, silence) {
                     free_cores += cores - machine.used.cpus;
                 }
@@ -158,7 +158,7 @@
     fn cut_off_service_cores(&self) -> f64 {
         let machines = self.machines.values();
         machines
-            .filter(|m| m.service_tasks > 0 && self.failures.zones.is_cut(&m.zone))
+            .filter(|m| m.service_tasks > 0 && self.failures.zones.is_cut_off(&m.zone))
             .map(|m| m.used.cpus)
             .sum()
     }
--- a/src/coordination/log/restore.rs
+++ b/src/coordination/log/restore.rs
@@ -8,7 +8,7 @@
 use super::super::state::{Job, LeaderState, Machine, Placement, PlacementPhase, TaskRange, TaskState};
 use super::super::store_queue::Urgency;
 use super::super::{Context, Continuation};
-use super::queues::Undescribed;
+use super::queues::UndescribedJob;
 use super::read_log::JobChange;
 use super::replay::{Replay, ReplayedJob, ReplayedTaskRange};
 use super::LogContinuation;
@@ -38,7 +38,9 @@
             return;
         };
         let continuation = Continuation::Log(self.incarnation, continuation);
-        context.store.push(Urgency::Lead, request, continuation, READ_TIMEOUT);
+        context
+            .store
+            .push(Urgency::Leadership, request, continuation, READ_TIMEOUT);
     }
 
     /// Processes the answer to a read and returns whether everything has been read.
@@ -96,7 +98,7 @@
         task_ranges: BTreeMap<u32, ReplayedTaskRange>,
         now: Micros,
     ) {
-        let (version, cancelled) = (replayed.version, replayed.cancelled);
+        let (version, cancelled) = (replayed.acceptance_revision, replayed.cancelled);
         self.last_acceptance_revision = self.last_acceptance_revision.max(version);
         let mut job = self.restored_job(id, replayed, now);
         for (range_index, task_range) in task_ranges {
@@ -107,11 +109,11 @@
         self.jobs.insert(key.clone(), job);
         if cancelled {
             self.cancel(id, now);
-            let entry = Undescribed::new(version, key.clone());
+            let entry = UndescribedJob::new(version, key.clone());
             self.log_writer.undescribed.remove(&entry);
         }
         if complete {
-            self.log_writer.complete.insert(key);
+            self.log_writer.completed.insert(key);
         }
     }
 
@@ -120,12 +122,12 @@
         // A job that depends on others is blocked until the dependencies have been evaluated.
         let (spec, blocked) = match records::from_record(replayed.spec.clone()) {
             Some((spec, _)) => {
-                let blocked = !spec.needs.is_empty();
+                let blocked = !spec.dependencies.is_empty();
                 (spec, blocked)
             }
             None => (replayed.spec, true),
         };
-        let mut job = Job::new(id, spec, replayed.version, replayed.key_version, now);
+        let mut job = Job::new(id, spec, replayed.acceptance_revision, replayed.key_version, now);
         job.blocked = blocked;
         job.described_in = Some(replayed.segment);
         job.restored = true;
@@ -155,11 +157,11 @@
 
     fn restore_placement(&mut self, job: &mut Job, row: PlacementRow, now: Micros) {
         let (task, attempt, machine, incarnation, fencing_token) = row;
-        if task >= job.spec.tasks || job.states[task as usize] == TaskState::Recorded {
+        if task >= job.spec.tasks || job.task_states[task as usize] == TaskState::Recorded {
             return;
         }
         let name: Rc<str> = machine.into();
-        job.states[task as usize] = TaskState::Placed;
+        job.task_states[task as usize] = TaskState::Placed;
         job.waiting.remove(&task);
         let placement = Placement {
             attempt,
@@ -179,7 +181,7 @@
         };
         self.invariants
             .decisions
-            .note(job.decision(task, &placement, Decided::Inherited, now));
+            .record(job.decision(task, &placement, Decided::Inherited, now));
         job.placements.insert(task, placement);
         job.held_tasks += u32::from(!is_injected(InjectedFault::ForgetsChargeAtTakeover));
         let machine = self
@@ -214,7 +216,7 @@
                 machine.remove_task(&job.id, *task, &job.spec, placement);
             }
         }
-        self.log_writer.complete.remove(id);
+        self.log_writer.completed.remove(id);
         self.log_writer.remember_closed(id.into());
     }
 }
@@ -223,10 +225,10 @@
 fn restore_completed(job: &mut Job, from: u32, to: u32) {
     let last = to.min(job.spec.tasks.saturating_sub(1));
     for task in from..=last {
-        if job.states[task as usize] != TaskState::Waiting {
+        if job.task_states[task as usize] != TaskState::Waiting {
             continue;
         }
-        job.states[task as usize] = TaskState::Recorded;
+        job.task_states[task as usize] = TaskState::Recorded;
         job.waiting.remove(&task);
         job.finished_tasks += 1;
     }
@@ -241,7 +243,7 @@
         }
         self.last_seq = replay.last_seq;
         self.seen_revision = replay.seen_revision;
-        self.slot_count = replay.slots.max(first_slot_after_unreadable);
+        self.slot_count = replay.slot_count.max(first_slot_after_unreadable);
         self.segments = std::mem::take(&mut replay.live_segments);
         self.free_slots = std::mem::take(&mut replay.free_slots);
     }
--- a/src/coordination/objectives.rs
+++ b/src/coordination/objectives.rs
@@ -7,7 +7,7 @@
 //!
 //! Invariant: an objective of a job is settled at most once.
 
-use super::scheduling::{team_use, TeamUsage};
+use super::scheduling::{usage_by_team, TeamUsage};
 use super::state::{Job, LeaderState, MachineState, Placement, PlacementPhase};
 use super::ClusterConfig;
 use crate::protocol::agents::TaskPhase;
@@ -20,7 +20,7 @@
 /// The share of jobs that must meet an objective whose settings give no share.
 const DEFAULT_SHARE: f64 = 0.9;
 /// The time within which work without any objective should be done, in seconds.
-pub const NO_HURRY_S: f64 = 300.0;
+pub const DEFAULT_DUE_S: f64 = 300.0;
 
 /// A time by which a job must be done, or must have started.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -112,8 +112,8 @@
     }
     if objectives.is_empty() {
         let is_service = spec.shape == Shape::Service;
-        let no_hurry_s = (!is_service).then(|| NO_HURRY_S.max(spec.estimate_s * 3.0));
-        let due_s = deadline_s(1.0).or(no_hurry_s);
+        let default_due_s = (!is_service).then(|| DEFAULT_DUE_S.max(spec.estimate_s * 3.0));
+        let due_s = deadline_s(1.0).or(default_due_s);
         objectives.extend(due_s.map(|due_s| JobObjective::new(0, due_s, false, None)));
     }
     objectives
@@ -157,7 +157,7 @@
     /// Accounts for new jobs, and settles the objectives that are met or missed at `now`.
     pub fn update_slo_accounting(&mut self, cluster: &ClusterConfig, now: Micros) {
         self.account_for_new_jobs(cluster, now);
-        let usage = team_use(&self.jobs);
+        let usage = usage_by_team(&self.jobs);
         let mut settled = vec![];
         for job in self.jobs.values_mut().filter(|j| !j.blocked && j.is_live()) {
             // A job that fails everywhere or waits for its own team's limit does not miss its
@@ -184,14 +184,15 @@
                 now.since(job.arrived_at)
             };
             self.slo
-                .arrived(&spec.class, &spec.team, cores, spec.estimate_s, age, now);
+                .record_arrival(&spec.class, &spec.team, cores, spec.estimate_s, age, now);
         }
     }
 
     fn account_for_settled(&mut self, settled: &Settled, now: Micros) {
-        self.slo.settled(&settled.class, settled.number, settled.met, now);
+        self.slo
+            .record_outcome(&settled.class, settled.number, settled.met, now);
         if settled.committed {
-            self.slo.commitment_settled(&settled.class, settled.met, now);
+            self.slo.record_commitment_outcome(&settled.class, settled.met, now);
         }
     }
 
@@ -237,7 +238,7 @@
                 name = summary.name,
                 requested_cores_s = summary.requested_cores_per_s,
                 started_cores_s = summary.started_cores_per_s,
-                trust = self.slo.trust(&summary.name, now),
+                trust = self.slo.met_commitment_share(&summary.name, now),
                 wait_p50_s = summary.wait_p50_s,
                 wait_p99_s = summary.wait_p99_s,
                 "account"
@@ -267,7 +268,7 @@
             MissedReason::NothingWaits
         } else if waiting.iter().all(|j| j.is_suspect(now)) {
             MissedReason::FailsEverywhere
-        } else if self.failures.zones.any_cut() {
+        } else if self.failures.zones.any_cut_off() {
             MissedReason::ZoneCutOff
         } else if self.machines.values().any(|m| m.state == MachineState::Booting) {
             MissedReason::MachinesBooting
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -98,11 +98,11 @@
         let PeerMessage::Alive {
             node,
             term,
-            fresh,
+            store_verified,
             leads,
-            wants,
-            serves,
-            at,
+            changes_per_1000_s,
+            agent_count,
+            sent_at_us,
             links,
         } = message
         else {
@@ -110,16 +110,16 @@
         };
         let now = self.context.now;
         if self.is_peer(&node) {
-            self.forwarder.on_alive(&node, at, &links, now);
-            let same_incarnation = self.peers.get(&node).filter(|peer| peer.sender_clock <= at);
+            self.forwarder.on_alive(&node, sent_at_us, &links, now);
+            let same_incarnation = self.peers.get(&node).filter(|peer| peer.sender_clock <= sent_at_us);
             let status = PeerStatus {
                 last_contact: now,
-                store_is_current: fresh,
+                store_is_current: store_verified,
                 term,
                 leads,
-                wanted_changes_per_s: f64::from(wants) / 1000.0,
-                reporting_agents: serves,
-                sender_clock: at,
+                wanted_changes_per_s: f64::from(changes_per_1000_s) / 1000.0,
+                reporting_agents: agent_count,
+                sender_clock: sent_at_us,
                 known_since: same_incarnation.map_or(now, |peer| peer.known_since),
             };
             self.peers.insert(node, status);
@@ -146,7 +146,7 @@
     }
 
     /// The peer that leads the latest term, if that term is later than this controller's.
-    pub(super) fn later_leader(&self) -> Option<String> {
+    pub(super) fn leader_of_later_term(&self) -> Option<String> {
         let now = self.context.now;
         let leads_later = |peer: &PeerStatus| {
             peer.leads && peer.term > self.election.term() && now.since(peer.last_contact) < MEMBER_CONTACT
@@ -160,7 +160,7 @@
 
     /// The members of the next term: the names of this controller and of the peers that have sent a
     /// message recently.
-    pub(super) fn members(&self) -> Vec<String> {
+    pub(super) fn next_term_members(&self) -> Vec<String> {
         let now = self.context.now;
         let mut names: BTreeSet<String> = self
             .peers
--- a/src/coordination/provisioning/calls.rs
+++ b/src/coordination/provisioning/calls.rs
@@ -10,7 +10,7 @@
 use super::super::{CloudRequest, CloudResponse, ClusterConfig, Context, Controller, Effect};
 use super::MachineId;
 use crate::time::Micros;
-use crate::transport::rate_limit::Bucket;
+use crate::transport::rate_limit::TokenBucket;
 use std::collections::BTreeMap;
 
 /// Timeout of a call.
@@ -42,7 +42,7 @@
 
 /// Calls to the cloud that are in flight, and the rate limit for new ones.
 pub struct CloudCallTracker {
-    bucket: Option<Bucket>,
+    bucket: Option<TokenBucket>,
     pending: BTreeMap<u64, CloudContinuation>,
     next_catalogue_at: Micros,
     catalogue_in_flight: bool,
@@ -70,12 +70,12 @@
         reserve: f64,
     ) -> bool {
         let rate = cluster.settings.params.cloud.rps * RATE_SHARE;
-        let bucket = self.bucket.get_or_insert_with(|| Bucket::new(rate, context.now));
+        let bucket = self.bucket.get_or_insert_with(|| TokenBucket::new(rate, context.now));
         if !bucket.allows(1.0, reserve, context.now) {
             return false;
         }
         bucket.take(1.0, context.now);
-        let id = context.id();
+        let id = context.next_id();
         self.pending.insert(id, continuation);
         context.effects.push(Effect::Cloud {
             id,
@@ -88,7 +88,7 @@
 
 impl Controller {
     /// Requests the catalogue when it is due.
-    pub(in crate::coordination) fn run_cloud_calls(&mut self) {
+    pub(in crate::coordination) fn refresh_catalogue(&mut self) {
         let now = self.context.now;
         if now >= self.cloud_calls.next_catalogue_at && !self.cloud_calls.catalogue_in_flight {
             self.cloud_calls.catalogue_in_flight = self.cloud_calls.call(
@@ -103,7 +103,7 @@
 
     /// Handles the response to a call. Responses to calls that an earlier leadership of this
     /// controller made are dropped.
-    pub(in crate::coordination) fn on_cloud(&mut self, id: u64, answer: CloudResponse) {
+    pub(in crate::coordination) fn on_cloud_response(&mut self, id: u64, answer: CloudResponse) {
         let Some(continuation) = self.cloud_calls.pending.remove(&id) else {
             return;
         };
--- a/src/coordination/provisioning/demand.rs
+++ b/src/coordination/provisioning/demand.rs
@@ -4,7 +4,7 @@
 //! amounts are effective cores: a task that takes more memory than its share of a machine counts
 //! for more cores.
 
-use super::super::objectives::NO_HURRY_S;
+use super::super::objectives::DEFAULT_DUE_S;
 use super::super::scheduling::{is_best_effort, latest_start};
 use super::super::state::{Job, LeaderState, Machine, MachineState, PlacementPhase};
 use super::super::ClusterConfig;
@@ -134,7 +134,7 @@
             }
         }
         let claims = self.provisioning.unanswered_claims();
-        for claim in claims.filter(|c| !self.failures.zones.is_cut(&c.zone)) {
+        for claim in claims.filter(|c| !self.failures.zones.is_cut_off(&c.zone)) {
             if let Some(machine_type) = cluster.catalogue.get(&claim.machine_type) {
                 *supply.of_mut(claim.spot) += machine_type.cpus * f64::from(claim.count);
             }
@@ -147,14 +147,14 @@
         // Only another controller still has contact with the machine: its tasks continue, but it
         // takes no new work.
         let is_proxied_only = machine.last_proxied_at > machine.last_heartbeat
-            && now.since(machine.last_heartbeat) > Self::work_silence(cluster);
+            && now.since(machine.last_heartbeat) > Self::max_heartbeat_age(cluster);
         machine.state != MachineState::Releasing
             && machine.interruption_at.is_none()
             && now >= machine.quarantined_until
             && now >= machine.slow_until
             && !machine.is_asymmetrically_partitioned()
             && !is_proxied_only
-            && !self.failures.zones.is_cut(&machine.zone)
+            && !self.failures.zones.is_cut_off(&machine.zone)
     }
 
     /// Returns the cores missing for work that may use spot machines and is not
@@ -189,7 +189,7 @@
         let evacuations: BTreeMap<&str, Evacuation> = self
             .machines
             .values()
-            .filter(|m| self.failures.zones.is_cut(&m.zone))
+            .filter(|m| self.failures.zones.is_cut_off(&m.zone))
             .map(|m| (&*m.zone, self.evacuation(cluster, &m.zone, now)))
             .collect();
         let mut staying = CoresByCapacityType::default();
@@ -264,7 +264,7 @@
     }
     let available_s = match latest_start(cluster, job) {
         Some(at) => at.since(now).secs() + job.spec.estimate_s,
-        None => NO_HURRY_S,
+        None => DEFAULT_DUE_S,
     };
     let rounds = (available_s / (job.spec.estimate_s * ESTIMATE_MARGIN + 1.0))
         .floor()
--- a/src/coordination/provisioning/failed_machines.rs
+++ b/src/coordination/provisioning/failed_machines.rs
@@ -137,9 +137,9 @@
         let mut by_controller: BTreeMap<Option<Rc<str>>, MachineCounts> = BTreeMap::new();
         // Silent machines in a cut-off zone are no evidence against the controller that was in
         // contact with them.
-        let is_cut = |m: &Machine| self.failures.zones.is_cut(&m.zone);
+        let is_cut_off = |m: &Machine| self.failures.zones.is_cut_off(&m.zone);
         let up = self.machines.values().filter(|m| m.state == MachineState::Up);
-        for machine in up.filter(|m| !is_cut(m)) {
+        for machine in up.filter(|m| !is_cut_off(m)) {
             let counts_from = self.silence_counts_from(machine, now);
             let last_contact = machine.last_heartbeat.max(machine.last_proxied_at).max(counts_from);
             let counts = by_controller.entry(machine.heartbeat_proxy.clone()).or_default();
@@ -171,7 +171,7 @@
 
 impl<'a> FailureCheck<'a> {
     fn new(leader: &'a LeaderState, cluster: &'a ClusterConfig, now: Micros) -> FailureCheck<'a> {
-        let silent = timing::silent(&cluster.settings.params.workers);
+        let silent = timing::silence_timeout(&cluster.settings.params.workers);
         let mut check = FailureCheck {
             leader,
             cluster,
@@ -182,12 +182,12 @@
             leaving_cut_zones: leader.machines_leaving_cut_zones(cluster, now),
             early_failures: BTreeSet::new(),
         };
-        check.early_failures = leader.early_failures(cluster, |m| check.silence_by_itself(m));
+        check.early_failures = leader.silent_machines_to_give_up(cluster, |m| check.silence_by_itself(m));
         check
     }
 
-    fn is_cut(&self, machine: &Machine) -> bool {
-        self.leader.failures.zones.is_cut(&machine.zone)
+    fn is_cut_off(&self, machine: &Machine) -> bool {
+        self.leader.failures.zones.is_cut_off(&machine.zone)
     }
 
     fn has_unreliable_controller(&self, machine: &Machine) -> bool {
@@ -197,14 +197,14 @@
     /// Returns whether another controller has reported recently that it has contact with the
     /// machine.
     fn is_proxied(&self, machine: &Machine) -> bool {
-        self.now.since(machine.last_proxied_at) <= timing::PROXY_ANNOUNCEMENT
+        self.now.since(machine.last_proxied_at) <= timing::PROXY_ANNOUNCEMENT_VALIDITY
     }
 
     /// Returns how long a machine has been silent, or `None` if its silence may have another cause:
     /// a cut-off zone, an unreliable controller, or contact through another controller.
     fn silence_by_itself(&self, machine: &Machine) -> Option<Micros> {
         let is_independent =
-            !self.is_cut(machine) && !self.has_unreliable_controller(machine) && !self.is_proxied(machine);
+            !self.is_cut_off(machine) && !self.has_unreliable_controller(machine) && !self.is_proxied(machine);
         let counts_from = self.leader.silence_counts_from(machine, self.now);
         is_independent.then(|| self.now.since(machine.last_heartbeat.max(counts_from)))
     }
@@ -214,7 +214,7 @@
         let counts_from = self.leader.silence_counts_from(machine, self.now);
         // Tasks on a machine that only another controller has contact with continue, but their
         // ends cannot be recorded: a short partition is tolerated, a long one is not.
-        let max_proxied = timing::proxied_machine(&self.cluster.settings.params.workers);
+        let max_proxied = timing::proxied_machine_timeout(&self.cluster.settings.params.workers);
         let is_tolerated = self.now.since(machine.last_heartbeat.max(counts_from)) < max_proxied;
         let proxied_at = if is_tolerated {
             machine.last_proxied_at
@@ -222,7 +222,7 @@
             Micros::ZERO
         };
         // In a cut-off zone, the machine's lease runs from its last heartbeat.
-        let is_lease_running = self.is_cut(machine) && machine.last_heartbeat > Micros::ZERO;
+        let is_lease_running = self.is_cut_off(machine) && machine.last_heartbeat > Micros::ZERO;
         let counts_from = if is_lease_running { Micros::ZERO } else { counts_from };
         self.now.since(machine.last_heartbeat.max(proxied_at).max(counts_from))
     }
@@ -236,22 +236,22 @@
     fn max_silence(&self, machine: &Machine) -> Micros {
         let workers = &self.cluster.settings.params.workers;
         if self.may_have_contact_in_cut_zone(machine) {
-            self.cluster.knowledge_limit() + timing::lease_end(workers)
+            self.cluster.max_watermark_age() + timing::lease_end_timeout(workers)
         } else if machine.spot || machine.machine_type.is_empty() {
             self.silent
         } else {
-            timing::lease_end(workers)
+            timing::lease_end_timeout(workers)
         }
     }
 
     /// Returns whether controllers inside the machine's cut-off zone may still renew its lease.
     ///
-    /// These controllers answer heartbeats until [`ClusterConfig::knowledge_limit`] is reached, and
-    /// services continue until the leases that they renewed end. If they were dead instead, the
+    /// These controllers answer heartbeats until [`ClusterConfig::max_watermark_age`] is reached,
+    /// and services continue until the leases that they renewed end. If they were dead instead, the
     /// cloud's list would show it.
     fn may_have_contact_in_cut_zone(&self, machine: &Machine) -> bool {
         let mut peers = self.cluster.settings.peers.iter();
-        machine.service_tasks > 0 && self.is_cut(machine) && peers.any(|p| p.zone == machine.zone)
+        machine.service_tasks > 0 && self.is_cut_off(machine) && peers.any(|p| p.zone == machine.zone)
     }
 
     fn release_reason(&self, machine: &Machine) -> Option<ReleaseReason> {
@@ -262,7 +262,7 @@
             _ => self.failure_after_boot(machine),
         };
         // A controller that has contact with the machine stops cancelled tasks there itself.
-        let is_proxied_now = self.now.since(machine.last_proxied_at) < timing::PROXY_ANNOUNCEMENT;
+        let is_proxied_now = self.now.since(machine.last_proxied_at) < timing::PROXY_ANNOUNCEMENT_VALIDITY;
         let has_unstopped_task = !is_proxied_now && self.with_unstopped_tasks.contains(&machine.name);
         reason.or(has_unstopped_task.then_some(ReleaseReason::CancelledTaskNotStopped))
     }
@@ -280,7 +280,7 @@
         let workers = &self.cluster.settings.params.workers;
         let silence = self.silence(machine);
         let max_silence = self.max_silence(machine);
-        let is_conclusive = self.is_cut(machine)
+        let is_conclusive = self.is_cut_off(machine)
             || !self.has_unreliable_controller(machine)
             || silence > max_silence + Micros::from_secs(workers.lease_s);
         let is_interrupted = machine.interruption_at.is_some_and(|at| self.now > at);
--- a/src/coordination/replica_status.rs
+++ b/src/coordination/replica_status.rs
@@ -37,14 +37,14 @@
 impl LeaderState {
     /// Counts the replicas of live services by state.
     pub fn replicas(&self, cluster: &ClusterConfig, now: Micros) -> Replicas {
-        let silence = Self::work_silence(cluster);
+        let silence = Self::max_heartbeat_age(cluster);
         let mut all = Replicas::default();
         for job in self.jobs.values().filter(|j| j.is_service() && j.may_run()) {
             all.waiting += job.waiting.len() as u32;
             for placement in job.placements.values() {
                 let machine = self.machines.get(&placement.machine);
                 let is_unreachable =
-                    |m: &Machine| now.since(m.last_heartbeat) > silence || self.failures.zones.is_cut(&m.zone);
+                    |m: &Machine| now.since(m.last_heartbeat) > silence || self.failures.zones.is_cut_off(&m.zone);
                 *match (machine, placement) {
                     (None, _) => &mut all.leaving,
                     (Some(m), _) if m.state == MachineState::Releasing => &mut all.leaving,
--- a/src/coordination/state/job_events.rs
+++ b/src/coordination/state/job_events.rs
@@ -5,11 +5,11 @@
 //! ignored, so that several of these sources may report the same change.
 
 use super::{Job, LeaderState};
-use crate::coordination::log::queues::Undescribed;
+use crate::coordination::log::queues::UndescribedJob;
 use crate::protocol::store::WatchEvent;
 use crate::protocol::users::{JobSpec, Phase};
 use crate::storage::keys;
-use crate::storage::records::{from_record, from_value, Accepted, JobValue};
+use crate::storage::records::{from_record, from_value, AcceptancePage, JobValue};
 use crate::time::Micros;
 
 /// A change of a job that was received before the write-ahead log was read.
@@ -31,8 +31,8 @@
             let WatchEvent::Put { key, value, version } = event else {
                 continue;
             };
-            if keys::parse_accepted(&key).is_some() {
-                for spec in from_value::<Accepted>(&value).unwrap_or_default().jobs {
+            if keys::parse_acceptance_page(&key).is_some() {
+                for spec in from_value::<AcceptancePage>(&value).unwrap_or_default().jobs {
                     let id = spec.id.clone();
                     let phase = Phase::Pending;
                     let spec = Some(spec);
@@ -80,7 +80,7 @@
             return;
         }
         let (spec, submitted_ms) = match from_record(spec.clone()) {
-            Some((spec, submitted_ms)) if spec.needs.is_empty() => (spec, submitted_ms),
+            Some((spec, submitted_ms)) if spec.dependencies.is_empty() => (spec, submitted_ms),
             found => return self.block_until_dependencies_done(found.unwrap_or((spec, 0)), version, now),
         };
         tracing::debug!(job = id, class = spec.class, tasks = spec.tasks, "job arrived");
@@ -89,7 +89,7 @@
         job.submitted_at = self.submission_time(submitted_ms, now);
         self.log_writer
             .undescribed
-            .insert(Undescribed::new(version, job.id.clone()));
+            .insert(UndescribedJob::new(version, job.id.clone()));
         self.jobs.insert(job.id.clone(), job);
         self.needs_scheduling = true;
     }
--- a/src/coordination/store_queue.rs
+++ b/src/coordination/store_queue.rs
@@ -9,15 +9,15 @@
 
 use crate::protocol::store::StoreRequest;
 use crate::time::Micros;
-use crate::transport::rate_limit::Bucket;
-use glenhaven_group_commit::{Waited, Waits};
+use crate::transport::rate_limit::TokenBucket;
+use glenhaven_group_commit::{WaitHistogram, Waited};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How urgent a request is; the first is the most urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
     /// Leases, takeovers and watches.
-    Lead,
+    Leadership,
     /// Starts and cancellations.
     Start,
     /// Acceptances and polls.
@@ -53,7 +53,7 @@
 
 /// A rate that grows while nothing is refused, and the token bucket that enforces it.
 struct AdaptiveRate {
-    bucket: Bucket,
+    bucket: TokenBucket,
     bounds: RateBounds,
     current: f64,
 }
@@ -61,7 +61,7 @@
 impl AdaptiveRate {
     fn new(rate: f64, now: Micros) -> AdaptiveRate {
         AdaptiveRate {
-            bucket: Bucket::new(rate, now),
+            bucket: TokenBucket::new(rate, now),
             bounds: RateBounds { min: rate, max: rate },
             current: rate,
         }
@@ -86,7 +86,7 @@
 
     /// Lowers the rate after a refusal, and removes one token from the bucket.
     fn on_refusal(&mut self, now: Micros) {
-        self.bucket.spill(1.0, now);
+        self.bucket.take_available(1.0, now);
         self.set((self.current * REFUSAL_FACTOR).max(self.bounds.min), now);
     }
 }
@@ -149,7 +149,7 @@
     in_flight: BTreeMap<u64, InFlight<W>>,
     watches_in_flight: usize,
     /// The round-trip times of the requests answered since the last log, not counting watches.
-    round_trips: Waits,
+    round_trips: WaitHistogram,
     last_id: u64,
     demand: ChangeDemand,
     /// The number of changes that wait outside this queue until they may be sent.
@@ -175,7 +175,7 @@
             delayed: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             watches_in_flight: 0,
-            round_trips: Waits::default(),
+            round_trips: WaitHistogram::default(),
             last_id: 1,
             demand: ChangeDemand {
                 pushed: 0.0,
--- a/src/coordination/tick.rs
+++ b/src/coordination/tick.rs
@@ -27,7 +27,7 @@
         self.run_announcements();
         self.run_dependencies();
         self.run_acceptance_audit();
-        let seen = self.election.jobs_seen_if_known();
+        let seen = self.election.known_jobs_revision();
         self.api.tick(&mut self.context, &self.cluster, seen);
         self.run_attestations();
         let renewer = LeaseRenewer {
@@ -37,7 +37,7 @@
             cluster: &self.cluster,
         };
         self.heartbeat_proxy.tick(&mut self.context, &renewer);
-        self.run_cloud_calls();
+        self.refresh_catalogue();
         self.run_leader();
         if now >= self.next_alive_at {
             self.next_alive_at = now + ALIVE_PERIOD;
@@ -59,11 +59,11 @@
         let message = PeerMessage::Alive {
             node: self.cluster.settings.node.clone(),
             term: self.election.term(),
-            fresh: now.since(self.election.verified_at()) < STORE_CURRENT_AGE,
+            store_verified: now.since(self.election.verified_at()) < STORE_CURRENT_AGE,
             leads,
-            wants: (self.update_change_share() * 1000.0).min(4e9) as u32,
-            serves: self.heartbeat_proxy.agent_count(now, leads),
-            at: now.0,
+            changes_per_1000_s: (self.update_change_share() * 1000.0).min(4e9) as u32,
+            agent_count: self.heartbeat_proxy.agent_count(now, leads),
+            sent_at_us: now.0,
             links: self.observed_links(),
         };
         self.broadcast(&message);
@@ -86,7 +86,7 @@
         tracing::info!(
             term = self.election.term(),
             leads = self.leader.is_some(),
-            jobs_seen = self.election.jobs_seen_if_known(),
+            jobs_seen = self.election.known_jobs_revision(),
             round_trips = ?self.context.store.take_round_trips(),
             longest_pause_ms = longest_pause.0 / 1000,
             broken_invariants = self.broken_invariants,
@@ -100,7 +100,7 @@
             let (open, pages) = self.api.pages();
             tracing::debug!(?waited, open, pages, "accepted");
         }
-        let (answered, asked_anew) = self.api.take_answered();
+        let (answered, asked_anew) = self.api.take_answer_counts();
         if !answered.is_empty() {
             tracing::info!(
                 ?answered,
@@ -153,7 +153,7 @@
         }
         leader.write_log(&mut self.context, &self.cluster, &self.election);
         if let Some(reason) = leader.new_term_reason {
-            self.election.raise(&mut self.context, reason.as_str());
+            self.election.request_term_raise(&mut self.context, reason.as_str());
         }
         let forwarder = &self.forwarder;
         let is_reachable = |node: &str| forwarder.reaches(node, now);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -18,10 +18,10 @@
     let mut wrong: Vec<String> = world.rules.broken.clone();
     wrong.extend(sim::fairness::below_half(world));
     for (job, user) in world.users.iter().filter(|(_, u)| u.accepted.is_some()) {
-        if user.silent > LONGEST_SILENCE_S * SEC {
+        if user.longest_unanswered > LONGEST_SILENCE_S * SEC {
             wrong.push(format!(
                 "forgotten: no query about {job} was answered for {} s",
-                user.silent / SEC
+                user.longest_unanswered / SEC
             ));
         }
     }
@@ -35,8 +35,8 @@
         let holds = match expect {
             Expect::Done(job, by) => within(world.users[job].done, *by),
             Expect::Cancelled(job, by) => within(world.users[job].cancelled, *by),
-            Expect::LogPages(most) => world.store.log_pages() <= *most,
-            Expect::Withdrawn(job) => world.store.says_withdrawn(job),
+            Expect::LogPages(most) => world.store.log_segments() <= *most,
+            Expect::Withdrawn(job) => world.store.is_cancelled(job),
             Expect::Started(task, by) => within(world.rules.first_start.get(task).copied(), *by),
             Expect::Replicas(job, count) => {
                 let on = |t: &str| t.rsplit_once('/').is_some_and(|x| x.0 == job);
@@ -44,12 +44,12 @@
                     .workers
                     .values()
                     .filter(|w| w.up)
-                    .flat_map(|w| w.on_machine())
+                    .flat_map(|w| w.running_tasks())
                     .filter(|t| on(t));
                 found.count() == *count
             }
             Expect::Refused(job, status) => world.users[job].refused == Some(*status),
-            Expect::Missed(job, most) => world.rules.missed.get(job).is_some_and(|m| m <= most),
+            Expect::Missed(job, most) => world.rules.missed_replica_seconds.get(job).is_some_and(|m| m <= most),
             Expect::AcceptedWithin(seconds) => world.users.values().all(|u| {
                 let waited = u.accepted.zip(u.first_asked).map(|(at, from)| at - from);
                 u.refused.is_some() || waited.is_some_and(|w| w <= seconds * SEC)
@@ -61,14 +61,14 @@
             Expect::Failures(most) => world.rules.failures <= *most,
             Expect::TermsAtMost(most) => world.last_term() <= *most,
             Expect::TermsAtLeast(least) => world.last_term() >= *least,
-            Expect::RentedInAll(most) => world.cloud.rented_in_all() <= *most,
+            Expect::RentedInAll(most) => world.cloud.total_rented() <= *most,
             Expect::Changes(most) => world.store.changes <= *most,
             Expect::CloudCalls(most) => world.cloud.calls <= *most,
             Expect::Affected(least) => world.active_faults.lasting.affected >= *least,
         };
         if !holds {
-            let counted = (world.store.changes, world.cloud.calls, world.cloud.rented_in_all());
-            let (failures, missed) = (world.rules.failures, &world.rules.missed);
+            let counted = (world.store.changes, world.cloud.calls, world.cloud.total_rented());
+            let (failures, missed) = (world.rules.failures, &world.rules.missed_replica_seconds);
             let affected = world.active_faults.lasting.affected;
             if let Expect::AcceptedWithin(seconds) = expect {
                 for (id, u) in &world.users {
@@ -197,13 +197,13 @@
     let machine = world
         .workers
         .values()
-        .find(|w| w.on_machine().any(|t| t == task))
+        .find(|w| w.running_tasks().any(|t| t == task))
         .unwrap()
         .name
         .clone();
     world
         .rules
-        .started(world.now, "n-999999", task, &world.workers, &world.users);
+        .check_start(world.now, "n-999999", task, &world.workers, &world.users);
     assert!(
         world.rules.broken.iter().any(|b| b.starts_with("ran_twice")),
         "{machine}"
@@ -215,7 +215,7 @@
     assert!(world.rules.broken.iter().any(|b| b.starts_with("ran_cancelled")));
     world.rules.broken.clear();
     let user = &world.users["run-000001"];
-    world.rules.record_answer(
+    world.rules.check_answer(
         world.now,
         "run-000001",
         glenhaven::protocol::users::Phase::Done,
--- a/tests/sim/answers.rs
+++ b/tests/sim/answers.rs
@@ -16,7 +16,7 @@
 use glenhaven::protocol::users::{JobSpec, JobState, Phase, Shape};
 use glenhaven::settings::Team;
 use glenhaven::storage::keys;
-use glenhaven::storage::records::{from_value, Accepted, JobValue};
+use glenhaven::storage::records::{from_value, AcceptancePage, JobValue};
 use std::collections::BTreeMap;
 
 /// The fields of a submission that may not be absent.
@@ -121,8 +121,8 @@
             let Change::Put { key, value, .. } = change else {
                 continue;
             };
-            if keys::parse_accepted(key).is_some() {
-                for spec in from_value::<Accepted>(value).unwrap_or_default().jobs {
+            if keys::parse_acceptance_page(key).is_some() {
+                for spec in from_value::<AcceptancePage>(value).unwrap_or_default().jobs {
                     self.stored.entry(spec.id).or_default().accepted.get_or_insert(now);
                 }
                 continue;
@@ -279,7 +279,7 @@
             t.cpus >= spec.cpus
                 && t.gpus >= spec.gpus
                 && t.memory >= spec.memory
-                && spec.types.as_ref().is_none_or(|types| types.contains(&t.name))
+                && spec.machine_types.as_ref().is_none_or(|types| types.contains(&t.name))
                 && spec.zone.as_ref().is_none_or(|zone| t.zones.contains(zone))
         };
         (!self.types.iter().any(fits)).then_some("fits no allowed machine type")
@@ -337,10 +337,10 @@
             value,
             lease: None,
         };
-        let page = Accepted {
+        let page = AcceptancePage {
             jobs: vec![plain_spec(JOB)],
         };
-        a.written(&[put(keys::accepted("node-0", 0), to_value(&page))], 5);
+        a.written(&[put(keys::acceptance_page("node-0", 0), to_value(&page))], 5);
         assert!(
             !contradicts(&mut a, 4, 9, 404, None),
             "sent before the page was written"
@@ -420,7 +420,7 @@
             |s| s.cpus = 9.0,
             |s| s.shape = Shape::Service,
             |s| s.memory = 65.0,
-            |s| s.types = Some(vec!["none".into()]),
+            |s| s.machine_types = Some(vec!["none".into()]),
             |s| s.zone = Some("z".into()),
         ];
         for (n, bad) in changes.into_iter().enumerate() {
--- a/tests/sim/close_queries.rs
+++ b/tests/sim/close_queries.rs
@@ -5,12 +5,12 @@
 
 use super::answers::REQUIRED;
 use super::script::plain_spec;
-use super::users::Asked;
+use super::users::RequestKind;
 use super::{Origin, ScheduledEvent, World, MS, SEC};
 use glenhaven::coordination::{Event, UserRequest};
 use glenhaven::protocol::users::{JobSpec, JobState, Shape};
 use glenhaven::protocol::{from_cbor, to_cbor};
-use glenhaven::transport::server::Outgoing;
+use glenhaven::transport::server::HttpResponse;
 use glenhaven_fakes::user::job_of;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,7 +28,7 @@
 /// A request in addition to those that a user sends in turn.
 pub(super) struct Query {
     job: String,
-    asked: Asked,
+    asked: RequestKind,
     sent: u64,
     /// The submission that must be refused, if the request is about one.
     invalid: Option<Vec<u8>>,
@@ -71,9 +71,9 @@
 
 impl World {
     /// Sends a request about a job to one controller, independent of its user's own requests.
-    pub(crate) fn ask(&mut self, job: &str, asked: Asked, n: usize) {
+    pub(crate) fn ask(&mut self, job: &str, asked: RequestKind, n: usize) {
         let Some(user) = self.users.get_mut(job) else { return };
-        user.wants_abort |= asked == Asked::Abort;
+        user.wants_abort |= asked == RequestKind::Abort;
         let body = to_cbor(&user.spec);
         self.send(
             n,
@@ -92,9 +92,9 @@
             return;
         }
         let request = match query.asked {
-            Asked::Submit => UserRequest::Submit(body),
-            Asked::Poll => UserRequest::Poll(query.job.clone()),
-            Asked::Abort => UserRequest::Abort(query.job.clone()),
+            RequestKind::Submit => UserRequest::Submit(body),
+            RequestKind::Poll => UserRequest::Poll(query.job.clone()),
+            RequestKind::Abort => UserRequest::Abort(query.job.clone()),
         };
         let (id, number) = (self.id(), self.id());
         self.one_way_faults.pending.insert(number, query);
@@ -103,7 +103,7 @@
         self.after(hop, ScheduledEvent::Event(n, life, Event::User { id, request }));
     }
 
-    pub(crate) fn query_answered(&mut self, number: u64, left: u64, answer: &Outgoing) {
+    pub(crate) fn query_answered(&mut self, number: u64, left: u64, answer: &HttpResponse) {
         let Some(query) = self.one_way_faults.pending.remove(&number) else {
             return;
         };
@@ -116,7 +116,9 @@
         };
         let is_known = from_cbor::<JobState>(&answer.body).is_ok();
         match answer.status {
-            200 | 201 if query.asked == Asked::Submit => self.rules.broken.extend(self.answers.check_acceptance(body)),
+            200 | 201 if query.asked == RequestKind::Submit => {
+                self.rules.broken.extend(self.answers.check_acceptance(body))
+            }
             200 if is_known => self
                 .rules
                 .broken
@@ -136,13 +138,13 @@
         let share = self.one_way_faults.cancel_at_end.values().copied().fold(0.0, f64::max);
         if share > 0.0 && self.rng.f64() < share {
             let pause = self.rng.u64(0..6 * MS);
-            self.ask_random_node(&job, Asked::Abort, pause);
+            self.ask_random_node(&job, RequestKind::Abort, pause);
         }
         self.query_all_nodes(&job, JobChange::Ended);
     }
 
     /// Sends a request about a job to a random controller after a pause.
-    fn ask_random_node(&mut self, job: &str, asked: Asked, pause: u64) {
+    fn ask_random_node(&mut self, job: &str, asked: RequestKind, pause: u64) {
         let n = self.rng.usize(0..self.nodes.len());
         self.after(pause, ScheduledEvent::Ask(job.into(), asked, n));
     }
@@ -156,14 +158,14 @@
         for pause in QUERY_DELAYS {
             for n in 0..self.nodes.len() {
                 let pause = pause + self.rng.u64(0..2 * MS);
-                self.after(pause, ScheduledEvent::Ask(job.into(), Asked::Poll, n));
+                self.after(pause, ScheduledEvent::Ask(job.into(), RequestKind::Poll, n));
             }
             let pause = pause + self.rng.u64(0..5 * MS);
-            self.ask_random_node(job, Asked::Submit, pause);
+            self.ask_random_node(job, RequestKind::Submit, pause);
         }
         if change == JobChange::Accepted && self.rng.u32(0..4) == 0 {
             let pause = self.rng.u64(0..20 * MS);
-            self.ask_random_node(job, Asked::Abort, pause);
+            self.ask_random_node(job, RequestKind::Abort, pause);
         }
     }
 
@@ -172,7 +174,7 @@
     pub(crate) fn cancel_now(&mut self, count: usize, hangs: Option<u64>) {
         let mut running: Vec<(String, String)> = vec![];
         for worker in self.workers.values().filter(|w| w.up) {
-            for job in worker.long_to_go(self.now + MIN_REMAINING).map(job_of) {
+            for job in worker.running_beyond(self.now + MIN_REMAINING).map(job_of) {
                 running.push((job.into(), worker.name.clone()));
             }
         }
@@ -190,7 +192,7 @@
         }
         for job in jobs {
             let pause = self.rng.u64(0..SEC / 5);
-            self.ask_random_node(&job, Asked::Abort, pause);
+            self.ask_random_node(&job, RequestKind::Abort, pause);
         }
         let Some(hangs) = hangs else { return };
         for machine in hang {
@@ -212,18 +214,18 @@
         // The job's user has been informed that it is done, so the request cancels nothing.
         let done = pick(|u| u.done.is_some());
         if let Some(job) = unfinished {
-            self.ask_random_node(&job, Asked::Submit, 0);
+            self.ask_random_node(&job, RequestKind::Submit, 0);
         }
         if let Some(job) = done {
             let n = self.rng.usize(0..self.nodes.len());
-            let query = self.query(&job, Asked::Abort, None);
+            let query = self.query(&job, RequestKind::Abort, None);
             self.send(n, query, vec![]);
         }
         self.one_way_faults.invalid_jobs += 1;
         let number = self.one_way_faults.invalid_jobs;
         let job = format!("run-{}", FIRST_INVALID_JOB + number);
         let body = self.invalid_submission(&job, number);
-        for asked in [Asked::Submit, Asked::Poll, Asked::Abort] {
+        for asked in [RequestKind::Submit, RequestKind::Poll, RequestKind::Abort] {
             let n = self.rng.usize(0..self.nodes.len());
             let query = self.query(&job, asked, Some(body.clone()));
             self.send(n, query, body.clone());
@@ -231,7 +233,7 @@
         self.after(SEC / 4, ScheduledEvent::OddRequests(step));
     }
 
-    fn query(&self, job: &str, asked: Asked, invalid: Option<Vec<u8>>) -> Query {
+    fn query(&self, job: &str, asked: RequestKind, invalid: Option<Vec<u8>>) -> Query {
         Query {
             job: job.into(),
             asked,
@@ -249,7 +251,7 @@
         };
         match number % 5 {
             0 => spec.cpus = 1e6,
-            1 => spec.types = Some(vec!["no such type".into()]),
+            1 => spec.machine_types = Some(vec!["no such type".into()]),
             2 => spec.team = "no such team".into(),
             3 => {
                 // The size refuses the job also where its team has no limit: no machine has
--- a/tests/sim/cloud.rs
+++ b/tests/sim/cloud.rs
@@ -64,14 +64,14 @@
         let names: Vec<String> = (0..count)
             .map(|_| self.create(&rent.machine_type, &rent.zone, rent.spot))
             .collect();
-        self.cloud.rented_as(rent, names)
+        self.cloud.fulfil_rental(rent, names)
     }
 
     /// Removes a machine with all its tasks.
     pub(crate) fn machine_dies(&mut self, name: &str) {
         self.cloud.terminate(self.now, name);
         if let Some(w) = self.workers.get_mut(name) {
-            w.dies();
+            w.power_off();
         }
     }
 }
--- a/tests/sim/fairness.rs
+++ b/tests/sim/fairness.rs
@@ -15,7 +15,7 @@
 /// Returns when a job could begin: after its acceptance and the end of all its dependencies.
 fn startable_since(world: &World, user: &User) -> Option<u64> {
     let mut since = user.accepted?;
-    for need in &user.spec.needs {
+    for need in &user.spec.dependencies {
         since = since.max(world.users.get(need)?.done?);
     }
     Some(since)
@@ -25,7 +25,7 @@
 pub(crate) fn below_half(world: &World) -> Vec<String> {
     let mut shares: BTreeMap<String, (usize, usize)> = BTreeMap::new();
     let mut wrong = vec![];
-    let counts = |u: &&User| !u.mistake && !u.wants_abort && u.cancelled.is_none();
+    let counts = |u: &&User| !u.always_fails && !u.wants_abort && u.cancelled.is_none();
     let mut sizes: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     for user in world.users.values().filter(counts) {
         let size = f64::from(user.spec.tasks) * user.spec.cpus;
--- a/tests/sim/fault_injection.rs
+++ b/tests/sim/fault_injection.rs
@@ -7,9 +7,9 @@
 use glenhaven::protocol::agents::{AgentCommand, Heartbeat, HeartbeatResponse, PushedCommands};
 use glenhaven::protocol::peer::PeerMessage;
 use glenhaven::protocol::store::{Change, StoreRequest, Transaction};
-use glenhaven::protocol::users::{id_in, JobState, Phase};
+use glenhaven::protocol::users::{extract_job_id, JobState, Phase};
 use glenhaven::protocol::{from_cbor, to_cbor};
-use glenhaven::transport::server::Outgoing;
+use glenhaven::transport::server::HttpResponse;
 use glenhaven_fakes::user::job_of;
 use std::collections::BTreeMap;
 
@@ -85,7 +85,7 @@
 pub(crate) type Joined = BTreeMap<(usize, u64, String), (u64, Vec<u64>)>;
 
 /// The answer about each job that each controller repeats, and the time since which it does.
-pub(crate) type Cache = BTreeMap<(usize, String), (u64, Outgoing)>;
+pub(crate) type Cache = BTreeMap<(usize, String), (u64, HttpResponse)>;
 
 impl World {
     /// Gives a report of an earlier session the number of a later one.
@@ -143,7 +143,7 @@
                 Event::User {
                     id,
                     request: UserRequest::Submit(body),
-                } => id_in(body).map(|job| (*id, job)),
+                } => extract_job_id(body).map(|job| (*id, job)),
                 _ => None,
             };
             let Some((id, job)) = submitted else {
@@ -162,7 +162,7 @@
     }
 
     /// Returns the answers to the withheld submissions that get the answer of this submission.
-    fn inject_joined_answers(&mut self, answered: u64, answer: &Outgoing) -> Vec<Effect> {
+    fn inject_joined_answers(&mut self, answered: u64, answer: &HttpResponse) -> Vec<Effect> {
         let found = self.planted_joined.iter().find(|(_, (id, _))| *id == answered);
         let Some(key) = found.map(|(key, _)| key.clone()) else {
             return vec![];
@@ -176,7 +176,7 @@
     }
 
     /// Changes the answer to a query of the users who query all controllers at once.
-    fn inject_query_answer(&mut self, n: usize, number: u64, fault: Fault, answer: &mut Outgoing) {
+    fn inject_query_answer(&mut self, n: usize, number: u64, fault: Fault, answer: &mut HttpResponse) {
         let Some(job) = self.one_way_faults.job_of(number).map(str::to_string) else {
             return;
         };
@@ -301,15 +301,15 @@
             .iter()
             .any(|c| matches!(c, Change::Put { key, .. } if key.starts_with(prefix)))
     };
-    let (book, accepts) = (puts(keys::LOG_SEGMENTS), puts(keys::ACCEPTED));
+    let (book, accepts) = (puts(keys::LOG_SEGMENTS), puts(keys::ACCEPTANCE_PAGES));
     let own_keys = puts(keys::JOBS) && !accepts && !book;
-    let own = |key: &str| key.starts_with(keys::JOBS) && !key.starts_with(keys::ACCEPTED);
+    let own = |key: &str| key.starts_with(keys::JOBS) && !key.starts_with(keys::ACCEPTANCE_PAGES);
     match fault {
         Fault::StartsWhateverTheKey if book => txn.conditions.retain(|c| !own(&c.key)),
         Fault::WritesWhoeverLeads if book => txn.conditions.retain(|c| !c.key.starts_with(keys::TERM)),
         Fault::WritesOverPages => {
             txn.conditions
-                .retain(|c| !c.key.starts_with(keys::LOG_SEGMENTS) && !c.key.starts_with(keys::ACCEPTED));
+                .retain(|c| !c.key.starts_with(keys::LOG_SEGMENTS) && !c.key.starts_with(keys::ACCEPTANCE_PAGES));
         }
         Fault::CancelsWhateverTheKey if own_keys => txn.conditions.retain(|c| !own(&c.key)),
         _ => {}
--- a/tests/sim/matrix.rs
+++ b/tests/sim/matrix.rs
@@ -104,7 +104,7 @@
         wrong.push(format!("a job started after {started_s} s"));
     }
     let healed = CUT_S + duration_s;
-    let of_second = |s: u64| world.store.by_second.get(&s).copied().unwrap_or(0);
+    let of_second = |s: u64| world.store.requests_by_second.get(&s).copied().unwrap_or(0);
     let peak_requests_after = (healed..healed + 10).map(of_second).max().unwrap_or(0);
     if peak_requests_after > REQUESTS_PER_S {
         wrong.push(format!(
@@ -122,7 +122,12 @@
         started_s,
         peak_requests_after,
         terms: world.last_term(),
-        missed: world.rules.missed.get("run-000001").copied().unwrap_or(0),
+        missed: world
+            .rules
+            .missed_replica_seconds
+            .get("run-000001")
+            .copied()
+            .unwrap_or(0),
         wrong,
     }
 }
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -29,7 +29,7 @@
 use glenhaven::protocol::store::StoreRequest;
 use glenhaven::settings::Settings;
 use glenhaven::time::Micros;
-use glenhaven::transport::server::Outgoing;
+use glenhaven::transport::server::HttpResponse;
 pub(crate) use glenhaven_fakes::{rules, store, MS, SEC};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -48,17 +48,17 @@
     WatchEnds(u64),
     Worker(String),
     Heartbeat(String, usize, u64, Heartbeat),
-    ReportAnswer(String, u64, Outgoing),
+    ReportAnswer(String, u64, HttpResponse),
     ReportLate(String, u64),
     Boot(String),
     User(String),
     /// The answer to a user's request: job, request number, time at which it left the controller.
-    UserAnswer(String, u64, u64, Outgoing),
+    UserAnswer(String, u64, u64, HttpResponse),
     UserTimeout(String, u64),
     /// A request about a job to one node, in addition to those that its user sends in turn.
-    Ask(String, users::Asked, usize),
+    Ask(String, users::RequestKind, usize),
     /// The answer to such a request: its number, time at which it left the controller.
-    QueryAnswer(u64, u64, Outgoing),
+    QueryAnswer(u64, u64, HttpResponse),
     OddRequests(usize),
     Step(usize),
     Heal(usize),
@@ -209,7 +209,7 @@
             .collect();
         let state = &script.base.params.state;
         let mut store = store::Store::new(state.rps, state.write_rps, state.txn_ops, state.value_kb);
-        store.next = state.next.as_ref().map(|n| {
+        store.announced_limits = state.next.as_ref().map(|n| {
             let (writes, value_kb) = (
                 n.write_rps.unwrap_or(state.write_rps),
                 n.value_kb.unwrap_or(state.value_kb),
@@ -283,8 +283,12 @@
         self.nodes[n].controller = None;
         self.nodes[n].inbox.clear();
         let heartbeats = self.workers.iter().filter(|(_, w)| w.node == n);
-        let heartbeats = heartbeats.filter_map(|(name, w)| Some(ScheduledEvent::ReportLate(name.clone(), w.flying?.0)));
-        let asked = self.users.iter().filter_map(|(job, u)| Some((job, u.asked_of(n)?)));
+        let heartbeats =
+            heartbeats.filter_map(|(name, w)| Some(ScheduledEvent::ReportLate(name.clone(), w.pending_heartbeat?.0)));
+        let asked = self
+            .users
+            .iter()
+            .filter_map(|(job, u)| Some((job, u.pending_request_to(n)?)));
         let lost: Vec<ScheduledEvent> = heartbeats
             .chain(asked.map(|(job, rid)| ScheduledEvent::UserTimeout(job.clone(), rid)))
             .collect();
@@ -572,7 +576,7 @@
     ///
     /// Returns the name of the controller that a redirect points to, or `None` for any other
     /// answer without commands.
-    pub(crate) fn read_answer(answer: &Outgoing) -> Result<HeartbeatResponse, Option<String>> {
+    pub(crate) fn read_answer(answer: &HttpResponse) -> Result<HeartbeatResponse, Option<String>> {
         match answer.status {
             200 => from_cbor(&answer.body).map_err(|_| None),
             421 => Err(from_cbor::<Redirect>(&answer.body).ok().and_then(|e| e.report_to)),
--- a/tests/sim/outbox.rs
+++ b/tests/sim/outbox.rs
@@ -86,7 +86,7 @@
     // This controller has confirmed the cancellation; the leader's records don't have it yet.
     let mut confirmed = leader_with_unsent_start();
     let mut api = JobApi::new("node-0");
-    api.learn("run-000001", 9, Phase::Cancelled);
+    api.record_phase("run-000001", 9, Phase::Cancelled);
     assert!(pushed_commands(&mut confirmed, 1, &api).is_empty());
 }
 
@@ -163,7 +163,7 @@
     let id = "run-000001".into();
     let uncovering = [
         VoidProof::NotRecorded,
-        VoidProof::LaterSession { reported: 1 },
+        VoidProof::LaterIncarnation { reported: 1 },
         VoidProof::RefusedByToken { reported: 9 },
         VoidProof::Exited(Cause::Stopped),
     ];
--- a/tests/sim/process_restarts.rs
+++ b/tests/sim/process_restarts.rs
@@ -53,11 +53,11 @@
     let alive = Event::Peer(PeerMessage::Alive {
         node: "node-1".into(),
         term: 3,
-        fresh: true,
+        store_verified: true,
         leads: true,
-        wants: 0,
-        serves: 0,
-        at: 5,
+        changes_per_1000_s: 0,
+        agent_count: 0,
+        sent_at_us: 5,
         links: vec![],
     });
     controller.handle(at(10), vec![Event::Store { id, answer }, alive, link]);
@@ -127,7 +127,7 @@
         limits: settings.params.state.limits(),
         settings,
         catalogue: Default::default(),
-        lagging: None,
+        outdated_peer: None,
     }
 }
 
@@ -151,7 +151,7 @@
 pub(super) fn place(leader: &mut LeaderState, since: Micros) {
     let mut job = Job::new("run-000001", super::script::plain_spec("run-000001"), 5, 0, since);
     job.waiting.clear();
-    job.states[0] = TaskState::Placed;
+    job.task_states[0] = TaskState::Placed;
     job.held_tasks = 1;
     let placement = Placement {
         attempt: 1,
--- a/tests/sim/state_service.rs
+++ b/tests/sim/state_service.rs
@@ -43,9 +43,9 @@
         // A late transaction was received before: it is executed regardless of rate limits and
         // of the other faults, except an outage.
         let late = life == u64::MAX && matches!(request, StoreRequest::Transaction(_));
-        let answer = if late && !self.store.out {
+        let answer = if late && !self.store.unavailable {
             self.store.answer(&request, now)
-        } else if self.store.out || self.is_refused(n) {
+        } else if self.store.unavailable || self.is_refused(n) {
             StoreResponse::Refused
         } else {
             let writes = match &request {
@@ -114,14 +114,14 @@
 
     /// Answers the watches with new events; during an outage they stay open.
     pub(crate) fn tell_watches(&mut self) {
-        if self.store.out {
+        if self.store.unavailable {
             return;
         }
         let ready: Vec<u64> = self
             .watches
             .iter()
             .filter(|(_, w)| !self.is_refused(w.node))
-            .filter(|(_, w)| self.store.has_news(&w.prefix, w.after))
+            .filter(|(_, w)| self.store.has_events_since(&w.prefix, w.after))
             .map(|(id, _)| *id)
             .collect();
         for watch in ready {
@@ -133,7 +133,7 @@
         let Some(w) = self.watches.get(&watch) else {
             return;
         };
-        if self.store.out || self.is_refused(w.node) {
+        if self.store.unavailable || self.is_refused(w.node) {
             // The watch stays open past its time limit.
             self.after(100 * MS, ScheduledEvent::WatchEnds(watch));
             return;
@@ -149,7 +149,7 @@
         let Some(w) = self.watches.remove(&watch) else {
             return;
         };
-        let answer = StoreResponse::Events(self.store.news(&w.prefix, w.after));
+        let answer = StoreResponse::Events(self.store.events_since(&w.prefix, w.after));
         let hop = self.hop();
         if self.passes(&End::State, &End::Node(w.node)) {
             self.after(
--- a/tests/sim/steps.rs
+++ b/tests/sim/steps.rs
@@ -24,7 +24,7 @@
                 self.event(ScheduledEvent::User(id));
             }
             Action::Inherit(spec) => {
-                self.store.inherit(&spec);
+                self.store.put_inherited_job(&spec);
                 let mut user = users::User::new(*spec.clone(), step.run_s, step.always_fails);
                 user.submitted = true;
                 user.accepted = Some(self.now);
@@ -62,7 +62,7 @@
             Action::CrashOn(key) => self.active_faults.ends_on.push((key, step.duration.unwrap_or(3 * SEC))),
             Action::StateOut => {
                 self.active_faults.state_out.insert(i);
-                self.store.outage(true, self.now);
+                self.store.set_unavailable(true, self.now);
             }
             Action::StateRefuses(n) => {
                 let n = if n == usize::MAX { self.leader().unwrap_or(0) } else { n };
@@ -165,14 +165,14 @@
                 self.active_faults.boots.insert(i, factor);
             }
             Action::EarlierRelease(node) => {
-                self.store.old_release(&node);
+                self.store.put_old_release(&node);
                 self.tell_watches();
             }
             Action::MalformedValue(key) => {
-                self.store.garbage(key);
+                self.store.put_malformed(key);
                 self.tell_watches();
             }
-            Action::LowerStateLimits => self.store.lower(),
+            Action::LowerStateLimits => self.store.apply_announced_limits(),
             Action::CancelNow(count, hangs) => self.cancel_now(count, hangs),
             Action::CancelAtEnd(share) => {
                 self.one_way_faults.cancel_at_end.insert(i, share);
@@ -245,7 +245,7 @@
         faults.storm.remove(&i);
         faults.lasting.heal(i);
         if self.active_faults.state_out.is_empty() {
-            self.store.outage(false, self.now);
+            self.store.set_unavailable(false, self.now);
         }
         // Messages that were held back arrive now, in order.
         for (_, ev) in std::mem::take(&mut self.held) {
--- a/tests/sim/stranded_jobs.rs
+++ b/tests/sim/stranded_jobs.rs
@@ -34,7 +34,7 @@
             by_team: BTreeMap::new(),
         };
         for worker in world.workers.values().filter(|w| !w.dead) {
-            for job in worker.live().map(job_of) {
+            for job in worker.unfinished_tasks().map(job_of) {
                 let zones = places.by_job.entry(job).or_default();
                 *zones.entry(&worker.zone).or_default() += 1;
                 if let Some(user) = world.users.get(job) {
@@ -48,8 +48,11 @@
 
 /// Returns how many more tasks of this job a machine has room for.
 fn room(world: &World, worker: &Worker, spec: &JobSpec) -> u32 {
-    let usable = worker.up && world.now >= worker.hangs_until && worker.taken.is_none() && !worker.faulty;
-    let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&worker.machine_type))
+    let usable = worker.up && world.now >= worker.hangs_until && worker.reclaimed_at.is_none() && !worker.faulty;
+    let allowed = spec
+        .machine_types
+        .as_ref()
+        .is_none_or(|t| t.contains(&worker.machine_type))
         && spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone)
         && (spec.spot || !worker.spot);
     if !usable || !allowed {
@@ -71,8 +74,8 @@
         let needed = world.users.get(need);
         needed.is_some_and(|u| completed_tasks(world, need) == u.spec.tasks)
     };
-    let over = user.wants_abort || user.cancelled.is_some() || user.done.is_some() || user.mistake;
-    user.accepted.is_some() && !over && user.spec.needs.iter().all(need_done)
+    let over = user.wants_abort || user.cancelled.is_some() || user.done.is_some() || user.always_fails;
+    user.accepted.is_some() && !over && user.spec.dependencies.iter().all(need_done)
 }
 
 /// Returns whether some of the job's waiting tasks could begin: within the limit of its team and
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -6,8 +6,8 @@
 use glenhaven::coordination::{Event, UserRequest};
 use glenhaven::protocol::users::{JobState, Phase};
 use glenhaven::protocol::{from_cbor, to_cbor};
-use glenhaven::transport::server::Outgoing;
-pub(crate) use glenhaven_fakes::user::{Asked, User};
+use glenhaven::transport::server::HttpResponse;
+pub(crate) use glenhaven_fakes::user::{RequestKind, User};
 
 impl World {
     /// Sends a user's next request, unless one is in flight.
@@ -24,19 +24,19 @@
         // A job is submitted after the jobs that it depends on have been accepted.
         let Some(user) = self.users.get(job) else { return };
         let early = |need: &String| *need != *job && self.users.get(need).is_some_and(|u| u.accepted.is_none());
-        if !user.submitted && user.spec.needs.iter().any(early) {
+        if !user.submitted && user.spec.dependencies.iter().any(early) {
             return self.after(SEC / 50, ScheduledEvent::User(job.into()));
         }
         let Some(user) = self.users.get_mut(job) else { return };
-        let Some(asked) = user.asks(self.now, rid, pick) else {
+        let Some(asked) = user.next_request(self.now, rid, pick) else {
             return;
         };
         let request = match asked {
-            Asked::Submit => UserRequest::Submit(to_cbor(&user.spec)),
-            Asked::Abort => UserRequest::Abort(job.into()),
-            Asked::Poll => UserRequest::Poll(job.into()),
+            RequestKind::Submit => UserRequest::Submit(to_cbor(&user.spec)),
+            RequestKind::Abort => UserRequest::Abort(job.into()),
+            RequestKind::Poll => UserRequest::Poll(job.into()),
         };
-        let limit = asked.limit();
+        let limit = asked.answer_timeout();
         self.after(limit, ScheduledEvent::UserTimeout(job.into(), rid));
         if let Some(n) = pick {
             let id = self.id();
@@ -51,21 +51,21 @@
         let now = self.now;
         let calm = self.script.calm_from();
         let Some(user) = self.users.get_mut(job) else { return };
-        if user.asked.is_some_and(|a| a.0 == rid) {
-            user.asked = None;
-            user.unanswered(now, calm);
+        if user.pending_request.is_some_and(|a| a.0 == rid) {
+            user.pending_request = None;
+            user.record_failed_request(now, calm);
             self.after(SEC, ScheduledEvent::User(job.into()));
         }
     }
 
-    pub(crate) fn user_answered(&mut self, job: &str, rid: u64, left: u64, answer: Outgoing) {
+    pub(crate) fn user_answered(&mut self, job: &str, rid: u64, left: u64, answer: HttpResponse) {
         let now = self.now;
         let calm = self.script.calm_from();
         let Some(user) = self.users.get_mut(job) else { return };
-        let Some((_, asked)) = user.asked.filter(|a| a.0 == rid) else {
+        let Some((_, asked)) = user.pending_request.filter(|a| a.0 == rid) else {
             return;
         };
-        user.asked = None;
+        user.pending_request = None;
         if user.never_submitted {
             if answer.status == 503 && answer.retry_after_s.is_none() {
                 self.rules.broken.push(format!("{job}: refused without Retry-After"));
@@ -84,7 +84,7 @@
             400 | 422 if !known => user.refused = Some(answer.status),
             400 | 404 | 422 if known => {}
             _ => {
-                user.unanswered(now, calm);
+                user.record_failed_request(now, calm);
                 if user.is_forgotten(now) {
                     self.rules
                         .broken
@@ -99,10 +99,10 @@
     pub(crate) fn record_job_answer(
         &mut self,
         job: &str,
-        asked: Asked,
+        asked: RequestKind,
         sent: u64,
         left: u64,
-        answer: &Outgoing,
+        answer: &HttpResponse,
     ) -> bool {
         let now = self.now;
         let status = answer.status;
@@ -121,13 +121,13 @@
         let (Some(user), Some(state)) = (self.users.get(job), state) else {
             return false;
         };
-        if asked == Asked::Submit {
+        if asked == RequestKind::Submit {
             self.rules
                 .broken
                 .extend(self.answers.check_acceptance(&to_cbor(&user.spec)));
         }
         self.rules
-            .record_answer(now, job, state.phase, &self.results, user, &self.users);
+            .check_answer(now, job, state.phase, &self.results, user, &self.users);
         let Some(user) = self.users.get_mut(job) else {
             return true;
         };
@@ -143,12 +143,14 @@
     }
 
     /// Schedules the user's next request.
-    fn schedule_next_request(&mut self, job: &str, asked: Asked, status: u16) {
+    fn schedule_next_request(&mut self, job: &str, asked: RequestKind, status: u16) {
         let user = &self.users[job];
         let pause = match asked {
             _ if status == 503 => SEC,
-            Asked::Poll => asked.pause() / self.active_faults.storm.values().copied().max().unwrap_or(1),
-            _ => asked.pause(),
+            RequestKind::Poll => {
+                asked.request_interval() / self.active_faults.storm.values().copied().max().unwrap_or(1)
+            }
+            _ => asked.request_interval(),
         };
         if user.refused.is_none() {
             self.after(pause, ScheduledEvent::User(job.into()));
