--- a/tests/sim/fault_combinations.rs
+++ b/tests/sim/fault_combinations.rs
@@ -293,7 +293,7 @@
 /// Simulates a scenario and returns what is wrong.
 fn simulate(text: &str, injected: Option<Fault>) -> Vec<String> {
     let mut world = World::new(Script::parse(text).unwrap());
-    world.planted = injected;
+    world.injected_fault = injected;
     world.play();
     let mut wrong = crate::check(&world);
     if injected.is_none() {
--- a/tests/sim/fault_injection.rs
+++ b/tests/sim/fault_injection.rs
@@ -78,19 +78,19 @@
 const CACHED: u64 = SEC;
 
 /// Starts pushed to each address under the last fencing token, with the token.
-pub(crate) type Kept = BTreeMap<String, (u64, Vec<AgentCommand>)>;
+pub(crate) type RepeatedStarts = BTreeMap<String, (u64, Vec<AgentCommand>)>;
 
 /// The unanswered submission of each job at each life of a controller, with the later submissions
 /// that get the same answer.
-pub(crate) type Joined = BTreeMap<(usize, u64, String), (u64, Vec<u64>)>;
+pub(crate) type JoinedSubmissions = BTreeMap<(usize, u64, String), (u64, Vec<u64>)>;
 
 /// The answer about each job that each controller repeats, and the time since which it does.
-pub(crate) type Cache = BTreeMap<(usize, String), (u64, Outgoing)>;
+pub(crate) type CachedAnswers = BTreeMap<(usize, String), (u64, Outgoing)>;
 
 impl World {
     /// Gives a report of an earlier session the number of a later one.
-    pub(crate) fn plant_copy(&mut self, heartbeat: &mut Heartbeat) {
-        if self.planted != Some(Fault::TakesEarlierSessions) {
+    pub(crate) fn inject_into_report(&mut self, heartbeat: &mut Heartbeat) {
+        if self.injected_fault != Some(Fault::TakesEarlierSessions) {
             return;
         }
         let incarnation = self.workers.get(&heartbeat.machine).map_or(0, |w| w.incarnation());
@@ -122,7 +122,7 @@
     fn inject_repeated_starts(&mut self, addr: &str, body: &mut PushedCommands) {
         let starts = body.commands.iter().filter(|o| matches!(o, AgentCommand::Start { .. }));
         let starts: Vec<AgentCommand> = starts.cloned().collect();
-        let kept = self.planted_kept.entry(addr.into()).or_default();
+        let kept = self.repeated_starts.entry(addr.into()).or_default();
         if kept.0 < body.fencing_token {
             body.commands.append(&mut kept.1);
             kept.0 = body.fencing_token;
@@ -132,8 +132,8 @@
 
     /// Withholds submissions from a controller that has an unanswered submission of the same job.
     /// Returns the remaining events.
-    pub(crate) fn plant_joins(&mut self, n: usize, batch: Vec<Event>) -> Vec<Event> {
-        if self.planted != Some(Fault::JoinsSubmissions) {
+    pub(crate) fn inject_into_events(&mut self, n: usize, batch: Vec<Event>) -> Vec<Event> {
+        if self.injected_fault != Some(Fault::JoinsSubmissions) {
             return batch;
         }
         let life = self.nodes[n].life;
@@ -150,10 +150,10 @@
                 taken.push(command);
                 continue;
             };
-            match self.planted_joined.get_mut(&(n, life, job.clone())) {
+            match self.joined_submissions.get_mut(&(n, life, job.clone())) {
                 Some((_, joined)) => joined.push(id),
                 None => {
-                    self.planted_joined.insert((n, life, job), (id, vec![]));
+                    self.joined_submissions.insert((n, life, job), (id, vec![]));
                     taken.push(command);
                 }
             }
@@ -163,11 +163,11 @@
 
     /// Returns the answers to the withheld submissions that get the answer of this submission.
     fn inject_joined_answers(&mut self, answered: u64, answer: &Outgoing) -> Vec<Effect> {
-        let found = self.planted_joined.iter().find(|(_, (id, _))| *id == answered);
+        let found = self.joined_submissions.iter().find(|(_, (id, _))| *id == answered);
         let Some(key) = found.map(|(key, _)| key.clone()) else {
             return vec![];
         };
-        let joined = self.planted_joined.remove(&key).map(|(_, joined)| joined);
+        let joined = self.joined_submissions.remove(&key).map(|(_, joined)| joined);
         let reply = |id| Effect::Reply {
             id,
             answer: answer.clone(),
@@ -191,7 +191,7 @@
         }
         if fault == Fault::AnswersFromCache {
             let now = self.now;
-            let cached = self.planted_cache.entry((n, job));
+            let cached = self.cached_answers.entry((n, job));
             let said = cached.or_insert_with(|| (now, answer.clone()));
             if now > said.0 + CACHED {
                 *said = (now, answer.clone());
@@ -201,8 +201,10 @@
     }
 
     /// Returns the effects that a controller with the injected fault would have instead.
-    pub(crate) fn plant(&mut self, n: usize, effects: Vec<Effect>) -> Vec<Effect> {
-        let Some(fault) = self.planted else { return effects };
+    pub(crate) fn inject_into_effects(&mut self, n: usize, effects: Vec<Effect>) -> Vec<Effect> {
+        let Some(fault) = self.injected_fault else {
+            return effects;
+        };
         let mut out = vec![];
         for mut effect in effects {
             if let (Fault::JoinsSubmissions, Effect::Reply { id, answer }) = (fault, &effect) {
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -188,10 +188,10 @@
     /// Names of the tasks that have completed.
     pub results: BTreeSet<String>,
     /// A deliberate fault that the search over combinations of faults must find.
-    pub planted: Option<fault_injection::Fault>,
-    planted_kept: fault_injection::Kept,
-    planted_cache: fault_injection::Cache,
-    planted_joined: fault_injection::Joined,
+    pub injected_fault: Option<fault_injection::Fault>,
+    repeated_starts: fault_injection::RepeatedStarts,
+    cached_answers: fault_injection::CachedAnswers,
+    joined_submissions: fault_injection::JoinedSubmissions,
 }
 
 impl World {
@@ -240,10 +240,10 @@
             next_id: 0,
             links_told: BTreeMap::new(),
             results: BTreeSet::new(),
-            planted: None,
-            planted_kept: BTreeMap::new(),
-            planted_cache: BTreeMap::new(),
-            planted_joined: BTreeMap::new(),
+            injected_fault: None,
+            repeated_starts: BTreeMap::new(),
+            cached_answers: BTreeMap::new(),
+            joined_submissions: BTreeMap::new(),
             script,
         }
     }
@@ -357,7 +357,7 @@
             ScheduledEvent::Worker(name) => self.run_worker(&name),
             ScheduledEvent::Heartbeat(name, n, rid, mut heartbeat) => {
                 if rid == u64::MAX {
-                    self.plant_copy(&mut heartbeat);
+                    self.inject_into_report(&mut heartbeat);
                 }
                 let life = self.nodes[n].life;
                 let arrives = self.passes(&self.zone_end(&name), &links::End::Node(n));
@@ -431,14 +431,14 @@
             self.nodes[n].inbox.extend(batch);
             return;
         }
-        let batch = self.plant_joins(n, batch);
+        let batch = self.inject_into_events(n, batch);
         let now = Micros(self.now);
         let life = self.nodes[n].life;
         let Some(controller) = self.nodes[n].controller.as_mut() else {
             return;
         };
         let effects = controller.handle(now, batch);
-        let effects = self.plant(n, effects);
+        let effects = self.inject_into_effects(n, effects);
         self.notice_leader(n);
         let asks =
             |e: &Effect| matches!(e, Effect::Store { request, .. } if matches!(request, StoreRequest::Grant { .. }));
