--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -64,12 +64,12 @@
             Expect::RentedInAll(most) => world.cloud.rented_in_all() <= *most,
             Expect::Changes(most) => world.store.changes <= *most,
             Expect::CloudCalls(most) => world.cloud.calls <= *most,
-            Expect::Affected(least) => world.active_faults.lasting.affected >= *least,
+            Expect::Affected(least) => world.active_faults.one_way.affected >= *least,
         };
         if !holds {
             let counted = (world.store.changes, world.cloud.calls, world.cloud.rented_in_all());
             let (failures, missed) = (world.rules.failures, &world.rules.missed);
-            let affected = world.active_faults.lasting.affected;
+            let affected = world.active_faults.one_way.affected;
             if let Expect::AcceptedWithin(seconds) = expect {
                 for (id, u) in &world.users {
                     let waited = u.accepted.zip(u.first_asked).map(|(at, from)| at - from);
--- a/tests/sim/agents.rs
+++ b/tests/sim/agents.rs
@@ -84,7 +84,7 @@
                     ScheduledEvent::Heartbeat(name.into(), to, u64::MAX, heartbeat.clone()),
                 );
             }
-            if let Some(late) = self.active_faults.copies.values().copied().max() {
+            if let Some(late) = self.active_faults.duplicate_report_delays.values().copied().max() {
                 // The answer to a copy is ignored.
                 let ev = ScheduledEvent::Heartbeat(name.into(), node, u64::MAX, heartbeat.clone());
                 self.after(hop + late, ev);
--- a/tests/sim/cloud.rs
+++ b/tests/sim/cloud.rs
@@ -11,7 +11,7 @@
     fn create(&mut self, machine_type: &str, zone: &str, spot: bool) -> String {
         let (number, name) = self.cloud.create(self.now, machine_type, zone, spot);
         let t = self.cloud.machine_type(machine_type).cloned();
-        let factor = self.active_faults.boots.values().copied().reduce(f64::max);
+        let factor = self.active_faults.boot_time_factors.values().copied().reduce(f64::max);
         let dead = self.cloud.next_boot_fails() || factor == Some(0.0);
         if let (Some(t), false) = (t, dead) {
             let boot = (t.boot_s * (0.6 + 0.9 * self.rng.f64()) * factor.unwrap_or(1.0) * SEC as f64) as u64;
--- a/tests/sim/links.rs
+++ b/tests/sim/links.rs
@@ -81,7 +81,7 @@
     /// Returns whether packets get from one host to another.
     pub(crate) fn passes(&self, from: &End, to: &End) -> bool {
         let cuts = |(a, b): &(End, End)| self.includes_end(a, from) && self.includes_end(b, to);
-        !self.active_faults.links.values().flatten().any(cuts)
+        !self.active_faults.cut_links.values().flatten().any(cuts)
     }
 
     pub(crate) fn zone_end(&self, machine: &str) -> End {
@@ -98,7 +98,7 @@
         }
         let (link, pause) = match (acked, there) {
             (true, _) => (Link::Up, 4 * MS),
-            (false, true) if !self.active_faults.refuse.is_empty() => (Link::Refused, 4 * MS),
+            (false, true) if !self.active_faults.refused_peer_connections.is_empty() => (Link::Refused, 4 * MS),
             (false, true) => (Link::Silent, 1500 * MS),
             (false, false) => (Link::Refused, 4 * MS),
         };
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -91,22 +91,22 @@
 pub(crate) struct ActiveFaults {
     pub state_out: BTreeSet<usize>,
     /// Controllers whose requests the state service refuses and whose watches it holds back.
-    pub state_deaf: BTreeMap<usize, usize>,
+    pub state_refuses: BTreeMap<usize, usize>,
     pub cloud_out: BTreeSet<usize>,
     /// Machines that no controller can reach. Commands to them are held back, and so are their
     /// reports if the script has `held-packets`.
-    pub cut: BTreeMap<usize, BTreeSet<String>>,
+    pub partitioned_machines: BTreeMap<usize, BTreeSet<String>>,
     /// Pairs of zones that cannot reach each other.
-    pub zones: BTreeMap<usize, (String, String)>,
+    pub partitioned_zones: BTreeMap<usize, (String, String)>,
     /// Zones that are cut off from everything outside them.
-    pub zone_off: BTreeMap<usize, String>,
+    pub isolated_zones: BTreeMap<usize, String>,
     /// The zone of each controller.
     pub zone_of: Vec<String>,
     /// Answers to all transactions with changes are lost. Where the delay isn't 0, about half of
     /// these transactions are executed only after it.
-    pub lose_txn: BTreeMap<usize, u64>,
+    pub lost_txn_answers: BTreeMap<usize, u64>,
     /// Delays of commands on their way to a machine.
-    pub hold_direct: BTreeMap<usize, u64>,
+    pub push_delays: BTreeMap<usize, u64>,
     /// Share of the transactions with a write under the key prefix that are executed late.
     pub late_writes: BTreeMap<usize, (f64, String)>,
     /// Share of the reports of which a copy arrives late, at any controller.
@@ -114,33 +114,33 @@
     /// Controllers that process nothing while their clocks run on.
     pub frozen: BTreeMap<usize, usize>,
     /// Controllers that are cut off from `all`, `state`, `workers` or `peers`.
-    pub node_cut: BTreeMap<usize, (usize, String)>,
+    pub partitioned_nodes: BTreeMap<usize, (usize, String)>,
     /// Connections between controllers are refused.
-    pub refuse: BTreeSet<usize>,
+    pub refused_peer_connections: BTreeSet<usize>,
     /// Directed links that are cut, as pairs of sender and receiver.
-    pub links: BTreeMap<usize, Vec<(links::End, links::End)>>,
+    pub cut_links: BTreeMap<usize, Vec<(links::End, links::End)>>,
     /// Machines whose reports arrive, but which receive neither answers nor commands.
-    pub deaf: BTreeMap<usize, BTreeSet<String>>,
+    pub blocked_inbound: BTreeMap<usize, BTreeSet<String>>,
     /// Largest extra delay of an answer to a report; each delay is random.
     pub slow_answers: BTreeMap<usize, u64>,
     /// A copy of every report arrives after this extra delay.
-    pub copies: BTreeMap<usize, u64>,
+    pub duplicate_report_delays: BTreeMap<usize, u64>,
     /// Factors on the boot time; with 0, machines never boot.
-    pub boots: BTreeMap<usize, f64>,
+    pub boot_time_factors: BTreeMap<usize, f64>,
     /// Factors on the rate at which users poll.
-    pub storm: BTreeMap<usize, u64>,
+    pub poll_rate_factors: BTreeMap<usize, u64>,
     /// Step and duration of a freeze that begins when a controller next requests a lease.
-    pub trap: Option<(usize, u64)>,
+    pub freeze_at_lease_request: Option<(usize, u64)>,
     /// Key prefixes and downtimes: the next controller that commits a write under the prefix
     /// crashes before the answer reaches it.
-    pub ends_on: Vec<(String, u64)>,
-    pub lasting: one_way_faults::Lasting,
+    pub crash_on_write: Vec<(String, u64)>,
+    pub one_way: one_way_faults::ActiveOneWayFaults,
 }
 
 impl ActiveFaults {
     /// Returns whether this machine receives neither answers nor commands.
     pub(crate) fn is_asymmetrically_partitioned(&self, machine: &str) -> bool {
-        self.deaf.values().any(|d| d.contains(machine))
+        self.blocked_inbound.values().any(|d| d.contains(machine))
     }
 
     /// Returns whether this controller is cut off from `state`, `cloud`, `users`, `workers` or
@@ -148,9 +148,9 @@
     pub(crate) fn is_cut_off(&self, n: usize, from: &str) -> bool {
         let inside = !["peers", "workers"].contains(&from);
         let off = |zone: &String| *zone == self.zone_of[n];
-        (inside && self.zone_off.values().any(off))
+        (inside && self.isolated_zones.values().any(off))
             || self
-                .node_cut
+                .partitioned_nodes
                 .values()
                 .any(|(node, what)| *node == n && (what == "all" || what == from))
     }
@@ -415,7 +415,11 @@
         let Some(w) = self.workers.get(machine) else {
             return false;
         };
-        !self.active_faults.cut.values().any(|c| c.contains(machine))
+        !self
+            .active_faults
+            .partitioned_machines
+            .values()
+            .any(|c| c.contains(machine))
             && !self.active_faults.is_cut_off(n, "workers")
             && self.zones_reach(&self.nodes[n].settings.zone, &w.zone)
     }
@@ -423,7 +427,8 @@
     fn zones_reach(&self, a: &str, b: &str) -> bool {
         let parted = |(x, y): &(String, String)| (x == a && y == b) || (x == b && y == a);
         let off = |zone: &String| a != b && (zone == a || zone == b);
-        !self.active_faults.zones.values().any(parted) && !self.active_faults.zone_off.values().any(off)
+        !self.active_faults.partitioned_zones.values().any(parted)
+            && !self.active_faults.isolated_zones.values().any(off)
     }
 
     fn run(&mut self, n: usize, batch: Vec<Event>) {
@@ -443,7 +448,7 @@
         let asks =
             |e: &Effect| matches!(e, Effect::Store { request, .. } if matches!(request, StoreRequest::Grant { .. }));
         if effects.iter().any(asks) {
-            if let Some((i, lasts)) = self.active_faults.trap.take() {
+            if let Some((i, lasts)) = self.active_faults.freeze_at_lease_request.take() {
                 self.active_faults.frozen.insert(i, n);
                 self.after(lasts, ScheduledEvent::Heal(i));
             }
@@ -520,12 +525,15 @@
                     let cut =
                         self.active_faults.is_cut_off(n, "peers") || self.active_faults.is_cut_off(other, "peers");
                     let open = self.passes(&links::End::Node(n), &links::End::Node(other));
-                    let arrives = !cut && self.zones_reach(a, b) && open && self.active_faults.refuse.is_empty();
+                    let arrives = !cut
+                        && self.zones_reach(a, b)
+                        && open
+                        && self.active_faults.refused_peer_connections.is_empty();
                     self.tell_link(n, other, arrives);
                     if arrives {
                         let life = self.nodes[other].life;
                         self.after(hop, ScheduledEvent::Event(other, life, Event::Peer(message)));
-                    } else if self.script.held_packets && self.active_faults.refuse.is_empty() {
+                    } else if self.script.held_packets && self.active_faults.refused_peer_connections.is_empty() {
                         let life = self.nodes[other].life;
                         let ev = ScheduledEvent::Event(other, life, Event::Peer(message));
                         self.held.push((n, ev));
--- a/tests/sim/one_way_faults.rs
+++ b/tests/sim/one_way_faults.rs
@@ -130,7 +130,7 @@
 
 /// The active faults of this module, by the step that began them.
 #[derive(Default)]
-pub(crate) struct Lasting {
+pub(crate) struct ActiveOneWayFaults {
     lost_replies: BTreeMap<usize, (f64, String)>,
     replayed_reports: BTreeMap<usize, f64>,
     blocked_outbound: BTreeMap<usize, BTreeSet<String>>,
@@ -147,7 +147,7 @@
     last_leader: Option<(usize, u64)>,
 }
 
-impl Lasting {
+impl ActiveOneWayFaults {
     /// Ends the fault of a step. Reports that are kept for the next leader stay.
     pub(crate) fn heal(&mut self, step: usize) {
         self.lost_replies.remove(&step);
@@ -182,23 +182,23 @@
         match fault {
             OneWayFault::LoseWriteReplies(share, prefix) => {
                 self.active_faults
-                    .lasting
+                    .one_way
                     .lost_replies
                     .insert(step, (*share, prefix.clone()));
             }
             OneWayFault::ReplayReports(share) => {
-                self.active_faults.lasting.replayed_reports.insert(step, *share);
+                self.active_faults.one_way.replayed_reports.insert(step, *share);
             }
             OneWayFault::BlockOutbound(which) => {
                 let machines = self.machines(which);
-                self.active_faults.lasting.blocked_outbound.insert(step, machines);
+                self.active_faults.one_way.blocked_outbound.insert(step, machines);
             }
             OneWayFault::LateCommands(share) => {
-                self.active_faults.lasting.late_commands.insert(step, *share);
+                self.active_faults.one_way.late_commands.insert(step, *share);
             }
             OneWayFault::DelayPushReplies(which, by) => {
                 let machines = self.machines(which);
-                self.active_faults.lasting.delayed_replies.insert(step, (machines, *by));
+                self.active_faults.one_way.delayed_replies.insert(step, (machines, *by));
             }
             OneWayFault::Kill(which) => {
                 for name in self.machines(which) {
@@ -206,10 +206,10 @@
                 }
             }
             OneWayFault::SlowState(by) => {
-                self.active_faults.lasting.slow_state.insert(step, *by);
+                self.active_faults.one_way.slow_state.insert(step, *by);
             }
             OneWayFault::Throttle(n, share) => {
-                self.active_faults.lasting.throttled.insert(step, (*n, *share));
+                self.active_faults.one_way.throttled.insert(step, (*n, *share));
                 self.throttle(step);
             }
         }
@@ -218,7 +218,7 @@
     /// Suspends a throttled controller that has used its share of the period, or resumes the
     /// controller when the next period begins.
     pub(crate) fn throttle(&mut self, step: usize) {
-        let Some(&(n, share)) = self.active_faults.lasting.throttled.get(&step) else {
+        let Some(&(n, share)) = self.active_faults.one_way.throttled.get(&step) else {
             return;
         };
         let runs = (THROTTLE_PERIOD as f64 * share) as u64;
@@ -233,14 +233,14 @@
     /// Draws whether a fault with this share affects a message, and counts affected messages.
     fn draw(&mut self, share: f64) -> bool {
         let drawn = share > 0.0 && self.rng.f64() < share;
-        self.active_faults.lasting.affected += usize::from(drawn);
+        self.active_faults.one_way.affected += usize::from(drawn);
         drawn
     }
 
     /// Returns whether a transaction is executed and its reply lost.
     pub(crate) fn loses_answer(&mut self, txn: &Transaction) -> bool {
         let writes = |prefix: &str| txn.changes.iter().any(|c| c.key().starts_with(prefix));
-        let shares = self.active_faults.lasting.lost_replies.values();
+        let shares = self.active_faults.one_way.lost_replies.values();
         let share = shares.filter(|(_, prefix)| writes(prefix)).map(|(share, _)| *share);
         let share = share.fold(0.0, f64::max);
         self.draw(share)
@@ -250,7 +250,7 @@
     pub(crate) fn state_delay(&mut self, request: &StoreRequest) -> u64 {
         let slow = self
             .active_faults
-            .lasting
+            .one_way
             .slow_state
             .values()
             .copied()
@@ -267,14 +267,14 @@
     pub(crate) fn report_fails_to_leave(&mut self, name: &str, rid: u64) -> bool {
         if !self
             .active_faults
-            .lasting
+            .one_way
             .blocked_outbound
             .values()
             .any(|m| m.contains(name))
         {
             return false;
         }
-        self.active_faults.lasting.affected += 1;
+        self.active_faults.one_way.affected += 1;
         let pause = if self.rng.bool() { MS } else { 4 * SEC };
         self.after(pause, ScheduledEvent::ReportLate(name.into(), rid));
         true
@@ -282,10 +282,10 @@
 
     /// Keeps a copy of the report for the next leader, if drawn from the share.
     pub(crate) fn keep_for_next(&mut self, heartbeat: &Heartbeat) {
-        let shares = self.active_faults.lasting.replayed_reports.values();
+        let shares = self.active_faults.one_way.replayed_reports.values();
         let share = shares.copied().fold(0.0, f64::max);
         if self.draw(share) {
-            self.active_faults.lasting.kept_for_next.push(heartbeat.clone());
+            self.active_faults.one_way.kept_for_next.push(heartbeat.clone());
         }
     }
 
@@ -298,11 +298,11 @@
             .as_ref()
             .is_some_and(|controller| controller.is_leader());
         let life = Some((n, node.life));
-        if !leads || self.active_faults.lasting.last_leader == life {
+        if !leads || self.active_faults.one_way.last_leader == life {
             return;
         }
-        self.active_faults.lasting.last_leader = life;
-        for heartbeat in std::mem::take(&mut self.active_faults.lasting.kept_for_next) {
+        self.active_faults.one_way.last_leader = life;
+        for heartbeat in std::mem::take(&mut self.active_faults.one_way.kept_for_next) {
             for to in 0..self.nodes.len() {
                 let pause = self.rng.u64(0..SEC);
                 let name = heartbeat.machine.clone();
@@ -314,8 +314,8 @@
     /// Pushes commands to a machine. Commands that the fault delays by 2 to 16 s are executed
     /// without a reply to any controller.
     pub(crate) fn send_direct(&mut self, n: usize, life: u64, id: u64, hop: u64, addr: String, body: PushedCommands) {
-        let held = self.active_faults.hold_direct.values().copied().max().unwrap_or(0);
-        let shares = self.active_faults.lasting.late_commands.values();
+        let held = self.active_faults.push_delays.values().copied().max().unwrap_or(0);
+        let shares = self.active_faults.one_way.late_commands.values();
         let share = shares.copied().fold(0.0, f64::max);
         if self.draw(share) {
             let late = 2 * SEC + self.rng.u64(0..14 * SEC);
@@ -326,13 +326,13 @@
 
     /// Returns the additional delay of a machine's reply to a pushed command.
     pub(crate) fn answer_held(&mut self, name: &str) -> u64 {
-        let held = self.active_faults.lasting.delayed_replies.values();
+        let held = self.active_faults.one_way.delayed_replies.values();
         let by = held.filter(|(names, _)| names.contains(name)).map(|(_, by)| *by);
         let by = by.max().unwrap_or(0);
         if by == 0 {
             return 0;
         }
-        self.active_faults.lasting.affected += 1;
+        self.active_faults.one_way.affected += 1;
         self.rng.u64(0..=by)
     }
 }
--- a/tests/sim/state_service.rs
+++ b/tests/sim/state_service.rs
@@ -31,7 +31,7 @@
     }
 
     fn is_refused(&self, n: usize) -> bool {
-        self.active_faults.state_deaf.values().any(|d| *d == n)
+        self.active_faults.state_refuses.values().any(|d| *d == n)
     }
 
     pub(crate) fn store_request(&mut self, n: usize, life: u64, id: u64, request: StoreRequest) {
@@ -76,7 +76,7 @@
                 self.after(late, ScheduledEvent::Store(n, u64::MAX, id, request));
                 return;
             } else if let (StoreRequest::Transaction(txn), Some(late)) =
-                (&request, self.active_faults.lose_txn.values().copied().next())
+                (&request, self.active_faults.lost_txn_answers.values().copied().next())
             {
                 // The answer is lost. The transaction is executed now, or late, after its sender
                 // has timed out.
@@ -99,9 +99,13 @@
         if let (StoreRequest::Transaction(txn), StoreResponse::Committed { .. }) = (&request, &answer) {
             self.answers.written(&txn.changes, now);
             let writes = |key: &String| txn.changes.iter().any(|c| c.key().starts_with(key.as_str()));
-            let found = self.active_faults.ends_on.iter().position(|(key, _)| writes(key));
+            let found = self
+                .active_faults
+                .crash_on_write
+                .iter()
+                .position(|(key, _)| writes(key));
             if let Some(at) = found {
-                let (_, lasts) = self.active_faults.ends_on.remove(at);
+                let (_, lasts) = self.active_faults.crash_on_write.remove(at);
                 self.crash_node(n);
                 self.after(lasts, ScheduledEvent::Start(n));
             }
--- a/tests/sim/steps.rs
+++ b/tests/sim/steps.rs
@@ -10,7 +10,7 @@
     pub(crate) fn step(&mut self, i: usize) {
         let step = self.script.steps[i].clone();
         if let Action::FreezeOnGrant = step.action {
-            self.active_faults.trap = step.duration.map(|duration| (i, duration));
+            self.active_faults.freeze_at_lease_request = step.duration.map(|duration| (i, duration));
             return;
         }
         if let Some(duration) = step.duration {
@@ -59,20 +59,23 @@
                     self.after(step.duration.unwrap_or(3 * SEC), ScheduledEvent::Start(n));
                 }
             }
-            Action::CrashOn(key) => self.active_faults.ends_on.push((key, step.duration.unwrap_or(3 * SEC))),
+            Action::CrashOn(key) => self
+                .active_faults
+                .crash_on_write
+                .push((key, step.duration.unwrap_or(3 * SEC))),
             Action::StateOut => {
                 self.active_faults.state_out.insert(i);
                 self.store.outage(true, self.now);
             }
             Action::StateRefuses(n) => {
                 let n = if n == usize::MAX { self.leader().unwrap_or(0) } else { n };
-                self.active_faults.state_deaf.insert(i, n);
+                self.active_faults.state_refuses.insert(i, n);
             }
             Action::CloudOut => {
                 self.active_faults.cloud_out.insert(i);
             }
             Action::LoseTxn(late) => {
-                self.active_faults.lose_txn.insert(i, late);
+                self.active_faults.lost_txn_answers.insert(i, late);
             }
             Action::LateWrites(share, prefix) => {
                 self.active_faults.late_writes.insert(i, (share, prefix));
@@ -81,17 +84,17 @@
                 self.active_faults.late_reports.insert(i, share);
             }
             Action::DelayPushedCommands(late) => {
-                self.active_faults.hold_direct.insert(i, late);
+                self.active_faults.push_delays.insert(i, late);
             }
             Action::Cut(count) => {
                 let busy = self.busiest(count);
-                self.active_faults.cut.insert(i, busy);
+                self.active_faults.partitioned_machines.insert(i, busy);
             }
             Action::ZoneCut(a, b) => {
-                self.active_faults.zones.insert(i, (a, b));
+                self.active_faults.partitioned_zones.insert(i, (a, b));
             }
             Action::IsolateZone(zone) => {
-                self.active_faults.zone_off.insert(i, zone);
+                self.active_faults.isolated_zones.insert(i, zone);
             }
             Action::Hang(count) => {
                 let until = self.now + step.duration.unwrap_or(SEC);
@@ -139,30 +142,30 @@
             }
             Action::NodeCut(who, from) => {
                 if let Some(n) = self.named_controller(&who) {
-                    self.active_faults.node_cut.insert(i, (n, from));
+                    self.active_faults.partitioned_nodes.insert(i, (n, from));
                 }
             }
             Action::PeersRefuse => {
-                self.active_faults.refuse.insert(i);
+                self.active_faults.refused_peer_connections.insert(i);
             }
             Action::LinkCut(from, to) => {
                 if let (Some(from), Some(to)) = (self.resolve_end(&from), self.resolve_end(&to)) {
                     let pairs = from.iter().flat_map(|a| to.iter().map(move |b| (a.clone(), b.clone())));
-                    self.active_faults.links.insert(i, pairs.collect());
+                    self.active_faults.cut_links.insert(i, pairs.collect());
                 }
             }
             Action::BlockInbound(count) => {
                 let busy = self.busiest(count);
-                self.active_faults.deaf.insert(i, busy);
+                self.active_faults.blocked_inbound.insert(i, busy);
             }
             Action::SlowAnswers(late) => {
                 self.active_faults.slow_answers.insert(i, late);
             }
             Action::DuplicateReports(late) => {
-                self.active_faults.copies.insert(i, late);
+                self.active_faults.duplicate_report_delays.insert(i, late);
             }
             Action::BootFactor(factor) => {
-                self.active_faults.boots.insert(i, factor);
+                self.active_faults.boot_time_factors.insert(i, factor);
             }
             Action::EarlierRelease(node) => {
                 self.store.old_release(&node);
@@ -186,7 +189,7 @@
             }
             Action::OneWayFault(fault) => self.begin_one_way_fault(i, &fault),
             Action::QueryRate(factor) => {
-                self.active_faults.storm.insert(i, factor);
+                self.active_faults.poll_rate_factors.insert(i, factor);
                 let all: Vec<String> = self.users.keys().cloned().collect();
                 for job in all {
                     self.event(ScheduledEvent::User(job));
@@ -226,24 +229,24 @@
         self.one_way_faults.heal(i);
         let faults = &mut self.active_faults;
         faults.state_out.remove(&i);
-        faults.state_deaf.remove(&i);
+        faults.state_refuses.remove(&i);
         faults.cloud_out.remove(&i);
-        faults.cut.remove(&i);
-        faults.zones.remove(&i);
-        faults.zone_off.remove(&i);
-        faults.lose_txn.remove(&i);
-        faults.hold_direct.remove(&i);
+        faults.partitioned_machines.remove(&i);
+        faults.partitioned_zones.remove(&i);
+        faults.isolated_zones.remove(&i);
+        faults.lost_txn_answers.remove(&i);
+        faults.push_delays.remove(&i);
         faults.late_writes.remove(&i);
         faults.late_reports.remove(&i);
-        faults.node_cut.remove(&i);
-        faults.refuse.remove(&i);
-        faults.links.remove(&i);
-        faults.deaf.remove(&i);
-        faults.copies.remove(&i);
+        faults.partitioned_nodes.remove(&i);
+        faults.refused_peer_connections.remove(&i);
+        faults.cut_links.remove(&i);
+        faults.blocked_inbound.remove(&i);
+        faults.duplicate_report_delays.remove(&i);
         faults.slow_answers.remove(&i);
-        faults.boots.remove(&i);
-        faults.storm.remove(&i);
-        faults.lasting.heal(i);
+        faults.boot_time_factors.remove(&i);
+        faults.poll_rate_factors.remove(&i);
+        faults.one_way.heal(i);
         if self.active_faults.state_out.is_empty() {
             self.store.outage(false, self.now);
         }
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -147,7 +147,16 @@
         let user = &self.users[job];
         let pause = match asked {
             _ if status == 503 => SEC,
-            Asked::Poll => asked.pause() / self.active_faults.storm.values().copied().max().unwrap_or(1),
+            Asked::Poll => {
+                asked.pause()
+                    / self
+                        .active_faults
+                        .poll_rate_factors
+                        .values()
+                        .copied()
+                        .max()
+                        .unwrap_or(1)
+            }
             _ => asked.pause(),
         };
         if user.refused.is_none() {
