--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -131,7 +131,7 @@
         script.seed += extra * 1000;
         let seed = script.seed;
         let mut world = World::new(script);
-        world.play();
+        world.run_script();
         let found = check(&world);
         if !found.is_empty() {
             wrong.push(format!(
@@ -189,7 +189,7 @@
     let late = "until 60\nat 1 submit run-000001 run=100\nexpect done run-000001 by 50";
     assert!(!simulate(late).is_empty());
     let mut world = World::new(Script::parse("until 60\nat 1 submit run-000001 service pieces=2").unwrap());
-    world.play();
+    world.run_script();
     assert!(check(&world).is_empty());
     // A second copy of a running task, a task of a cancelled job, and a job that is reported done
     // although it is not.
--- a/tests/sim/agents.rs
+++ b/tests/sim/agents.rs
@@ -31,7 +31,7 @@
     }
 
     /// Announces to a machine that the cloud takes it back after this many seconds.
-    pub(crate) fn notice(&mut self, name: &str, seconds: u64) {
+    pub(crate) fn announce_reclaim(&mut self, name: &str, seconds: u64) {
         let now = self.now;
         if let Some(w) = self.workers.get_mut(name) {
             if w.up {
@@ -52,7 +52,7 @@
             return;
         }
         if w.taken.is_some_and(|t| now >= t) {
-            return self.machine_dies(name);
+            return self.remove_machine(name);
         }
         if let Some(killed) = w.expire_lease(now, lease) {
             self.rules.lease_kills += killed;
@@ -64,7 +64,7 @@
         let report_s = self.script.base.params.workers.report_s;
         if due
             .as_ref()
-            .is_some_and(|(rid, _)| self.report_fails_to_leave(name, *rid))
+            .is_some_and(|(rid, _)| self.report_cannot_be_sent(name, *rid))
         {
             due = None;
         }
@@ -73,7 +73,7 @@
             if let Some(w) = self.workers.get_mut(name) {
                 w.report_next(now + pause);
             }
-            self.keep_for_next(&heartbeat);
+            self.keep_for_next_leader(&heartbeat);
             let hop = self.hop();
             let share = self.active_faults.late_reports.values().copied().fold(0.0, f64::max);
             if share > 0.0 && self.rng.f64() < share {
@@ -90,7 +90,7 @@
                 self.after(hop + late, ev);
             }
             self.after(hop, ScheduledEvent::Heartbeat(name.into(), node, rid, heartbeat));
-            self.after(4 * SEC, ScheduledEvent::ReportLate(name.into(), rid));
+            self.after(4 * SEC, ScheduledEvent::ReportTimeout(name.into(), rid));
         }
         for task in progress.completed {
             self.task_ended(&task);
@@ -177,7 +177,7 @@
         else {
             return;
         };
-        if !self.passes(&super::links::End::Node(n), &self.zone_end(&name)) {
+        if !self.passes(&super::links::End::Node(n), &self.machine_end(&name)) {
             return;
         }
         if self.active_faults.is_asymmetrically_partitioned(&name) {
@@ -186,7 +186,7 @@
         if !self.reaches(n, &name) {
             // The commands are held back until a fault ends.
             let ev = ScheduledEvent::PushedCommands(n, life, id, addr.into(), body.clone());
-            self.held.push((n, ev));
+            self.held_messages.push((n, ev));
             return;
         }
         let Some(w) = self.workers.get_mut(&name) else { return };
@@ -212,8 +212,8 @@
             self.record_executed(&carrier, &name, &body.commands, executed);
         }
         let hop = self.hop();
-        if self.passes(&self.zone_end(&name), &super::links::End::Node(n)) {
-            let held = self.answer_held(&name);
+        if self.passes(&self.machine_end(&name), &super::links::End::Node(n)) {
+            let held = self.push_reply_delay(&name);
             self.after(
                 hop + held,
                 ScheduledEvent::Event(n, life, Event::PushedCommands { id, answer }),
--- a/tests/sim/close_queries.rs
+++ b/tests/sim/close_queries.rs
@@ -39,7 +39,7 @@
 #[derive(Default)]
 pub(crate) struct CloseQueries {
     /// Each change of a job is followed by queries to all controllers.
-    pub close_looks: BTreeSet<usize>,
+    pub query_all_on_change: BTreeSet<usize>,
     /// Share of the jobs that are cancelled as their last task completes.
     pub cancel_at_end: BTreeMap<usize, f64>,
     /// Invalid and repeated requests are sent regularly.
@@ -54,8 +54,8 @@
         self.pending.get(&query).map(|query| query.job.as_str())
     }
 
-    pub(crate) fn heal(&mut self, step: usize) {
-        self.close_looks.remove(&step);
+    pub(crate) fn end_faults(&mut self, step: usize) {
+        self.query_all_on_change.remove(&step);
         self.cancel_at_end.remove(&step);
         self.odd_requests.remove(&step);
     }
@@ -97,14 +97,14 @@
             Asked::Abort => UserRequest::Abort(query.job.clone()),
         };
         let (id, number) = (self.id(), self.id());
-        self.one_way_faults.pending.insert(number, query);
+        self.close_queries.pending.insert(number, query);
         self.origins.insert(id, Origin::Query(number));
         let (hop, life) = (self.hop(), self.nodes[n].life);
         self.after(hop, ScheduledEvent::Event(n, life, Event::User { id, request }));
     }
 
     pub(crate) fn query_answered(&mut self, number: u64, left: u64, answer: &Outgoing) {
-        let Some(query) = self.one_way_faults.pending.remove(&number) else {
+        let Some(query) = self.close_queries.pending.remove(&number) else {
             return;
         };
         if self.now > query.sent + ANSWER_TIMEOUT {
@@ -133,7 +133,7 @@
         if over || !(0..user.spec.tasks).all(|t| self.results.contains(&format!("{job}/{t}"))) {
             return;
         }
-        let share = self.one_way_faults.cancel_at_end.values().copied().fold(0.0, f64::max);
+        let share = self.close_queries.cancel_at_end.values().copied().fold(0.0, f64::max);
         if share > 0.0 && self.rng.f64() < share {
             let pause = self.rng.u64(0..6 * MS);
             self.ask_random_node(&job, Asked::Abort, pause);
@@ -150,7 +150,7 @@
     /// Queries all controllers about a job several times and repeats its submission, if that is
     /// switched on. A quarter of the jobs that were just accepted are cancelled.
     pub(crate) fn query_all_nodes(&mut self, job: &str, change: JobChange) {
-        if self.one_way_faults.close_looks.is_empty() {
+        if self.close_queries.query_all_on_change.is_empty() {
             return;
         }
         for pause in QUERY_DELAYS {
@@ -201,7 +201,7 @@
     /// Repeats the submission of an unfinished job, cancels a job that is done, and submits,
     /// polls and cancels a job that must be refused. Repeats itself four times a second.
     pub(crate) fn odd_requests(&mut self, step: usize) {
-        if !self.one_way_faults.odd_requests.contains(&step) {
+        if !self.close_queries.odd_requests.contains(&step) {
             return;
         }
         let mut pick = |wanted: fn(&super::users::User) -> bool| {
@@ -219,8 +219,8 @@
             let query = self.query(&job, Asked::Abort, None);
             self.send(n, query, vec![]);
         }
-        self.one_way_faults.invalid_jobs += 1;
-        let number = self.one_way_faults.invalid_jobs;
+        self.close_queries.invalid_jobs += 1;
+        let number = self.close_queries.invalid_jobs;
         let job = format!("run-{}", FIRST_INVALID_JOB + number);
         let body = self.invalid_submission(&job, number);
         for asked in [Asked::Submit, Asked::Poll, Asked::Abort] {
--- a/tests/sim/cloud.rs
+++ b/tests/sim/cloud.rs
@@ -24,7 +24,7 @@
     }
 
     /// Creates a machine without a request, like a rental request that is executed late.
-    pub(crate) fn ghost_machine(&mut self) {
+    pub(crate) fn add_unknown_machine(&mut self) {
         let Some(t) = self.cloud.catalogue().types.into_iter().next() else {
             return;
         };
@@ -42,7 +42,7 @@
                 CloudRequest::Provision(rent) => self.rent(rent),
                 CloudRequest::Release(hosts) => {
                     for name in hosts.machines {
-                        self.machine_dies(&name);
+                        self.remove_machine(&name);
                     }
                     CloudResponse::Released
                 }
@@ -68,7 +68,7 @@
     }
 
     /// Removes a machine with all its tasks.
-    pub(crate) fn machine_dies(&mut self, name: &str) {
+    pub(crate) fn remove_machine(&mut self, name: &str) {
         self.cloud.terminate(self.now, name);
         if let Some(w) = self.workers.get_mut(name) {
             w.dies();
--- a/tests/sim/fault_combinations.rs
+++ b/tests/sim/fault_combinations.rs
@@ -294,7 +294,7 @@
 fn simulate(text: &str, injected: Option<Fault>) -> Vec<String> {
     let mut world = World::new(Script::parse(text).unwrap());
     world.injected_fault = injected;
-    world.play();
+    world.run_script();
     let mut wrong = crate::check(&world);
     if injected.is_none() {
         // Small jobs that were not cancelled are done long after the last fault.
--- a/tests/sim/fault_injection.rs
+++ b/tests/sim/fault_injection.rs
@@ -177,7 +177,7 @@
 
     /// Changes the answer to a query of the users who query all controllers at once.
     fn inject_query_answer(&mut self, n: usize, number: u64, fault: Fault, answer: &mut Outgoing) {
-        let Some(job) = self.one_way_faults.job_of(number).map(str::to_string) else {
+        let Some(job) = self.close_queries.job_of(number).map(str::to_string) else {
             return;
         };
         if fault == Fault::AcceptsAnything && matches!(answer.status, 400 | 422) {
--- a/tests/sim/links.rs
+++ b/tests/sim/links.rs
@@ -84,16 +84,16 @@
         !self.active_faults.cut_links.values().flatten().any(cuts)
     }
 
-    pub(crate) fn zone_end(&self, machine: &str) -> End {
+    pub(crate) fn machine_end(&self, machine: &str) -> End {
         End::Workers(self.workers.get(machine).map(|w| w.zone.clone()))
     }
 
     /// Reports the state of a controller's link to another controller to the former, if the state
     /// has changed. `arrives` says whether packets reach the other controller.
-    pub(crate) fn tell_link(&mut self, n: usize, other: usize, arrives: bool) {
+    pub(crate) fn report_link(&mut self, n: usize, other: usize, arrives: bool) {
         let there = self.nodes[other].controller.is_some();
         let acked = arrives && there && self.passes(&End::Node(other), &End::Node(n));
-        if self.links_told.insert((n, other), acked) == Some(acked) {
+        if self.reported_links.insert((n, other), acked) == Some(acked) {
             return;
         }
         let (link, pause) = match (acked, there) {
--- a/tests/sim/matrix.rs
+++ b/tests/sim/matrix.rs
@@ -79,7 +79,7 @@
         writeln!(text, "at {CUT_S} link-cut {from} {to} for {duration_s}").unwrap();
     }
     let mut world = World::new(Script::parse(&text).unwrap());
-    world.play();
+    world.run_script();
     let mut wrong = world.rules.broken.clone();
     wrong.extend(world.store.problems.iter().cloned());
     wrong.extend(world.cloud.problems.iter().cloned());
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -49,7 +49,7 @@
     Worker(String),
     Heartbeat(String, usize, u64, Heartbeat),
     ReportAnswer(String, u64, Outgoing),
-    ReportLate(String, u64),
+    ReportTimeout(String, u64),
     Boot(String),
     User(String),
     /// The answer to a user's request: job, request number, time at which it left the controller.
@@ -61,7 +61,7 @@
     QueryAnswer(u64, u64, Outgoing),
     OddRequests(usize),
     Step(usize),
-    Heal(usize),
+    EndFaults(usize),
     Throttle(usize),
     Start(usize),
     /// The periodic check of services, stranded jobs and the controllers' own invariants.
@@ -174,17 +174,17 @@
     pub rules: rules::Rules,
     pub answers: answers::Answers,
     pub stranded_jobs: stranded_jobs::StrandedJobs,
-    pub one_way_faults: close_queries::CloseQueries,
+    pub close_queries: close_queries::CloseQueries,
     pub script: script::Script,
     pub active_faults: ActiveFaults,
     /// Senders of the requests that controllers have yet to answer, by request ID.
     pub origins: BTreeMap<u64, Origin>,
     /// Messages held back by a fault, each with the index of its controller. All of them are
     /// delivered as soon as any fault ends.
-    pub held: Vec<(usize, ScheduledEvent)>,
+    pub held_messages: Vec<(usize, ScheduledEvent)>,
     next_id: u64,
     /// The state of the link to another controller that was last reported to a controller.
-    pub links_told: BTreeMap<(usize, usize), bool>,
+    pub reported_links: BTreeMap<(usize, usize), bool>,
     /// Names of the tasks that have completed.
     pub results: BTreeSet<String>,
     /// A deliberate fault that the search over combinations of faults must find.
@@ -230,15 +230,15 @@
             rules: rules::Rules::new(&script.base.params.teams, script.base.params.workers.cancel_s),
             answers: answers::Answers::new(&script),
             stranded_jobs: stranded_jobs::StrandedJobs::default(),
-            one_way_faults: close_queries::CloseQueries::default(),
+            close_queries: close_queries::CloseQueries::default(),
             active_faults: ActiveFaults {
                 zone_of,
                 ..ActiveFaults::default()
             },
             origins: BTreeMap::new(),
-            held: vec![],
+            held_messages: vec![],
             next_id: 0,
-            links_told: BTreeMap::new(),
+            reported_links: BTreeMap::new(),
             results: BTreeSet::new(),
             injected_fault: None,
             repeated_starts: BTreeMap::new(),
@@ -283,7 +283,8 @@
         self.nodes[n].controller = None;
         self.nodes[n].inbox.clear();
         let heartbeats = self.workers.iter().filter(|(_, w)| w.node == n);
-        let heartbeats = heartbeats.filter_map(|(name, w)| Some(ScheduledEvent::ReportLate(name.clone(), w.flying?.0)));
+        let heartbeats =
+            heartbeats.filter_map(|(name, w)| Some(ScheduledEvent::ReportTimeout(name.clone(), w.flying?.0)));
         let asked = self.users.iter().filter_map(|(job, u)| Some((job, u.asked_of(n)?)));
         let lost: Vec<ScheduledEvent> = heartbeats
             .chain(asked.map(|(job, rid)| ScheduledEvent::UserTimeout(job.clone(), rid)))
@@ -299,7 +300,7 @@
     }
 
     /// Runs the script to its end.
-    pub(crate) fn play(&mut self) {
+    pub(crate) fn run_script(&mut self) {
         for n in 0..self.nodes.len() {
             self.after(n as u64 * 10 * MS, ScheduledEvent::Start(n));
         }
@@ -360,23 +361,23 @@
                     self.inject_into_report(&mut heartbeat);
                 }
                 let life = self.nodes[n].life;
-                let arrives = self.passes(&self.zone_end(&name), &links::End::Node(n));
+                let arrives = self.passes(&self.machine_end(&name), &links::End::Node(n));
                 if self.nodes[n].controller.is_none() && self.reaches(n, &name) && arrives {
                     // The connection is refused.
                     let hop = self.hop();
-                    self.after(hop, ScheduledEvent::ReportLate(name, rid));
+                    self.after(hop, ScheduledEvent::ReportTimeout(name, rid));
                 } else if self.reaches(n, &name) && arrives {
                     let id = self.id();
                     self.origins.insert(id, Origin::Worker(name, rid));
                     self.event(ScheduledEvent::Event(n, life, Event::Heartbeat { id, heartbeat }));
                 } else if self.script.held_packets && rid != u64::MAX {
                     // The report arrives after the worker has moved on to another controller.
-                    self.held
+                    self.held_messages
                         .push((n, ScheduledEvent::Heartbeat(name, n, u64::MAX, heartbeat)));
                 }
             }
             ScheduledEvent::ReportAnswer(name, rid, answer) => self.report_answered(&name, rid, answer),
-            ScheduledEvent::ReportLate(name, rid) => self.report_timed_out(&name, rid),
+            ScheduledEvent::ReportTimeout(name, rid) => self.report_timed_out(&name, rid),
             ScheduledEvent::Boot(name) => self.boot(&name),
             ScheduledEvent::User(job) => self.user_acts(&job),
             ScheduledEvent::UserAnswer(job, rid, left, answer) => self.user_answered(&job, rid, left, answer),
@@ -384,8 +385,8 @@
             ScheduledEvent::Ask(job, asked, n) => self.ask(&job, asked, n),
             ScheduledEvent::QueryAnswer(number, left, answer) => self.query_answered(number, left, &answer),
             ScheduledEvent::OddRequests(step) => self.odd_requests(step),
-            ScheduledEvent::Step(i) => self.step(i),
-            ScheduledEvent::Heal(i) => self.heal(i),
+            ScheduledEvent::Step(i) => self.execute_step(i),
+            ScheduledEvent::EndFaults(i) => self.end_faults(i),
             ScheduledEvent::Throttle(i) => self.throttle(i),
             ScheduledEvent::Query => {
                 self.rules.check_services(self.now, &self.workers, &self.users);
@@ -444,13 +445,13 @@
         };
         let effects = controller.handle(now, batch);
         let effects = self.inject_into_effects(n, effects);
-        self.notice_leader(n);
+        self.replay_reports_to_new_leader(n);
         let asks =
             |e: &Effect| matches!(e, Effect::Store { request, .. } if matches!(request, StoreRequest::Grant { .. }));
         if effects.iter().any(asks) {
             if let Some((i, lasts)) = self.active_faults.freeze_at_lease_request.take() {
                 self.active_faults.frozen.insert(i, n);
-                self.after(lasts, ScheduledEvent::Heal(i));
+                self.after(lasts, ScheduledEvent::EndFaults(i));
             }
         }
         for effect in effects {
@@ -459,7 +460,7 @@
             match effect {
                 Effect::Reply { id, answer } => match self.origins.remove(&id) {
                     Some(Origin::Worker(name, rid)) => {
-                        let arrives = self.passes(&links::End::Node(n), &self.zone_end(&name));
+                        let arrives = self.passes(&links::End::Node(n), &self.machine_end(&name));
                         if self.reaches(n, &name) && arrives && !self.active_faults.is_asymmetrically_partitioned(&name)
                         {
                             let late = self.active_faults.slow_answers.values().copied().max().unwrap_or(0);
@@ -484,7 +485,8 @@
                     {
                         // The sender's timeout has expired when the transaction is delivered.
                         if self.script.held_packets && matches!(request, StoreRequest::Transaction(_)) {
-                            self.held.push((n, ScheduledEvent::Store(n, u64::MAX, id, request)));
+                            self.held_messages
+                                .push((n, ScheduledEvent::Store(n, u64::MAX, id, request)));
                         }
                         continue;
                     }
@@ -498,7 +500,8 @@
                     {
                         let late = !matches!(request, glenhaven::coordination::CloudRequest::Release(_));
                         if self.script.held_packets && late {
-                            self.held.push((n, ScheduledEvent::Cloud(n, u64::MAX, id, request)));
+                            self.held_messages
+                                .push((n, ScheduledEvent::Cloud(n, u64::MAX, id, request)));
                         }
                         continue;
                     }
@@ -515,7 +518,7 @@
                         timeout.0,
                         ScheduledEvent::Event(n, life, Event::PushedCommands { id, answer }),
                     );
-                    self.send_direct(n, life, id, hop, addr, body);
+                    self.push_commands(n, life, id, hop, addr, body);
                 }
                 Effect::Peer { to, message } => {
                     let Some(other) = self.nodes.iter().position(|x| x.settings.node == to) else {
@@ -529,14 +532,14 @@
                         && self.zones_reach(a, b)
                         && open
                         && self.active_faults.refused_peer_connections.is_empty();
-                    self.tell_link(n, other, arrives);
+                    self.report_link(n, other, arrives);
                     if arrives {
                         let life = self.nodes[other].life;
                         self.after(hop, ScheduledEvent::Event(other, life, Event::Peer(message)));
                     } else if self.script.held_packets && self.active_faults.refused_peer_connections.is_empty() {
                         let life = self.nodes[other].life;
                         let ev = ScheduledEvent::Event(other, life, Event::Peer(message));
-                        self.held.push((n, ev));
+                        self.held_messages.push((n, ev));
                     }
                 }
             }
--- a/tests/sim/one_way_faults.rs
+++ b/tests/sim/one_way_faults.rs
@@ -149,7 +149,7 @@
 
 impl ActiveOneWayFaults {
     /// Ends the fault of a step. Reports that are kept for the next leader stay.
-    pub(crate) fn heal(&mut self, step: usize) {
+    pub(crate) fn end_faults(&mut self, step: usize) {
         self.lost_replies.remove(&step);
         self.replayed_reports.remove(&step);
         self.blocked_outbound.remove(&step);
@@ -202,7 +202,7 @@
             }
             OneWayFault::Kill(which) => {
                 for name in self.machines(which) {
-                    self.machine_dies(&name);
+                    self.remove_machine(&name);
                 }
             }
             OneWayFault::SlowState(by) => {
@@ -223,7 +223,7 @@
         };
         let runs = (THROTTLE_PERIOD as f64 * share) as u64;
         if self.active_faults.frozen.contains_key(&step) {
-            self.thaw(step);
+            self.resume(step);
             return self.after(runs, ScheduledEvent::Throttle(step));
         }
         self.active_faults.frozen.insert(step, n);
@@ -238,7 +238,7 @@
     }
 
     /// Returns whether a transaction is executed and its reply lost.
-    pub(crate) fn loses_answer(&mut self, txn: &Transaction) -> bool {
+    pub(crate) fn loses_write_reply(&mut self, txn: &Transaction) -> bool {
         let writes = |prefix: &str| txn.changes.iter().any(|c| c.key().starts_with(prefix));
         let shares = self.active_faults.one_way.lost_replies.values();
         let share = shares.filter(|(_, prefix)| writes(prefix)).map(|(share, _)| *share);
@@ -264,7 +264,7 @@
 
     /// Returns whether a machine reaches no controller. If so, the attempt to connect fails at once
     /// or after a timeout of 4 s.
-    pub(crate) fn report_fails_to_leave(&mut self, name: &str, rid: u64) -> bool {
+    pub(crate) fn report_cannot_be_sent(&mut self, name: &str, rid: u64) -> bool {
         if !self
             .active_faults
             .one_way
@@ -276,12 +276,12 @@
         }
         self.active_faults.one_way.affected += 1;
         let pause = if self.rng.bool() { MS } else { 4 * SEC };
-        self.after(pause, ScheduledEvent::ReportLate(name.into(), rid));
+        self.after(pause, ScheduledEvent::ReportTimeout(name.into(), rid));
         true
     }
 
     /// Keeps a copy of the report for the next leader, if drawn from the share.
-    pub(crate) fn keep_for_next(&mut self, heartbeat: &Heartbeat) {
+    pub(crate) fn keep_for_next_leader(&mut self, heartbeat: &Heartbeat) {
         let shares = self.active_faults.one_way.replayed_reports.values();
         let share = shares.copied().fold(0.0, f64::max);
         if self.draw(share) {
@@ -291,7 +291,7 @@
 
     /// Sends the kept reports to every controller within a second, if this controller has just
     /// begun to lead.
-    pub(crate) fn notice_leader(&mut self, n: usize) {
+    pub(crate) fn replay_reports_to_new_leader(&mut self, n: usize) {
         let node = &self.nodes[n];
         let leads = node
             .controller
@@ -313,7 +313,7 @@
 
     /// Pushes commands to a machine. Commands that the fault delays by 2 to 16 s are executed
     /// without a reply to any controller.
-    pub(crate) fn send_direct(&mut self, n: usize, life: u64, id: u64, hop: u64, addr: String, body: PushedCommands) {
+    pub(crate) fn push_commands(&mut self, n: usize, life: u64, id: u64, hop: u64, addr: String, body: PushedCommands) {
         let held = self.active_faults.push_delays.values().copied().max().unwrap_or(0);
         let shares = self.active_faults.one_way.late_commands.values();
         let share = shares.copied().fold(0.0, f64::max);
@@ -325,7 +325,7 @@
     }
 
     /// Returns the additional delay of a machine's reply to a pushed command.
-    pub(crate) fn answer_held(&mut self, name: &str) -> u64 {
+    pub(crate) fn push_reply_delay(&mut self, name: &str) -> u64 {
         let held = self.active_faults.one_way.delayed_replies.values();
         let by = held.filter(|(names, _)| names.contains(name)).map(|(_, by)| *by);
         let by = by.max().unwrap_or(0);
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -226,7 +226,7 @@
     }
 
     /// Returns the time at which the last fault is over, including its delayed effects.
-    pub(crate) fn calm_from(&self) -> u64 {
+    pub(crate) fn faults_end(&self) -> u64 {
         let is_harmless = |a: &Action| {
             use Action::*;
             matches!(
--- a/tests/sim/state_service.rs
+++ b/tests/sim/state_service.rs
@@ -68,7 +68,7 @@
                     },
                 );
                 self.after(wait_ms * MS, ScheduledEvent::WatchEnds(watch));
-                self.tell_watches();
+                self.answer_ready_watches();
                 return;
             } else if self.is_late_write(&request) {
                 // The sender gets no answer, and newer transactions are executed first.
@@ -92,7 +92,7 @@
                 }
                 self.store.answer(&request, now)
             } else {
-                lost = matches!(&request, StoreRequest::Transaction(txn) if self.loses_answer(txn));
+                lost = matches!(&request, StoreRequest::Transaction(txn) if self.loses_write_reply(txn));
                 self.store.answer(&request, now)
             }
         };
@@ -110,14 +110,14 @@
                 self.after(lasts, ScheduledEvent::Start(n));
             }
         }
-        self.tell_watches();
+        self.answer_ready_watches();
         if !lost && self.passes(&End::State, &End::Node(n)) {
             self.after(hop + delay, ScheduledEvent::Event(n, life, Event::Store { id, answer }));
         }
     }
 
     /// Answers the watches with new events; during an outage they stay open.
-    pub(crate) fn tell_watches(&mut self) {
+    pub(crate) fn answer_ready_watches(&mut self) {
         if self.store.out {
             return;
         }
@@ -145,7 +145,7 @@
         if self.now >= w.ends {
             self.store.expire(self.now);
             self.answer_watch(watch);
-            self.tell_watches();
+            self.answer_ready_watches();
         }
     }
 
--- a/tests/sim/steps.rs
+++ b/tests/sim/steps.rs
@@ -7,14 +7,14 @@
 
 impl World {
     /// Executes a step of the scenario and schedules its end, if the step has a duration.
-    pub(crate) fn step(&mut self, i: usize) {
+    pub(crate) fn execute_step(&mut self, i: usize) {
         let step = self.script.steps[i].clone();
         if let Action::FreezeOnGrant = step.action {
             self.active_faults.freeze_at_lease_request = step.duration.map(|duration| (i, duration));
             return;
         }
         if let Some(duration) = step.duration {
-            self.after(duration, ScheduledEvent::Heal(i));
+            self.after(duration, ScheduledEvent::EndFaults(i));
         }
         match step.action {
             Action::Submit(spec) => {
@@ -104,7 +104,7 @@
             }
             Action::Kill(count) => {
                 for name in self.busiest(count) {
-                    self.machine_dies(&name);
+                    self.remove_machine(&name);
                 }
             }
             Action::SpotNotice(seconds) => {
@@ -115,7 +115,7 @@
                     .map(|w| w.name.clone())
                     .collect();
                 for name in spot {
-                    self.notice(&name, seconds);
+                    self.announce_reclaim(&name, seconds);
                 }
             }
             Action::Faulty(count) => {
@@ -133,7 +133,7 @@
                     }
                 }
             }
-            Action::UnknownMachine => self.ghost_machine(),
+            Action::UnknownMachine => self.add_unknown_machine(),
             Action::FreezeOnGrant => {}
             Action::Freeze(who) => {
                 if let Some(n) = self.named_controller(&who) {
@@ -169,22 +169,22 @@
             }
             Action::EarlierRelease(node) => {
                 self.store.old_release(&node);
-                self.tell_watches();
+                self.answer_ready_watches();
             }
             Action::MalformedValue(key) => {
                 self.store.garbage(key);
-                self.tell_watches();
+                self.answer_ready_watches();
             }
             Action::LowerStateLimits => self.store.lower(),
             Action::CancelNow(count, hangs) => self.cancel_now(count, hangs),
             Action::CancelAtEnd(share) => {
-                self.one_way_faults.cancel_at_end.insert(i, share);
+                self.close_queries.cancel_at_end.insert(i, share);
             }
             Action::QueryAllNodes => {
-                self.one_way_faults.close_looks.insert(i);
+                self.close_queries.query_all_on_change.insert(i);
             }
             Action::OddRequests => {
-                self.one_way_faults.odd_requests.insert(i);
+                self.close_queries.odd_requests.insert(i);
                 self.odd_requests(i);
             }
             Action::OneWayFault(fault) => self.begin_one_way_fault(i, &fault),
@@ -207,7 +207,7 @@
     }
 
     /// Resumes the controller that this step suspended, if any.
-    pub(crate) fn thaw(&mut self, step: usize) {
+    pub(crate) fn resume(&mut self, step: usize) {
         let Some(n) = self.active_faults.frozen.remove(&step) else {
             return;
         };
@@ -224,9 +224,9 @@
     }
 
     /// Ends the faults that a step began.
-    pub(crate) fn heal(&mut self, i: usize) {
-        self.thaw(i);
-        self.one_way_faults.heal(i);
+    pub(crate) fn end_faults(&mut self, i: usize) {
+        self.resume(i);
+        self.close_queries.end_faults(i);
         let faults = &mut self.active_faults;
         faults.state_out.remove(&i);
         faults.state_refuses.remove(&i);
@@ -246,12 +246,12 @@
         faults.slow_answers.remove(&i);
         faults.boot_time_factors.remove(&i);
         faults.poll_rate_factors.remove(&i);
-        faults.one_way.heal(i);
+        faults.one_way.end_faults(i);
         if self.active_faults.state_out.is_empty() {
             self.store.outage(false, self.now);
         }
         // Messages that were held back arrive now, in order.
-        for (_, ev) in std::mem::take(&mut self.held) {
+        for (_, ev) in std::mem::take(&mut self.held_messages) {
             self.after(MS, ev);
         }
     }
--- a/tests/sim/stranded_jobs.rs
+++ b/tests/sim/stranded_jobs.rs
@@ -126,7 +126,7 @@
 
 impl StrandedJobs {
     fn update(&mut self, world: &World) {
-        if world.now < world.script.calm_from() {
+        if world.now < world.script.faults_end() {
             return;
         }
         let places = Places::of(world);
@@ -154,7 +154,7 @@
             "until 250\nteam blue max=4\nat 1 submit run-000001 service cores=2\nat 30 submit run-000002 service";
         let play = |change: fn(&mut JobSpec), inherits: bool| {
             let mut world = World::new(Script::parse(text).unwrap());
-            world.play();
+            world.run_script();
             assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
             let mut spec = super::super::script::plain_spec("run-000003");
             change(&mut spec);
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -49,18 +49,18 @@
 
     pub(crate) fn user_timed_out(&mut self, job: &str, rid: u64) {
         let now = self.now;
-        let calm = self.script.calm_from();
+        let faults_end = self.script.faults_end();
         let Some(user) = self.users.get_mut(job) else { return };
         if user.asked.is_some_and(|a| a.0 == rid) {
             user.asked = None;
-            user.unanswered(now, calm);
+            user.unanswered(now, faults_end);
             self.after(SEC, ScheduledEvent::User(job.into()));
         }
     }
 
     pub(crate) fn user_answered(&mut self, job: &str, rid: u64, left: u64, answer: Outgoing) {
         let now = self.now;
-        let calm = self.script.calm_from();
+        let faults_end = self.script.faults_end();
         let Some(user) = self.users.get_mut(job) else { return };
         let Some((_, asked)) = user.asked.filter(|a| a.0 == rid) else {
             return;
@@ -84,7 +84,7 @@
             400 | 422 if !known => user.refused = Some(answer.status),
             400 | 404 | 422 if known => {}
             _ => {
-                user.unanswered(now, calm);
+                user.unanswered(now, faults_end);
                 if user.is_forgotten(now) {
                     self.rules
                         .broken
