--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn half_a_body() {
+fn truncated_bodies() {
     run_test("half", async |fixture| {
         let (records, lines) = (fixture.records(), fixture.log().len());
         let half =
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn a_token_never_given_out() {
+fn a_token_that_was_never_issued() {
     run_test("token", async |fixture| {
         let records = fixture.records();
         for fencing_token in [fixture.fencing_token + 1, u64::MAX] {
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn a_session_that_goes_back() {
+fn a_report_of_an_earlier_incarnation() {
     run_test("session", async |fixture| {
         let (records, lines) = (fixture.records(), fixture.log().len());
         let earlier = heartbeat(
--- a/tests/sim/answers.rs
+++ b/tests/sim/answers.rs
@@ -330,7 +330,7 @@
     }
 
     #[test]
-    fn an_answer_older_than_its_question_is_reported() {
+    fn an_answer_older_than_its_request_is_reported() {
         let mut a = answers();
         let put = |key: String, value| Change::Put {
             key,
--- a/tests/sim/outbox.rs
+++ b/tests/sim/outbox.rs
@@ -50,7 +50,7 @@
 /// A report with a higher token does not void a placement whose start was never sent: the start
 /// leaves with the new token, and the placement records that token.
 #[test]
-fn a_start_that_was_not_sent_outlives_a_raise_of_the_term() {
+fn an_unsent_start_survives_a_new_term() {
     let mut leader = leader_with_unsent_start();
     leader.term_raised(2);
     leader.apply_heartbeat(&cluster(), &fenced(2, 2), None, at(100), at(100));
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_process_behind_sockets() {
+fn requests_to_a_real_process() {
     let (store, state_port, cloud_port) = start_fake_services(16.0, 20.0);
     let public = free_port();
     let dir = std::env::temp_dir().join(format!("glenhaven-test-{}", std::process::id()));
@@ -210,7 +210,7 @@
 /// still succeed. Without the check for acknowledgements, the controller's messages would never
 /// reach its peers again.
 #[test]
-fn a_dead_link_is_opened_anew() {
+fn a_dead_connection_is_replaced() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let (to, queue) = async_channel::bounded(64);
