--- a/tests/sim/cloud.rs
+++ b/tests/sim/cloud.rs
@@ -11,7 +11,7 @@
     fn create(&mut self, machine_type: &str, zone: &str, spot: bool) -> String {
         let (number, name) = self.cloud.create(self.now, machine_type, zone, spot);
         let t = self.cloud.machine_type(machine_type).cloned();
-        let factor = self.active_faults.boots.values().copied().reduce(f64::max);
+        let factor = self.active_faults.boot_time_factors.values().copied().reduce(f64::max);
         let dead = self.cloud.next_boot_fails() || factor == Some(0.0);
         if let (Some(t), false) = (t, dead) {
             let boot = (t.boot_s * (0.6 + 0.9 * self.rng.f64()) * factor.unwrap_or(1.0) * SEC as f64) as u64;
@@ -24,7 +24,7 @@
     }
 
     /// Creates a machine without a request, like a rental request that is executed late.
-    pub(crate) fn ghost_machine(&mut self) {
+    pub(crate) fn add_unknown_machine(&mut self) {
         let Some(t) = self.cloud.catalogue().types.into_iter().next() else {
             return;
         };
@@ -42,7 +42,7 @@
                 CloudRequest::Provision(rent) => self.rent(rent),
                 CloudRequest::Release(hosts) => {
                     for name in hosts.machines {
-                        self.machine_dies(&name);
+                        self.remove_machine(&name);
                     }
                     CloudResponse::Released
                 }
@@ -68,7 +68,7 @@
     }
 
     /// Removes a machine with all its tasks.
-    pub(crate) fn machine_dies(&mut self, name: &str) {
+    pub(crate) fn remove_machine(&mut self, name: &str) {
         self.cloud.terminate(self.now, name);
         if let Some(w) = self.workers.get_mut(name) {
             w.power_off();
--- a/tests/sim/fault_combinations.rs
+++ b/tests/sim/fault_combinations.rs
@@ -293,8 +293,8 @@
 /// Simulates a scenario and returns what is wrong.
 fn simulate(text: &str, injected: Option<Fault>) -> Vec<String> {
     let mut world = World::new(Script::parse(text).unwrap());
-    world.planted = injected;
-    world.play();
+    world.injected_fault = injected;
+    world.run_script();
     let mut wrong = crate::check(&world);
     if injected.is_none() {
         // Small jobs that were not cancelled are done long after the last fault.
--- a/tests/sim/links.rs
+++ b/tests/sim/links.rs
@@ -81,24 +81,24 @@
     /// Returns whether packets get from one host to another.
     pub(crate) fn passes(&self, from: &End, to: &End) -> bool {
         let cuts = |(a, b): &(End, End)| self.includes_end(a, from) && self.includes_end(b, to);
-        !self.active_faults.links.values().flatten().any(cuts)
+        !self.active_faults.cut_links.values().flatten().any(cuts)
     }
 
-    pub(crate) fn zone_end(&self, machine: &str) -> End {
+    pub(crate) fn machine_end(&self, machine: &str) -> End {
         End::Workers(self.workers.get(machine).map(|w| w.zone.clone()))
     }
 
     /// Reports the state of a controller's link to another controller to the former, if the state
     /// has changed. `arrives` says whether packets reach the other controller.
-    pub(crate) fn tell_link(&mut self, n: usize, other: usize, arrives: bool) {
+    pub(crate) fn report_link(&mut self, n: usize, other: usize, arrives: bool) {
         let there = self.nodes[other].controller.is_some();
         let acked = arrives && there && self.passes(&End::Node(other), &End::Node(n));
-        if self.links_told.insert((n, other), acked) == Some(acked) {
+        if self.reported_links.insert((n, other), acked) == Some(acked) {
             return;
         }
         let (link, pause) = match (acked, there) {
             (true, _) => (Link::Up, 4 * MS),
-            (false, true) if !self.active_faults.refuse.is_empty() => (Link::Refused, 4 * MS),
+            (false, true) if !self.active_faults.refused_peer_connections.is_empty() => (Link::Refused, 4 * MS),
             (false, true) => (Link::Silent, 1500 * MS),
             (false, false) => (Link::Refused, 4 * MS),
         };
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -49,7 +49,7 @@
     Worker(String),
     Heartbeat(String, usize, u64, Heartbeat),
     ReportAnswer(String, u64, HttpResponse),
-    ReportLate(String, u64),
+    ReportTimeout(String, u64),
     Boot(String),
     User(String),
     /// The answer to a user's request: job, request number, time at which it left the controller.
@@ -61,7 +61,7 @@
     QueryAnswer(u64, u64, HttpResponse),
     OddRequests(usize),
     Step(usize),
-    Heal(usize),
+    EndFaults(usize),
     Throttle(usize),
     Start(usize),
     /// The periodic check of services, stranded jobs and the controllers' own invariants.
@@ -91,22 +91,22 @@
 pub(crate) struct ActiveFaults {
     pub state_out: BTreeSet<usize>,
     /// Controllers whose requests the state service refuses and whose watches it holds back.
-    pub state_deaf: BTreeMap<usize, usize>,
+    pub state_refuses: BTreeMap<usize, usize>,
     pub cloud_out: BTreeSet<usize>,
     /// Machines that no controller can reach. Commands to them are held back, and so are their
     /// reports if the script has `held-packets`.
-    pub cut: BTreeMap<usize, BTreeSet<String>>,
+    pub partitioned_machines: BTreeMap<usize, BTreeSet<String>>,
     /// Pairs of zones that cannot reach each other.
-    pub zones: BTreeMap<usize, (String, String)>,
+    pub partitioned_zones: BTreeMap<usize, (String, String)>,
     /// Zones that are cut off from everything outside them.
-    pub zone_off: BTreeMap<usize, String>,
+    pub isolated_zones: BTreeMap<usize, String>,
     /// The zone of each controller.
     pub zone_of: Vec<String>,
     /// Answers to all transactions with changes are lost. Where the delay isn't 0, about half of
     /// these transactions are executed only after it.
-    pub lose_txn: BTreeMap<usize, u64>,
+    pub lost_txn_answers: BTreeMap<usize, u64>,
     /// Delays of commands on their way to a machine.
-    pub hold_direct: BTreeMap<usize, u64>,
+    pub push_delays: BTreeMap<usize, u64>,
     /// Share of the transactions with a write under the key prefix that are executed late.
     pub late_writes: BTreeMap<usize, (f64, String)>,
     /// Share of the reports of which a copy arrives late, at any controller.
@@ -114,33 +114,33 @@
     /// Controllers that process nothing while their clocks run on.
     pub frozen: BTreeMap<usize, usize>,
     /// Controllers that are cut off from `all`, `state`, `workers` or `peers`.
-    pub node_cut: BTreeMap<usize, (usize, String)>,
+    pub partitioned_nodes: BTreeMap<usize, (usize, String)>,
     /// Connections between controllers are refused.
-    pub refuse: BTreeSet<usize>,
+    pub refused_peer_connections: BTreeSet<usize>,
     /// Directed links that are cut, as pairs of sender and receiver.
-    pub links: BTreeMap<usize, Vec<(links::End, links::End)>>,
+    pub cut_links: BTreeMap<usize, Vec<(links::End, links::End)>>,
     /// Machines whose reports arrive, but which receive neither answers nor commands.
-    pub deaf: BTreeMap<usize, BTreeSet<String>>,
+    pub blocked_inbound: BTreeMap<usize, BTreeSet<String>>,
     /// Largest extra delay of an answer to a report; each delay is random.
     pub slow_answers: BTreeMap<usize, u64>,
     /// A copy of every report arrives after this extra delay.
-    pub copies: BTreeMap<usize, u64>,
+    pub duplicate_report_delays: BTreeMap<usize, u64>,
     /// Factors on the boot time; with 0, machines never boot.
-    pub boots: BTreeMap<usize, f64>,
+    pub boot_time_factors: BTreeMap<usize, f64>,
     /// Factors on the rate at which users poll.
-    pub storm: BTreeMap<usize, u64>,
+    pub poll_rate_factors: BTreeMap<usize, u64>,
     /// Step and duration of a freeze that begins when a controller next requests a lease.
-    pub trap: Option<(usize, u64)>,
+    pub freeze_at_lease_request: Option<(usize, u64)>,
     /// Key prefixes and downtimes: the next controller that commits a write under the prefix
     /// crashes before the answer reaches it.
-    pub ends_on: Vec<(String, u64)>,
-    pub lasting: one_way_faults::Lasting,
+    pub crash_on_write: Vec<(String, u64)>,
+    pub one_way: one_way_faults::ActiveOneWayFaults,
 }
 
 impl ActiveFaults {
     /// Returns whether this machine receives neither answers nor commands.
     pub(crate) fn is_asymmetrically_partitioned(&self, machine: &str) -> bool {
-        self.deaf.values().any(|d| d.contains(machine))
+        self.blocked_inbound.values().any(|d| d.contains(machine))
     }
 
     /// Returns whether this controller is cut off from `state`, `cloud`, `users`, `workers` or
@@ -148,9 +148,9 @@
     pub(crate) fn is_cut_off(&self, n: usize, from: &str) -> bool {
         let inside = !["peers", "workers"].contains(&from);
         let off = |zone: &String| *zone == self.zone_of[n];
-        (inside && self.zone_off.values().any(off))
+        (inside && self.isolated_zones.values().any(off))
             || self
-                .node_cut
+                .partitioned_nodes
                 .values()
                 .any(|(node, what)| *node == n && (what == "all" || what == from))
     }
@@ -174,24 +174,24 @@
     pub rules: rules::Rules,
     pub answers: answers::Answers,
     pub stranded_jobs: stranded_jobs::StrandedJobs,
-    pub one_way_faults: close_queries::CloseQueries,
+    pub close_queries: close_queries::CloseQueries,
     pub script: script::Script,
     pub active_faults: ActiveFaults,
     /// Senders of the requests that controllers have yet to answer, by request ID.
     pub origins: BTreeMap<u64, Origin>,
     /// Messages held back by a fault, each with the index of its controller. All of them are
     /// delivered as soon as any fault ends.
-    pub held: Vec<(usize, ScheduledEvent)>,
+    pub held_messages: Vec<(usize, ScheduledEvent)>,
     next_id: u64,
     /// The state of the link to another controller that was last reported to a controller.
-    pub links_told: BTreeMap<(usize, usize), bool>,
+    pub reported_links: BTreeMap<(usize, usize), bool>,
     /// Names of the tasks that have completed.
     pub results: BTreeSet<String>,
     /// A deliberate fault that the search over combinations of faults must find.
-    pub planted: Option<fault_injection::Fault>,
-    planted_kept: fault_injection::Kept,
-    planted_cache: fault_injection::Cache,
-    planted_joined: fault_injection::Joined,
+    pub injected_fault: Option<fault_injection::Fault>,
+    repeated_starts: fault_injection::RepeatedStarts,
+    cached_answers: fault_injection::CachedAnswers,
+    joined_submissions: fault_injection::JoinedSubmissions,
 }
 
 impl World {
@@ -230,20 +230,20 @@
             rules: rules::Rules::new(&script.base.params.teams, script.base.params.workers.cancel_s),
             answers: answers::Answers::new(&script),
             stranded_jobs: stranded_jobs::StrandedJobs::default(),
-            one_way_faults: close_queries::CloseQueries::default(),
+            close_queries: close_queries::CloseQueries::default(),
             active_faults: ActiveFaults {
                 zone_of,
                 ..ActiveFaults::default()
             },
             origins: BTreeMap::new(),
-            held: vec![],
+            held_messages: vec![],
             next_id: 0,
-            links_told: BTreeMap::new(),
+            reported_links: BTreeMap::new(),
             results: BTreeSet::new(),
-            planted: None,
-            planted_kept: BTreeMap::new(),
-            planted_cache: BTreeMap::new(),
-            planted_joined: BTreeMap::new(),
+            injected_fault: None,
+            repeated_starts: BTreeMap::new(),
+            cached_answers: BTreeMap::new(),
+            joined_submissions: BTreeMap::new(),
             script,
         }
     }
@@ -283,8 +283,8 @@
         self.nodes[n].controller = None;
         self.nodes[n].inbox.clear();
         let heartbeats = self.workers.iter().filter(|(_, w)| w.node == n);
-        let heartbeats =
-            heartbeats.filter_map(|(name, w)| Some(ScheduledEvent::ReportLate(name.clone(), w.pending_heartbeat?.0)));
+        let heartbeats = heartbeats
+            .filter_map(|(name, w)| Some(ScheduledEvent::ReportTimeout(name.clone(), w.pending_heartbeat?.0)));
         let asked = self
             .users
             .iter()
@@ -303,7 +303,7 @@
     }
 
     /// Runs the script to its end.
-    pub(crate) fn play(&mut self) {
+    pub(crate) fn run_script(&mut self) {
         for n in 0..self.nodes.len() {
             self.after(n as u64 * 10 * MS, ScheduledEvent::Start(n));
         }
@@ -361,26 +361,26 @@
             ScheduledEvent::Worker(name) => self.run_worker(&name),
             ScheduledEvent::Heartbeat(name, n, rid, mut heartbeat) => {
                 if rid == u64::MAX {
-                    self.plant_copy(&mut heartbeat);
+                    self.inject_into_report(&mut heartbeat);
                 }
                 let life = self.nodes[n].life;
-                let arrives = self.passes(&self.zone_end(&name), &links::End::Node(n));
+                let arrives = self.passes(&self.machine_end(&name), &links::End::Node(n));
                 if self.nodes[n].controller.is_none() && self.reaches(n, &name) && arrives {
                     // The connection is refused.
                     let hop = self.hop();
-                    self.after(hop, ScheduledEvent::ReportLate(name, rid));
+                    self.after(hop, ScheduledEvent::ReportTimeout(name, rid));
                 } else if self.reaches(n, &name) && arrives {
                     let id = self.id();
                     self.origins.insert(id, Origin::Worker(name, rid));
                     self.event(ScheduledEvent::Event(n, life, Event::Heartbeat { id, heartbeat }));
                 } else if self.script.held_packets && rid != u64::MAX {
                     // The report arrives after the worker has moved on to another controller.
-                    self.held
+                    self.held_messages
                         .push((n, ScheduledEvent::Heartbeat(name, n, u64::MAX, heartbeat)));
                 }
             }
             ScheduledEvent::ReportAnswer(name, rid, answer) => self.report_answered(&name, rid, answer),
-            ScheduledEvent::ReportLate(name, rid) => self.report_timed_out(&name, rid),
+            ScheduledEvent::ReportTimeout(name, rid) => self.report_timed_out(&name, rid),
             ScheduledEvent::Boot(name) => self.boot(&name),
             ScheduledEvent::User(job) => self.user_acts(&job),
             ScheduledEvent::UserAnswer(job, rid, left, answer) => self.user_answered(&job, rid, left, answer),
@@ -388,8 +388,8 @@
             ScheduledEvent::Ask(job, asked, n) => self.ask(&job, asked, n),
             ScheduledEvent::QueryAnswer(number, left, answer) => self.query_answered(number, left, &answer),
             ScheduledEvent::OddRequests(step) => self.odd_requests(step),
-            ScheduledEvent::Step(i) => self.step(i),
-            ScheduledEvent::Heal(i) => self.heal(i),
+            ScheduledEvent::Step(i) => self.execute_step(i),
+            ScheduledEvent::EndFaults(i) => self.end_faults(i),
             ScheduledEvent::Throttle(i) => self.throttle(i),
             ScheduledEvent::Query => {
                 self.rules.check_services(self.now, &self.workers, &self.users);
@@ -419,7 +419,11 @@
         let Some(w) = self.workers.get(machine) else {
             return false;
         };
-        !self.active_faults.cut.values().any(|c| c.contains(machine))
+        !self
+            .active_faults
+            .partitioned_machines
+            .values()
+            .any(|c| c.contains(machine))
             && !self.active_faults.is_cut_off(n, "workers")
             && self.zones_reach(&self.nodes[n].settings.zone, &w.zone)
     }
@@ -427,7 +431,8 @@
     fn zones_reach(&self, a: &str, b: &str) -> bool {
         let parted = |(x, y): &(String, String)| (x == a && y == b) || (x == b && y == a);
         let off = |zone: &String| a != b && (zone == a || zone == b);
-        !self.active_faults.zones.values().any(parted) && !self.active_faults.zone_off.values().any(off)
+        !self.active_faults.partitioned_zones.values().any(parted)
+            && !self.active_faults.isolated_zones.values().any(off)
     }
 
     fn run(&mut self, n: usize, batch: Vec<Event>) {
@@ -435,21 +440,21 @@
             self.nodes[n].inbox.extend(batch);
             return;
         }
-        let batch = self.plant_joins(n, batch);
+        let batch = self.inject_into_events(n, batch);
         let now = Micros(self.now);
         let life = self.nodes[n].life;
         let Some(controller) = self.nodes[n].controller.as_mut() else {
             return;
         };
         let effects = controller.handle(now, batch);
-        let effects = self.plant(n, effects);
-        self.notice_leader(n);
+        let effects = self.inject_into_effects(n, effects);
+        self.replay_reports_to_new_leader(n);
         let asks =
             |e: &Effect| matches!(e, Effect::Store { request, .. } if matches!(request, StoreRequest::Grant { .. }));
         if effects.iter().any(asks) {
-            if let Some((i, lasts)) = self.active_faults.trap.take() {
+            if let Some((i, lasts)) = self.active_faults.freeze_at_lease_request.take() {
                 self.active_faults.frozen.insert(i, n);
-                self.after(lasts, ScheduledEvent::Heal(i));
+                self.after(lasts, ScheduledEvent::EndFaults(i));
             }
         }
         for effect in effects {
@@ -458,7 +463,7 @@
             match effect {
                 Effect::Reply { id, answer } => match self.origins.remove(&id) {
                     Some(Origin::Worker(name, rid)) => {
-                        let arrives = self.passes(&links::End::Node(n), &self.zone_end(&name));
+                        let arrives = self.passes(&links::End::Node(n), &self.machine_end(&name));
                         if self.reaches(n, &name) && arrives && !self.active_faults.is_asymmetrically_partitioned(&name)
                         {
                             let late = self.active_faults.slow_answers.values().copied().max().unwrap_or(0);
@@ -483,7 +488,8 @@
                     {
                         // The sender's timeout has expired when the transaction is delivered.
                         if self.script.held_packets && matches!(request, StoreRequest::Transaction(_)) {
-                            self.held.push((n, ScheduledEvent::Store(n, u64::MAX, id, request)));
+                            self.held_messages
+                                .push((n, ScheduledEvent::Store(n, u64::MAX, id, request)));
                         }
                         continue;
                     }
@@ -497,7 +503,8 @@
                     {
                         let late = !matches!(request, glenhaven::coordination::CloudRequest::Release(_));
                         if self.script.held_packets && late {
-                            self.held.push((n, ScheduledEvent::Cloud(n, u64::MAX, id, request)));
+                            self.held_messages
+                                .push((n, ScheduledEvent::Cloud(n, u64::MAX, id, request)));
                         }
                         continue;
                     }
@@ -514,7 +521,7 @@
                         timeout.0,
                         ScheduledEvent::Event(n, life, Event::PushedCommands { id, answer }),
                     );
-                    self.send_direct(n, life, id, hop, addr, body);
+                    self.push_commands(n, life, id, hop, addr, body);
                 }
                 Effect::Peer { to, message } => {
                     let Some(other) = self.nodes.iter().position(|x| x.settings.node == to) else {
@@ -524,15 +531,18 @@
                     let cut =
                         self.active_faults.is_cut_off(n, "peers") || self.active_faults.is_cut_off(other, "peers");
                     let open = self.passes(&links::End::Node(n), &links::End::Node(other));
-                    let arrives = !cut && self.zones_reach(a, b) && open && self.active_faults.refuse.is_empty();
-                    self.tell_link(n, other, arrives);
+                    let arrives = !cut
+                        && self.zones_reach(a, b)
+                        && open
+                        && self.active_faults.refused_peer_connections.is_empty();
+                    self.report_link(n, other, arrives);
                     if arrives {
                         let life = self.nodes[other].life;
                         self.after(hop, ScheduledEvent::Event(other, life, Event::Peer(message)));
-                    } else if self.script.held_packets && self.active_faults.refuse.is_empty() {
+                    } else if self.script.held_packets && self.active_faults.refused_peer_connections.is_empty() {
                         let life = self.nodes[other].life;
                         let ev = ScheduledEvent::Event(other, life, Event::Peer(message));
-                        self.held.push((n, ev));
+                        self.held_messages.push((n, ev));
                     }
                 }
             }
--- a/tests/sim/state_service.rs
+++ b/tests/sim/state_service.rs
@@ -31,7 +31,7 @@
     }
 
     fn is_refused(&self, n: usize) -> bool {
-        self.active_faults.state_deaf.values().any(|d| *d == n)
+        self.active_faults.state_refuses.values().any(|d| *d == n)
     }
 
     pub(crate) fn store_request(&mut self, n: usize, life: u64, id: u64, request: StoreRequest) {
@@ -68,7 +68,7 @@
                     },
                 );
                 self.after(wait_ms * MS, ScheduledEvent::WatchEnds(watch));
-                self.tell_watches();
+                self.answer_ready_watches();
                 return;
             } else if self.is_late_write(&request) {
                 // The sender gets no answer, and newer transactions are executed first.
@@ -76,7 +76,7 @@
                 self.after(late, ScheduledEvent::Store(n, u64::MAX, id, request));
                 return;
             } else if let (StoreRequest::Transaction(txn), Some(late)) =
-                (&request, self.active_faults.lose_txn.values().copied().next())
+                (&request, self.active_faults.lost_txn_answers.values().copied().next())
             {
                 // The answer is lost. The transaction is executed now, or late, after its sender
                 // has timed out.
@@ -92,28 +92,32 @@
                 }
                 self.store.answer(&request, now)
             } else {
-                lost = matches!(&request, StoreRequest::Transaction(txn) if self.loses_answer(txn));
+                lost = matches!(&request, StoreRequest::Transaction(txn) if self.loses_write_reply(txn));
                 self.store.answer(&request, now)
             }
         };
         if let (StoreRequest::Transaction(txn), StoreResponse::Committed { .. }) = (&request, &answer) {
             self.answers.written(&txn.changes, now);
             let writes = |key: &String| txn.changes.iter().any(|c| c.key().starts_with(key.as_str()));
-            let found = self.active_faults.ends_on.iter().position(|(key, _)| writes(key));
+            let found = self
+                .active_faults
+                .crash_on_write
+                .iter()
+                .position(|(key, _)| writes(key));
             if let Some(at) = found {
-                let (_, lasts) = self.active_faults.ends_on.remove(at);
+                let (_, lasts) = self.active_faults.crash_on_write.remove(at);
                 self.crash_node(n);
                 self.after(lasts, ScheduledEvent::Start(n));
             }
         }
-        self.tell_watches();
+        self.answer_ready_watches();
         if !lost && self.passes(&End::State, &End::Node(n)) {
             self.after(hop + delay, ScheduledEvent::Event(n, life, Event::Store { id, answer }));
         }
     }
 
     /// Answers the watches with new events; during an outage they stay open.
-    pub(crate) fn tell_watches(&mut self) {
+    pub(crate) fn answer_ready_watches(&mut self) {
         if self.store.unavailable {
             return;
         }
@@ -141,7 +145,7 @@
         if self.now >= w.ends {
             self.store.expire(self.now);
             self.answer_watch(watch);
-            self.tell_watches();
+            self.answer_ready_watches();
         }
     }
 
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -49,18 +49,18 @@
 
     pub(crate) fn user_timed_out(&mut self, job: &str, rid: u64) {
         let now = self.now;
-        let calm = self.script.calm_from();
+        let faults_end = self.script.faults_end();
         let Some(user) = self.users.get_mut(job) else { return };
         if user.pending_request.is_some_and(|a| a.0 == rid) {
             user.pending_request = None;
-            user.record_failed_request(now, calm);
+            user.record_failed_request(now, faults_end);
             self.after(SEC, ScheduledEvent::User(job.into()));
         }
     }
 
     pub(crate) fn user_answered(&mut self, job: &str, rid: u64, left: u64, answer: HttpResponse) {
         let now = self.now;
-        let calm = self.script.calm_from();
+        let faults_end = self.script.faults_end();
         let Some(user) = self.users.get_mut(job) else { return };
         let Some((_, asked)) = user.pending_request.filter(|a| a.0 == rid) else {
             return;
@@ -84,7 +84,7 @@
             400 | 422 if !known => user.refused = Some(answer.status),
             400 | 404 | 422 if known => {}
             _ => {
-                user.record_failed_request(now, calm);
+                user.record_failed_request(now, faults_end);
                 if user.is_forgotten(now) {
                     self.rules
                         .broken
@@ -148,7 +148,14 @@
         let pause = match asked {
             _ if status == 503 => SEC,
             RequestKind::Poll => {
-                asked.request_interval() / self.active_faults.storm.values().copied().max().unwrap_or(1)
+                asked.request_interval()
+                    / self
+                        .active_faults
+                        .poll_rate_factors
+                        .values()
+                        .copied()
+                        .max()
+                        .unwrap_or(1)
             }
             _ => asked.request_interval(),
         };
