--- a/crates/objectives/src/account.rs
+++ b/crates/objectives/src/account.rs
@@ -72,12 +72,12 @@
     commitments_met: Decayed,
 }
 
-/// Waits of the current and the previous half life.
+/// Waits of the current and the previous half-life.
 #[derive(Clone, Debug, Default)]
 struct Waits {
     current: Option<Histogram<u32>>,
     previous: Option<Histogram<u32>>,
-    /// When the current half life began.
+    /// When the current half-life began.
     began_at: Micros,
 }
 
@@ -178,7 +178,7 @@
         (ran_s / estimated_s).clamp(MIN_BIAS, MAX_BIAS)
     }
 
-    /// Returns how much work arrives.
+    /// Returns the rates at which work arrives.
     pub(crate) fn inflow(&self, half_life: Micros, now: Micros) -> Inflow {
         let jobs = self.jobs.get(half_life, now);
         Inflow {
--- a/crates/objectives/src/decayed.rs
+++ b/crates/objectives/src/decayed.rs
@@ -1,8 +1,8 @@
-//! A sum that decays exponentially with a half life.
+//! A sum that decays exponentially with a half-life.
 
 use glenhaven_time::Micros;
 
-/// A sum in which an amount that was added one half life ago counts half.
+/// A sum in which an amount that was added one half-life ago counts half.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Decayed {
     sum: f64,
--- a/crates/objectives/src/lib.rs
+++ b/crates/objectives/src/lib.rs
@@ -5,7 +5,7 @@
 //! is and how reliable estimates and projections are. The crate is pure: it does no I/O and reads
 //! no clock.
 //!
-//! Counts decay with a half life, so that an old burst loses its effect. Invariant: the number of
+//! Counts decay with a half-life, so that an old burst loses its effect. Invariant: the number of
 //! classes and of teams with an account of their own is bounded, so that names chosen by users
 //! cannot exhaust the memory; names beyond the bound share one account.
 //!
@@ -176,8 +176,8 @@
     }
 
     /// Returns the factor by which the value of meeting an objective changes: less than 1 where
-    /// fewer jobs miss the objective than may, more than 1 where nearly half of them do. `share` is
-    /// the share of jobs that should meet the objective.
+    /// fewer jobs miss the objective than may, more than 1 where less than 0.7 of the jobs meet it.
+    /// `share` is the share of jobs that should meet the objective.
     pub fn urgency(&self, class: &str, number: usize, share: f64, now: Micros) -> f64 {
         let Some(met_share) = self.met_share(class, number, now) else {
             return 1.0;
--- a/crates/objectives/tests/accounting.rs
+++ b/crates/objectives/tests/accounting.rs
@@ -91,8 +91,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(64) })]
 
-    /// Names that users choose do not exhaust the memory, and no estimate of theirs makes a result
-    /// that is not a number.
+    /// Names that users choose do not exhaust the memory, and no run time that users estimate makes
+    /// a result NaN or infinite.
     #[test]
     fn names_are_bounded(names in proptest::collection::vec("[a-z]{1,12}", 1..400), run_s in 0.0f64..1e9) {
         let mut slo = SloAccounting::new(at(60.0));
--- a/crates/provisioning/src/lib.rs
+++ b/crates/provisioning/src/lib.rs
@@ -124,7 +124,7 @@
 /// The recommended rental.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Advice {
-    /// Cores to rent; 0 if the benefit of no rental exceeds its cost.
+    /// Cores to rent; 0 if there is no rental whose benefit exceeds its cost.
     pub cores: f64,
     /// Value of the deadlines that are met with the rental and would be missed without it.
     pub benefit: f64,
@@ -139,7 +139,7 @@
     /// Value of the missed deadlines.
     missed_value: f64,
     /// When the queue is empty, not before rented capacity is ready, in seconds from now; the
-    /// horizon if it is not empty by then.
+    /// horizon if the queue is not empty before.
     clear_s: f64,
     /// Cores of tasks that are still waiting when rented capacity is ready.
     waiting_when_ready: f64,
--- a/crates/reservation/src/lib.rs
+++ b/crates/reservation/src/lib.rs
@@ -1,4 +1,4 @@
-//! Reservation of machines for tasks that nearly fill one.
+//! Reservation of machines for tasks that nearly fill a machine.
 //!
 //! Small tasks take every core that becomes idle, and would starve large tasks. For large tasks
 //! that have waited for long, machines are reserved, one for each task, until the tasks that run on
@@ -20,7 +20,7 @@
 //! let machines = [machine("n-1", 9000), machine("n-2", 4000)];
 //! policy.decide(&[WaitingJob { job: "large", tasks: 3 }], &machines, |_, _| true, 1);
 //! assert_eq!(policy.reserved_for(&"n-2"), Some(&"large"), "it is empty sooner");
-//! assert_eq!(policy.reserved_for(&"n-1"), None, "one at most");
+//! assert_eq!(policy.reserved_for(&"n-1"), None, "at most one machine is reserved");
 //! ```
 #![forbid(unsafe_code)]
 
--- a/src/coordination/provisioning/boot_times.rs
+++ b/src/coordination/provisioning/boot_times.rs
@@ -1,4 +1,4 @@
-//! Boot time profiles of each pool of machines, estimated from recent boots and from machines that
+//! Boot time profiles of each machine pool, estimated from recent boots and from machines that
 //! are still booting.
 //!
 //! The leader records each boot and updates the profiles regularly. Scale-out reads from them which
@@ -10,7 +10,7 @@
 use crate::time::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Machine type, zone, and whether the machines are spot machines.
+/// A machine pool: machine type, zone, and whether the machines are spot machines.
 pub type MachinePool = (String, String, bool);
 
 /// The most boots that are kept for a pool.
@@ -138,7 +138,7 @@
     }
 }
 
-/// Counts the machines that are still booting although they are late, by pool.
+/// Counts the late machines that are still booting, by pool.
 fn overdue_by_pool(
     cluster: &ClusterConfig,
     machines: &BTreeMap<MachineId, Machine>,
--- a/src/coordination/provisioning/calls.rs
+++ b/src/coordination/provisioning/calls.rs
@@ -26,7 +26,7 @@
 const RENTAL_RETRY: Micros = Micros::from_millis(1000);
 /// Mean delay before the list of machines is read again after a failure.
 const LIST_RETRY: Micros = Micros::from_millis(2000);
-/// The shortest time between two readings of the list of machines.
+/// The shortest time between two reads of the list of machines.
 const MIN_LIST_INTERVAL_S: f64 = 2.0;
 
 /// What a call was made for, which decides how its response is handled. The leader's calls carry
--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -29,7 +29,7 @@
 /// Deadline for the start of a job that has missed all of its objectives, so that it does not wait
 /// indefinitely.
 const ALL_MISSED_START_S: f64 = 60.0;
-/// Value of that deadline in relation to the job's most valuable objective.
+/// Value of the deadline [`ALL_MISSED_START_S`] in relation to the job's most valuable objective.
 const ALL_MISSED_VALUE_FACTOR: f64 = 0.25;
 /// Length of the time steps into which expected arrivals are merged.
 const EXPECTED_STEP_S: f64 = 10.0;
@@ -54,13 +54,13 @@
 /// Number of on-demand cores to rent, and the objectives that they are rented for.
 #[derive(Clone, Debug, Default)]
 pub struct OnDemandAdvice {
-    /// Cores to rent; 0 if no rental pays.
+    /// Cores to rent; 0 if no rental is worth its cost.
     pub cores: f64,
     /// Objectives that the rental is expected to let jobs meet.
     pub commitments: Vec<Commitment>,
 }
 
-/// An objective of a job that a rental is expected to let it meet.
+/// An objective that a rental is expected to let a job meet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Commitment {
     /// The job.
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Returns whether on-demand machines are rented for a class by the objectives that they would
-    /// let it meet.
+    /// Returns whether on-demand machines are rented for a class by the value of the objectives
+    /// that the rental would let its jobs meet.
     ///
     /// This is the case if an objective limits the waiting time of the class, while rentals meet at
     /// least `MIN_MET_COMMITMENT_SHARE` of their commitments. Other work gets on-demand machines
-    /// for its backlog, which costs far less for each job that is in time.
+    /// for its backlog, which costs far less for each job that starts in time.
     pub fn is_latency_sensitive(&self, cluster: &ClusterConfig, class: &str, now: Micros) -> bool {
         let mut objectives = cluster.settings.params.objectives.iter();
         let has_wait_objective = objectives.any(|o| o.class == class && o.kind == "wait");
@@ -226,7 +226,8 @@
             return 0.0;
         }
         let jobs_per_s = self.leader.slo.inflow(class, self.now).jobs_per_s;
-        // The limit keeps one job of a class with rare arrivals from having the value of the class.
+        // The limit keeps a job of a class with rare arrivals from having the value of a whole
+        // class.
         let per_job = self.value_per_s / jobs_per_s.max(1.0 / MAX_ARRIVAL_INTERVAL_S);
         let urgency = self
             .leader
--- a/src/coordination/provisioning/demand.rs
+++ b/src/coordination/provisioning/demand.rs
@@ -160,9 +160,10 @@
     /// Returns the cores missing for work that may use spot machines and is not
     /// latency-sensitive, when no spot machines are available; negative if there is a surplus.
     ///
-    /// Cores are needed for waiting tasks that are still in time on a machine rented now, and for a
-    /// fixed share of the rest, so that a backlog does not grow without bound. `available_cores`
-    /// are the cores available to all work that may use spot machines.
+    /// Cores are needed for waiting tasks that are still in time on a machine rented now, and at
+    /// least for a fixed share of the backlog without low-priority work, so that a backlog does not
+    /// grow without bound. `available_cores` are the cores available to all work that may use spot
+    /// machines.
     pub(super) fn backlog_shortfall(&self, cluster: &ClusterConfig, available_cores: f64, now: Micros) -> f64 {
         let boot_times_s: Vec<f64> = cluster.catalogue.values().map(|t| t.boot_s).collect();
         let mean_boot_s = boot_times_s.iter().sum::<f64>() / boot_times_s.len().max(1) as f64;
@@ -251,9 +252,9 @@
 
 /// Returns the number of a job's waiting tasks that would count as demand if the job may run.
 ///
-/// A suspect job, whose tasks fail on every machine, gets no machines. Low-priority work runs on
-/// capacity that other work leaves: of its tasks, those that can run one after another on the same
-/// cores and still be in time count as one.
+/// A suspect job (see [`Job::is_suspect`]) gets no machines. Low-priority work runs on capacity that
+/// other work leaves: of its tasks, those that can run one after another on the same cores and
+/// still be in time count as one.
 fn task_demand(cluster: &ClusterConfig, job: &Job, now: Micros) -> f64 {
     if job.is_suspect(now) {
         return 0.0;
--- a/src/coordination/provisioning/failed_machines.rs
+++ b/src/coordination/provisioning/failed_machines.rs
@@ -125,9 +125,9 @@
             .collect()
     }
 
-    /// Returns the controllers for which more than half of their machines are silent at once: the
-    /// likely cause is then the controller rather than the machines. `None` in the set is this
-    /// controller.
+    /// Returns the controllers for which more than half of the machines whose last heartbeats
+    /// they forwarded are silent at once: the likely cause is then the controller rather than the
+    /// machines. `None` in the set is this controller, which receives heartbeats directly.
     fn unreliable_controllers(&self, silent: Micros, now: Micros) -> BTreeSet<Option<Rc<str>>> {
         #[derive(Default)]
         struct MachineCounts {
@@ -154,7 +154,7 @@
     }
 }
 
-/// The facts by which failed machines are found, computed once for all machines.
+/// The inputs of the checks for failed machines, computed once for all machines.
 struct FailureCheck<'a> {
     leader: &'a LeaderState,
     cluster: &'a ClusterConfig,
@@ -209,7 +209,7 @@
         is_independent.then(|| self.now.since(machine.last_heartbeat.max(counts_from)))
     }
 
-    /// Returns how long a machine has been silent for the decision whether it failed.
+    /// Returns the time of silence by which it is decided whether a machine has failed.
     fn silence(&self, machine: &Machine) -> Micros {
         let counts_from = self.leader.silence_counts_from(machine, self.now);
         // Tasks on a machine that only another controller has contact with continue, but their
@@ -231,8 +231,9 @@
     ///
     /// A silent spot machine has most likely been reclaimed by the cloud. A silent on-demand
     /// machine is more likely partitioned with its tasks running until its lease ends, and an
-    /// earlier release would only stop them. A machine of unknown type, which a new leader has only
-    /// from the log, without a heartbeat or a place in the cloud's list, is most likely gone too.
+    /// earlier release would only stop them. A machine of unknown type is most likely gone too: a
+    /// new leader has its name from the log, but no heartbeat from it, and the cloud does not list
+    /// it.
     fn max_silence(&self, machine: &Machine) -> Micros {
         let workers = &self.cluster.settings.params.workers;
         if self.may_have_contact_in_cut_zone(machine) {
@@ -247,8 +248,8 @@
     /// Returns whether controllers inside the machine's cut-off zone may still renew its lease.
     ///
     /// These controllers answer heartbeats until [`ClusterConfig::max_watermark_age`] is reached,
-    /// and services continue until the leases that they renewed end. If they were dead instead, the
-    /// cloud's list would show it.
+    /// and services continue until the leases that the controllers renewed end. If the machine were
+    /// dead instead, the cloud's list would show this.
     fn may_have_contact_in_cut_zone(&self, machine: &Machine) -> bool {
         let mut peers = self.cluster.settings.peers.iter();
         machine.service_tasks > 0 && self.is_cut_off(machine) && peers.any(|p| p.zone == machine.zone)
--- a/src/coordination/provisioning/mod.rs
+++ b/src/coordination/provisioning/mod.rs
@@ -45,7 +45,7 @@
 
 /// The leader's state of rental, list and release requests.
 pub struct Provisioning {
-    /// Recent boot times of each pool of machines.
+    /// Recent boot times of each machine pool.
     pub(super) boot_times: BootTimes,
     claims: Vec<Claim>,
     next_claim: u64,
@@ -56,8 +56,8 @@
     list_in_flight: bool,
     /// Whether this leader has read the whole list of machines at least once.
     has_listed: bool,
-    /// Machine type, zone and whether spot of the pools without capacity, and until when no
-    /// machines of them are requested.
+    /// For each machine pool (machine type, zone, whether spot) for which the cloud lacks capacity,
+    /// until when no machines are requested.
     no_capacity_until: BTreeMap<(String, String, bool), Micros>,
     releases_in_flight: usize,
     /// Machines marked for release whose release has not been requested yet; kept separately so
@@ -101,7 +101,8 @@
         if cluster.catalogue.is_empty() {
             return;
         }
-        // Releases first: the tasks of lost machines are freed only when these are released.
+        // Releases come first: the tasks of a lost machine are freed only when the cloud has
+        // released the machine.
         self.request_releases(context, cluster, cloud);
         self.request_rentals(context, cluster, cloud);
         self.settle_seen_claims();
@@ -223,9 +224,9 @@
                 self.provisioning.claims[index].state = ClaimState::Answered(names);
             }
             CloudResponse::NoCapacity | CloudResponse::Malformed => {
-                // Nothing was rented under this name, and it is not requested again. An earlier
-                // attempt without a response may still be executed; its machines are adopted when
-                // the cloud lists them or they send a heartbeat.
+                // Nothing was rented under this name, and the claim is not requested again. An
+                // earlier attempt without a response may still be executed; its machines are
+                // adopted when the cloud lists them or they send a heartbeat.
                 let value = self.provisioning.claims[index].value.clone();
                 self.provisioning.note_no_capacity(&value, now);
                 self.provisioning.claims[index].state = ClaimState::Settled;
--- a/src/coordination/provisioning/scale_in.rs
+++ b/src/coordination/provisioning/scale_in.rs
@@ -9,8 +9,8 @@
 use crate::time::Micros;
 
 impl LeaderState {
-    /// Marks idle machines for release while the others supply the target, and faulty idle machines
-    /// in any case.
+    /// Marks idle machines for release while the remaining machines supply the target, and faulty
+    /// idle machines in any case.
     pub(super) fn release_idle(
         &mut self,
         cluster: &ClusterConfig,
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -28,7 +28,7 @@
 pub(super) struct Rental<'a> {
     pub(super) spot: bool,
     pub(super) cores: f64,
-    /// The job that must fit on the machines; `None`: at least one of the jobs.
+    /// The job that must fit on the machines; `None`: at least one of the cluster's jobs must fit.
     pub(super) job: Option<&'a JobSpec>,
     /// The zones that may be used; `None`: any.
     pub(super) zones: Option<&'a [String]>,
@@ -58,7 +58,7 @@
 /// A machine type in a zone.
 struct ZoneOffer<'a> {
     cost_per_core: f64,
-    /// Machines of the same capacity type that are already in the zone.
+    /// Number of machines of the same capacity type that are already in the zone.
     machines_in_zone: usize,
     zone: &'a String,
     machine_type: &'a MachineType,
--- a/src/coordination/provisioning/scaling.rs
+++ b/src/coordination/provisioning/scaling.rs
@@ -11,7 +11,8 @@
 const AVERAGE_HALF_LIFE_S: f64 = 20.0;
 /// Spot machines are rented only if more cores than this are missing.
 const MIN_MISSING_SPOT_CORES: f64 = 1.0;
-/// On-demand machines are rented for spot work only if they are for more cores than this.
+/// On-demand machines are rented for work that may use spot machines only if it needs more cores
+/// than this.
 const MIN_ON_DEMAND_CORES: f64 = 0.5;
 /// Time until cost and benefit are compared again after a rental.
 const COST_BENEFIT_INTERVAL_AFTER_RENTAL: Micros = Micros::from_millis(250);
@@ -48,8 +49,9 @@
         self.release_idle(cluster, now, target, supply);
     }
 
-    /// Returns the cores that the cluster should have: the demand with its reserve and headroom,
-    /// less the cores of work in cut-off zones that continues there and is not replaced yet.
+    /// Returns the cores that the cluster should have: the demand, the service reserve and
+    /// headroom, less the cores of work in cut-off zones that continues there and is not replaced
+    /// yet.
     fn target_cores(&self, cluster: &ClusterConfig, demand: CoresByCapacityType, now: Micros) -> CoresByCapacityType {
         let headroom = 1.0 + cluster.settings.operator.headroom;
         let on_demand = if demand.on_demand > 0.0 {
@@ -65,8 +67,9 @@
         }
     }
 
-    /// Rents the missing cores. Work that may use spot machines gets these or, if none are
-    /// available, as many on-demand machines as are worth their cost.
+    /// Rents the missing cores. For work that may use spot machines, rents spot machines or, if
+    /// none are available, as many on-demand machines as are worth their cost or as the
+    /// backlog needs.
     fn scale_out(
         &mut self,
         cluster: &ClusterConfig,
--- a/src/coordination/scheduling/best_fit.rs
+++ b/src/coordination/scheduling/best_fit.rs
@@ -4,7 +4,7 @@
 //! to skip searches that would fail again. A machine must have enough free capacity and be allowed
 //! for the job. Among these machines the largest kind wins, then the machine whose occupancy the
 //! task extends the least (by its run time and its image fetch), then the first by name. Tasks are
-//! therefore packed onto the same machines, and the other machines become idle and can be returned.
+//! therefore packed onto the same machines, and the other machines become idle and can be released.
 
 use super::super::reservation::Reservations;
 use super::super::state::{Job, Machine, MachineId, MachineKind};
@@ -28,8 +28,7 @@
 /// Inputs of the best-fit search for a job's next task, besides the pass.
 pub(super) struct BestFitRequest<'a> {
     pub(super) job: &'a Job,
-    /// Whether the job itself, rather than the machines, seems to cause the failures of its tasks;
-    /// the job may then retry on any machine.
+    /// Whether the job is suspect (see [`Job::is_suspect`]) and may therefore retry on any machine.
     pub(super) is_suspect: bool,
     /// Whether the job uses only capacity that other work leaves free.
     pub(super) best_effort: bool,
@@ -167,7 +166,7 @@
 
     /// Returns a machine of these kinds that has the image of a service, so that a replica starts
     /// at once. Machines that already run services come first, because machines with services are
-    /// the last that can be returned.
+    /// the last that can be released.
     fn candidate_with_image(&self, request: &BestFitRequest, kinds: &[usize]) -> Option<usize> {
         let locations = request.image_locations.into_iter().flatten();
         let ranked = locations.filter_map(|name| {
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -27,7 +27,7 @@
 }
 
 impl LeaderState {
-    /// Returns the index of the kind with this machine type, zone and rental model (spot or
+    /// Returns the index of the kind with this machine type, zone and capacity type (spot or
     /// on-demand), and adds the kind if it is new.
     pub(super) fn kind_index(&mut self, machine_type: &MachineType, zone: &str, spot: bool) -> usize {
         let same = |k: &MachineKind| k.machine_type == machine_type.name && k.zone == zone && k.spot == spot;
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -183,9 +183,9 @@
         }
     }
 
-    /// Starts jobs for which their class's pool has slots, in the order of the queue. This step is
-    /// also the pull of the paper's third rule, since the jobs that wait for the helpers and all
-    /// other waiting jobs form one queue.
+    /// Starts jobs for which their class's pool has slots, in the order of the queue. The jobs that
+    /// wait for the helpers and all other waiting jobs form one queue, so this step also covers the
+    /// paper's third rule, by which a pool pulls jobs that wait for the helpers.
     fn start_in_pools(&mut self, pass: &mut Pass, cluster: &ClusterConfig, queue: &JobQueue) {
         for id in &queue.order {
             self.start_job(pass, cluster, id, SlotSource::Pool);
--- a/src/coordination/scheduling/pools.rs
+++ b/src/coordination/scheduling/pools.rs
@@ -2,9 +2,9 @@
 //! the split is estimated.
 //!
 //! The model depends on no types of jobs or machines, and uses the terms of the paper
-//! (`docs/DESIGN.md`).
+//! (`docs/DESIGN.md`): what the paper calls a job is one task of the scheduler.
 //!
-//! Invariant: the pools never hold more slots in all than there are.
+//! Invariant: the pools together never have more slots than there are in total.
 
 use crate::time::Micros;
 use std::collections::BTreeMap;
@@ -117,7 +117,7 @@
 
 impl Estimate {
     /// Adds the slots that each class has held and requested since the last call, and decays older
-    /// demand with the given half life.
+    /// demand with the given half-life.
     pub fn observe(&mut self, demanded_slots: &BTreeMap<Rc<ClassKey>, f64>, half_life_s: f64, now: Micros) {
         let span_s = self.last_observed_at.map_or(0.0, |at| now.since(at).secs());
         self.last_observed_at = Some(now);
--- a/src/coordination/scheduling/queue.rs
+++ b/src/coordination/scheduling/queue.rs
@@ -23,7 +23,7 @@
 /// A job's place in the queue. The fields are compared one after another, in this order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
-    /// Whether the job fails everywhere.
+    /// Whether the job is suspect (see [`Job::is_suspect`]).
     is_suspect: bool,
     priority: Reverse<Priority>,
     is_beyond_guarantee: bool,
@@ -59,7 +59,7 @@
     }
 
     /// Time until some machine has the job's image, in seconds: zero if any machine already has it,
-    /// and the fetch at the highest rate in the catalogue otherwise.
+    /// and the fetch time at the highest rate in the catalogue otherwise.
     fn fetch_s(&self, cluster: &ClusterConfig, spec: &JobSpec) -> f64 {
         let locations = self.image_locations.get(spec.image.as_str());
         if locations.is_some_and(|machines| !machines.is_empty()) {
--- a/src/coordination/scheduling/rules.rs
+++ b/src/coordination/scheduling/rules.rs
@@ -13,9 +13,9 @@
 const SERVICE_DURATION: Micros = Micros::from_millis(600_000);
 /// How long after the latest start for its last deadline a late job ranks behind other jobs.
 const MAX_LATE_DEMOTION: Micros = Micros::from_millis(120_000);
-/// How long before its latest start low-priority work is no longer best effort.
+/// Low-priority work stops being best effort this long before its latest start.
 const BEST_EFFORT_MARGIN: Micros = Micros::from_millis(60_000);
-/// How long after its arrival low-priority work without a deadline is no longer best effort.
+/// Low-priority work without a deadline stops being best effort this long after its arrival.
 const MAX_BEST_EFFORT_WAIT: Micros = Micros::from_millis(150_000);
 
 /// Whether a job's tasks may run on machines like this one.
@@ -29,7 +29,8 @@
         && spec.zone.as_ref().is_none_or(|z| z == zone)
 }
 
-/// The zones where a job's next task may start, given where its others are; `None` means any.
+/// The zones where a job's next task may start, given the zones of its other tasks; `None` means
+/// any zone.
 pub fn open_zones(job: &Job, machines: &BTreeMap<MachineId, Machine>, all: &[String]) -> Option<Vec<String>> {
     if let Some(zone) = &job.spec.zone {
         return Some(vec![zone.clone()]);
@@ -63,7 +64,7 @@
 }
 
 /// Whether a job is best effort and uses only capacity that other work leaves: low-priority work
-/// that may use spot machines and still has time. On an on-demand machine a best-effort task starts
+/// that may use spot machines and is not late yet. On an on-demand machine a best-effort task starts
 /// only where other work holds the machine at least as long.
 pub fn is_best_effort(cluster: &ClusterConfig, job: &Job, now: Micros) -> bool {
     let late = match latest_start(cluster, job) {
--- a/src/coordination/scheduling/starts.rs
+++ b/src/coordination/scheduling/starts.rs
@@ -26,13 +26,14 @@
 pub(super) enum StartOutcome {
     /// The slot source has no slots left for the job.
     OutOfSlots,
-    /// Nothing waits, the team's limit or the pass's is reached, or no machine fits.
+    /// No task waits, the limit of the team or of the pass is reached, or no machine fits.
     Otherwise,
 }
 
 /// The conditions that apply to all starts of a job in one call.
 struct StartPlan {
-    /// Whether only machines that have the image are used, because waiting for one pays off.
+    /// Whether only machines that have the image are used, because waiting for one of them takes
+    /// less time than fetching the image elsewhere.
     only_with_image: bool,
     best_effort: bool,
     is_suspect: bool,
@@ -69,7 +70,7 @@
             let Some(task) = job.waiting.first().copied() else {
                 break;
             };
-            // A job that fails everywhere is retried with one task at a time.
+            // A suspect job is retried with one task at a time.
             if pass.starts >= MAX_STARTS || (plan.is_suspect && job.held_tasks > 0) {
                 break;
             }
--- a/src/coordination/state/job.rs
+++ b/src/coordination/state/job.rs
@@ -52,7 +52,7 @@
     Exited(Cause),
 }
 
-/// An attempt at a task that is on a machine, or may be or come to be there.
+/// An attempt at a task that is or may be on a machine, or whose start may still arrive there.
 #[derive(Clone, Debug)]
 pub struct Placement {
     /// The number of the attempt, unique within the task's range.
@@ -160,13 +160,13 @@
     pub spec: JobSpec,
     /// The revision at which the job was accepted.
     pub acceptance_revision: u64,
-    /// The version of the job's own key; 0 if the job was accepted in a page, and so has no key of
-    /// its own while it is open.
+    /// The version of the job's own key; 0 if the job was accepted in an acceptance page, and so
+    /// has no key of its own while it is open.
     pub key_version: u64,
-    /// When this leader learnt that the job is cancelled; `None` if it is not.
+    /// When this leader marked the job as cancelled; `None` if the job is not cancelled.
     pub cancelled_at: Option<Micros>,
-    /// The cancellation watermark when this leader learnt that the job is cancelled: no controller
-    /// confirmed the cancellation to the user before this time.
+    /// The cancellation watermark at the time `cancelled_at`: no controller confirmed the
+    /// cancellation to the user before this watermark.
     pub cancel_unconfirmed_until: Micros,
     /// The version of the job's key that records the cancellation, if known.
     pub cancel_version: Option<u64>,
--- a/src/coordination/state/job_events.rs
+++ b/src/coordination/state/job_events.rs
@@ -18,7 +18,7 @@
     pub id: String,
     /// The revision of the change.
     pub version: u64,
-    /// The version of the job's own key; 0 if the job was accepted in a page.
+    /// The version of the job's own key; 0 if the job was accepted in an acceptance page.
     pub key_version: u64,
     /// The job's phase and description in the state service.
     pub value: JobValue,
@@ -48,7 +48,7 @@
 
     /// Applies a change of one job, made at revision `version`, or stores it if the write-ahead log
     /// has not been read yet. `key_version` is the version of the job's own key; 0 if the job was
-    /// accepted in a page.
+    /// accepted in an acceptance page.
     pub fn on_job_event(&mut self, id: &str, version: u64, key_version: u64, value: JobValue, now: Micros) {
         if !self.is_loaded() {
             let id = id.to_string();
--- a/src/coordination/state/machine.rs
+++ b/src/coordination/state/machine.rs
@@ -1,4 +1,4 @@
-//! The leader's state of a rented machine: its type and zone, the last report of its agent, the
+//! The leader's state of a rented machine: its type and zone, its agent's last heartbeat, the
 //! tasks charged to it, and the images in its cache.
 //!
 //! Heartbeat processing, the scheduler and provisioning make the decisions and change this state.
@@ -25,7 +25,7 @@
     Booting,
     /// The machine's agent has sent a heartbeat.
     Up,
-    /// The machine will be returned to the cloud; nothing may start there.
+    /// The machine will be released; nothing may start there.
     Releasing,
 }
 
@@ -68,9 +68,10 @@
     pub last_heartbeat: Micros,
     /// The controller that forwarded the last heartbeat; `None` if this one received it directly.
     pub heartbeat_proxy: Option<Rc<str>>,
-    /// The number of consecutive heartbeats that arrived through another controller than the one
-    /// before, although that one was answered. An agent that receives no response tries the next
-    /// controller, so a high count indicates that responses don't reach the machine.
+    /// The number of consecutive heartbeats that arrived through a different controller than the
+    /// heartbeat before, although the earlier heartbeat was answered. An agent that receives no
+    /// response tries the next controller, so a high count indicates that responses don't reach the
+    /// machine.
     pub controller_changes: u32,
     /// When a probe was last sent to find out whether the machine receives commands (see
     /// `asymmetric_partition`).
@@ -92,7 +93,7 @@
     pub kind_index: Option<usize>,
     /// The resources that the tasks charged to the machine use.
     pub used: Resources,
-    /// The number of these tasks that belong to services.
+    /// The number of tasks charged to the machine that belong to services.
     pub service_tasks: i32,
     /// The machine's index among the candidates of the current scheduling pass; `None` if the
     /// machine accepts no new work.
@@ -165,8 +166,8 @@
         }
     }
 
-    /// Sets the machine's type, zone and billing. If any of them changed, the kind is cleared and
-    /// has to be looked up again.
+    /// Sets the machine's type, zone and capacity type (spot or on-demand). If any of them changed,
+    /// the kind is cleared and has to be looked up again.
     pub fn describe(&mut self, machine_type: &str, zone: &str, spot: bool) {
         if self.machine_type != machine_type || self.zone != zone || self.spot != spot {
             self.machine_type = machine_type.into();
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -39,7 +39,7 @@
 
 /// The half-life of the counts in the SLO accounting of classes and teams.
 const SLO_HALF_LIFE: Micros = Micros::from_millis(120_000);
-/// The number of tasks in a task range until the size for the state service's limits is set.
+/// The number of tasks in a task range until it is set according to the state service's limits.
 const TASKS_PER_RANGE: u32 = 64;
 /// The maximum number of jobs whose counts are sent to the other controllers at a time.
 const PROGRESS_BATCH: usize = 500;
@@ -66,7 +66,7 @@
     pub image_locations: ImageIndex,
     /// The write-ahead log: what is recorded in it and what has yet to be.
     pub log_writer: LogWriter,
-    /// Pools, queue passes and their timers.
+    /// Pools, scheduling passes and their timers.
     pub scheduler: Scheduler,
     /// Commands that are sent to agents outside of responses to their heartbeats.
     pub agents: AgentChannels,
@@ -99,7 +99,7 @@
     pub slo: SloAccounting,
     /// Jobs with dependencies that the leader has to check.
     pub blocked_jobs: BlockedJobs,
-    /// Machines that are drained for large tasks.
+    /// Machines that are reserved for large tasks.
     pub reservations: Reservations,
     /// The search for accepted jobs that this leader does not have.
     pub audit: Audit,
@@ -191,7 +191,7 @@
         self.machines.values().filter(up).count() as u32
     }
 
-    /// Responds with status 503 to agents whose heartbeats still wait for an answer, and drops the
+    /// Responds with status 503 to agents whose heartbeats still wait for a response, and drops the
     /// state. Called when this leadership ends.
     pub fn abandon(self, context: &mut Context) {
         for early in self.early_heartbeats {
@@ -212,8 +212,8 @@
         self.jobs.get(job).map(Job::progress)
     }
 
-    /// Returns the counts that have changed since they were last returned, of a limited number of
-    /// jobs; later calls return the others.
+    /// Returns the counts that have changed since they were last returned, for at most
+    /// `PROGRESS_BATCH` jobs; later calls return the others.
     pub fn changed_progress(&mut self) -> Vec<Progress> {
         let mut changed = vec![];
         for job in self.jobs.values_mut() {
--- a/src/coordination/state/placements.rs
+++ b/src/coordination/state/placements.rs
@@ -4,9 +4,9 @@
 //! the decisions; this module only checks whether a proof covers a record.
 //!
 //! Invariants: a placement is in its job's `placements` if and only if its task is in the `tasks`
-//! of its machine, as far as the leader has that machine. A placement is charged to its machine and
-//! counted in its job's `held_tasks` until its exit is reported. It is removed only with a
-//! [`VoidProof`] that covers it, or together with its job.
+//! of its machine, if the leader has a record of that machine. A placement is charged to its
+//! machine and counted in its job's `held_tasks` until its exit is reported. It is removed only
+//! with a [`VoidProof`] that covers it, or together with its job.
 
 use super::void_proof::VoidProof;
 use super::{LeaderState, Machine, MachineId, Placement, PlacementPhase};
--- a/src/coordination/state/void_proof.rs
+++ b/src/coordination/state/void_proof.rs
@@ -1,9 +1,9 @@
 //! Proofs that the record of a placement is void.
 //!
-//! A placement is charged to its team and its machine for as long as the attempt may be, or may
-//! come to be, on the machine. [`LeaderState::free`](super::LeaderState::free) removes a placement
-//! only with one of these proofs, and only if the proof covers the record. Elapsed time alone is
-//! never a proof.
+//! A placement is charged to its team and its machine for as long as the attempt is or may be on
+//! the machine, or its start may still arrive there.
+//! [`LeaderState::free`](super::LeaderState::free) removes a placement only with one of these
+//! proofs, and only if the proof covers the record. Elapsed time alone is never a proof.
 
 use crate::coordination::state::{Placement, PlacementPhase};
 use crate::protocol::agents::Cause;
