--- a/src/coordination/provisioning/boot_times.rs
+++ b/src/coordination/provisioning/boot_times.rs
@@ -119,7 +119,7 @@
 
     /// Estimates all profiles again from recent boots and from the machines that are booting.
     pub fn update(&mut self, cluster: &ClusterConfig, machines: &BTreeMap<MachineId, Machine>, now: Micros) {
-        let mut lateness = overdue_by_pool(cluster, machines, now);
+        let mut lateness = late_by_pool(cluster, machines, now);
         self.profiles.clear();
         for (pool, recent) in &mut self.recent {
             recent.retain(|boot| now.since(boot.ended_at) < RECENT_WINDOW);
@@ -139,7 +139,7 @@
 }
 
 /// Counts the late machines that are still booting, by pool.
-fn overdue_by_pool(
+fn late_by_pool(
     cluster: &ClusterConfig,
     machines: &BTreeMap<MachineId, Machine>,
     now: Micros,
@@ -150,8 +150,8 @@
         let (Some(machine_type), Some(rented_at)) = (machine_type, machine.rented_at) else {
             continue;
         };
-        let is_overdue = now.since(rented_at) > Micros::from_secs(machine_type.boot_s * LATE_FACTOR + 2.0);
-        if is_overdue && machine.state == MachineState::Booting {
+        let is_late = now.since(rented_at) > Micros::from_secs(machine_type.boot_s * LATE_FACTOR + 2.0);
+        if is_late && machine.state == MachineState::Booting {
             lateness.entry(pool_of(machine)).or_default().late += 1;
         }
     }
--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -96,7 +96,8 @@
     /// no spot machines are available. `reserved_cores` of the free and expected capacity are for
     /// other work.
     pub fn on_demand_cost_benefit(&self, cluster: &ClusterConfig, reserved_cores: f64, now: Micros) -> OnDemandAdvice {
-        CostBenefitModel::new(self, cluster, now).map_or_else(OnDemandAdvice::default, |p| p.advise(reserved_cores))
+        CostBenefitModel::new(self, cluster, now)
+            .map_or_else(OnDemandAdvice::default, |model| model.advise(reserved_cores))
     }
 
     /// Marks the objectives that a rental is expected to let jobs meet. The share of these that is
@@ -289,7 +290,7 @@
     fn add_waiting(&self, queue: &mut Queue<'a>, waiting_job: &WaitingJob<'a>, mut work: QueueEntry) {
         let job = waiting_job.job;
         let age_s = self.now.since(job.arrived_at).secs();
-        let (deadlines, objectives) = self.start_times(job, work.run_s, age_s);
+        let (deadlines, objectives) = self.start_deadlines(job, work.run_s, age_s);
         let merge_key = (work.cores <= MAX_MERGED_CORES).then(|| MergeKey {
             priority: job.priority,
             is_guaranteed: waiting_job.is_guaranteed,
@@ -308,7 +309,7 @@
     /// Returns the deadline for the start of the job's last task for each objective that the job
     /// can still meet, and the numbers of these objectives. If it can meet none, returns the one
     /// deadline of [`ALL_MISSED_START_S`] and no numbers.
-    fn start_times(&self, job: &Job, hold_s: f64, age_s: f64) -> (Vec<Deadline>, Vec<usize>) {
+    fn start_deadlines(&self, job: &Job, hold_s: f64, age_s: f64) -> (Vec<Deadline>, Vec<usize>) {
         let mut deadlines: Vec<Deadline> = vec![];
         let mut numbers = vec![];
         let mut max_value: f64 = 0.0;
--- a/src/coordination/provisioning/failed_machines.rs
+++ b/src/coordination/provisioning/failed_machines.rs
@@ -164,7 +164,7 @@
     unreliable_controllers: BTreeSet<Option<Rc<str>>>,
     with_unstopped_tasks: BTreeSet<MachineId>,
     /// Machines of cut-off zones whose work fits elsewhere.
-    leaving_cut_zones: BTreeSet<MachineId>,
+    leaving_cut_off_zones: BTreeSet<MachineId>,
     /// Silent machines whose services fit elsewhere.
     early_failures: BTreeSet<MachineId>,
 }
@@ -179,7 +179,7 @@
             silent,
             unreliable_controllers: leader.unreliable_controllers(silent, now),
             with_unstopped_tasks: leader.machines_with_unstopped_tasks(cluster, now),
-            leaving_cut_zones: leader.machines_leaving_cut_zones(cluster, now),
+            leaving_cut_off_zones: leader.machines_leaving_cut_zones(cluster, now),
             early_failures: BTreeSet::new(),
         };
         check.early_failures = leader.silent_machines_to_give_up(cluster, |m| check.silence_by_itself(m));
@@ -236,7 +236,7 @@
     /// it.
     fn max_silence(&self, machine: &Machine) -> Micros {
         let workers = &self.cluster.settings.params.workers;
-        if self.may_have_contact_in_cut_zone(machine) {
+        if self.may_have_contact_in_cut_off_zone(machine) {
             self.cluster.max_watermark_age() + timing::lease_end_timeout(workers)
         } else if machine.spot || machine.machine_type.is_empty() {
             self.silent
@@ -250,7 +250,7 @@
     /// These controllers answer heartbeats until [`ClusterConfig::max_watermark_age`] is reached,
     /// and services continue until the leases that the controllers renewed end. If the machine were
     /// dead instead, the cloud's list would show this.
-    fn may_have_contact_in_cut_zone(&self, machine: &Machine) -> bool {
+    fn may_have_contact_in_cut_off_zone(&self, machine: &Machine) -> bool {
         let mut peers = self.cluster.settings.peers.iter();
         machine.service_tasks > 0 && self.is_cut_off(machine) && peers.any(|p| p.zone == machine.zone)
     }
@@ -285,7 +285,7 @@
             || !self.has_unreliable_controller(machine)
             || silence > max_silence + Micros::from_secs(workers.lease_s);
         let is_interrupted = machine.interruption_at.is_some_and(|at| self.now > at);
-        if self.leaving_cut_zones.contains(&machine.name) {
+        if self.leaving_cut_off_zones.contains(&machine.name) {
             Some(ReleaseReason::WorkFitsElsewhere)
         } else if self.early_failures.contains(&machine.name) {
             Some(ReleaseReason::ServicesFitElsewhere)
--- a/src/coordination/provisioning/scale_in.rs
+++ b/src/coordination/provisioning/scale_in.rs
@@ -39,12 +39,12 @@
             if idle < min_idle {
                 continue;
             }
-            let of_rental = *supply.of_mut(machine.spot) - machine_type.cpus;
+            let of_capacity_type = *supply.of_mut(machine.spot) - machine_type.cpus;
             let total = supply.total() - machine_type.cpus;
-            let is_spare = total >= target.total() && (machine.spot || of_rental >= target.on_demand);
+            let is_spare = total >= target.total() && (machine.spot || of_capacity_type >= target.on_demand);
             if is_spare {
                 tracing::debug!(machine = %machine.name, "idle machine marked for release");
-                *supply.of_mut(machine.spot) = of_rental;
+                *supply.of_mut(machine.spot) = of_capacity_type;
                 machine.state = MachineState::Releasing;
                 self.provisioning.to_release.insert(machine.name.clone());
             }
--- a/src/coordination/provisioning/stuck.rs
+++ b/src/coordination/provisioning/stuck.rs
@@ -38,7 +38,7 @@
     }
 
     /// Returns the values of [`Rental::spot`] to try, the preferred one first.
-    fn rentals(&self) -> &'static [bool] {
+    fn spot_values(&self) -> &'static [bool] {
         match (self.spec.spot, self.spot_only) {
             (true, true) => &[true],
             (true, false) => &[true, false],
@@ -70,7 +70,7 @@
             if assign_pending(&mut pending, &stuck) < MIN_MISSING_CORES {
                 continue;
             }
-            for spot in stuck.rentals() {
+            for spot in stuck.spot_values() {
                 let rental = Rental {
                     spot: *spot,
                     cores: stuck.spec.cpus.max(1.0),
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -196,13 +196,13 @@
     /// no machine or exceeds its team's limit does not block the jobs behind it: the paper's
     /// servers are identical, these machines are not.
     fn start_on_helpers(&mut self, pass: &mut Pass, cluster: &ClusterConfig, queue: &JobQueue) {
-        let mut closed = BTreeSet::new();
+        let mut exhausted = BTreeSet::new();
         for id in &queue.order {
             let gpu = self.jobs.get(id).is_some_and(|j| j.spec.gpus > 0.0);
-            if !closed.contains(&gpu)
+            if !exhausted.contains(&gpu)
                 && self.start_job(pass, cluster, id, SlotSource::Helpers) == StartOutcome::OutOfSlots
             {
-                closed.insert(gpu);
+                exhausted.insert(gpu);
             }
         }
     }
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -283,12 +283,12 @@
     placement: &Placement,
 ) -> bool {
     let is_young = pass.now.since(placement.placed_at) < MAX_YOUNG_AGE;
-    let can_spare = job.priority == Priority::Production || is_young || is_best_effort(cluster, other, pass.now);
+    let is_unprotected = job.priority == Priority::Production || is_young || is_best_effort(cluster, other, pass.now);
     let over_guarantee = || {
         let over = pass.cpus_over_guarantee.get(&other.spec.team);
         over.copied().unwrap_or(0.0) >= other.spec.cpus
     };
-    (other.priority < job.priority && can_spare)
+    (other.priority < job.priority && is_unprotected)
         || (guaranteed.contains(&job.id)
             && is_young
             && other.priority <= job.priority
