--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -29,7 +29,7 @@
 /// Deadline for the start of a job that has missed all of its objectives, so that it does not wait
 /// indefinitely.
 const ALL_MISSED_START_S: f64 = 60.0;
-/// Value of that deadline in relation to the job's most valuable objective.
+/// Value of the deadline [`ALL_MISSED_START_S`] in relation to the job's most valuable objective.
 const ALL_MISSED_VALUE_FACTOR: f64 = 0.25;
 /// Length of the time steps into which expected arrivals are merged.
 const EXPECTED_STEP_S: f64 = 10.0;
@@ -54,13 +54,13 @@
 /// Number of on-demand cores to rent, and the objectives that they are rented for.
 #[derive(Clone, Debug, Default)]
 pub struct OnDemandAdvice {
-    /// Cores to rent; 0 if no rental pays.
+    /// Cores to rent; 0 if no rental is worth its cost.
     pub cores: f64,
     /// Objectives that the rental is expected to let jobs meet.
     pub commitments: Vec<Commitment>,
 }
 
-/// An objective of a job that a rental is expected to let it meet.
+/// An objective that a rental is expected to let a job meet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Commitment {
     /// The job.
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Returns whether on-demand machines are rented for a class by the objectives that they would
-    /// let it meet.
+    /// Returns whether on-demand machines are rented for a class by the value of the objectives
+    /// that the rental would let its jobs meet.
     ///
     /// This is the case if an objective limits the waiting time of the class, while rentals meet at
     /// least `MIN_MET_COMMITMENT_SHARE` of their commitments. Other work gets on-demand machines
-    /// for its backlog, which costs far less for each job that is in time.
+    /// for its backlog, which costs far less for each job that starts in time.
     pub fn is_latency_sensitive(&self, cluster: &ClusterConfig, class: &str, now: Micros) -> bool {
         let mut objectives = cluster.settings.params.objectives.iter();
         let has_wait_objective = objectives.any(|o| o.class == class && o.kind == "wait");
@@ -96,7 +96,8 @@
     /// no spot machines are available. `reserved_cores` of the free and expected capacity are for
     /// other work.
     pub fn on_demand_cost_benefit(&self, cluster: &ClusterConfig, reserved_cores: f64, now: Micros) -> OnDemandAdvice {
-        CostBenefitModel::new(self, cluster, now).map_or_else(OnDemandAdvice::default, |p| p.advise(reserved_cores))
+        CostBenefitModel::new(self, cluster, now)
+            .map_or_else(OnDemandAdvice::default, |model| model.advise(reserved_cores))
     }
 
     /// Marks the objectives that a rental is expected to let jobs meet. The share of these that is
@@ -226,7 +227,8 @@
             return 0.0;
         }
         let jobs_per_s = self.leader.slo.inflow(class, self.now).jobs_per_s;
-        // The limit keeps one job of a class with rare arrivals from having the value of the class.
+        // The limit keeps a job of a class with rare arrivals from having the value of a whole
+        // class.
         let per_job = self.value_per_s / jobs_per_s.max(1.0 / MAX_ARRIVAL_INTERVAL_S);
         let urgency = self
             .leader
@@ -288,7 +290,7 @@
     fn add_waiting(&self, queue: &mut Queue<'a>, waiting_job: &WaitingJob<'a>, mut work: QueueEntry) {
         let job = waiting_job.job;
         let age_s = self.now.since(job.arrived_at).secs();
-        let (deadlines, objectives) = self.start_times(job, work.run_s, age_s);
+        let (deadlines, objectives) = self.start_deadlines(job, work.run_s, age_s);
         let merge_key = (work.cores <= MAX_MERGED_CORES).then(|| MergeKey {
             priority: job.priority,
             is_guaranteed: waiting_job.is_guaranteed,
@@ -307,7 +309,7 @@
     /// Returns the deadline for the start of the job's last task for each objective that the job
     /// can still meet, and the numbers of these objectives. If it can meet none, returns the one
     /// deadline of [`ALL_MISSED_START_S`] and no numbers.
-    fn start_times(&self, job: &Job, hold_s: f64, age_s: f64) -> (Vec<Deadline>, Vec<usize>) {
+    fn start_deadlines(&self, job: &Job, hold_s: f64, age_s: f64) -> (Vec<Deadline>, Vec<usize>) {
         let mut deadlines: Vec<Deadline> = vec![];
         let mut numbers = vec![];
         let mut max_value: f64 = 0.0;
--- a/src/coordination/provisioning/failed_machines.rs
+++ b/src/coordination/provisioning/failed_machines.rs
@@ -125,9 +125,9 @@
             .collect()
     }
 
-    /// Returns the controllers for which more than half of their machines are silent at once: the
-    /// likely cause is then the controller rather than the machines. `None` in the set is this
-    /// controller.
+    /// Returns the controllers for which more than half of the machines whose last heartbeats
+    /// they forwarded are silent at once: the likely cause is then the controller rather than the
+    /// machines. `None` in the set is this controller, which receives heartbeats directly.
     fn unreliable_controllers(&self, silent: Micros, now: Micros) -> BTreeSet<Option<Rc<str>>> {
         #[derive(Default)]
         struct MachineCounts {
@@ -154,7 +154,7 @@
     }
 }
 
-/// The facts by which failed machines are found, computed once for all machines.
+/// The inputs of the checks for failed machines, computed once for all machines.
 struct FailureCheck<'a> {
     leader: &'a LeaderState,
     cluster: &'a ClusterConfig,
@@ -164,7 +164,7 @@
     unreliable_controllers: BTreeSet<Option<Rc<str>>>,
     with_unstopped_tasks: BTreeSet<MachineId>,
     /// Machines of cut-off zones whose work fits elsewhere.
-    leaving_cut_zones: BTreeSet<MachineId>,
+    leaving_cut_off_zones: BTreeSet<MachineId>,
     /// Silent machines whose services fit elsewhere.
     early_failures: BTreeSet<MachineId>,
 }
@@ -179,7 +179,7 @@
             silent,
             unreliable_controllers: leader.unreliable_controllers(silent, now),
             with_unstopped_tasks: leader.machines_with_unstopped_tasks(cluster, now),
-            leaving_cut_zones: leader.machines_leaving_cut_zones(cluster, now),
+            leaving_cut_off_zones: leader.machines_leaving_cut_zones(cluster, now),
             early_failures: BTreeSet::new(),
         };
         check.early_failures = leader.silent_machines_to_give_up(cluster, |m| check.silence_by_itself(m));
@@ -209,7 +209,7 @@
         is_independent.then(|| self.now.since(machine.last_heartbeat.max(counts_from)))
     }
 
-    /// Returns how long a machine has been silent for the decision whether it failed.
+    /// Returns the time of silence by which it is decided whether a machine has failed.
     fn silence(&self, machine: &Machine) -> Micros {
         let counts_from = self.leader.silence_counts_from(machine, self.now);
         // Tasks on a machine that only another controller has contact with continue, but their
@@ -231,11 +231,12 @@
     ///
     /// A silent spot machine has most likely been reclaimed by the cloud. A silent on-demand
     /// machine is more likely partitioned with its tasks running until its lease ends, and an
-    /// earlier release would only stop them. A machine of unknown type, which a new leader has only
-    /// from the log, without a heartbeat or a place in the cloud's list, is most likely gone too.
+    /// earlier release would only stop them. A machine of unknown type is most likely gone too: a
+    /// new leader has its name from the log, but no heartbeat from it, and the cloud does not list
+    /// it.
     fn max_silence(&self, machine: &Machine) -> Micros {
         let workers = &self.cluster.settings.params.workers;
-        if self.may_have_contact_in_cut_zone(machine) {
+        if self.may_have_contact_in_cut_off_zone(machine) {
             self.cluster.max_watermark_age() + timing::lease_end_timeout(workers)
         } else if machine.spot || machine.machine_type.is_empty() {
             self.silent
@@ -247,9 +248,9 @@
     /// Returns whether controllers inside the machine's cut-off zone may still renew its lease.
     ///
     /// These controllers answer heartbeats until [`ClusterConfig::max_watermark_age`] is reached,
-    /// and services continue until the leases that they renewed end. If they were dead instead, the
-    /// cloud's list would show it.
-    fn may_have_contact_in_cut_zone(&self, machine: &Machine) -> bool {
+    /// and services continue until the leases that the controllers renewed end. If the machine were
+    /// dead instead, the cloud's list would show this.
+    fn may_have_contact_in_cut_off_zone(&self, machine: &Machine) -> bool {
         let mut peers = self.cluster.settings.peers.iter();
         machine.service_tasks > 0 && self.is_cut_off(machine) && peers.any(|p| p.zone == machine.zone)
     }
@@ -284,7 +285,7 @@
             || !self.has_unreliable_controller(machine)
             || silence > max_silence + Micros::from_secs(workers.lease_s);
         let is_interrupted = machine.interruption_at.is_some_and(|at| self.now > at);
-        if self.leaving_cut_zones.contains(&machine.name) {
+        if self.leaving_cut_off_zones.contains(&machine.name) {
             Some(ReleaseReason::WorkFitsElsewhere)
         } else if self.early_failures.contains(&machine.name) {
             Some(ReleaseReason::ServicesFitElsewhere)
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -183,9 +183,9 @@
         }
     }
 
-    /// Starts jobs for which their class's pool has slots, in the order of the queue. This step is
-    /// also the pull of the paper's third rule, since the jobs that wait for the helpers and all
-    /// other waiting jobs form one queue.
+    /// Starts jobs for which their class's pool has slots, in the order of the queue. The jobs that
+    /// wait for the helpers and all other waiting jobs form one queue, so this step also covers the
+    /// paper's third rule, by which a pool pulls jobs that wait for the helpers.
     fn start_in_pools(&mut self, pass: &mut Pass, cluster: &ClusterConfig, queue: &JobQueue) {
         for id in &queue.order {
             self.start_job(pass, cluster, id, SlotSource::Pool);
@@ -196,13 +196,13 @@
     /// no machine or exceeds its team's limit does not block the jobs behind it: the paper's
     /// servers are identical, these machines are not.
     fn start_on_helpers(&mut self, pass: &mut Pass, cluster: &ClusterConfig, queue: &JobQueue) {
-        let mut closed = BTreeSet::new();
+        let mut exhausted = BTreeSet::new();
         for id in &queue.order {
             let gpu = self.jobs.get(id).is_some_and(|j| j.spec.gpus > 0.0);
-            if !closed.contains(&gpu)
+            if !exhausted.contains(&gpu)
                 && self.start_job(pass, cluster, id, SlotSource::Helpers) == StartOutcome::OutOfSlots
             {
-                closed.insert(gpu);
+                exhausted.insert(gpu);
             }
         }
     }
