--- a/crates/group-commit/src/lib.rs
+++ b/crates/group-commit/src/lib.rs
@@ -1,6 +1,6 @@
-//! Group commit of accepted jobs. The state service limits changes, not bytes: a controller that
-//! writes each accepted job by itself accepts a few jobs a second, one that writes all waiting jobs
-//! into one value (a page) accepts as many as fit.
+//! Group commit of accepted jobs. The state service limits the rate of changes, not of bytes: a
+//! controller that writes each accepted job by itself accepts only a few jobs a second, but one that
+//! writes all waiting jobs into one value (a page) accepts as many as fit into the page.
 //!
 //! This crate decides which jobs go into which page and when, and which pages may be reused. It
 //! makes no request: the caller writes a [`Batch`] on condition that the page has the batch's
--- a/src/coordination/api/acceptance.rs
+++ b/src/coordination/api/acceptance.rs
@@ -66,8 +66,9 @@
         let Some(page) = from_value::<AcceptancePage>(value) else {
             tracing::error!(key, "malformed page of acceptances");
             if node == self.node {
-                // The page is recorded with an open job that can't exist, so that its slot is never
-                // reused: a write there would always fail on its version.
+                // Without a record the slot would count as unused, and every write there would fail
+                // on its version. The page is recorded with an open job that can't exist, so that
+                // the slot is never reused.
                 self.group_commit
                     .page_seen(slot, version, &[key.to_string()], |_| false);
             }
--- a/src/coordination/api/answers.rs
+++ b/src/coordination/api/answers.rs
@@ -323,9 +323,9 @@
         }
     }
 
-    /// Answers a request with the phase of its job, if the proof is new enough. A read that was
-    /// sent before the request arrived may be older than another node's answer to a user since
-    /// then; in that case the job's own key is compared again for this request.
+    /// Answers a request with the phase of its job, if the proof is new enough. If the read was sent
+    /// before the request arrived, another node may have answered a user with a newer state in the
+    /// meantime; the job's own key is then compared again for this request.
     pub(super) fn answer_if_fresh(
         &mut self,
         context: &mut Context,
--- a/src/coordination/api/cancellations.rs
+++ b/src/coordination/api/cancellations.rs
@@ -1,4 +1,4 @@
-//! The latest cancellations known to this node, among them all that it may have confirmed to users.
+//! The latest cancellations known to this node, including all that it may have confirmed to users.
 //!
 //! The leader requests them as attestations while the state service does not answer it.
 //!
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -1,14 +1,14 @@
 //! The job API of every controller: submissions, polls and cancellations of users.
 //!
 //! The module owns the user requests that wait for the state service, and the phases of jobs as far
-//! as this node knows them. A node accepts jobs by writing them into its own pages, and cancels a
+//! as they are known here. A node accepts jobs by writing them into its own pages, and cancels a
 //! job by a compare-and-set on the job's own key. An open job is listed in a page of acceptances;
 //! its own key is written when the job gets a final phase, and is never deleted. The controller
 //! passes in user requests and the answers of the state service; the leader only reads phases from
 //! here.
 //!
-//! Invariant: a user is answered only with a final phase, after the commit, or from a read that was
-//! sent after the request had arrived; `read_proof` checks this for every answer.
+//! Invariant: a user is answered only with a final phase, or from a read or a write of a page that
+//! was sent after the request had arrived; `read_proof` checks this for every answer.
 //!
 //! - `request` and `refusal`: waiting requests, and the reasons to refuse one;
 //! - `request_flow`: the steps of a request until its answer;
@@ -109,8 +109,9 @@
 const POLL_TIMEOUT: Micros = Micros::from_millis(1700);
 /// The state service counts as unavailable once all requests to it have failed for this long.
 const OUTAGE_AFTER: Micros = Micros::from_millis(600);
-/// The maximum number of jobs whose status is kept, as long as the oldest can be dropped: jobs with
-/// a final phase, whose keys are read again for the next request about them.
+/// The maximum number of jobs whose status is kept. Only jobs with a final phase are dropped, and
+/// their keys are read again for the next request about them; the statuses of open jobs are kept
+/// even beyond this number.
 const MAX_STATUSES: usize = 20_000;
 /// The number of requests to the state service that may wait before user requests are refused.
 const MAX_BACKLOG: usize = 400;
@@ -361,8 +362,8 @@
         )
     }
 
-    /// Clears the record of failed requests to the state service, because they go through another
-    /// controller from now on.
+    /// Clears the record of failed requests to the state service. Called when requests begin to go
+    /// through another controller.
     pub fn reset_outage(&mut self) {
         self.refused_since = None;
     }
--- a/src/coordination/api/request.rs
+++ b/src/coordination/api/request.rs
@@ -52,7 +52,7 @@
     /// Whether all changes of jobs were read for this request.
     pub changes_read: bool,
     /// Whether a page of this node that was written after the request had arrived accepts its job.
-    /// Whether an earlier page accepts the job is then still being read.
+    /// The request then waits for a read that shows whether an earlier page accepts the job.
     pub accepted_by_own_page: bool,
 }
 
--- a/src/coordination/api/status.rs
+++ b/src/coordination/api/status.rs
@@ -1,4 +1,4 @@
-//! The phases of jobs as far as this node knows them.
+//! The phases of jobs as far as they are known to this node.
 //!
 //! A final phase never changes; an open phase may be out of date until a new read confirms it.
 //! Invariant: a newer version of a job's key replaces an older one, never the other way round.
--- a/src/coordination/log/answers.rs
+++ b/src/coordination/log/answers.rs
@@ -151,8 +151,8 @@
         let seq = pending.segments.first().map_or(0, |s| s.seq);
         match answer {
             StoreResponse::Row(row) if row.version != expected => {
-                // Only leaders write this key: either this leader, or one of a later term, in
-                // which case this leadership has ended.
+                // Only leaders write this key, so the value comes from this leader or from one of a
+                // later term. In the second case this leadership has ended.
                 let term = leader.term;
                 let is_ours = |segment: &Segment| segment.seq == seq && segment.term <= term;
                 match from_value::<Segment>(&row.value).filter(is_ours) {
--- a/src/coordination/log/compaction.rs
+++ b/src/coordination/log/compaction.rs
@@ -43,7 +43,7 @@
 /// Rewritten facts usually fill the segments that the transaction writes anyway: additional
 /// segments would have to be compacted in turn. Segments are added while some are in excess,
 /// because a task range may need more than the space left in the others and because, when
-/// compaction is far behind, the oldest segments hold up the release of others.
+/// compaction is far behind, the oldest segments delay the reuse of all later ones.
 pub fn extra_segments(excess: usize, segment_limit: usize) -> usize {
     match excess {
         0 => 0,
--- a/src/coordination/log/outcome.rs
+++ b/src/coordination/log/outcome.rs
@@ -48,7 +48,7 @@
 }
 
 impl LeaderState {
-    /// Queues all changes of the transaction in flight again, which was not executed.
+    /// Queues again all changes of the transaction in flight, which was not executed.
     pub(super) fn undo_transaction(&mut self, now: Micros) {
         let Some(pending) = self.log_writer.in_flight.take() else {
             return;
@@ -176,7 +176,7 @@
                 continue;
             }
             job.task_states[task as usize] = TaskState::Recorded;
-            // The agent may discard the exited task now. Until it does, its heartbeats list the
+            // The agent may forget the exited task now. Until then, its heartbeats list the
             // task although the leader no longer has its placement.
             let Some(placed) = job.placements.remove(&task) else {
                 continue;
@@ -215,7 +215,7 @@
         self.queue_start(&id, task);
     }
 
-    /// Removes an array that is recorded as done; the agents may discard its tasks.
+    /// Removes an array that is recorded as done; the agents may forget its tasks.
     fn close_completed(&mut self, id: &JobId, now: Micros) {
         if let Some(job) = self.jobs.remove(id) {
             tracing::debug!(job = %id, took_s = now.since(job.arrived_at).secs(), "job done");
--- a/src/coordination/log/replay.rs
+++ b/src/coordination/log/replay.rs
@@ -41,7 +41,7 @@
 /// An open job as the log describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplayedJob {
-    /// The segment that describes it.
+    /// The sequence number of the segment that describes it.
     pub segment: u64,
     /// The revision at which it was accepted.
     pub acceptance_revision: u64,
@@ -59,7 +59,7 @@
 /// A task range of a job as the segments describe it together.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplayedTaskRange {
-    /// The segment with its last full record, to which later records add.
+    /// The sequence number of the segment with the last full record, to which later records add.
     pub full_segment: Option<u64>,
     /// The highest attempt number ever used in it.
     pub last_attempt: u64,
@@ -74,9 +74,10 @@
 pub struct Replay {
     /// Open jobs, by id.
     pub jobs: BTreeMap<String, ReplayedJob>,
-    /// Task ranges by their number, by the job's id.
+    /// Task ranges, by the job's id and then by their number.
     pub task_ranges: BTreeMap<String, BTreeMap<u32, ReplayedTaskRange>>,
-    /// Rental requests that are not settled, each with the segment that records it.
+    /// Rental requests that are not settled, by id, each with the sequence number of the segment
+    /// that records it.
     pub claims: BTreeMap<String, (u64, ClaimValue)>,
     /// Segments with facts that no later segment repeats, oldest first.
     pub live_segments: VecDeque<LiveSegment>,
--- a/src/coordination/log/restore.rs
+++ b/src/coordination/log/restore.rs
@@ -1,5 +1,5 @@
 //! Restores the leader's state at a takeover: jobs with their placements and rental requests
-//! from the replayed log, then the changes of jobs since it was last written.
+//! from the replayed log, then the changes of jobs since the log was last written.
 //!
 //! Invariant: nothing is decided and nothing is sent before `LogWriter::loaded` is set here.
 
--- a/src/coordination/log/transaction.rs
+++ b/src/coordination/log/transaction.rs
@@ -223,8 +223,8 @@
         true
     }
 
-    /// Limits the number of segments to the changes and conditions that are left; each segment
-    /// takes one of both.
+    /// Limits the number of segments to the changes and conditions that are left: each segment
+    /// takes one change and one condition.
     pub(super) fn limit_segments(&mut self) {
         let txn = &self.pending.txn;
         let changes_left = self.max_changes.saturating_sub(txn.changes.len());
--- a/src/coordination/log/write.rs
+++ b/src/coordination/log/write.rs
@@ -25,8 +25,8 @@
 const COMMIT_TIMEOUT: Micros = Micros::from_millis(700);
 /// Maximum time for which the outcome of a task waits before a transaction is due.
 const MAX_OUTCOME_DELAY: Micros = Micros::from_millis(1000);
-/// Minimum interval between transactions with starts below production priority, acceptances or
-/// ends.
+/// Minimum interval between transactions with starts below production priority, rental requests,
+/// descriptions of jobs or ends of jobs.
 const BATCH_DELAY: Micros = Micros::from_millis(80);
 /// Minimum interval between transactions with only changes that no user waits for.
 const DEFERRED_BATCH_DELAY: Micros = Micros::from_millis(400);
@@ -216,7 +216,7 @@
     }
 
     /// Adds task ranges that have differed from the log for long enough. Outcomes are batched, so
-    /// that the range of a busy array is not written for each of them.
+    /// that the range of a busy array is not written for each outcome.
     fn write_outcomes(&mut self, draft: &mut Draft, now: Micros) {
         while let Some(ChangedTaskRange {
             since,
@@ -348,8 +348,8 @@
     /// Returns the entry that describes a job; `None` if it doesn't fit into a segment.
     fn description(&self, job: &Job, segment_bytes: usize) -> Option<Entry> {
         let submitted_ms = self.clock_origin_ms + job.submitted_at.0 / 1000;
-        // The job was accepted into a value of this size, but an older release may have accepted
-        // larger descriptions.
+        // A description that this release accepted fits, but an older release may have accepted a
+        // larger one.
         let bytes = segment_bytes.saturating_sub(JOB_ENTRY_BYTES);
         let spec = Box::new(records::to_record(&job.spec, submitted_ms, bytes)?);
         let cancelled = job.cancelled_at.is_some();
--- a/src/protocol/agents.rs
+++ b/src/protocol/agents.rs
@@ -97,11 +97,11 @@
     /// refused.
     #[serde(rename = "fence")]
     pub fencing_token: u64,
-    /// The time in seconds until the cloud reclaims the machine, if it has given notice.
+    /// The time in seconds until the cloud reclaims the machine, if the cloud has given notice.
     #[serde(rename = "warning_s", default, deserialize_with = "optional_amount")]
     pub notice_s: Option<f64>,
-    /// The attempts that the agent lists, including exited ones that it was not yet ordered to
-    /// forget.
+    /// The attempts that the agent lists, including exited ones for which it has not received a
+    /// `Forget` command yet.
     #[serde(rename = "pieces")]
     pub tasks: Vec<TaskStatus>,
 }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -59,7 +59,7 @@
     /// The zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether to rent spot capacity.
+    /// Whether to rent spot machines.
     #[serde(rename = "reclaimable")]
     pub spot: bool,
     /// The number of machines.
@@ -88,7 +88,7 @@
     /// The zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether the machine is spot capacity.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "reclaimable")]
     pub spot: bool,
     /// The phase of the machine.
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -137,8 +137,9 @@
         /// The controller that may stand for election before the others, if any.
         to: Option<String>,
     },
-    /// A request for the cancellations after a revision that the receiver knows, sent while the
-    /// state service doesn't answer. Sent only to controllers that have announced this release.
+    /// A request for the cancellations after a revision, as far as known to the receiver, sent while
+    /// the state service doesn't answer. Sent only to controllers that have announced a release with
+    /// attestations.
     AttestationRequest {
         /// The sender's name.
         node: String,
@@ -147,7 +148,7 @@
         /// The revision up to which the sender has read all cancellations.
         seen: u64,
     },
-    /// All requested cancellations that the sender knows at present.
+    /// All requested cancellations that are known to the sender at present.
     Attestation {
         /// The sender's name.
         node: String,
--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -2,8 +2,8 @@
 //!
 //! - `term`: the term and its leader. This key is never deleted.
 //! - `term-live`: attached to the leader's lease, and deleted with it.
-//! - `job/{id}`: the final phase of a job, stored permanently. Unless the job was accepted by a key of
-//!   its own, the key does not exist while the job is open.
+//! - `job/{id}`: the final phase of a job, stored permanently. The key does not exist while the job is
+//!   open, unless an earlier release accepted the job by writing this key.
 //! - `job/@{node}/{slot}`: a page of jobs that a node has accepted. A page all of whose jobs have
 //!   ended is overwritten.
 //! - `open/{slot}`: a segment of the leader's write-ahead log, with open jobs, their placements and
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -8,8 +8,8 @@
 use ciborium::Value;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
-/// The release that a controller announces when it starts. Releases before the first number neither
-/// write nor read this record.
+/// The release that a controller announces when it starts. Releases before number 1 neither write
+/// nor read this record.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Release {
     /// The number of the release, which increases with its features.
@@ -113,8 +113,8 @@
     pub jobs: Vec<JobSpec>,
 }
 
-/// The value of a job's own key: its final phase. Releases that accepted each job by a key of its
-/// own also stored open phases, with the description.
+/// The value of a job's own key: its final phase. Earlier releases, which accepted each job by
+/// writing its own key, also stored open phases, with the description.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobValue {
     /// The phase.
@@ -124,7 +124,7 @@
     pub spec: Option<JobSpec>,
 }
 
-/// The machines whose agents a node answers without the leader.
+/// The machines whose heartbeats a node answers for a leader that can't be reached.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProxiedMachines {
     /// The names of the machines.
