--- a/crates/dependencies/tests/dependencies.rs
+++ b/crates/dependencies/tests/dependencies.rs
@@ -22,7 +22,7 @@
 /// The reported facts, from which the model derives the expected states.
 #[derive(Default)]
 struct NaiveModel {
-    needs: BTreeMap<usize, Vec<usize>>,
+    dependencies: BTreeMap<usize, Vec<usize>>,
     open: BTreeSet<usize>,
     ends: BTreeMap<usize, bool>,
 }
@@ -33,15 +33,15 @@
         let mut rest = vec![job];
         while let Some(at) = rest.pop() {
             // A job that has ended has no dependencies.
-            for need in self
-                .needs
+            for dependency in self
+                .dependencies
                 .get(&at)
                 .filter(|_| !self.ends.contains_key(&at))
                 .into_iter()
                 .flatten()
             {
-                if all.insert(*need) {
-                    rest.push(*need);
+                if all.insert(*dependency) {
+                    rest.push(*dependency);
                 }
             }
         }
@@ -49,12 +49,12 @@
     }
 
     fn state(&self, job: usize) -> Option<DependencyState> {
-        let needs = self.needs.get(&job).filter(|_| !self.ends.contains_key(&job))?;
+        let dependencies = self.dependencies.get(&job).filter(|_| !self.ends.contains_key(&job))?;
         let all_dependencies = self.all_dependencies(job);
-        let known = |j: &usize| self.ends.contains_key(j) || self.open.contains(j) || self.needs.contains_key(j);
+        let known = |j: &usize| self.ends.contains_key(j) || self.open.contains(j) || self.dependencies.contains_key(j);
         Some(if all_dependencies.iter().any(|j| self.ends.get(j) == Some(&false)) {
             DependencyState::Cancelled
-        } else if needs.iter().all(|j| self.ends.get(j) == Some(&true)) {
+        } else if dependencies.iter().all(|j| self.ends.get(j) == Some(&true)) {
             DependencyState::Ready
         } else if !all_dependencies.iter().all(known) {
             DependencyState::Undetermined
@@ -66,8 +66,8 @@
     /// Returns the highest priority and earliest deadline over all paths of dependents of a job.
     fn inherited(&self, job: usize) -> Option<(u8, Micros)> {
         let mut best: Option<(u8, Micros)> = None;
-        for (dependent, needs) in &self.needs {
-            if !needs.contains(&job)
+        for (dependent, dependencies) in &self.dependencies {
+            if !dependencies.contains(&job)
                 || self.ends.contains_key(dependent)
                 || self.state(*dependent) == Some(DependencyState::Cancelled)
             {
@@ -97,8 +97,9 @@
 
 /// Generates graphs in which each job depends on some jobs with lower numbers.
 fn graphs() -> impl Strategy<Value = Vec<Vec<usize>>> {
-    let needs = |i: usize| prop::collection::vec(0..i.max(1), 0..4).prop_map(move |n| if i == 0 { vec![] } else { n });
-    (0..JOBS).map(needs).collect::<Vec<_>>()
+    let dependencies =
+        |i: usize| prop::collection::vec(0..i.max(1), 0..4).prop_map(move |n| if i == 0 { vec![] } else { n });
+    (0..JOBS).map(dependencies).collect::<Vec<_>>()
 }
 
 fn facts() -> impl Strategy<Value = Vec<Fact>> {
@@ -125,22 +126,22 @@
                     if edges[j].is_empty() || model.ends.contains_key(&j) {
                         continue;
                     }
-                    let needs: Vec<String> = edges[j].iter().map(|n| name(*n)).collect();
+                    let dependencies: Vec<String> = edges[j].iter().map(|n| name(*n)).collect();
                     for n in &edges[j] {
                         // For the same reason the end of a dependency is reported again, as the
                         // caller does after reading it.
                         if let Some(done) = model.ends.get(n).copied() {
-                            graph.add(&name(j), &needs, j);
+                            graph.add(&name(j), &dependencies, j);
                             graph.mark_ended(&name(*n), done);
                         }
                     }
-                    graph.add(&name(j), &needs, j);
+                    graph.add(&name(j), &dependencies, j);
                     for n in &edges[j] {
                         if model.open.contains(n) && !model.ends.contains_key(n) {
                             graph.mark_open(&name(*n));
                         }
                     }
-                    model.needs.entry(j).or_insert_with(|| {
+                    model.dependencies.entry(j).or_insert_with(|| {
                         let mut n = edges[j].clone();
                         n.sort();
                         n.dedup();
@@ -154,7 +155,7 @@
                 Fact::End(j, done) => {
                     // A job is done only after all its dependencies are; it may be cancelled any
                     // time.
-                    let may_end = !done || model.needs.get(&j).is_none_or(|_| model.state(j) == Some(DependencyState::Ready));
+                    let may_end = !done || model.dependencies.get(&j).is_none_or(|_| model.state(j) == Some(DependencyState::Ready));
                     if may_end && !model.ends.contains_key(&j) {
                         graph.mark_ended(&name(j), done);
                         model.ends.insert(j, done);
