--- a/crates/zone-health/src/lib.rs
+++ b/crates/zone-health/src/lib.rs
@@ -13,10 +13,10 @@
 //!
 //! let times = ZoneTimes::new(8.0, 36.0);
 //! let mut zones = ZoneMonitor::default();
-//! let zone = |zone: &str, heard_s: f64| ZoneObservation {
+//! let zone = |zone: &str, last_heartbeat_s: f64| ZoneObservation {
 //!     zone: zone.into(),
 //!     machines: 100,
-//!     last_heartbeat_at: Micros::from_secs(heard_s),
+//!     last_heartbeat_at: Micros::from_secs(last_heartbeat_s),
 //!     ..ZoneObservation::default()
 //! };
 //! let now = Micros::from_secs(110.0);
@@ -153,7 +153,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Cut {
+struct CutOffZone {
     since: Micros,
     proxied_at: Micros,
 }
@@ -161,7 +161,7 @@
 /// Tracks which zones are cut off.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneMonitor {
-    cuts: BTreeMap<String, Cut>,
+    cut_off_zones: BTreeMap<String, CutOffZone>,
 }
 
 impl ZoneMonitor {
@@ -189,7 +189,7 @@
                         && !other.is_silent(times, listening_since, now)
                 });
                 let is_cut_off = is_silent && has_other_contact && zone.machines >= MIN_MACHINES && !zone.is_own;
-                is_cut_off.then(|| self.cut(zone, listening_since))
+                is_cut_off.then(|| self.mark_cut_off(zone, listening_since))
             };
             changes.extend(change);
         }
@@ -197,10 +197,11 @@
     }
 
     /// Marks a zone as cut off.
-    fn cut(&mut self, zone: &ZoneObservation, listening_since: Micros) -> ZoneChange {
+    fn mark_cut_off(&mut self, zone: &ZoneObservation, listening_since: Micros) -> ZoneChange {
         let since = zone.last_contact_at().max(listening_since);
         let proxied_at = zone.proxied_at;
-        self.cuts.insert(zone.zone.clone(), Cut { since, proxied_at });
+        self.cut_off_zones
+            .insert(zone.zone.clone(), CutOffZone { since, proxied_at });
         ZoneChange::CutOff {
             zone: zone.zone.clone(),
             since,
@@ -215,18 +216,18 @@
         times: &ZoneTimes,
         now: Micros,
     ) -> Option<ZoneChange> {
-        let cut = self.cuts.get_mut(&zone.zone)?;
-        cut.proxied_at = cut.proxied_at.max(zone.proxied_at);
-        let has_contact = zone.last_contact_at() > cut.since && !is_silent;
+        let cut_off = self.cut_off_zones.get_mut(&zone.zone)?;
+        cut_off.proxied_at = cut_off.proxied_at.max(zone.proxied_at);
+        let has_contact = zone.last_contact_at() > cut_off.since && !is_silent;
         // A zone without controllers and machines sends no messages; it is tried again when every
         // lease has ended.
         let is_empty = zone.machines == 0 && zone.controllers == 0;
-        let is_tried_again = is_empty && now.since(cut.since) > times.lease + times.lease;
+        let is_tried_again = is_empty && now.since(cut_off.since) > times.lease + times.lease;
         if !(has_contact || is_tried_again || zone.is_own) {
             return None;
         }
-        let after = now.since(cut.since);
-        self.cuts.remove(&zone.zone);
+        let after = now.since(cut_off.since);
+        self.cut_off_zones.remove(&zone.zone);
         Some(ZoneChange::Recovered {
             zone: zone.zone.clone(),
             after,
@@ -235,29 +236,29 @@
 
     /// Whether a zone is cut off, so that nothing new may start there.
     pub fn is_cut_off(&self, zone: &str) -> bool {
-        self.cuts.contains_key(zone)
+        self.cut_off_zones.contains_key(zone)
     }
 
     /// Whether any zone is cut off.
     pub fn any_cut_off(&self) -> bool {
-        !self.cuts.is_empty()
+        !self.cut_off_zones.is_empty()
     }
 
     /// Time since which a zone has been cut off; `None` if it is not.
     pub fn cut_off_since(&self, zone: &str) -> Option<Micros> {
-        self.cuts.get(zone).map(|c| c.since)
+        self.cut_off_zones.get(zone).map(|c| c.since)
     }
 
     /// Returns what is moved out of a zone now. A zone that a controller on its side of the
     /// partition has contact with keeps running and is left alone.
     pub fn evacuation(&self, zone: &str, times: &ZoneTimes, now: Micros) -> Evacuation {
-        let Some(cut) = self.cuts.get(zone) else {
+        let Some(cut_off) = self.cut_off_zones.get(zone) else {
             return Evacuation::Nothing;
         };
-        if cut.proxied_at > Micros::ZERO && now.since(cut.proxied_at) < PROXY_ANNOUNCEMENT_VALIDITY {
+        if cut_off.proxied_at > Micros::ZERO && now.since(cut_off.proxied_at) < PROXY_ANNOUNCEMENT_VALIDITY {
             return Evacuation::Nothing;
         }
-        let age = now.since(cut.since);
+        let age = now.since(cut_off.since);
         if age < times.services_after {
             Evacuation::Nothing
         } else if age < times.arrays_after {
--- a/crates/zone-health/tests/zone_health.rs
+++ b/crates/zone-health/tests/zone_health.rs
@@ -11,11 +11,11 @@
     Micros::from_secs(s)
 }
 
-fn zone(zone: &str, machines: usize, heard_s: f64) -> ZoneObservation {
+fn zone(zone: &str, machines: usize, last_heartbeat_s: f64) -> ZoneObservation {
     ZoneObservation {
         zone: zone.into(),
         machines,
-        last_heartbeat_at: at(heard_s),
+        last_heartbeat_at: at(last_heartbeat_s),
         ..ZoneObservation::default()
     }
 }
@@ -141,13 +141,13 @@
         let mut zones = ZoneMonitor::default();
         for step in 0..200u32 {
             let now = 1000.0 + f64::from(step) * 0.25;
-            let heard = sorted
+            let last_heartbeat_s = sorted
                 .iter()
                 .map(|p| ((now / report_s - p).floor() + p) * report_s)
                 .fold(0.0, f64::max);
-            let observations = [zone("near", 50, now), zone("far", phases.len(), heard)];
+            let observations = [zone("near", 50, now), zone("far", phases.len(), last_heartbeat_s)];
             zones.update(&observations, &times, at(900.0), at(now));
-            prop_assert!(!zones.any_cut_off(), "at {now}, last heard {heard}");
+            prop_assert!(!zones.any_cut_off(), "at {now}, last heartbeat {last_heartbeat_s}");
         }
     }
 
--- a/src/coordination/failure_detection/zone_partition.rs
+++ b/src/coordination/failure_detection/zone_partition.rs
@@ -52,14 +52,14 @@
             .heartbeat_proxy
             .as_deref()
             .and_then(|name| self.failures.controllers.get(name));
-        let rehomed_at = controller
+        let failed_over_at = controller
             .and_then(|c| c.lost_at)
             .map_or(Micros::ZERO, |at| now.min(at + AGENT_FAILOVER));
         // The first contact with a recovering zone usually comes from its controllers, before the
         // heartbeats of its machines.
         let recovered_at = self.failures.zones_recovered_at.get(&machine.zone);
         self.listening_since
-            .max(rehomed_at)
+            .max(failed_over_at)
             .max(recovered_at.copied().unwrap_or(Micros::ZERO))
     }
 
