--- a/crates/zone-health/src/lib.rs
+++ b/crates/zone-health/src/lib.rs
@@ -13,10 +13,10 @@
 //!
 //! let times = ZoneTimes::new(8.0, 36.0);
 //! let mut zones = ZoneMonitor::default();
-//! let zone = |zone: &str, heard_s: f64| ZoneObservation {
+//! let zone = |zone: &str, last_heartbeat_s: f64| ZoneObservation {
 //!     zone: zone.into(),
 //!     machines: 100,
-//!     last_heartbeat_at: Micros::from_secs(heard_s),
+//!     last_heartbeat_at: Micros::from_secs(last_heartbeat_s),
 //!     ..ZoneObservation::default()
 //! };
 //! let now = Micros::from_secs(110.0);
@@ -37,7 +37,7 @@
 const MAX_HEARTBEAT_DELAY: Micros = Micros::from_millis(1500);
 /// Longest heartbeat interval as a multiple of the set one: agents vary the interval by a quarter.
 const MAX_INTERVAL_FACTOR: f64 = 1.25;
-/// Number of missed heartbeats from which the silence of a zone is not taken for chance: the times
+/// Number of missed heartbeats from which chance does not explain the silence of a zone: the times
 /// of the heartbeats of different machines are independent of each other.
 const MIN_MISSED_HEARTBEATS: f64 = 8.0;
 /// Minimum number of machines whose silence shows that their zone is cut off.
@@ -56,10 +56,10 @@
     pub heartbeat_interval: Micros,
     /// The agents' lease.
     pub lease: Micros,
-    /// How long after a cut capacity for services is sought elsewhere; a shorter cut affects only
-    /// where new work starts.
+    /// How long a zone is cut off before capacity for its services is sought elsewhere; until then,
+    /// only new work is kept out of the zone.
     pub services_after: Micros,
-    /// How long after a cut arrays are moved as well.
+    /// How long a zone is cut off before its array jobs are moved as well.
     pub arrays_after: Micros,
 }
 
@@ -67,9 +67,9 @@
     /// Derives the times from the heartbeat interval and the lease, both in seconds.
     ///
     /// Booting a machine takes longer than most leases, so capacity for services is sought as soon
-    /// as a cut is unlikely to be chance: after half a heartbeat interval, but at least 3 s. An
-    /// unnecessary rental costs a minute of a few machines. Arrays are most of a fleet, and giving
-    /// them up loses their progress, so they are moved only after a third of the lease.
+    /// as chance is an unlikely cause of the silence: after half a heartbeat interval, but at least
+    /// 3 s. An unnecessary rental costs a minute of a few machines. Array jobs use most of a fleet,
+    /// and giving them up loses their progress, so they are moved only after a third of the lease.
     pub fn new(report_s: f64, lease_s: f64) -> ZoneTimes {
         let services_s = (report_s / 2.0).max(3.0);
         ZoneTimes {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Longest silence of a zone with this many machines that can still be chance.
+    /// Longest silence of a zone with this many machines that chance can still explain.
     fn max_silence(&self, machines: usize) -> Micros {
         let intervals = (MIN_MISSED_HEARTBEATS / machines.max(1) as f64).min(1.0);
         MAX_HEARTBEAT_DELAY + Micros::from_secs(self.heartbeat_interval.secs() * MAX_INTERVAL_FACTOR * intervals)
@@ -152,8 +152,9 @@
     },
 }
 
+/// The record of a zone that is cut off.
 #[derive(Clone, Copy, Debug)]
-struct Cut {
+struct CutOffZone {
     since: Micros,
     proxied_at: Micros,
 }
@@ -161,7 +162,7 @@
 /// Tracks which zones are cut off.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneMonitor {
-    cuts: BTreeMap<String, Cut>,
+    cut_off_zones: BTreeMap<String, CutOffZone>,
 }
 
 impl ZoneMonitor {
@@ -189,7 +190,7 @@
                         && !other.is_silent(times, listening_since, now)
                 });
                 let is_cut_off = is_silent && has_other_contact && zone.machines >= MIN_MACHINES && !zone.is_own;
-                is_cut_off.then(|| self.cut(zone, listening_since))
+                is_cut_off.then(|| self.mark_cut_off(zone, listening_since))
             };
             changes.extend(change);
         }
@@ -197,10 +198,11 @@
     }
 
     /// Marks a zone as cut off.
-    fn cut(&mut self, zone: &ZoneObservation, listening_since: Micros) -> ZoneChange {
+    fn mark_cut_off(&mut self, zone: &ZoneObservation, listening_since: Micros) -> ZoneChange {
         let since = zone.last_contact_at().max(listening_since);
         let proxied_at = zone.proxied_at;
-        self.cuts.insert(zone.zone.clone(), Cut { since, proxied_at });
+        self.cut_off_zones
+            .insert(zone.zone.clone(), CutOffZone { since, proxied_at });
         ZoneChange::CutOff {
             zone: zone.zone.clone(),
             since,
@@ -215,18 +217,18 @@
         times: &ZoneTimes,
         now: Micros,
     ) -> Option<ZoneChange> {
-        let cut = self.cuts.get_mut(&zone.zone)?;
-        cut.proxied_at = cut.proxied_at.max(zone.proxied_at);
-        let has_contact = zone.last_contact_at() > cut.since && !is_silent;
+        let cut_off = self.cut_off_zones.get_mut(&zone.zone)?;
+        cut_off.proxied_at = cut_off.proxied_at.max(zone.proxied_at);
+        let has_contact = zone.last_contact_at() > cut_off.since && !is_silent;
         // A zone without controllers and machines sends no messages; it is tried again when every
         // lease has ended.
         let is_empty = zone.machines == 0 && zone.controllers == 0;
-        let is_tried_again = is_empty && now.since(cut.since) > times.lease + times.lease;
+        let is_tried_again = is_empty && now.since(cut_off.since) > times.lease + times.lease;
         if !(has_contact || is_tried_again || zone.is_own) {
             return None;
         }
-        let after = now.since(cut.since);
-        self.cuts.remove(&zone.zone);
+        let after = now.since(cut_off.since);
+        self.cut_off_zones.remove(&zone.zone);
         Some(ZoneChange::Recovered {
             zone: zone.zone.clone(),
             after,
@@ -235,29 +237,29 @@
 
     /// Whether a zone is cut off, so that nothing new may start there.
     pub fn is_cut_off(&self, zone: &str) -> bool {
-        self.cuts.contains_key(zone)
+        self.cut_off_zones.contains_key(zone)
     }
 
     /// Whether any zone is cut off.
     pub fn any_cut_off(&self) -> bool {
-        !self.cuts.is_empty()
+        !self.cut_off_zones.is_empty()
     }
 
     /// Time since which a zone has been cut off; `None` if it is not.
     pub fn cut_off_since(&self, zone: &str) -> Option<Micros> {
-        self.cuts.get(zone).map(|c| c.since)
+        self.cut_off_zones.get(zone).map(|c| c.since)
     }
 
     /// Returns what is moved out of a zone now. A zone that a controller on its side of the
     /// partition has contact with keeps running and is left alone.
     pub fn evacuation(&self, zone: &str, times: &ZoneTimes, now: Micros) -> Evacuation {
-        let Some(cut) = self.cuts.get(zone) else {
+        let Some(cut_off) = self.cut_off_zones.get(zone) else {
             return Evacuation::Nothing;
         };
-        if cut.proxied_at > Micros::ZERO && now.since(cut.proxied_at) < PROXY_ANNOUNCEMENT_VALIDITY {
+        if cut_off.proxied_at > Micros::ZERO && now.since(cut_off.proxied_at) < PROXY_ANNOUNCEMENT_VALIDITY {
             return Evacuation::Nothing;
         }
-        let age = now.since(cut.since);
+        let age = now.since(cut_off.since);
         if age < times.services_after {
             Evacuation::Nothing
         } else if age < times.arrays_after {
