--- a/crates/emulator/src/machines.rs
+++ b/crates/emulator/src/machines.rs
@@ -22,8 +22,8 @@
 /// Range of the boot times, as factors of the machine type's boot time.
 const MIN_BOOT_FACTOR: f64 = 0.6;
 const MAX_BOOT_FACTOR: f64 = 1.5;
-/// Largest relative deviation of the interval between reports.
-const REPORT_JITTER: f64 = 0.25;
+/// Largest relative deviation of the interval between heartbeats.
+const HEARTBEAT_JITTER: f64 = 0.25;
 
 /// Draws the boot time of a machine.
 pub(crate) fn boot_time(cluster: &EmulatedCluster, fleet: &mut Fleet) -> Duration {
@@ -151,7 +151,7 @@
         let node = worker.node;
         let due = worker.due_heartbeat(now);
         if due.is_some() {
-            let factor = 1.0 - REPORT_JITTER + 2.0 * REPORT_JITTER * fleet.rng.f64();
+            let factor = 1.0 - HEARTBEAT_JITTER + 2.0 * HEARTBEAT_JITTER * fleet.rng.f64();
             worker.schedule_heartbeat(now + (settings.report_s * factor * SEC as f64) as u64);
         }
         let pause = worker.next_action_at(now, lease).saturating_sub(now);
@@ -180,7 +180,7 @@
                 body: to_cbor(&outgoing.heartbeat),
             };
             self.copy_later(node, &request);
-            let answered = with_timeout(RESPONSE_TIMEOUT, self.exchange_report(reused, node, &request)).await;
+            let answered = with_timeout(RESPONSE_TIMEOUT, self.exchange_heartbeat(reused, node, &request)).await;
             let answer = answered.map(|(reused, response)| {
                 connection = reused.map(|c| (node, c));
                 response
@@ -189,9 +189,9 @@
         }
     }
 
-    /// Sends a report over a link that may fail, and returns its response. A report that is held
-    /// back is delivered later, but its response is discarded.
-    async fn exchange_report(
+    /// Sends a heartbeat over a link that may fail, and returns its response. A heartbeat that is
+    /// held back is delivered later, but its response is discarded.
+    async fn exchange_heartbeat(
         &self,
         reused: Option<Connection>,
         node: usize,
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -429,11 +429,11 @@
         if new.is_empty() {
             return;
         }
-        let pages = self
+        let segments = self
             .keys
             .range(keys::LOG_SEGMENTS.to_string()..)
             .take_while(|(k, _)| k.starts_with(keys::LOG_SEGMENTS));
-        let before: std::collections::BTreeSet<_> = pages.flat_map(|(_, e)| rows(&e.value)).collect();
+        let before: std::collections::BTreeSet<_> = segments.flat_map(|(_, e)| rows(&e.value)).collect();
         for row in new.iter().filter(|r| !before.contains(*r)) {
             let phase = self
                 .keys
--- a/crates/fakes/tests/checker.rs
+++ b/crates/fakes/tests/checker.rs
@@ -66,19 +66,19 @@
         }
     }
 
-    fn order(&mut self, machine: &str, order: AgentCommand) -> Executed {
+    fn execute(&mut self, machine: &str, command: AgentCommand) -> Executed {
         let worker = self.workers.get_mut(machine).expect("a machine");
         let body = PushedCommands {
             fencing_token: 1,
             incarnation: worker.incarnation(),
-            commands: vec![order],
+            commands: vec![command],
         };
         worker.execute_pushed(0, &body, &self.users).expect("taken")
     }
 
     fn start(&mut self, machine: &str, task: u32, attempt: u64) -> Executed {
         let task = format!("{JOB}/{task}");
-        let executed = self.order(machine, AgentCommand::Start { task, attempt });
+        let executed = self.execute(machine, AgentCommand::Start { task, attempt });
         for (task, _) in &executed.accepted_starts {
             self.rules.check_accepted_start(0, task, &self.workers, &self.users);
         }
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_history_that_breaks_nothing_is_not_complained_about() {
+fn a_history_that_breaks_no_rule_has_no_findings() {
     let mut world = World::new(8.0, 0.0, job(2));
     world.start("n-1", 0, 1);
     world.start("n-3", 1, 2);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_task_on_two_machines_is_seen() {
+fn a_task_on_two_machines_is_reported() {
     let mut world = World::new(0.0, 0.0, job(1));
     world.start("n-1", 0, 1);
     world.run_until(5 * SEC);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_task_in_a_place_that_its_job_forbids_is_seen() {
+fn a_task_in_a_place_that_its_job_forbids_is_reported() {
     let in_zone_b = JobSpec {
         zone: Some("b".into()),
         ..job(1)
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_task_of_a_cancelled_job_is_seen() {
+fn a_task_of_a_cancelled_job_is_reported() {
     let mut world = World::new(0.0, 0.0, job(1));
     world.start("n-1", 0, 1);
     world.run_until(5 * SEC);
@@ -200,7 +200,7 @@
     let task = format!("{JOB}/0");
     assert!(world.start("n-1", 0, 1).repeated_starts.is_empty());
     let (stopped, grace_s) = (task.clone(), 0.0);
-    world.order(
+    world.execute(
         "n-1",
         AgentCommand::Stop {
             task: stopped,
@@ -213,7 +213,7 @@
         "the worker has not forgotten the attempt"
     );
     let forgotten = task.clone();
-    world.order(
+    world.execute(
         "n-1",
         AgentCommand::Forget {
             task: forgotten,
@@ -226,7 +226,7 @@
         attempt: 2,
         grace_s,
     };
-    world.order("n-1", stopped);
+    world.execute("n-1", stopped);
     assert_eq!(world.start("n-1", 0, 1).repeated_starts, [(task, 1)]);
 }
 
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn answers_are_judged_by_what_was_held() {
+fn answers_are_checked_against_what_was_stored() {
     let nothing = StoredJob::default();
     let open = StoredJob {
         accepted: true,
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn a_job_called_done_too_early_or_cancelled_by_nobody_is_seen() {
+fn a_job_called_done_too_early_or_cancelled_by_nobody_is_reported() {
     let held = |phase| StoredJob {
         accepted: true,
         ended: Some(phase),
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn the_state_service_remembers_acceptances_and_ends() {
+fn the_state_service_keeps_acceptances_and_ends() {
     use glenhaven::storage::{keys, records};
     let mut store = Store::new(100.0, 100.0, 32, 32.0);
     let mut put = |key: String, value| {
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn a_report_of_an_earlier_incarnation() {
+fn a_heartbeat_of_an_earlier_session() {
     run_test("session", async |fixture| {
         let (records, lines) = (fixture.records(), fixture.log().len());
         let earlier = heartbeat(
--- a/tests/sim/lease_renewal.rs
+++ b/tests/sim/lease_renewal.rs
@@ -58,7 +58,7 @@
 /// A process attests only what it has seen since its start. It doesn't answer a request that
 /// reaches further back, because the process before it may have confirmed more cancellations.
 #[test]
-fn a_restarted_process_attests_nothing_for_its_earlier_incarnations() {
+fn a_restarted_process_attests_nothing_for_earlier_processes() {
     let mut controller = follower(3);
     let mut answers = |seen: u64, ms: u64| {
         let request = PeerMessage::AttestationRequest {
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_start_that_was_never_seen_raises_the_term_also_when_its_machine_is_not_heard() {
+fn a_start_that_was_never_seen_raises_the_term_also_when_its_machine_is_silent() {
     let mut leader = leader_with_unseen_start();
     leader.cancel("run-000001", at(1000));
     leader.update_unsettled_machines(at(3000));
--- a/tests/sim/matrix.rs
+++ b/tests/sim/matrix.rs
@@ -138,7 +138,7 @@
 /// Simulates all cases on as many threads as there are cores. The results are in no fixed order.
 fn simulate_all(cases: &[Case]) -> Vec<CaseResult> {
     let next = AtomicUsize::new(0);
-    let played = Mutex::new(vec![]);
+    let results = Mutex::new(vec![]);
     let threads = std::thread::available_parallelism().map_or(4, |n| n.get());
     std::thread::scope(|scope| {
         for _ in 0..threads {
@@ -146,21 +146,21 @@
                 let Some((cuts, duration_s, seed)) = cases.get(next.fetch_add(1, Ordering::Relaxed)) else {
                     return;
                 };
-                let one = simulate(cuts, *duration_s, *seed);
-                played.lock().unwrap().push(one);
+                let result = simulate(cuts, *duration_s, *seed);
+                results.lock().unwrap().push(result);
             });
         }
     });
-    played.into_inner().unwrap()
+    results.into_inner().unwrap()
 }
 
-fn table(played: &mut [CaseResult]) -> String {
-    played.sort_by_key(|p| std::cmp::Reverse((p.wrong.len(), p.started_s, p.accepted_s, p.missed)));
+fn table(results: &mut [CaseResult]) -> String {
+    results.sort_by_key(|p| std::cmp::Reverse((p.wrong.len(), p.started_s, p.accepted_s, p.missed)));
     let mut text = String::from(
         "| cut | for, s | accepted, s | started, s | replica s missed | terms | most requests a second after |\n\
          | --- | --- | --- | --- | --- | --- | --- |\n",
     );
-    for p in played.iter() {
+    for p in results.iter() {
         writeln!(
             text,
             "| {} | {} | {} | {} | {} | {} | {} |",
@@ -171,12 +171,12 @@
     text
 }
 
-fn assert_no_failures(name: &str, mut played: Vec<CaseResult>) {
-    let text = table(&mut played);
+fn assert_no_failures(name: &str, mut results: Vec<CaseResult>) {
+    let text = table(&mut results);
     if let Ok(file) = std::env::var("LINKS_TABLE") {
         std::fs::write(format!("{file}.{name}.md"), &text).unwrap();
     }
-    let wrong: Vec<String> = played
+    let wrong: Vec<String> = results
         .iter()
         .filter(|p| !p.wrong.is_empty())
         .map(|p| format!("{} for {} s: {}", p.cuts, p.duration_s, p.wrong.join("; ")))
@@ -185,7 +185,7 @@
         wrong.is_empty(),
         "{} of {}:\n{}",
         wrong.len(),
-        played.len(),
+        results.len(),
         wrong.join("\n")
     );
 }
--- a/tests/sim/process_restarts.rs
+++ b/tests/sim/process_restarts.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_response_to_an_earlier_incarnation_is_not_given_to_another_agent() {
+fn a_response_to_an_earlier_process_is_not_given_to_another_worker() {
     for seed in 0..20 {
         let earlier = forward_heartbeat(&mut follower(seed), "n-000001");
         let mut controller = follower(seed + 1000);
--- a/tests/sim/stranded_jobs.rs
+++ b/tests/sim/stranded_jobs.rs
@@ -155,7 +155,7 @@
     fn a_stranded_job_is_reported() {
         let text =
             "until 250\nteam blue max=4\nat 1 submit run-000001 service cores=2\nat 30 submit run-000002 service";
-        let play = |change: fn(&mut JobSpec), inherits: bool| {
+        let count_findings = |change: fn(&mut JobSpec), inherits: bool| {
             let mut world = World::new(Script::parse(text).unwrap());
             world.run_script();
             assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
@@ -170,10 +170,14 @@
             }
             world.rules.broken.len()
         };
-        assert_eq!(play(|_| {}, true), 1);
-        assert_eq!(play(|_| {}, false), 0, "the job was not accepted");
-        assert_eq!(play(|s| s.cpus = 2.0, true), 0, "the team is at its limit");
-        assert_eq!(play(|s| s.zone = Some("z".into()), true), 0, "no machine fits");
-        assert_eq!(play(|s| s.memory = 64.0, true), 0, "no machine has room");
+        assert_eq!(count_findings(|_| {}, true), 1);
+        assert_eq!(count_findings(|_| {}, false), 0, "the job was not accepted");
+        assert_eq!(count_findings(|s| s.cpus = 2.0, true), 0, "the team is at its limit");
+        assert_eq!(
+            count_findings(|s| s.zone = Some("z".into()), true),
+            0,
+            "no machine fits"
+        );
+        assert_eq!(count_findings(|s| s.memory = 64.0, true), 0, "no machine has room");
     }
 }
