--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -17,7 +17,8 @@
     pub duration_s: f64,
     /// All addresses are 127.`network`.x.y.
     pub network: u8,
-    /// Whether the state service compares each written page of records with all others.
+    /// Whether the state service compares each written segment of the write-ahead log
+    /// with all others.
     #[serde(default = "default_true")]
     pub audit_records: bool,
     pub controllers: Controllers,
--- a/crates/emulator/src/machines.rs
+++ b/crates/emulator/src/machines.rs
@@ -1,4 +1,4 @@
-//! Emulated machines. Each runs a worker that sends reports to a controller and accepts direct
+//! Emulated machines. Each runs a worker that sends heartbeats to a controller and accepts direct
 //! commands.
 
 use crate::cluster::{EmulatedCluster, Side};
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time that a worker waits for the response to a report.
+/// Time that a worker waits for the response to a heartbeat.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Range of the boot times, as factors of the machine type's boot time.
 const MIN_BOOT_FACTOR: f64 = 0.6;
@@ -78,7 +78,7 @@
     name: String,
 }
 
-/// A report to send, with its request number and the controller that receives it.
+/// A heartbeat to send, with its request number and the controller that receives it.
 struct Outgoing {
     rid: u64,
     node: usize,
@@ -110,7 +110,8 @@
         }
     }
 
-    /// Advances the worker whenever something is due or the machine is woken. Queues its reports.
+    /// Advances the worker whenever something is due or the machine is woken. Queues the worker's
+    /// heartbeats.
     async fn work(self, heartbeats: Sender<Outgoing>, wake_requests: Receiver<()>) {
         while let Some((due, pause)) = self.step() {
             if let Some(outgoing) = due {
@@ -126,8 +127,8 @@
         }
     }
 
-    /// Advances the lease, the tasks and the report schedule. Returns the report that is due, if
-    /// any, and the time until the next step; `None` if the machine is not up.
+    /// Advances the lease, the tasks and the heartbeat schedule. Returns the heartbeat that is due,
+    /// if any, and the time until the next step; `None` if the machine is not up.
     fn step(&self) -> Option<(Option<Outgoing>, Duration)> {
         let settings = &self.cluster.experiment.workers;
         let lease = (settings.lease_s * SEC as f64) as u64;
@@ -168,7 +169,7 @@
         Some((due, Duration::from_micros(pause)))
     }
 
-    /// Sends the queued reports and handles their responses.
+    /// Sends the queued heartbeats and handles their responses.
     async fn heartbeat(self, queue: Receiver<Outgoing>) {
         let mut connection: Option<(usize, Connection)> = None;
         while let Ok(outgoing) = queue.recv().await {
@@ -224,7 +225,7 @@
         }
     }
 
-    /// If the link copies this report, sends the copy to a random controller after a delay.
+    /// If the link copies this heartbeat, sends the copy to a random controller after a delay.
     fn copy_later(&self, node: usize, request: &Request) {
         let route = Route::between(Party::Workers, Party::Node(node));
         let Some(after) = self.cluster.faults.copy_delay(&route, &self.name) else {
@@ -239,7 +240,7 @@
         self.cluster.executor.spawn(copy).detach();
     }
 
-    /// Handles the response to a report; `None` means that there was none in time.
+    /// Handles the response to a heartbeat; `None` means that there was none in time.
     fn handle_response(&self, rid: u64, answer: Option<Response>) {
         let nodes = self.cluster.nodes.len();
         let mut fleet = self.cluster.fleet();
@@ -356,7 +357,7 @@
     }
 }
 
-/// The response to a report.
+/// The response to a heartbeat.
 enum Answer {
     /// Commands for the worker.
     Commands(HeartbeatResponse),
--- a/crates/emulator/src/preflight.rs
+++ b/crates/emulator/src/preflight.rs
@@ -11,7 +11,7 @@
 /// Estimated memory of a controller and of a worker.
 const CONTROLLER_MB: u64 = 100;
 const WORKER_KB: u64 = 128;
-/// File descriptors reserved for each worker: its listener, its report and a direct command.
+/// File descriptors reserved for each worker: its listener, its heartbeat and a direct command.
 const FILES_PER_WORKER: u64 = 4;
 /// File descriptors reserved for users, state service, cloud and logs.
 const SHARED_FILES: u64 = 1000;
--- a/crates/emulator/src/soak/draw.rs
+++ b/crates/emulator/src/soak/draw.rs
@@ -1,5 +1,5 @@
-//! Draws the plan of a seed. The same seed gives the same plan on every machine; it depends on the
-//! order of the random draws.
+//! Draws the plan of a seed. The same seed gives the same plan on every host. The plan depends
+//! on the order of the random draws.
 
 use super::plan::{Fault, Plan, PlannedFault, Users};
 use crate::experiment::{Controllers, Experiment, Load, Services, Teams, Workers};
--- a/crates/fakes/src/answer_check.rs
+++ b/crates/fakes/src/answer_check.rs
@@ -10,9 +10,9 @@
 /// What the state service holds about a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoredJob {
-    /// Whether a page of acceptances has ever named it.
+    /// Whether a page of acceptances has ever named the job.
     pub accepted: bool,
-    /// Its final phase, which is never removed.
+    /// The job's final phase, which is never removed.
     pub ended: Option<Phase>,
 }
 
--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -238,8 +238,8 @@
         false
     }
 
-    /// Returns the earliest time at which the user of a direct or indirect dependency of a job was
-    /// told that the dependency is cancelled, among those whose users asked for that.
+    /// Returns when the first answer left that informed a user of the cancellation of a direct or
+    /// indirect dependency of a job. Only dependencies whose users asked to cancel them count.
     fn dependency_cancelled_at(user: &User, users: &BTreeMap<String, User>) -> Option<u64> {
         let mut first = None;
         let mut rest: Vec<&String> = user.spec.dependencies.iter().collect();
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -51,7 +51,8 @@
 struct LinkSender<F> {
     address: SocketAddr,
     queue: Receiver<PeerMessage>,
-    /// Called with the link's state on each sign of it, also if the state is unchanged.
+    /// Called with the link's state after each success or failure that shows the state, also if the
+    /// state is unchanged.
     on_link_state: F,
     connection: Option<Async<TcpStream>>,
     /// The times at which the frames without an acknowledgement were sent, oldest first.
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -76,7 +76,7 @@
         send_request(self.public, "POST", "/v2/runs", encode(job)).await
     }
 
-    /// Sends reports until an answer starts the job's task, then reports the task as running.
+    /// Sends heartbeats until an answer starts the job's task, then reports the task as running.
     async fn start_task(&mut self) {
         let began = Instant::now();
         while self.attempt == 0 {
@@ -91,7 +91,7 @@
         self.expect_running().await;
     }
 
-    /// Sends the machine's next report.
+    /// Sends the machine's next heartbeat.
     async fn send_heartbeat(&mut self, tasks: Vec<Value>) -> (u16, Value) {
         self.sequence += 1;
         self.post_heartbeat(&heartbeat(MACHINE, SESSION, self.sequence, self.fencing_token, tasks))
@@ -102,7 +102,7 @@
         send_request(self.public, "POST", "/hello", encode(heartbeat)).await
     }
 
-    /// Checks that a report of the running task is answered without commands, and that the job's
+    /// Checks that a heartbeat of the running task is answered without commands, and that the job's
     /// user is informed of one running task.
     async fn expect_running(&mut self) {
         let task = running(&format!("{JOB}/0"), self.attempt);
@@ -245,8 +245,8 @@
         let records = fixture.records();
         for fencing_token in [fixture.fencing_token + 1, u64::MAX] {
             let lines = fixture.log().len();
-            // If this token were valid, the report would prove that the start was refused, and the
-            // task's placement would be freed.
+            // If this token were valid, the heartbeat would prove that the start was refused, and
+            // the task's placement would be freed.
             fixture.sequence += 1;
             let (status, body) = fixture
                 .post_heartbeat(&heartbeat(MACHINE, SESSION, fixture.sequence, fencing_token, vec![]))
--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -283,7 +283,8 @@
     exchange.or(timeout).await
 }
 
-/// Sends a request and returns the answer's status and decoded body, `Null` if it is no CBOR.
+/// Sends a request and returns the answer's status and decoded body, `Null` if the body is not
+/// CBOR.
 ///
 /// # Panics
 ///
--- a/tests/sim/agents.rs
+++ b/tests/sim/agents.rs
@@ -1,4 +1,4 @@
-//! Simulated workers: reports, commands that arrive, leases that expire and hung machines.
+//! Simulated workers: heartbeats, commands that arrive, leases that expire and hung machines.
 
 use super::answers::Carrier;
 use super::{ScheduledEvent, World, SEC};
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Ends a machine's boot: it reports to a random controller.
+    /// Ends a machine's boot. The machine then reports to a random controller.
     pub(crate) fn boot(&mut self, name: &str) {
         let now = self.now;
         let nodes = self.nodes.len();
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Runs everything that a worker does by its own timers: lease, tasks and reports.
+    /// Runs everything that a worker does by its own timers: lease, tasks and heartbeats.
     pub(crate) fn run_worker(&mut self, name: &str) {
         let now = self.now;
         let (lease, nodes) = (self.script.lease(), self.nodes.len());
@@ -115,7 +115,8 @@
             return;
         };
         if pending == rid && w.up && now < w.hangs_until {
-            // The answer waits until the machine resumes, unless the report has timed out by then.
+            // The answer waits until the machine resumes, unless the heartbeat has timed out by
+            // then.
             let pause = w.hangs_until - now + 1;
             return self.after(pause, ScheduledEvent::ReportAnswer(name.into(), rid, answer));
         }
@@ -155,7 +156,7 @@
         self.answers.commands_executed(carrier, machine, commands);
     }
 
-    /// Times out a report: the worker reports to another controller next.
+    /// Times out a heartbeat: the worker reports to another controller next.
     pub(crate) fn report_timed_out(&mut self, name: &str, rid: u64) {
         let nodes = self.nodes.len();
         let now = self.now;
--- a/tests/sim/answers.rs
+++ b/tests/sim/answers.rs
@@ -65,10 +65,10 @@
 /// One run of a controller's process: the controller's index and the number of its starts.
 pub(super) type Life = (usize, u64);
 
-/// A message with commands on its way to a worker: the answer to a report, or a push.
+/// A message with commands on its way to a worker: the answer to a heartbeat, or a push.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Carrier {
-    /// The worker and its report's number.
+    /// The worker and its heartbeat's number.
     Answer(String, u64),
     /// The request's number.
     PushedCommands(Life, u64),
--- a/tests/sim/fault_combinations.rs
+++ b/tests/sim/fault_combinations.rs
@@ -72,7 +72,7 @@
 ];
 
 /// Prefixes of the keys that are written: acceptances, ends of jobs, the log and rentals, terms,
-/// releases and limits, machines kept for a leader that can't receive their reports.
+/// releases and limits, machines kept for a leader that can't receive their heartbeats.
 const WRITES: [&str; 6] = ["job/@", "job/run", "open/", "term", "term-", "care/"];
 
 /// Earliest time of the first fault, in seconds.
--- a/tests/sim/fault_injection.rs
+++ b/tests/sim/fault_injection.rs
@@ -26,11 +26,12 @@
     StartsWhateverTheKey,
     /// The log is written without a condition on the leader's term.
     WritesWhoeverLeads,
-    /// Pages are overwritten without a condition on their version.
+    /// Segments of the log and pages of acceptances are overwritten without a condition on their
+    /// version.
     WritesOverPages,
     /// Cancellations are written without a condition on the job's own key.
     CancelsWhateverTheKey,
-    /// A report of an earlier session counts as one of a later session.
+    /// A heartbeat of an earlier session counts as one of a later session.
     TakesEarlierSessions,
     /// Machines forget a task at once, also while messages about the task are in flight.
     ForgetsAtOnce,
@@ -88,7 +89,7 @@
 pub(crate) type CachedAnswers = BTreeMap<(usize, String), (u64, HttpResponse)>;
 
 impl World {
-    /// Gives a report of an earlier session the number of a later one.
+    /// Gives a heartbeat of an earlier session the number of a later one.
     pub(crate) fn inject_into_report(&mut self, heartbeat: &mut Heartbeat) {
         if self.injected_fault != Some(Fault::TakesEarlierSessions) {
             return;
--- a/tests/sim/lease_renewal.rs
+++ b/tests/sim/lease_renewal.rs
@@ -83,7 +83,7 @@
     assert_eq!(answers(9, 120), 1);
 }
 
-/// Returns a leader of term 1 that has sent a start which no report has confirmed yet.
+/// Returns a leader of term 1 that has sent a start which no heartbeat has confirmed yet.
 fn leader_with_unseen_start() -> LeaderState {
     let mut leader = LeaderState::new(1, 1, at(0));
     leader.apply_heartbeat(&cluster(), &heartbeat(1, &[]), None, at(10), at(10));
@@ -132,7 +132,7 @@
     );
 }
 
-/// A report with a token that was never issued does not void a placement.
+/// A heartbeat with a token that was never issued does not void a placement.
 #[test]
 fn a_heartbeat_with_an_unissued_token_frees_nothing() {
     let cluster = cluster();
@@ -146,7 +146,7 @@
         leader.jobs["run-000001"].placements.contains_key(&0),
         "the start may be on its way"
     );
-    // Once the leader itself has raised its term, such a report voids the placement.
+    // Once the leader itself has raised its term, such a heartbeat voids the placement.
     leader.term_raised(2);
     let real = Heartbeat {
         fencing_token: 2,
--- a/tests/sim/matrix.rs
+++ b/tests/sim/matrix.rs
@@ -42,7 +42,7 @@
 /// Longest time until a small job is accepted: a user's second attempt succeeds.
 const ACCEPTED_S: u64 = 8;
 /// Longest time until a small job starts: a leader is lost, another controller takes over, and a
-/// worker finds the new leader. The time follows from the leader's lease, the report period, the
+/// worker finds the new leader. The time follows from the leader's lease, the heartbeat period, the
 /// worker's timeout for a reply and its pause between attempts, as set in the simulation.
 const STARTED_S: u64 = 15;
 /// Longest time until a small job starts if a machine has to boot for it. A worker may lose two
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -37,8 +37,8 @@
 ///
 /// Controllers are given by index and by `life`, the number of starts of the process when the
 /// event was scheduled: an event for an earlier process is dropped. The life `u64::MAX` is that of
-/// no process, so that the answer to a late message is dropped; the report number `u64::MAX` marks
-/// a copy or a late report, whose answer is ignored.
+/// no process, so that the answer to a late message is dropped; the heartbeat number `u64::MAX`
+/// marks a copy or a late heartbeat, whose answer is ignored.
 pub(crate) enum ScheduledEvent {
     Tick(usize, u64),
     Event(usize, u64, Event),
@@ -94,7 +94,7 @@
     pub state_refuses: BTreeMap<usize, usize>,
     pub cloud_out: BTreeSet<usize>,
     /// Machines that no controller can reach. Commands to them are held back, and so are their
-    /// reports if the script has `held-packets`.
+    /// heartbeats if the script has `held-packets`.
     pub partitioned_machines: BTreeMap<usize, BTreeSet<String>>,
     /// Pairs of zones that cannot reach each other.
     pub partitioned_zones: BTreeMap<usize, (String, String)>,
@@ -109,7 +109,7 @@
     pub push_delays: BTreeMap<usize, u64>,
     /// Share of the transactions with a write under the key prefix that are executed late.
     pub late_writes: BTreeMap<usize, (f64, String)>,
-    /// Share of the reports of which a copy arrives late, at any controller.
+    /// Share of the heartbeats of which a copy arrives late, at any controller.
     pub late_reports: BTreeMap<usize, f64>,
     /// Controllers that process nothing while their clocks run on.
     pub frozen: BTreeMap<usize, usize>,
@@ -119,11 +119,11 @@
     pub refused_peer_connections: BTreeSet<usize>,
     /// Directed links that are cut, as pairs of sender and receiver.
     pub cut_links: BTreeMap<usize, Vec<(links::End, links::End)>>,
-    /// Machines whose reports arrive, but which receive neither answers nor commands.
+    /// Machines whose heartbeats arrive, but which receive neither answers nor commands.
     pub blocked_inbound: BTreeMap<usize, BTreeSet<String>>,
-    /// Largest extra delay of an answer to a report; each delay is random.
+    /// Largest extra delay of an answer to a heartbeat; each delay is random.
     pub slow_answers: BTreeMap<usize, u64>,
-    /// A copy of every report arrives after this extra delay.
+    /// A copy of every heartbeat arrives after this extra delay.
     pub duplicate_report_delays: BTreeMap<usize, u64>,
     /// Factors on the boot time; with 0, machines never boot.
     pub boot_time_factors: BTreeMap<usize, f64>,
@@ -374,7 +374,7 @@
                     self.origins.insert(id, Origin::Worker(name, rid));
                     self.event(ScheduledEvent::Event(n, life, Event::Heartbeat { id, heartbeat }));
                 } else if self.script.held_packets && rid != u64::MAX {
-                    // The report arrives after the worker has moved on to another controller.
+                    // The heartbeat arrives after the worker has moved on to another controller.
                     self.held_messages
                         .push((n, ScheduledEvent::Heartbeat(name, n, u64::MAX, heartbeat)));
                 }
@@ -580,7 +580,7 @@
         self.store.term()
     }
 
-    /// Decodes an answer to a report.
+    /// Decodes an answer to a heartbeat.
     ///
     /// # Errors
     ///
--- a/tests/sim/one_way_faults.rs
+++ b/tests/sim/one_way_faults.rs
@@ -49,7 +49,7 @@
     /// This share of the transactions that write a key with this prefix is executed at once, and
     /// only the reply is lost.
     LoseWriteReplies(f64, String),
-    /// Copies of this share of the reports are kept, and reach every controller when the next
+    /// Copies of this share of the heartbeats are kept, and reach every controller when the next
     /// leader begins to lead.
     ReplayReports(f64),
     /// Machines can't connect to any controller, while pushed commands reach them.
@@ -141,7 +141,7 @@
     throttled: BTreeMap<usize, (usize, f64)>,
     /// Number of messages that these faults lost, delayed or copied.
     pub affected: usize,
-    /// Copies of reports for the next leader.
+    /// Copies of heartbeats for the next leader.
     kept_for_next: Vec<Heartbeat>,
     /// The controller that led last, and the number of its life, which changes at each restart.
     last_leader: Option<(usize, u64)>,
@@ -280,7 +280,7 @@
         true
     }
 
-    /// Keeps a copy of the report for the next leader, if drawn from the share.
+    /// Keeps a copy of the heartbeat for the next leader, if drawn from the share.
     pub(crate) fn keep_for_next_leader(&mut self, heartbeat: &Heartbeat) {
         let shares = self.active_faults.one_way.replayed_reports.values();
         let share = shares.copied().fold(0.0, f64::max);
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Sends the kept reports to every controller within a second, if this controller has just
+    /// Sends the kept heartbeats to every controller within a second, if this controller has just
     /// begun to lead.
     pub(crate) fn replay_reports_to_new_leader(&mut self, n: usize) {
         let node = &self.nodes[n];
--- a/tests/sim/outbox.rs
+++ b/tests/sim/outbox.rs
@@ -47,7 +47,7 @@
     leader.jobs["run-000001"].placements.contains_key(&0)
 }
 
-/// A report with a higher token does not void a placement whose start was never sent: the start
+/// A heartbeat with a higher token does not void a placement whose start was never sent: the start
 /// leaves with the new token, and the placement records that token.
 #[test]
 fn an_unsent_start_survives_a_new_term() {
@@ -58,7 +58,7 @@
     // Counted as free, its cores would let the team start more than its limit allows.
     assert_eq!(leader.jobs["run-000001"].held_tasks, 1);
     assert_eq!(pushed_commands(&mut leader, 2, &JobApi::new("node-0")).len(), 1);
-    // The next report may have been sent before that start arrived, so it proves nothing.
+    // The next heartbeat may have been sent before that start arrived, so it proves nothing.
     leader.apply_heartbeat(&cluster(), &fenced(3, 2), None, at(600), at(600));
     assert!(is_placed(&leader), "the start under token 2 may be on its way");
     leader.term_raised(3);
@@ -115,7 +115,8 @@
     assert!(pushed_commands(&mut restarted, 1, &api).is_empty());
 }
 
-/// An exited attempt and a later one of the same task are kept apart, in either order in a report.
+/// An exited attempt and a later one of the same task are kept apart, whichever of them a heartbeat
+/// lists first.
 #[test]
 fn attempts_at_one_task_are_distinguished() {
     let listed = |attempt: u64, phase: TaskPhase| TaskStatus {
@@ -182,8 +183,8 @@
 }
 
 /// The leader that made a placement may have freed it without having written that to the log.
-/// A later leader that restores the placement doesn't send its start again, and a report with the
-/// current token voids it.
+/// A later leader that restores the placement doesn't send its start again, and a heartbeat with
+/// the current token voids the placement.
 #[test]
 fn an_inherited_start_is_not_sent_again() {
     let mut leader = leader_with_unsent_start();
--- a/tests/sim/process_restarts.rs
+++ b/tests/sim/process_restarts.rs
@@ -64,7 +64,7 @@
     controller
 }
 
-/// Delivers a worker's report, and returns the ID under which it is forwarded to the leader.
+/// Delivers a worker's heartbeat, and returns the ID under which it is forwarded to the leader.
 fn forward_heartbeat(controller: &mut Controller, machine: &str) -> u64 {
     let heartbeat = Heartbeat {
         machine: machine.into(),
@@ -89,8 +89,8 @@
     forwarded.expect("the report is forwarded")
 }
 
-/// Delivers the leader's response to the forwarded report, and returns the number of answers that
-/// are sent to workers.
+/// Delivers the leader's response to the forwarded heartbeat, and returns the number of answers
+/// that are sent to workers.
 fn deliver_response(controller: &mut Controller, id: u64) -> usize {
     let commands = HeartbeatResponse {
         fencing_token: 3,
@@ -131,7 +131,7 @@
     }
 }
 
-/// Returns a report of n-000001 in its first session.
+/// Returns a heartbeat of n-000001 in its first session.
 pub(super) fn heartbeat(sequence: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
     Heartbeat {
         machine: "n-000001".into(),
@@ -173,9 +173,9 @@
     leader.jobs.insert(job.id.clone(), job);
 }
 
-/// A start is pushed to the worker, and is also part of the answer to a report that left before
-/// the push arrived. The worker isn't ordered to forget the attempt while that answer may be in
-/// flight: otherwise the answer would start the attempt again, next to the following one.
+/// A start is pushed to the worker, and is also part of the answer to a heartbeat that left before
+/// the push arrived. The worker gets no command to forget the attempt while that answer may be in
+/// flight: otherwise the answer would start the attempt again while the next attempt runs.
 #[test]
 fn a_start_in_an_answer_keeps_its_attempt_known() {
     use glenhaven::protocol::agents::{AgentCommand, Cause, TaskPhase};
@@ -215,7 +215,7 @@
             .filter(|o| matches!(o, AgentCommand::Forget { .. }))
             .count()
     };
-    // This report left before the pushed start arrived.
+    // This heartbeat left before the pushed start arrived.
     let due = leader.apply_heartbeat(&cluster, &heartbeat(2, None), None, at(30), at(30));
     assert_eq!(starts(&commands(&mut leader, due, 30)), 1);
     let running = heartbeat(3, Some((TaskPhase::Running, None)));
@@ -224,11 +224,11 @@
     let due = leader.apply_heartbeat_content(&cluster, &heartbeat(4, stopped()), None, at(60), at(60));
     let sent = commands(&mut leader, due, 60);
     assert_eq!(forgets(&sent), 0, "the answer to report 2 may still be on its way");
-    // A copy of an old report proves nothing about that answer.
+    // A copy of an old heartbeat proves nothing about that answer.
     leader.apply_heartbeat(&cluster, &heartbeat(1, None), None, at(65), at(65));
     let due = leader.apply_heartbeat_content(&cluster, &heartbeat(5, stopped()), None, at(70), at(70));
     assert_eq!(forgets(&commands(&mut leader, due, 70)), 0);
-    // The worker's next report proves that the answer was received or dropped.
+    // The worker's next heartbeat proves that the answer was received or dropped.
     let due = leader.apply_heartbeat(&cluster, &heartbeat(6, stopped()), None, at(500), at(500));
     assert_eq!(forgets(&commands(&mut leader, due, 500)), 1);
 }
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -34,7 +34,7 @@
     /// This share of the transactions that write a key with this prefix gets no reply and is
     /// executed 2 to 12 s later, after newer transactions.
     LateWrites(f64, String),
-    /// Copies of this share of the reports arrive after a delay of 2 s to well over a lease.
+    /// Copies of this share of the heartbeats arrive after a delay of 2 s to well over a lease.
     LateReports(f64),
     /// Commands that are pushed to machines are delayed by this time.
     DelayPushedCommands(u64),
@@ -64,11 +64,11 @@
     PeersRefuse,
     /// Packets from one end to another are lost.
     LinkCut(super::links::End, super::links::End),
-    /// This many machines receive no replies and no commands; their reports arrive.
+    /// This many machines receive no replies and no commands; their heartbeats arrive.
     BlockInbound(usize),
-    /// Replies to reports are delayed by up to this time.
+    /// Replies to heartbeats are delayed by up to this time.
     SlowAnswers(u64),
-    /// Copies of all reports arrive after this delay.
+    /// Copies of all heartbeats arrive after this delay.
     DuplicateReports(u64),
     /// Multiplies the boot time of machines that are rented now; with 0 they never boot.
     BootFactor(f64),
@@ -111,7 +111,7 @@
 pub(crate) enum Expect {
     Done(String, u64),
     Cancelled(String, u64),
-    /// Highest number of pages that the log ever used.
+    /// Highest number of segments that the log ever used.
     LogPages(usize),
     /// The job is recorded as withdrawn in the state service at the end.
     Withdrawn(String),
--- a/tests/two_versions.rs
+++ b/tests/two_versions.rs
@@ -278,7 +278,7 @@
 }
 
 /// Runs a worker whose tasks take one second each. It moves on to the next controller whenever a
-/// report isn't answered with commands.
+/// heartbeat isn't answered with commands.
 async fn run_worker(public: Vec<u16>) {
     let (mut tasks, mut sequence, mut fencing_token, mut node) =
         (BTreeMap::<(String, u64), Instant>::new(), 0u64, 0u64, 0usize);
