--- a/crates/connectivity/src/handover.rs
+++ b/crates/connectivity/src/handover.rs
@@ -165,8 +165,8 @@
     }
 
     /// Decides whether the leadership that began at `began` is given up now. `others` is the number
-    /// of other controllers; `machines` returns the number of working machines and is called only
-    /// if needed.
+    /// of other controllers; `machines` returns the number of machines that are up and is called
+    /// only if needed.
     pub fn decide(
         &mut self,
         links: &LinkTable,
--- a/src/coordination/agents/heartbeat_status.rs
+++ b/src/coordination/agents/heartbeat_status.rs
@@ -322,10 +322,10 @@
         };
         let is_first_report = !matches!(placement.phase, PlacementPhase::Exited(_));
         placement.phase = PlacementPhase::Exited(cause);
-        let on_helper_machine = placement.on_helper_machine;
+        let on_helper_slots = placement.on_helper_slots;
         let cancelled = job.cancelled_at.is_some();
         if is_first_report {
-            job.release_task(on_helper_machine);
+            job.release_task(on_helper_slots);
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.discharge(&job.spec);
             }
--- a/src/coordination/audit.rs
+++ b/src/coordination/audit.rs
@@ -82,7 +82,7 @@
 
     /// Handles the acceptance pages that were read. Without an answer, the next audit reads them
     /// again.
-    pub(super) fn on_audit(&mut self, answer: StoreResponse) {
+    pub(super) fn on_acceptance_pages_read(&mut self, answer: StoreResponse) {
         let now = self.context.now;
         let Some(leader) = self.leader.as_mut() else { return };
         let StoreResponse::Rows(rows) = answer else {
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -172,7 +172,7 @@
                     .record_delivery(&node, link == Link::Up, link == Link::Refused);
                 self.peer_links.insert(node, link);
             }
-            Event::PushedCommands { id, answer } => {
+            Event::PushResult { id, answer } => {
                 if let Some(push) = self.relayed_pushes.remove(&id) {
                     let message = PeerMessage::RelayedPushResult {
                         id: push.request_id,
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -234,7 +234,7 @@
 
     /// Passes the ends of jobs that the leader has recorded to the job API, so that dependent jobs
     /// are unblocked or cancelled at once.
-    pub(super) fn learn_recorded_ends(&mut self, ends: super::log::RecordedEnds, revision: u64) {
+    pub(super) fn apply_recorded_ends(&mut self, ends: super::log::RecordedEnds, revision: u64) {
         for id in ends.done {
             self.api
                 .record_phase(&id, revision, crate::protocol::users::Phase::Done);
--- a/src/coordination/election/campaign.rs
+++ b/src/coordination/election/campaign.rs
@@ -100,7 +100,7 @@
     /// The peers observe the drop through their watches. If the request to drop the lease is lost,
     /// the lease expires. Requests that are still in flight have a term that the next leader's term
     /// replaces.
-    pub(in crate::coordination) fn give_up_lead(&mut self, successor: Option<String>, reason: StepDownReason) {
+    pub(in crate::coordination) fn give_up_leadership(&mut self, successor: Option<String>, reason: StepDownReason) {
         let (lease, term) = (self.election.lease, self.election.term());
         self.step_down(reason);
         self.election.prefer_successor(successor.clone(), self.context.now);
@@ -213,7 +213,7 @@
             return Micros(self.election.index as u64 * DELAY_PER_INDEX.0);
         }
         let rank = u64::from(self.forwarder.link_table.rank(now));
-        let yields = keeps_restarting || self.gave_up_lead_recently();
+        let yields = keeps_restarting || self.gave_up_leadership_recently();
         let penalty = if yields { YIELD_DELAY } else { Micros::ZERO };
         let jitter = self.context.rng.u64(0..CAMPAIGN_JITTER.0);
         Micros(rank * DELAY_PER_RANK.0 + jitter) + penalty + self.election.successor_delay(now)
--- a/src/coordination/events.rs
+++ b/src/coordination/events.rs
@@ -96,7 +96,7 @@
         answer: CloudResponse,
     },
     /// An agent's answer to commands that were pushed to it.
-    PushedCommands {
+    PushResult {
         /// The number of the push request.
         id: u64,
         /// The result.
--- a/src/coordination/failure_detection/stragglers.rs
+++ b/src/coordination/failure_detection/stragglers.rs
@@ -29,7 +29,7 @@
 /// Additional cost of a move, as a share of the usual run time.
 const MOVE_COST: f64 = 0.3;
 /// Grace period in which a task can save its work, as a multiple of the job's `save_s`.
-const GRACE_FACTOR: f64 = 1.2;
+const CHECKPOINT_GRACE_FACTOR: f64 = 1.2;
 
 /// Mean run time of a job's completed tasks in seconds, if enough of them have completed.
 fn mean_run_s(job: &Job) -> Option<f64> {
@@ -67,7 +67,10 @@
         self.mark_slow(&suspects, silence, now);
         for (id, task) in self.tasks_to_move(silence, now) {
             tracing::debug!(job = %id, task, "task stopped on a slow machine, to be restarted elsewhere");
-            let grace_s = self.jobs.get(&id).map_or(0.0, |j| j.spec.save_s * GRACE_FACTOR);
+            let grace_s = self
+                .jobs
+                .get(&id)
+                .map_or(0.0, |j| j.spec.save_s * CHECKPOINT_GRACE_FACTOR);
             self.stop(&id, task, grace_s, now);
         }
     }
--- a/src/coordination/failure_detection/zone_partition.rs
+++ b/src/coordination/failure_detection/zone_partition.rs
@@ -118,7 +118,7 @@
 
     /// Selects the machines of cut-off zones that are released because their array tasks now fit
     /// elsewhere.
-    pub fn machines_leaving_cut_zones(&self, cluster: &ClusterConfig, now: Micros) -> BTreeSet<MachineId> {
+    pub fn machines_leaving_cut_off_zones(&self, cluster: &ClusterConfig, now: Micros) -> BTreeSet<MachineId> {
         let mut candidates = vec![];
         let mut free_cores = 0.0;
         let silence = Self::max_heartbeat_age(cluster);
--- a/src/coordination/forwarding.rs
+++ b/src/coordination/forwarding.rs
@@ -613,18 +613,18 @@
         let others = self.cluster.settings.peers.len() as u32;
         // Counted only if the decision depends on the number: the count goes through all machines,
         // and the policy decides after every batch.
-        let machines = || self.leader.as_ref().map_or(0, |l| l.working_machines());
+        let machines = || self.leader.as_ref().map_or(0, |l| l.up_machines());
         let links = &self.forwarder.link_table;
         let handover = self.forwarder.handover.decide(links, others, machines, led_since, now);
         if let Some(Handover { to, reason }) = handover {
             let why = reason.as_str();
             tracing::warn!(term = self.election.term(), to, why, "giving up the leadership");
-            self.give_up_lead(to, StepDownReason::Handover(reason));
+            self.give_up_leadership(to, StepDownReason::Handover(reason));
         }
     }
 
     /// Whether this controller gave up the leadership recently.
-    pub(super) fn gave_up_lead_recently(&self) -> bool {
+    pub(super) fn gave_up_leadership_recently(&self) -> bool {
         self.forwarder.handover.handed_over_recently(self.context.now)
     }
 }
--- a/src/coordination/log/answers.rs
+++ b/src/coordination/log/answers.rs
@@ -35,7 +35,7 @@
             LogContinuation::Segments | LogContinuation::JobChanges | LogContinuation::AllJobs => {
                 self.on_log_read(&continuation, answer)
             }
-            LogContinuation::Audit => self.on_audit(answer),
+            LogContinuation::Audit => self.on_acceptance_pages_read(answer),
             LogContinuation::ProxiedMachines => self.on_proxied_machines(answer),
             LogContinuation::Commit => self.on_commit(answer),
             LogContinuation::Probe => self.on_probe(answer),
@@ -110,7 +110,7 @@
     fn on_executed(&mut self, revision: u64) {
         let Some(leader) = self.leader.as_mut() else { return };
         let ends = leader.apply_transaction(&mut self.context, revision);
-        self.learn_recorded_ends(ends, revision);
+        self.apply_recorded_ends(ends, revision);
     }
 
     /// Handles a conflict: the conditions of the transaction on the keys in `failed` do not hold.
--- a/src/coordination/log/outcome.rs
+++ b/src/coordination/log/outcome.rs
@@ -155,7 +155,7 @@
         for claim in pending.claims {
             self.provisioning.claim_recorded(&claim.claim, claim.segment);
         }
-        self.provisioning.claims_dropped(&pending.settled);
+        self.provisioning.claims_removed(&pending.settled);
         RecordedEnds {
             done: pending.completed,
             cancelled_by_dependency: pending.cancelled_by_dependency,
@@ -204,9 +204,9 @@
         placement.phase = PlacementPhase::Sent;
         placement.placed_at = now;
         let machine = self.machines.get(&placement.machine);
-        let is_kept =
+        let incarnation_is_kept =
             machine.is_some_and(|m| m.incarnation == placement.incarnation && m.release_requested_at.is_none());
-        if !live || placement.stop_grace_s.is_some() || !is_kept {
+        if !live || placement.stop_grace_s.is_some() || !incarnation_is_kept {
             // Only this leader could have sent the start, and it has not: the record is void, and
             // no heartbeat is needed to prove this.
             self.free(&id, task, VoidProof::NeverSent, now);
--- a/src/coordination/log/restore.rs
+++ b/src/coordination/log/restore.rs
@@ -174,7 +174,7 @@
             sent: true,
             stop_grace_s: None,
             stop_requested_at: now,
-            on_helper_machine: false,
+            on_helper_slots: false,
             placed_at: now,
             running_since: None,
             restored: true,
--- a/src/coordination/log/write.rs
+++ b/src/coordination/log/write.rs
@@ -59,7 +59,7 @@
         }
         let claims = ClaimChanges {
             to_record: self.provisioning.claims_to_record(MAX_CLAIM_CHANGES),
-            to_remove: self.provisioning.claims_to_drop(MAX_CLAIM_CHANGES),
+            to_remove: self.provisioning.claims_to_remove(MAX_CLAIM_CHANGES),
         };
         if !self.is_write_due(&claims, now) {
             return;
--- a/src/coordination/provisioning/claims.rs
+++ b/src/coordination/provisioning/claims.rs
@@ -97,8 +97,8 @@
             .min()
     }
 
-    /// Returns up to `max` settled claims, whose records are to be dropped.
-    pub fn claims_to_drop(&self, max: usize) -> Vec<String> {
+    /// Returns up to `max` settled claims, whose records are to be removed.
+    pub fn claims_to_remove(&self, max: usize) -> Vec<String> {
         self.claims
             .iter()
             .filter(|c| matches!(c.state, ClaimState::Settled))
@@ -107,8 +107,8 @@
             .collect()
     }
 
-    /// Removes claims whose records the log has dropped.
-    pub fn claims_dropped(&mut self, ids: &[String]) {
+    /// Removes claims whose records were removed from the log.
+    pub fn claims_removed(&mut self, ids: &[String]) {
         self.claims.retain(|c| !ids.contains(&c.id));
     }
 
--- a/src/coordination/provisioning/cost_benefit.rs
+++ b/src/coordination/provisioning/cost_benefit.rs
@@ -36,9 +36,9 @@
 /// How far ahead arrivals of jobs are projected.
 const EXPECTED_HORIZON_S: f64 = 120.0;
 /// Expected boot time in multiples of the nominal boot time.
-const BOOT_FACTOR: f64 = 1.1;
+const ASSUMED_BOOT_TIME_FACTOR: f64 = 1.1;
 /// Upper limit of the expected time to fetch an image.
-const MAX_FETCH_S: f64 = 60.0;
+const MAX_COUNTED_FETCH_S: f64 = 60.0;
 /// Lower limit of the expected remaining run time of a task.
 const MIN_REMAINING_S: f64 = 2.0;
 /// Number of tasks of a job that must have completed before their mean run time replaces the
@@ -211,7 +211,7 @@
     }
 
     fn fetch_s(&self, job: &Job) -> f64 {
-        (job.spec.image_gb / self.market.fetch_gb_per_s).min(MAX_FETCH_S)
+        (job.spec.image_gb / self.market.fetch_gb_per_s).min(MAX_COUNTED_FETCH_S)
     }
 
     /// Returns the expected time for which a task of the job holds its cores, including the fetch
@@ -391,7 +391,7 @@
         for claim in claims.filter(|c| !zones.is_cut_off(&c.zone)) {
             if let Some(machine_type) = self.cluster.catalogue.get(&claim.machine_type) {
                 let cores = machine_type.cpus * f64::from(claim.count);
-                let at_s = machine_type.boot_s * BOOT_FACTOR;
+                let at_s = machine_type.boot_s * ASSUMED_BOOT_TIME_FACTOR;
                 supply.upcoming.push(FutureCapacity { at_s, cores });
             }
         }
@@ -404,7 +404,7 @@
         let profile = self.leader.provisioning.boot_times.profile(machine);
         let counted = profile.counted_share(age, machine_type.boot_s);
         FutureCapacity {
-            at_s: (machine_type.boot_s * BOOT_FACTOR - age.secs()).max(1.0),
+            at_s: (machine_type.boot_s * ASSUMED_BOOT_TIME_FACTOR - age.secs()).max(1.0),
             cores: machine_type.cpus * counted,
         }
     }
--- a/src/coordination/provisioning/demand.rs
+++ b/src/coordination/provisioning/demand.rs
@@ -21,9 +21,9 @@
 /// the meantime take the rest.
 const FREED_SHARE: f64 = 0.7;
 /// Expected boot time in multiples of the nominal boot time.
-const BOOT_FACTOR: f64 = 1.1;
+const ASSUMED_BOOT_TIME_FACTOR: f64 = 1.1;
 /// Upper limit of the expected time to fetch an image, in seconds.
-const MAX_FETCH_S: f64 = 60.0;
+const MAX_COUNTED_FETCH_S: f64 = 60.0;
 /// Factor by which tasks often run longer than estimated.
 const ESTIMATE_MARGIN: f64 = 1.5;
 
@@ -186,7 +186,7 @@
     }
 
     /// Returns the cores that are held in cut-off zones by work that is not to be moved yet.
-    pub(super) fn cores_staying_in_cut_zones(&self, cluster: &ClusterConfig, now: Micros) -> CoresByCapacityType {
+    pub(super) fn cores_staying_in_cut_off_zones(&self, cluster: &ClusterConfig, now: Micros) -> CoresByCapacityType {
         let evacuations: BTreeMap<&str, Evacuation> = self
             .machines
             .values()
@@ -230,7 +230,7 @@
         .values()
         .map(|t| job.spec.image_gb / t.fetch_gb_per_s.max(0.01))
         .fold(f64::INFINITY, f64::min);
-    let ready_at = now + Micros::from_secs(mean_boot_s * BOOT_FACTOR + fetch_s.min(MAX_FETCH_S));
+    let ready_at = now + Micros::from_secs(mean_boot_s * ASSUMED_BOOT_TIME_FACTOR + fetch_s.min(MAX_COUNTED_FETCH_S));
     let is_in_time = latest_start(cluster, job).is_none_or(|at| ready_at <= at);
     // Best-effort work waits for spot machines.
     if job.may_run() && is_in_time && !is_best_effort(cluster, job, now) {
--- a/src/coordination/provisioning/failed_machines.rs
+++ b/src/coordination/provisioning/failed_machines.rs
@@ -179,7 +179,7 @@
             silent,
             unreliable_controllers: leader.unreliable_controllers(silent, now),
             with_unstopped_tasks: leader.machines_with_unstopped_tasks(cluster, now),
-            leaving_cut_off_zones: leader.machines_leaving_cut_zones(cluster, now),
+            leaving_cut_off_zones: leader.machines_leaving_cut_off_zones(cluster, now),
             early_failures: BTreeSet::new(),
         };
         check.early_failures = leader.silent_machines_to_give_up(cluster, |m| check.silence_by_itself(m));
--- a/src/coordination/provisioning/scaling.rs
+++ b/src/coordination/provisioning/scaling.rs
@@ -59,7 +59,7 @@
         } else {
             0.0
         };
-        let staying = self.cores_staying_in_cut_zones(cluster, now);
+        let staying = self.cores_staying_in_cut_off_zones(cluster, now);
         let spot = demand.spot.max(self.provisioning.average_spot_demand * headroom);
         CoresByCapacityType {
             on_demand: (on_demand - staying.on_demand).max(0.0),
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -27,7 +27,7 @@
 /// Maximum number of waiting tasks of one job for which work is preempted in one pass.
 const MAX_TASKS_PER_JOB: usize = 64;
 /// Time that a victim gets to save its work, as a multiple of the time that its job declares.
-const GRACE_FACTOR: f64 = 1.2;
+const CHECKPOINT_GRACE_FACTOR: f64 = 1.2;
 
 /// A task that may be stopped.
 struct Victim {
@@ -105,7 +105,7 @@
         for preemption in preemptions {
             tracing::debug!(job = %preemption.job, task = preemption.task, for_job = %id, "task preempted");
             let victim = self.jobs.get(&preemption.job);
-            let grace_s = victim.map_or(0.0, |j| j.spec.save_s * GRACE_FACTOR);
+            let grace_s = victim.map_or(0.0, |j| j.spec.save_s * CHECKPOINT_GRACE_FACTOR);
             self.stop(&preemption.job, preemption.task, grace_s, pass.now);
         }
     }
--- a/src/coordination/scheduling/starts.rs
+++ b/src/coordination/scheduling/starts.rs
@@ -193,7 +193,7 @@
             sent: false,
             stop_grace_s: None,
             stop_requested_at: pass.now,
-            on_helper_machine: on_helpers,
+            on_helper_slots: on_helpers,
             placed_at: pass.now,
             running_since: None,
             restored: false,
--- a/src/coordination/state/job.rs
+++ b/src/coordination/state/job.rs
@@ -75,7 +75,7 @@
     pub stop_requested_at: Micros,
     /// Whether the attempt was started in the helper slots of Balanced Splitting rather than in the
     /// pool of its class.
-    pub on_helper_machine: bool,
+    pub on_helper_slots: bool,
     /// When the placement was decided; once its record is committed, the time of the commit.
     pub placed_at: Micros,
     /// When the attempt was first reported as running; `None` if it has not been.
@@ -347,15 +347,15 @@
     }
 
     /// Counts one more task that uses resources of a machine.
-    pub fn hold_task(&mut self, on_helper_machine: bool) {
+    pub fn hold_task(&mut self, on_helper_slots: bool) {
         self.held_tasks += 1;
-        self.held_helper_tasks += u32::from(on_helper_machine);
+        self.held_helper_tasks += u32::from(on_helper_slots);
     }
 
     /// Counts one task fewer that uses resources of a machine.
-    pub fn release_task(&mut self, on_helper_machine: bool) {
+    pub fn release_task(&mut self, on_helper_slots: bool) {
         self.held_tasks = self.held_tasks.saturating_sub(1);
-        if on_helper_machine {
+        if on_helper_slots {
             self.held_helper_tasks = self.held_helper_tasks.saturating_sub(1);
         }
     }
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -186,7 +186,7 @@
 
     /// Returns the number of machines in the state [`MachineState::Up`], some of which may have
     /// failed since their last heartbeat.
-    pub fn working_machines(&self) -> u32 {
+    pub fn up_machines(&self) -> u32 {
         let up = |m: &&Machine| m.state == MachineState::Up;
         self.machines.values().filter(up).count() as u32
     }
--- a/src/coordination/state/placements.rs
+++ b/src/coordination/state/placements.rs
@@ -141,7 +141,7 @@
             self.log_writer.fully_cancelled.insert(id.clone());
         }
         if placement.uses_resources() {
-            job.release_task(placement.on_helper_machine);
+            job.release_task(placement.on_helper_slots);
         }
         if let Some(machine) = self.machines.get_mut(&placement.machine) {
             machine.remove_task(id, task, &job.spec, &placement);
--- a/src/runtime/process.rs
+++ b/src/runtime/process.rs
@@ -238,7 +238,7 @@
                 let client = self.agents.get(&addr);
                 self.spawn(async move {
                     let answer = agent_client::push(client, body, timeout).await;
-                    Event::PushedCommands { id, answer }
+                    Event::PushResult { id, answer }
                 });
             }
             Effect::Peer { to, message } => {
@@ -267,7 +267,7 @@
                 id,
                 answer: CloudResponse::Refused,
             },
-            Effect::PushedCommands { id, .. } => Event::PushedCommands {
+            Effect::PushedCommands { id, .. } => Event::PushResult {
                 id,
                 answer: PushResult::NotSent,
             },
--- a/tests/sim/agents.rs
+++ b/tests/sim/agents.rs
@@ -217,7 +217,7 @@
             let held = self.push_reply_delay(&name);
             self.after(
                 hop + held,
-                ScheduledEvent::Event(n, life, Event::PushedCommands { id, answer }),
+                ScheduledEvent::Event(n, life, Event::PushResult { id, answer }),
             );
         }
         self.after(1, ScheduledEvent::Worker(name));
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -519,7 +519,7 @@
                     let answer = glenhaven::coordination::PushResult::Unknown;
                     self.after(
                         timeout.0,
-                        ScheduledEvent::Event(n, life, Event::PushedCommands { id, answer }),
+                        ScheduledEvent::Event(n, life, Event::PushResult { id, answer }),
                     );
                     self.push_commands(n, life, id, hop, addr, body);
                 }
--- a/tests/sim/process_restarts.rs
+++ b/tests/sim/process_restarts.rs
@@ -162,7 +162,7 @@
         sent: true,
         stop_grace_s: None,
         stop_requested_at: since,
-        on_helper_machine: false,
+        on_helper_slots: false,
         placed_at: since,
         running_since: None,
         restored: false,
